--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -89,18 +89,18 @@
 func (l *controlLink) read(connection net.Conn) error {
 	const step = "balancer.control"
 	reader := bufio.NewReader(connection)
-	l.health.Opened(l.process.now())
+	l.health.ConnectionOpened(l.process.now())
 	for {
-		if l.health.Failed(l.process.now()) {
+		if l.health.ShouldSwitch(l.process.now()) {
 			return steperror.New(step, connection.RemoteAddr().String(), "the member knows no leader")
 		}
-		_ = connection.SetReadDeadline(time.Now().Add(linkhealth.SilenceLimit))
+		_ = connection.SetReadDeadline(time.Now().Add(linkhealth.SilenceTimeout))
 		frame, err := wire.ReadFrame(reader)
 		if err != nil {
 			return err
 		}
 		l.process.metrics.controlReceived.Add(float64(wire.FrameSize(frame)))
-		l.health.NoteFrame(l.process.now(), frame)
+		l.health.RecordFrame(l.process.now(), frame)
 		l.process.inputs.Push(controlInput{frame: frame})
 	}
 }
--- a/internal/edge/announcements.go
+++ b/internal/edge/announcements.go
@@ -13,7 +13,7 @@
 // takeAnnouncements listens for announcements of members until the node knows members
 // or stops. Without them the node finds members by the seeds.
 func (p *Process) takeAnnouncements() {
-	socket, err := listenUDP("edge.announcements", p.settings.Announcements)
+	socket, err := listenUDP("edge.announcements", p.settings.AnnouncementAddress)
 	if err != nil {
 		p.logger.Event(eventlog.AnnouncementsOff, "err", err)
 		return
--- a/internal/edge/announcements_test.go
+++ b/internal/edge/announcements_test.go
@@ -28,7 +28,7 @@
 	require.NoError(t, err)
 	seed := listener.Addr().String()
 	require.NoError(t, listener.Close())
-	process := NewProcess(Settings{Name: "edge-1", Zone: "north", Seeds: []string{seed}, Announcements: freeUDP(t)}, eventlog.Discard())
+	process := NewProcess(Settings{Name: "edge-1", Zone: "north", Seeds: []string{seed}, AnnouncementAddress: freeUDP(t)}, eventlog.Discard())
 	go process.takeAnnouncements()
 	go process.subscriber.run()
 	t.Cleanup(func() { close(process.stopped) })
@@ -36,7 +36,7 @@
 }
 
 func tell(t *testing.T, process *Process, datagram []byte) {
-	socket, err := net.Dial("udp4", process.settings.Announcements)
+	socket, err := net.Dial("udp4", process.settings.AnnouncementAddress)
 	require.NoError(t, err)
 	defer func() { _ = socket.Close() }()
 	_, _ = socket.Write(datagram)
@@ -61,7 +61,7 @@
 
 func TestANodeServesWithoutAnnouncements(t *testing.T) {
 	member := newFakeMember(t, registry.Alive{Current: true}.Frame())
-	process := NewProcess(Settings{Name: "edge-1", Zone: "north", Seeds: []string{member.address()}, Announcements: "nowhere"}, eventlog.Discard())
+	process := NewProcess(Settings{Name: "edge-1", Zone: "north", Seeds: []string{member.address()}, AnnouncementAddress: "nowhere"}, eventlog.Discard())
 	process.takeAnnouncements()
 	go process.subscriber.run()
 	defer close(process.stopped)
--- a/internal/edge/beat_test.go
+++ b/internal/edge/beat_test.go
@@ -16,7 +16,7 @@
 // hears from them: nobody else would know that the target was heard.
 func TestANodeTakesHeartbeatsOnlyWithAFreshState(t *testing.T) {
 	process := NewProcess(Settings{Name: "edge-1", Zone: "north"}, eventlog.Discard())
-	process.beats.Follow([]directory.Target{{ID: "i-1", Token: 5, State: directory.TargetReady}})
+	process.beats.Update([]directory.Target{{ID: "i-1", Token: 5, State: directory.TargetReady}})
 	takes := func(id string, state directory.TargetState) bool {
 		_, err := process.Beat(context.Background(), registry.Heartbeat{Target: directory.Target{ID: id, State: state}})
 		return err == nil
@@ -34,5 +34,5 @@
 	hear(0)
 	process.leaving.Store(true)
 	assert.False(t, takes("i-1", directory.TargetReady), "the node is about to stop")
-	assert.Equal(t, []directory.Token{5}, process.beats.TakeHeard())
+	assert.Equal(t, []directory.Token{5}, process.beats.TakeAcknowledged())
 }
--- a/internal/edge/bounds.go
+++ b/internal/edge/bounds.go
@@ -14,8 +14,8 @@
 // Connections returns the bound of those that callers over HTTP hold.
 func (p *Process) Connections() *hosting.Connections { return p.connections }
 
-// Change takes over what has changed in the settings.
-func (p *Process) Change(next hosting.Changeable) {
+// ApplySettings takes over what has changed in the settings.
+func (p *Process) ApplySettings(next hosting.Changeable) {
 	p.subscriber.setSeeds(next.Seeds)
 	p.subscriber.setStrength(next.Strength)
 	p.connections.SetLimit(next.Strength.Connections())
--- a/internal/edge/bounds_test.go
+++ b/internal/edge/bounds_test.go
@@ -69,7 +69,7 @@
 	go process.subscriber.run()
 	t.Cleanup(func() { close(process.stopped) })
 	assert.Equal(t, first, next(t, heard).Strength)
-	process.Change(hosting.Changeable{Seeds: []string{address}, Strength: second})
+	process.ApplySettings(hosting.Changeable{Seeds: []string{address}, Strength: second})
 	require.Eventually(t, func() bool {
 		process.subscriber.report(steer.Evidence{}, nil)
 		return len(heard) > 0
@@ -77,13 +77,13 @@
 	told := next(t, heard)
 	assert.Equal(t, second, told.Strength)
 	assert.Equal(t, "edge-1", told.Node)
-	process.Change(hosting.Changeable{Seeds: []string{address}, Strength: second})
+	process.ApplySettings(hosting.Changeable{Seeds: []string{address}, Strength: second})
 	process.subscriber.report(steer.Evidence{}, nil)
 	assert.Empty(t, heard, "the same word is not told again")
 	require.Len(t, connections, 1)
 	// A member that comes back hears the newest word at once, and not again.
 	third := strength.Strength{Share: 0.5}
-	process.Change(hosting.Changeable{Seeds: []string{address}, Strength: third})
+	process.ApplySettings(hosting.Changeable{Seeds: []string{address}, Strength: third})
 	require.NoError(t, (<-connections).Close())
 	assert.Equal(t, third, next(t, heard).Strength)
 	process.subscriber.mutex.Lock()
--- a/internal/edge/loop.go
+++ b/internal/edge/loop.go
@@ -52,7 +52,7 @@
 	p.tickRoom(now)
 	var heard []directory.Token
 	if p.ticks%reportsPerHeard == 0 {
-		heard = p.beats.TakeHeard()
+		heard = p.beats.TakeAcknowledged()
 	}
 	p.subscriber.report(p.core.Report(now, reportInterval), heard)
 	p.subscriber.tellSpeeds(p.core.TakeSpeeds(now))
--- a/internal/edge/memory_test.go
+++ b/internal/edge/memory_test.go
@@ -34,7 +34,7 @@
 		wire.Frame{Kind: wire.FrameRemembered, Payload: directory.EncodeRemembered(remembered)}, registry.Alive{}.Frame())
 	log := &lines{}
 	process := NewProcess(Settings{
-		Name: "edge-1", Zone: "north", Packets: "127.0.0.1:0", Seeds: []string{member.address()}, Format: plainFormat{}, Core: steer.DefaultSettings(),
+		Name: "edge-1", Zone: "north", PacketAddress: "127.0.0.1:0", Seeds: []string{member.address()}, Format: plainFormat{}, Core: steer.DefaultSettings(),
 	}, eventlog.New(log, "edge-1"))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -76,7 +76,7 @@
 		return process.subscriber.followed() == member.address()
 	}, soon, 20*time.Millisecond)
 	assert.Eventually(t, func() bool {
-		socket, err := listenUDP("test", process.settings.Announcements)
+		socket, err := listenUDP("test", process.settings.AnnouncementAddress)
 		if err != nil {
 			return false
 		}
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -48,21 +48,21 @@
 type Settings struct {
 	Name string
 	Zone string
-	// Packets is the UDP address for packets from callers.
-	Packets string
+	// PacketAddress is the UDP address for packets from callers.
+	PacketAddress string
 	// Seeds are addresses of control members, some of which may be gone.
 	Seeds []string
-	// Beats is the address at which this node takes heartbeats of targets, or
+	// HeartbeatAddress is the address at which this node takes heartbeats of targets, or
 	// "" when it takes none.
-	Beats string
+	HeartbeatAddress string
 	// Link is what is stated of the machine's own link.
 	Link egress.Link
 	// Strength is what is stated of the machine.
 	Strength strength.Strength
-	// Announcements is the UDP address at which members announce themselves, or "".
-	Announcements string
-	// LeaveTime is how long the node forwards after it was told to stop.
-	LeaveTime time.Duration
+	// AnnouncementAddress is the UDP address at which members announce themselves, or "".
+	AnnouncementAddress string
+	// DrainTime is how long the node forwards after it was told to stop.
+	DrainTime time.Duration
 	Format    Format
 	Core      steer.Settings
 }
@@ -99,23 +99,23 @@
 	placed bool
 }
 
-// leaveTime is how long a node forwards after it was told to stop: routers look at
+// maxDrainTime is how long a node forwards after it was told to stop: routers look at
 // a node twice a second and leave it out after two misses.
-const leaveTime = 2200 * time.Millisecond
+const maxDrainTime = 2200 * time.Millisecond
 
-// LeaveTimeWithin returns how long a node forwards that is killed some time after
+// DrainTimeWithin returns how long a node forwards that is killed some time after
 // it was told to stop; 0 means that it is not killed.
-func LeaveTimeWithin(grace time.Duration) time.Duration {
+func DrainTimeWithin(grace time.Duration) time.Duration {
 	if grace <= 0 {
-		return leaveTime
+		return maxDrainTime
 	}
-	return min(leaveTime, grace/2)
+	return min(maxDrainTime, grace/2)
 }
 
 // NewProcess prepares a node. The socket for packets is opened before all else, so that
 // what comes meanwhile waits in it; Run reports when that failed.
 func NewProcess(settings Settings, logger *eventlog.Logger) *Process {
-	socket, socketErr := listenUDP("edge.listen", settings.Packets)
+	socket, socketErr := listenUDP("edge.listen", settings.PacketAddress)
 	settings.Core.Name = settings.Name
 	settings.Core.Zone = settings.Zone
 	flows := settings.Core.FlowLimit
@@ -170,7 +170,7 @@
 // the address is that of the one that the node follows, or "".
 func (p *Process) Beat(_ context.Context, beat registry.Heartbeat) (address string, err error) {
 	fresh := !p.leaving.Load() && p.subscriber.stateAge() <= beatStateAge
-	taken := fresh && p.beats.Take(beat.Target.Start(), beat.Target.State)
+	taken := fresh && p.beats.Acknowledge(beat.Target.Start(), beat.Target.State)
 	p.metrics.countBeat(taken)
 	if !taken {
 		return p.subscriber.followed(), errNotTaken
@@ -189,15 +189,15 @@
 	p.spawn(p.runCore)
 	p.spawn(p.runTicker)
 	p.spawn(p.readPackets)
-	if p.settings.Announcements != "" {
+	if p.settings.AnnouncementAddress != "" {
 		p.spawn(p.takeAnnouncements)
 	}
 	p.spawn(p.subscriber.run)
 	p.prober.begin()
 	<-ctx.Done()
 	p.leaving.Store(true)
-	p.logger.Event(eventlog.StopRequested, "leave_time", p.settings.LeaveTime)
-	time.Sleep(p.settings.LeaveTime)
+	p.logger.Event(eventlog.StopRequested, "leave_time", p.settings.DrainTime)
+	time.Sleep(p.settings.DrainTime)
 	close(p.stopped)
 	_ = p.socket.Close()
 	p.inputs.Close()
--- a/internal/edge/reports.go
+++ b/internal/edge/reports.go
@@ -42,7 +42,7 @@
 // report sends evidence and the targets heard to the member that is followed. Without one, or when
 // the member does not read, it is dropped: the next report says the same.
 func (s *subscriber) report(evidence steer.Evidence, heard []directory.Token) {
-	message := EvidenceOf(evidence, heard)
+	message := EvidenceMessage(evidence, heard)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.tellStrength()
@@ -65,8 +65,8 @@
 	}
 }
 
-// EvidenceOf returns the message with what a node has seen and heard.
-func EvidenceOf(evidence steer.Evidence, heard []directory.Token) registry.Evidence {
+// EvidenceMessage returns the message with what a node has seen and heard.
+func EvidenceMessage(evidence steer.Evidence, heard []directory.Token) registry.Evidence {
 	message := registry.Evidence{Answering: evidence.Answering, Heard: heard}
 	message.Silent = targetsOf(evidence.Silent)
 	message.Refused = targetsOf(evidence.Refused)
--- a/internal/edge/sender_test.go
+++ b/internal/edge/sender_test.go
@@ -140,7 +140,7 @@
 	t.Helper()
 	log := &lines{}
 	process := NewProcess(Settings{
-		Name: "edge-1", Zone: "north", Packets: "127.0.0.1:0", Link: link, Format: plainFormat{}, Core: steer.DefaultSettings(),
+		Name: "edge-1", Zone: "north", PacketAddress: "127.0.0.1:0", Link: link, Format: plainFormat{}, Core: steer.DefaultSettings(),
 	}, eventlog.New(log, "edge-1"))
 	require.NoError(t, process.listen())
 	process.spawn(process.runCore)
--- a/internal/edge/subscriber.go
+++ b/internal/edge/subscriber.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// SilenceLimit is the longest time without a byte from a member.
-	SilenceLimit = 3*registry.AliveInterval + 100*time.Millisecond
+	// SilenceTimeout is the longest time without a byte from a member.
+	SilenceTimeout = 3*registry.AliveInterval + 100*time.Millisecond
 	// gapLimit is the longest usual time between two signs of a current member.
 	gapLimit = 2 * registry.AliveInterval
 	// reportCapacity is the number of reports that wait for a slow member.
@@ -174,10 +174,10 @@
 		Zone:      s.process.settings.Zone,
 		Revision:  s.revision,
 		Waited:    time.Since(s.process.started),
-		Beats:     s.process.settings.Beats,
+		Beats:     s.process.settings.HeartbeatAddress,
 		Referable: s.follower.IsReferable(),
 
-		Announcements: s.process.settings.Announcements,
+		Announcements: s.process.settings.AnnouncementAddress,
 		KeepsVerdicts: true,
 		Strength:      s.takeStrength(),
 	}
@@ -205,7 +205,7 @@
 
 // silenceLimit returns how long the node waits for the member's next byte.
 func (s *subscriber) silenceLimit() time.Duration {
-	return s.follower.SilenceLimit(SilenceLimit, s.revision == 0)
+	return s.follower.SilenceLimit(SilenceTimeout, s.revision == 0)
 }
 
 // followed returns the address of the member that is followed, or "".
--- a/internal/edge/subscriber_test.go
+++ b/internal/edge/subscriber_test.go
@@ -117,7 +117,7 @@
 func TestANodeThatStopsEndsWhatItHasBegun(t *testing.T) {
 	member := newFakeMember(t)
 	process := NewProcess(Settings{
-		Name: "edge-1", Zone: "north", Packets: "127.0.0.1:0", Seeds: []string{member.address()}, Announcements: "127.0.0.1:0", Format: plainFormat{},
+		Name: "edge-1", Zone: "north", PacketAddress: "127.0.0.1:0", Seeds: []string{member.address()}, AnnouncementAddress: "127.0.0.1:0", Format: plainFormat{},
 	}, eventlog.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/edge/updates.go
+++ b/internal/edge/updates.go
@@ -34,7 +34,7 @@
 	fits := p.core.Update(now, i.update)
 	p.metrics.applying.Observe(time.Since(started).Seconds())
 	if fits && p.core.Revision() > revision {
-		p.beats.Follow(i.update.Targets)
+		p.beats.Update(i.update.Targets)
 	}
 	p.resetFlows(now, p.core.EndUnanswered(), steer.ReasonEnded)
 	if byMemory && !p.core.PlacesByMemory() {
--- a/internal/heartbeat/cache.go
+++ b/internal/heartbeat/cache.go
@@ -29,8 +29,8 @@
 	return &Cache{targets: map[string]entry{}, heard: map[directory.Token]bool{}}
 }
 
-// Follow takes over targets that have changed.
-func (c *Cache) Follow(targets []directory.Target) {
+// Update takes over targets that have changed.
+func (c *Cache) Update(targets []directory.Target) {
 	if len(targets) == 0 {
 		return
 	}
@@ -55,9 +55,9 @@
 	clear(c.targets)
 }
 
-// Take notes a heartbeat and reports whether what it says is known to hold. One of
+// Acknowledge notes a heartbeat and reports whether what it says is known to hold. One of
 // another start than the latest is known to hold nothing.
-func (c *Cache) Take(start directory.Start, state directory.TargetState) bool {
+func (c *Cache) Acknowledge(start directory.Start, state directory.TargetState) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known, registered := c.targets[start.ID]
@@ -68,8 +68,8 @@
 	return true
 }
 
-// TakeHeard returns the targets heard since the last call, in no fixed order.
-func (c *Cache) TakeHeard() []directory.Token {
+// TakeAcknowledged returns the targets heard since the last call, in no fixed order.
+func (c *Cache) TakeAcknowledged() []directory.Token {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var tokens []directory.Token
--- a/internal/heartbeat/spread.go
+++ b/internal/heartbeat/distributor.go
@@ -8,9 +8,9 @@
 	"github.com/beamdoor/beamdoor/internal/strength"
 )
 
-// DefaultOwnRate is the number of heartbeats a second above which a member
+// DefaultLocalRate is the number of heartbeats a second above which a member
 // passes targets on to nodes.
-const DefaultOwnRate = 50
+const DefaultLocalRate = 50
 
 // window is the time over which heartbeats are counted.
 const window = time.Second
@@ -29,12 +29,12 @@
 // are the callers' choice. It is above the targets of a whole fleet.
 const maxRecent = 50_000
 
-// Spread chooses who takes the heartbeats of a member's targets. A target of
+// Distributor chooses who takes the heartbeats of a member's targets. A target of
 // another zone goes to a member of its own: its calls would be nearly all that
 // crosses between zones. A busy member names nodes; one that has little to do
 // keeps the targets of its zone, since a heartbeat at a member is seen first.
 // Many goroutines may use it at once.
-type Spread struct {
+type Distributor struct {
 	ownRate int
 	now     func() time.Time
 	// zone is that of the member itself.
@@ -91,36 +91,36 @@
 	return p.addresses[rendezvous.First(p.draws, rendezvous.Hash(id), left+1)[left]]
 }
 
-// SpreadOption changes a new spread.
-type SpreadOption func(*Spread)
+// DistributorOption changes a new spread.
+type DistributorOption func(*Distributor)
 
-// WithOwnRate sets the number of heartbeats a second that a member keeps.
-func WithOwnRate(rate int) SpreadOption {
-	return func(s *Spread) { s.ownRate = rate }
+// WithLocalRate sets the number of heartbeats a second that a member keeps.
+func WithLocalRate(rate int) DistributorOption {
+	return func(s *Distributor) { s.ownRate = rate }
 }
 
 // WithClock sets what tells the time; the default is time.Now.
-func WithClock(now func() time.Time) SpreadOption {
-	return func(s *Spread) { s.now = now }
+func WithClock(now func() time.Time) DistributorOption {
+	return func(s *Distributor) { s.now = now }
 }
 
 // WithZone sets the zone of the member itself.
-func WithZone(zone string) SpreadOption {
-	return func(s *Spread) { s.zone = zone }
+func WithZone(zone string) DistributorOption {
+	return func(s *Distributor) { s.zone = zone }
 }
 
-// NewSpread returns a spread that knows no node.
-func NewSpread(opts ...SpreadOption) *Spread {
-	s := &Spread{ownRate: DefaultOwnRate, now: time.Now, nodes: map[uint64]node{}}
+// NewDistributor returns a spread that knows no node.
+func NewDistributor(opts ...DistributorOption) *Distributor {
+	s := &Distributor{ownRate: DefaultLocalRate, now: time.Now, nodes: map[uint64]node{}}
 	for _, opt := range opts {
 		opt(s)
 	}
 	return s
 }
 
-// Add notes that a node takes heartbeats at an address. Its key is any number
+// AddNode notes that a node takes heartbeats at an address. Its key is any number
 // that no other node has. It states no strength until Weigh.
-func (s *Spread) Add(key uint64, zone, address string) {
+func (s *Distributor) AddNode(key uint64, zone, address string) {
 	if address == "" {
 		return
 	}
@@ -130,9 +130,9 @@
 	s.zones = nil
 }
 
-// Weigh notes what a node states of its machine. It changes nothing for a node that
+// SetStrength notes what a node states of its machine. It changes nothing for a node that
 // takes no heartbeats.
-func (s *Spread) Weigh(key uint64, stated strength.Strength) {
+func (s *Distributor) SetStrength(key uint64, stated strength.Strength) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known, takes := s.nodes[key]
@@ -144,8 +144,8 @@
 	s.zones = nil
 }
 
-// Remove notes that a node has gone.
-func (s *Spread) Remove(key uint64) {
+// RemoveNode notes that a node has gone.
+func (s *Distributor) RemoveNode(key uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if _, known := s.nodes[key]; known {
@@ -155,7 +155,7 @@
 }
 
 // arrange makes the lists of nodes anew after a change.
-func (s *Spread) arrange() {
+func (s *Distributor) arrange() {
 	if s.zones != nil {
 		return
 	}
@@ -175,8 +175,8 @@
 	}
 }
 
-// SetHomes replaces the addresses of the members of each zone.
-func (s *Spread) SetHomes(homes map[string][]string) {
+// SetMembers replaces the addresses of the members of each zone.
+func (s *Distributor) SetMembers(homes map[string][]string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.homes = map[string]places{}
@@ -187,11 +187,11 @@
 	}
 }
 
-// Choose counts a heartbeat of a target and returns the address for its later
+// Assign counts a heartbeat of a target and returns the address for its later
 // ones: a member of its zone, or a node of it if there is one. It returns "" when
 // the target is to stay with the member. A target that was passed on lately and is back
 // was refused there: it is told the next node.
-func (s *Spread) Choose(zone, id string) string {
+func (s *Distributor) Assign(zone, id string) string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.now()
@@ -219,7 +219,7 @@
 // home returns the address of a member of a target's zone. It returns "" for
 // targets of the own zone, and for one that was sent there lately and has come
 // back: its calls failed there.
-func (s *Spread) home(now time.Time, zone, id string) string {
+func (s *Distributor) home(now time.Time, zone, id string) string {
 	homes := s.homes[zone]
 	if zone == s.zone || len(homes.addresses) == 0 {
 		return ""
@@ -264,7 +264,7 @@
 }
 
 // count enters a heartbeat into the window.
-func (s *Spread) count(now time.Time) {
+func (s *Distributor) count(now time.Time) {
 	passed := now.Sub(s.since)
 	if passed >= window {
 		s.last = s.current
--- a/internal/lab/fleetsim/edge.go
+++ b/internal/lab/fleetsim/edge.go
@@ -119,7 +119,7 @@
 	}
 	e.send(evidence)
 	e.restate()
-	silent := w.now.Sub(e.heardAt) > product.SilenceLimit
+	silent := w.now.Sub(e.heardAt) > product.SilenceTimeout
 	if silent || !e.member.up || e.follower.Check(w.now) != nil {
 		e.leave()
 	}
@@ -137,7 +137,7 @@
 }
 
 func (e *edge) send(evidence steer.Evidence) {
-	message := product.EvidenceOf(evidence, nil)
+	message := product.EvidenceMessage(evidence, nil)
 	if message.IsEmpty() {
 		return
 	}
--- a/internal/lab/sim/balancer.go
+++ b/internal/lab/sim/balancer.go
@@ -100,7 +100,7 @@
 }
 
 func (b *balancer) tick() {
-	if b.connection != nil && b.health.Failed(b.now()) {
+	if b.connection != nil && b.health.ShouldSwitch(b.now()) {
 		b.hangUp()
 	}
 	if b.connection == nil {
@@ -144,7 +144,7 @@
 		generation: b.generation,
 		memberRun:  to.generation,
 	}
-	b.health.Opened(b.now())
+	b.health.ConnectionOpened(b.now())
 	b.carryOut(b.router.Reconnected(b.now()))
 }
 
@@ -189,7 +189,7 @@
 }
 
 func (b *balancer) receiveControl(frame wire.Frame) {
-	b.health.NoteFrame(b.now(), frame)
+	b.health.RecordFrame(b.now(), frame)
 	b.received += uint64(wire.FrameSize(frame))
 	actions, err := b.router.HandleControlFrame(b.now(), frame)
 	if err != nil {
--- a/internal/linkhealth/linkhealth.go
+++ b/internal/linkhealth/linkhealth.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// SilenceLimit is the longest time without a frame, two reports.
-	SilenceLimit = 1600 * time.Millisecond
+	// SilenceTimeout is the longest time without a frame, two reports.
+	SilenceTimeout = 1600 * time.Millisecond
 	// firstPatience is the longest time without a sign of the leader. It
 	// doubles with every member tried in vain, up to mostPatience: while nobody
 	// leads, changing members does not help.
@@ -27,8 +27,8 @@
 	patience time.Duration
 }
 
-// Opened notes that a connection to a member was opened.
-func (h *Health) Opened(now kernel.Instant) {
+// ConnectionOpened notes that a connection to a member was opened.
+func (h *Health) ConnectionOpened(now kernel.Instant) {
 	h.heard = now
 	h.leader = now
 	if h.patience == 0 {
@@ -36,9 +36,9 @@
 	}
 }
 
-// NoteFrame notes a frame of the member. A grant without a revision comes from
+// RecordFrame notes a frame of the member. A grant without a revision comes from
 // a member that knows no leader.
-func (h *Health) NoteFrame(now kernel.Instant, frame wire.Frame) {
+func (h *Health) RecordFrame(now kernel.Instant, frame wire.Frame) {
 	h.heard = now
 	if frame.Kind != wire.FrameGrant {
 		return
@@ -52,10 +52,10 @@
 	h.patience = firstPatience
 }
 
-// Failed reports whether another member should be tried. It says so once, and
+// ShouldSwitch reports whether another member should be tried. It says so once, and
 // then waits longer.
-func (h *Health) Failed(now kernel.Instant) bool {
-	silent := now.Sub(h.heard) > SilenceLimit
+func (h *Health) ShouldSwitch(now kernel.Instant) bool {
+	silent := now.Sub(h.heard) > SilenceTimeout
 	leaderless := now.Sub(h.leader) > h.patience
 	if leaderless {
 		h.patience = min(2*h.patience, mostPatience)
--- a/internal/linkhealth/linkhealth_test.go
+++ b/internal/linkhealth/linkhealth_test.go
@@ -16,10 +16,10 @@
 
 func TestSilentMemberFails(t *testing.T) {
 	var health Health
-	health.Opened(at(0))
-	health.NoteFrame(at(1), wire.GrantFrame(wire.Grant{Revision: 1}))
-	assert.False(t, health.Failed(at(2)))
-	assert.True(t, health.Failed(at(2.7)))
+	health.ConnectionOpened(at(0))
+	health.RecordFrame(at(1), wire.GrantFrame(wire.Grant{Revision: 1}))
+	assert.False(t, health.ShouldSwitch(at(2)))
+	assert.True(t, health.ShouldSwitch(at(2.7)))
 }
 
 func TestMemberWithoutLeaderFailsLaterAndLater(t *testing.T) {
@@ -27,17 +27,17 @@
 	waits := []float64{1.6, 3.2, 6.4, 12.8, 12.8}
 	now := 0.0
 	for _, wait := range waits {
-		health.Opened(at(now))
+		health.ConnectionOpened(at(now))
 		for passed := 0.0; passed < wait; passed += 0.4 {
-			health.NoteFrame(at(now+passed), wire.GrantFrame(wire.Grant{}))
-			assert.False(t, health.Failed(at(now+passed)), "after %v", passed)
+			health.RecordFrame(at(now+passed), wire.GrantFrame(wire.Grant{}))
+			assert.False(t, health.ShouldSwitch(at(now+passed)), "after %v", passed)
 		}
 		now += wait + 0.1
-		health.NoteFrame(at(now), wire.Frame{Kind: wire.FrameSignals})
-		assert.True(t, health.Failed(at(now)))
+		health.RecordFrame(at(now), wire.Frame{Kind: wire.FrameSignals})
+		assert.True(t, health.ShouldSwitch(at(now)))
 	}
-	health.Opened(at(now))
-	health.NoteFrame(at(now), wire.GrantFrame(wire.Grant{Revision: 1}))
-	health.NoteFrame(at(now+1.7), wire.GrantFrame(wire.Grant{}))
-	assert.True(t, health.Failed(at(now+1.7)), "patience is short again after a leader's answer")
+	health.ConnectionOpened(at(now))
+	health.RecordFrame(at(now), wire.GrantFrame(wire.Grant{Revision: 1}))
+	health.RecordFrame(at(now+1.7), wire.GrantFrame(wire.Grant{}))
+	assert.True(t, health.ShouldSwitch(at(now+1.7)), "patience is short again after a leader's answer")
 }
--- a/internal/outlier/bench_test.go
+++ b/internal/outlier/bench_test.go
@@ -23,7 +23,7 @@
 func BenchmarkDecideDuringARelease(b *testing.B) {
 	benchmarkDecide(b, "v2", func(int) Report {
 		if rand.IntN(100) == 0 {
-			return Report{Outcomes: directory.Outcomes{Unanswered: 1}, Nodes: 2, Seen: 2, Most: 1}
+			return Report{Outcomes: directory.Outcomes{Unanswered: 1}, FailingNodes: 2, RecentFailures: 2, TopFailures: 1}
 		}
 		return Report{Outcomes: directory.Outcomes{Answered: 1}}
 	})
@@ -34,18 +34,18 @@
 func BenchmarkDecideWithSuspects(b *testing.B) {
 	benchmarkDecide(b, "v1", func(number int) Report {
 		if number%5 < 2 {
-			return Report{Outcomes: directory.Outcomes{Unanswered: 1}, Nodes: 20, Seen: 40, Most: 4}
+			return Report{Outcomes: directory.Outcomes{Unanswered: 1}, FailingNodes: 20, RecentFailures: 40, TopFailures: 4}
 		}
 		return Report{Outcomes: directory.Outcomes{Answered: 1}}
 	})
 }
 
 func benchmarkDecide(b *testing.B, newer string, report func(number int) Report) {
-	judge := NewJudge()
+	judge := NewDetector()
 	var targets []Target
 	for number := range benchTargets {
 		service := fmt.Sprint("service-", number%2)
-		target := Target{Token: directory.Token(number + 1), Service: service, Zone: "north", Version: "v1", Since: uint64(number), Slots: 2}
+		target := Target{Token: directory.Token(number + 1), Service: service, Zone: "north", Version: "v1", RegisteredAt: uint64(number), Slots: 2}
 		if number >= benchTargets/2 {
 			target.Version = newer
 		}
@@ -58,7 +58,7 @@
 		for number, target := range targets {
 			noted := report(number)
 			noted.Token = target.Token
-			judge.Note(now, "member", noted)
+			judge.AddReport(now, "member", noted)
 		}
 		judge.Decide(now, targets)
 	}
--- a/internal/outlier/contemporaries.go
+++ b/internal/outlier/contemporaries.go
@@ -22,14 +22,14 @@
 // than the others.
 const worstFailures = 2
 
-func (j *Judge) contemporaries(now kernel.Instant, targets []Target) *contemporaries {
+func (j *Detector) contemporaries(now kernel.Instant, targets []Target) *contemporaries {
 	var seen []*record
 	j.eachFair(targets, func(kept *record) {
 		if kept.window.Total(now).Exchanges > 0 {
 			seen = append(seen, kept)
 		}
 	})
-	slices.SortStableFunc(seen, func(a, b *record) int { return cmp.Compare(a.window.total.Share(), b.window.total.Share()) })
+	slices.SortStableFunc(seen, func(a, b *record) int { return cmp.Compare(a.window.total.FailureRate(), b.window.total.FailureRate()) })
 	c := &contemporaries{worst: map[*record]bool{}}
 	better := len(seen) - len(seen)/trimDivisor
 	for _, kept := range seen[better:] {
@@ -57,7 +57,7 @@
 func (c *contemporaries) expected(kept *record, usual float64) reference {
 	counted := countedOf(c.worst[kept])
 	return func(suffix Count, buckets int) float64 {
-		others := c.sums[buckets-1].Less(counted(suffix))
-		return max(usual, others.Add(Count{Exchanges: 1, Failures: 1}).Share())
+		others := c.sums[buckets-1].Sub(counted(suffix))
+		return max(usual, others.Add(Count{Exchanges: 1, Failures: 1}).FailureRate())
 	}
 }
--- a/internal/outlier/deviation_test.go
+++ b/internal/outlier/deviation_test.go
@@ -28,7 +28,7 @@
 	var shares []float64
 	for _, count := range counts {
 		if count.Exchanges >= deviationExchanges {
-			shares = append(shares, count.Share())
+			shares = append(shares, count.FailureRate())
 		}
 	}
 	if len(shares) < trimDivisor {
@@ -46,7 +46,7 @@
 		}
 		usual := max(middle, usualShare)
 		chance := math.Sqrt(usual * (1 - usual) / float64(count.Exchanges))
-		ill[position] = count.Share()-middle > deviations*max(spread, chance)
+		ill[position] = count.FailureRate()-middle > deviations*max(spread, chance)
 	}
 	return ill
 }
--- a/internal/outlier/fleet_test.go
+++ b/internal/outlier/fleet_test.go
@@ -20,7 +20,7 @@
 type fleet struct {
 	random *rand.Rand
 	now    kernel.Instant
-	judge  *Judge
+	judge  *Detector
 	// targets stand in three zones by turns, as do the nodes.
 	targets []Target
 	nodes   int
@@ -44,7 +44,7 @@
 
 func newFleet(seed uint64, targets, nodes int) *fleet {
 	f := &fleet{
-		random: rand.New(rand.NewPCG(seed, 7)), now: kernel.Instant(time.Minute), judge: NewJudge(), nodes: nodes, rate: 12, trickle: 4,
+		random: rand.New(rand.NewPCG(seed, 7)), now: kernel.Instant(time.Minute), judge: NewDetector(), nodes: nodes, rate: 12, trickle: 4,
 		fails: func(int, int) float64 { return 0.005 }, out: map[directory.Token]bool{}, tried: map[directory.Token]bool{},
 	}
 	for number := range targets {
@@ -99,13 +99,13 @@
 		byNode[node] += failures
 	}
 	for node, failures := range byNode {
-		report.Nodes++
-		report.Seen += failures
-		if key := uint32(node); failures > report.Most || failures == report.Most && key < report.Witness {
-			report.Most, report.Witness = failures, key
+		report.FailingNodes++
+		report.RecentFailures += failures
+		if key := uint32(node); failures > report.TopFailures || failures == report.TopFailures && key < report.TopNode {
+			report.TopFailures, report.TopNode = failures, key
 		}
 	}
-	f.judge.Note(f.now, "m", report)
+	f.judge.AddReport(f.now, "m", report)
 }
 
 // spreadTime is how long members know the spread of failures, half of it on average.
--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -29,13 +29,13 @@
 	// an operator has ordered about that.
 	Version     string
 	VersionRule directory.VersionRule
-	// Since is the log position at which it registered.
-	Since uint64
+	// RegisteredAt is the log position at which it registered.
+	RegisteredAt uint64
 	// Slots is the number of requests that it works on at once.
 	Slots uint32
-	// Cold is set while it has just started or had until lately: what it shows then tells
+	// WarmingUp is set while it has just started or had until lately: what it shows then tells
 	// nothing of its version.
-	Cold bool
+	WarmingUp bool
 }
 
 // ChangeKind tells what became of a target.
@@ -53,10 +53,10 @@
 	Kind  ChangeKind
 	Token directory.Token
 	// Count is what was seen of the target, and Nodes the nodes that saw failures.
-	Count Count
-	Nodes uint32
-	// Usual is the part of the exchanges that fails at the service's other targets.
-	Usual float64
+	Count        Count
+	FailingNodes uint32
+	// Baseline is the part of the exchanges that fails at the service's other targets.
+	Baseline float64
 	// Hold is how long the target is left out at least.
 	Hold time.Duration
 }
@@ -69,8 +69,8 @@
 	Versions []VersionChange
 }
 
-// Judge judges the targets of a fleet. One goroutine owns it.
-type Judge struct {
+// Detector judges the targets of a fleet. One goroutine owns it.
+type Detector struct {
 	records map[directory.Token]*record
 	// versions holds those of services with more than one.
 	versions map[directory.ServiceVersion]*version
@@ -83,15 +83,15 @@
 	knownRevision uint64
 }
 
-// NewJudge returns a judge that knows nothing.
-func NewJudge() *Judge {
-	return &Judge{records: map[directory.Token]*record{}, versions: map[directory.ServiceVersion]*version{}}
+// NewDetector returns a judge that knows nothing.
+func NewDetector() *Detector {
+	return &Detector{records: map[directory.Token]*record{}, versions: map[directory.ServiceVersion]*version{}}
 }
 
-// Inherit takes over what another judge has decided. Its reasons are not known: what
+// Restore takes over what another judge has decided. Its reasons are not known: what
 // it left out stays so for the shortest time, then it is tried. Orders up to a log
 // position were obeyed by then.
-func (j *Judge) Inherit(now kernel.Instant, revision uint64, ejected, probation []directory.Token) {
+func (j *Detector) Restore(now kernel.Instant, revision uint64, ejected, probation []directory.Token) {
 	j.knownRevision = revision
 	j.inherited = map[directory.Token]bool{}
 	for _, token := range slices.Concat(ejected, probation) {
@@ -107,15 +107,15 @@
 	}
 }
 
-// Note enters a member's report.
-func (j *Judge) Note(now kernel.Instant, from string, report Report) {
+// AddReport enters a member's report.
+func (j *Detector) AddReport(now kernel.Instant, from string, report Report) {
 	j.record(report.Token).note(now, from, report)
 	if trial, exists := j.trials[report.Token]; exists {
 		trial.note(now, from, report)
 	}
 }
 
-func (j *Judge) record(token directory.Token) *record {
+func (j *Detector) record(token directory.Token) *record {
 	known, exists := j.records[token]
 	if !exists {
 		known = newRecord()
@@ -125,7 +125,7 @@
 }
 
 // Decide judges the targets; those that are not among them are forgotten.
-func (j *Judge) Decide(now kernel.Instant, targets []Target) Decision {
+func (j *Detector) Decide(now kernel.Instant, targets []Target) Decision {
 	var decision Decision
 	kept := make(map[directory.Token]*record, len(j.records))
 	for _, target := range targets {
@@ -170,7 +170,7 @@
 }
 
 // decideService judges the targets of one service.
-func (j *Judge) decideService(now kernel.Instant, targets []Target, decision *Decision) {
+func (j *Detector) decideService(now kernel.Instant, targets []Target, decision *Decision) {
 	usual, known := j.reference(now, targets)
 	judged := make([]Target, 0, len(targets))
 	for _, target := range targets {
@@ -199,20 +199,20 @@
 
 // reference returns what is usual among the targets of a service, by the last seconds
 // or by the last one, whichever is worse: a common cause shows at once.
-func (j *Judge) reference(now kernel.Instant, targets []Target) (float64, bool) {
+func (j *Detector) reference(now kernel.Instant, targets []Target) (float64, bool) {
 	var long, recent []Count
 	j.eachFair(targets, func(kept *record) {
 		long = append(long, kept.window.Total(now))
 		recent = append(recent, kept.window.Recent(now))
 	})
-	usual, known := Reference(long)
-	lately, _ := Reference(recent)
+	usual, known := Baseline(long)
+	lately, _ := Baseline(recent)
 	usual = max(usual, lately)
 	return usual, known && usual < commonShare
 }
 
 // eachFair visits the records of the targets that tell what is usual.
-func (j *Judge) eachFair(targets []Target, visit func(kept *record)) {
+func (j *Detector) eachFair(targets []Target, visit func(kept *record)) {
 	for _, target := range targets {
 		if kept, exists := j.records[target.Token]; exists && kept.stage == fair {
 			visit(kept)
@@ -221,11 +221,11 @@
 }
 
 // advance ends a hold or a probation.
-func (j *Judge) advance(now kernel.Instant, target Target, kept *record, usual float64, known bool, decision *Decision) {
+func (j *Detector) advance(now kernel.Instant, target Target, kept *record, usual float64, known bool, decision *Decision) {
 	switch {
 	case kept.stage == ejected && now >= kept.until:
 		kept.try(now)
-		decision.Changes = append(decision.Changes, Change{Kind: OnProbation, Token: target.Token, Usual: usual})
+		decision.Changes = append(decision.Changes, Change{Kind: OnProbation, Token: target.Token, Baseline: usual})
 	case kept.stage == onProbation && known:
 		j.endProbation(now, target, kept, usual, decision)
 	case kept.stage == onProbation && now >= kept.until:
@@ -234,7 +234,7 @@
 }
 
 // endProbation gives the verdict on a target that was tried, once there is one.
-func (j *Judge) endProbation(now kernel.Instant, target Target, kept *record, usual float64, decision *Decision) {
+func (j *Detector) endProbation(now kernel.Instant, target Target, kept *record, usual float64, decision *Decision) {
 	switch {
 	case kept.trial().isIll(usual):
 		kept.shown = kept.shown.Add(kept.tried)
@@ -244,15 +244,15 @@
 	}
 }
 
-func (j *Judge) eject(now kernel.Instant, target Target, kept *record, usual float64, decision *Decision) {
-	change := Change{Kind: Ejected, Token: target.Token, Count: kept.window.Total(now), Usual: usual}
-	_, change.Nodes = kept.failures(now)
+func (j *Detector) eject(now kernel.Instant, target Target, kept *record, usual float64, decision *Decision) {
+	change := Change{Kind: Ejected, Token: target.Token, Count: kept.window.Total(now), Baseline: usual}
+	_, change.FailingNodes = kept.failures(now)
 	change.Hold = kept.eject(now)
 	decision.Changes = append(decision.Changes, change)
 }
 
-func (j *Judge) readmit(now kernel.Instant, target Target, kept *record, usual float64, decision *Decision) {
-	change := Change{Kind: Readmitted, Token: target.Token, Count: kept.tried, Usual: usual}
+func (j *Detector) readmit(now kernel.Instant, target Target, kept *record, usual float64, decision *Decision) {
+	change := Change{Kind: Readmitted, Token: target.Token, Count: kept.tried, Baseline: usual}
 	kept.readmit(now)
 	decision.Changes = append(decision.Changes, change)
 }
--- a/internal/outlier/orders.go
+++ b/internal/outlier/orders.go
@@ -10,7 +10,7 @@
 
 // obey carries out the newest order about a target. It reports whether the target is
 // judged after that.
-func (j *Judge) obey(now kernel.Instant, target Target) bool {
+func (j *Detector) obey(now kernel.Instant, target Target) bool {
 	order := target.Order
 	switch order.Rule {
 	case directory.RuleEjected:
@@ -32,7 +32,7 @@
 
 // giveBack lets a target get new flows as the others do: what was seen of it is
 // forgotten.
-func (j *Judge) giveBack(now kernel.Instant, target Target) {
+func (j *Detector) giveBack(now kernel.Instant, target Target) {
 	kept, exists := j.records[target.Token]
 	if !exists || kept.stage == fair {
 		return
--- a/internal/outlier/orders_test.go
+++ b/internal/outlier/orders_test.go
@@ -69,7 +69,7 @@
 func TestOrdersOfBeforeAreNotObeyedAgain(t *testing.T) {
 	f := newFleet(1, 12, 80)
 	f.targets[4].Order = directory.TargetOrder{Rule: directory.RuleJudged, Revision: 7}
-	f.judge.Inherit(f.now, 9, []directory.Token{5}, nil)
+	f.judge.Restore(f.now, 9, []directory.Token{5}, nil)
 	f.step()
 	require.True(t, f.out[5])
 	f.order(4, directory.RuleJudged, 10)
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -29,13 +29,13 @@
 	return Count{Exchanges: c.Exchanges + other.Exchanges, Failures: c.Failures + other.Failures}
 }
 
-// Less returns what is left of a count without a part of it.
-func (c Count) Less(part Count) Count {
+// Sub returns what is left of a count without a part of it.
+func (c Count) Sub(part Count) Count {
 	return Count{Exchanges: c.Exchanges - part.Exchanges, Failures: c.Failures - part.Failures}
 }
 
-// Share returns the part of the exchanges that failed; 0 where there were none.
-func (c Count) Share() float64 {
+// FailureRate returns the part of the exchanges that failed; 0 where there were none.
+func (c Count) FailureRate() float64 {
 	if c.Exchanges == 0 {
 		return 0
 	}
@@ -67,21 +67,21 @@
 	commonShare = 0.25
 )
 
-// Reference returns the part of the exchanges that is to be expected to fail at a
+// Baseline returns the part of the exchanges that is to be expected to fail at a
 // healthy target, from the counts of all targets of a service. It is false when too
 // little is known, or when the cause of what fails is a common one.
-func Reference(counts []Count) (float64, bool) {
+func Baseline(counts []Count) (float64, bool) {
 	seen := make([]Count, 0, len(counts))
 	for _, count := range counts {
 		if count.Exchanges > 0 {
 			seen = append(seen, count)
 		}
 	}
-	slices.SortFunc(seen, func(a, b Count) int { return cmp.Compare(a.Share(), b.Share()) })
+	slices.SortFunc(seen, func(a, b Count) int { return cmp.Compare(a.FailureRate(), b.FailureRate()) })
 	var pooled Count
 	for _, count := range seen[:len(seen)-len(seen)/trimDivisor] {
 		pooled = pooled.Add(count)
 	}
-	reference := usualShare + referenceFactor*pooled.Share()
+	reference := usualShare + referenceFactor*pooled.FailureRate()
 	return reference, pooled.Exchanges >= referenceExchanges && reference < commonShare
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			usual, known := Reference(test.counts)
+			usual, known := Baseline(test.counts)
 			assert.InDelta(t, test.usual, usual, 1e-9)
 			assert.Equal(t, test.known, known)
 		})
--- a/internal/outlier/ratio.go
+++ b/internal/outlier/ratio.go
@@ -36,13 +36,13 @@
 // healthy target, in so many of the newest buckets of which its own count is given.
 type reference func(suffix Count, buckets int) float64
 
-// Ratio is a sequential test of the likelihood ratio over a window. It finds a change
+// LikelihoodRatio is a sequential test of the likelihood ratio over a window. It finds a change
 // at any time in the window: the mean number of exchanges between two false alarms is
 // at least that of exchangesPerFalseAlarm, as with Page's cumulative sum. With the
 // highest ratio comes the count that has it.
 //
 // At most the stated number of failures count, whatever the window holds.
-func Ratio(window *Window, usual reference, failures uint32) (highest float64, shown Count) {
+func LikelihoodRatio(window *Window, usual reference, failures uint32) (highest float64, shown Count) {
 	if window.total.Failures == 0 {
 		return 0, Count{}
 	}
--- a/internal/outlier/record.go
+++ b/internal/outlier/record.go
@@ -9,11 +9,11 @@
 // report, and how the failures of the last seconds are spread over them.
 type Report struct {
 	directory.Outcomes
-	// Nodes is the number of nodes that saw failures lately, Seen the number of these
+	// FailingNodes is the number of nodes that saw failures lately, Seen the number of these
 	// failures, and Most those that the node with the most of them saw.
-	Nodes, Seen, Most uint32
-	// Witness is the key of that node.
-	Witness uint32
+	FailingNodes, RecentFailures, TopFailures uint32
+	// TopNode is the key of that node.
+	TopNode uint32
 }
 
 // record is what is known of one target.
@@ -41,8 +41,8 @@
 	count := CountOf(report.Outcomes)
 	r.window.Add(now, count)
 	r.tried = r.tried.Add(count)
-	if report.Nodes > 0 {
-		r.members[from] = witnesses{nodes: report.Nodes, seen: report.Seen, most: report.Most, witness: report.Witness, at: now}
+	if report.FailingNodes > 0 {
+		r.members[from] = witnesses{nodes: report.FailingNodes, seen: report.RecentFailures, most: report.TopFailures, witness: report.TopNode, at: now}
 	}
 }
 
@@ -63,7 +63,7 @@
 	if failures == 0 {
 		return 0, Count{}
 	}
-	return Ratio(&r.window, usual, failures)
+	return LikelihoodRatio(&r.window, usual, failures)
 }
 
 // trial returns what the target shows on probation.
--- a/internal/outlier/share.go
+++ b/internal/outlier/share.go
@@ -18,7 +18,7 @@
 // ejectWorst leaves out the targets that are found ill, the worst first, as long as
 // the shares of the service and of its zones bear it. Only some of the targets are
 // judged; all count.
-func (j *Judge) ejectWorst(now kernel.Instant, targets, judged []Target, usual float64, decision *Decision) {
+func (j *Detector) ejectWorst(now kernel.Instant, targets, judged []Target, usual float64, decision *Decision) {
 	out := 0
 	zones, outOf := map[string]int{}, map[string]int{}
 	for _, target := range targets {
@@ -56,7 +56,7 @@
 // suspects returns the judged targets that are ill by what is usual, and also by what
 // the others showed in the same time. The latter is worked out only when there are any
 // by the former.
-func (j *Judge) suspects(now kernel.Instant, targets, judged []Target, usual float64) []accused {
+func (j *Detector) suspects(now kernel.Instant, targets, judged []Target, usual float64) []accused {
 	var suspects []accused
 	var others *contemporaries
 	for _, target := range judged {
--- a/internal/outlier/stages_test.go
+++ b/internal/outlier/stages_test.go
@@ -110,7 +110,7 @@
 // Another leader's reasons are not known: what it left out is tried soon.
 func TestWhatAnotherJudgeLeftOutIsTried(t *testing.T) {
 	f := newFleet(1, 12, 80)
-	f.judge.Inherit(f.now, 0, []directory.Token{5}, []directory.Token{6})
+	f.judge.Restore(f.now, 0, []directory.Token{5}, []directory.Token{6})
 	f.step()
 	assert.True(t, f.out[5])
 	assert.True(t, f.tried[6])
--- a/internal/outlier/version.go
+++ b/internal/outlier/version.go
@@ -33,14 +33,14 @@
 
 // The causes.
 const (
-	FailsWork VersionCause = iota
-	Ordered
-	HeldBefore
-	HoldOver
-	ServesAgain
-	NoVerdict
-	NoRoom
-	NoOther
+	HighFailureRate VersionCause = iota
+	OperatorOrder
+	HeldByPreviousLeader
+	HoldExpired
+	Recovered
+	Inconclusive
+	InsufficientCapacity
+	NoOtherVersion
 )
 
 // String returns the cause as words for operators.
@@ -62,8 +62,8 @@
 	Cause VersionCause
 	// Count is what was seen of the version, and Usual the part of the exchanges that is
 	// to be expected to fail by the versions before.
-	Count Count
-	Usual float64
+	Count    Count
+	Baseline float64
 	// Targets is the number of the version's targets.
 	Targets int
 	// Hold is how long the version is held at least.
@@ -96,7 +96,7 @@
 
 // siblingsOf returns the versions of a service in the order of their first targets. Where
 // all targets state the same one, or none, there is nothing to judge.
-func (j *Judge) siblingsOf(now kernel.Instant, targets []Target) []*sibling {
+func (j *Detector) siblingsOf(now kernel.Instant, targets []Target) []*sibling {
 	if !j.hasVersions(targets) {
 		return nil
 	}
@@ -108,10 +108,10 @@
 		known, exists := byName[target.Version]
 		if !exists {
 			name := directory.ServiceVersion{Service: target.Service, Version: target.Version}
-			known = &sibling{version: j.version(now, name, target.Since), name: name, rule: target.VersionRule}
+			known = &sibling{version: j.version(now, name, target.RegisteredAt), name: name, rule: target.VersionRule}
 			byName[target.Version] = known
 		}
-		known.since = min(known.since, target.Since)
+		known.since = min(known.since, target.RegisteredAt)
 		known.targets = append(known.targets, target)
 	}
 	return slices.SortedFunc(maps.Values(byName), func(a, b *sibling) int {
@@ -121,7 +121,7 @@
 
 // hasVersions reports whether the targets of a service state several versions, or one
 // that is held or ordered to be.
-func (j *Judge) hasVersions(targets []Target) bool {
+func (j *Detector) hasVersions(targets []Target) bool {
 	first := ""
 	for _, target := range targets {
 		if target.Version == "" {
@@ -136,7 +136,7 @@
 	return exists && known.stage != fair
 }
 
-func (j *Judge) version(now kernel.Instant, name directory.ServiceVersion, since uint64) *version {
+func (j *Detector) version(now kernel.Instant, name directory.ServiceVersion, since uint64) *version {
 	known, exists := j.versions[name]
 	if !exists {
 		known = &version{since: since}
@@ -148,7 +148,7 @@
 
 // forgetVersions forgets the versions that were not judged, and notes which targets are
 // on trial.
-func (j *Judge) forgetVersions(now kernel.Instant) {
+func (j *Detector) forgetVersions(now kernel.Instant) {
 	maps.DeleteFunc(j.versions, func(_ directory.ServiceVersion, known *version) bool { return known.decidedAt != now })
 	j.trials = map[directory.Token]*record{}
 	for _, known := range j.versions {
@@ -156,8 +156,8 @@
 	}
 }
 
-// Held returns the number of versions that are held.
-func (j *Judge) Held() int {
+// HeldVersions returns the number of versions that are held.
+func (j *Detector) HeldVersions() int {
 	held := 0
 	for _, known := range j.versions {
 		if known.stage != fair {
@@ -169,7 +169,7 @@
 
 // decideVersions judges the versions of a service. It returns the targets that are left
 // to be judged one by one.
-func (j *Judge) decideVersions(now kernel.Instant, targets []Target, decision *Decision) []Target {
+func (j *Detector) decideVersions(now kernel.Instant, targets []Target, decision *Decision) []Target {
 	siblings := j.siblingsOf(now, targets)
 	isHeld := false
 	for position, one := range siblings {
@@ -213,7 +213,7 @@
 }
 
 // advanceVersion brings a version to its next stage. It returns nil where it stays.
-func (j *Judge) advanceVersion(now kernel.Instant, targets []Target, siblings []*sibling, position int) *VersionChange {
+func (j *Detector) advanceVersion(now kernel.Instant, targets []Target, siblings []*sibling, position int) *VersionChange {
 	one := siblings[position]
 	if one.rule != directory.VersionJudged || one.byHand {
 		return j.obeyVersion(now, one)
@@ -232,9 +232,9 @@
 		}
 		return j.accuse(now, one, older)
 	case len(siblings) == 1:
-		return j.release(now, one, NoOther)
+		return j.release(now, one, NoOtherVersion)
 	case !bears:
-		return j.release(now, one, NoRoom)
+		return j.release(now, one, InsufficientCapacity)
 	case one.stage == ejected && now >= one.until:
 		return one.try(now)
 	case one.stage == onProbation:
@@ -262,39 +262,39 @@
 }
 
 // obeyVersion carries out an operator's order. No share bounds it.
-func (j *Judge) obeyVersion(now kernel.Instant, one *sibling) *VersionChange {
+func (j *Detector) obeyVersion(now kernel.Instant, one *sibling) *VersionChange {
 	hold := one.rule == directory.VersionHeld
 	one.byHand = hold
 	switch {
 	case hold && one.stage == fair:
-		return j.hold(now, one, VersionChange{Cause: Ordered})
+		return j.hold(now, one, VersionChange{Cause: OperatorOrder})
 	case hold:
 		one.stage = ejected
 		one.tried = nil
 		return nil
 	case one.stage != fair:
 		one.ejections = 0
-		return j.release(now, one, Ordered)
+		return j.release(now, one, OperatorOrder)
 	}
 	return nil
 }
 
 // accuse holds a version that is worse than the ones before it.
-func (j *Judge) accuse(now kernel.Instant, one *sibling, older []Target) *VersionChange {
+func (j *Detector) accuse(now kernel.Instant, one *sibling, older []Target) *VersionChange {
 	if j.wasHeld(one) {
-		return j.hold(now, one, VersionChange{Cause: HeldBefore})
+		return j.hold(now, one, VersionChange{Cause: HeldByPreviousLeader})
 	}
 	evidence, shown := j.versionEvidence(now, one.targets, older)
 	if evidence < alarm {
 		return nil
 	}
 	one.shown = shown
-	return j.hold(now, one, VersionChange{Cause: FailsWork, Count: shown, Usual: j.usualOf(now, older)})
+	return j.hold(now, one, VersionChange{Cause: HighFailureRate, Count: shown, Baseline: j.usualOf(now, older)})
 }
 
 // wasHeld reports whether another judge has left out the targets of the version, but for
 // a few that may have registered since.
-func (j *Judge) wasHeld(one *sibling) bool {
+func (j *Detector) wasHeld(one *sibling) bool {
 	out := 0
 	for _, target := range one.targets {
 		if j.inherited[target.Token] {
@@ -305,7 +305,7 @@
 }
 
 // hold leaves out the targets of a version.
-func (j *Judge) hold(now kernel.Instant, one *sibling, change VersionChange) *VersionChange {
+func (j *Detector) hold(now kernel.Instant, one *sibling, change VersionChange) *VersionChange {
 	j.forgetTargets(one)
 	change.Kind = Ejected
 	change.Hold = one.eject(now)
@@ -314,7 +314,7 @@
 }
 
 // release sends new flows to a version as to the others.
-func (j *Judge) release(now kernel.Instant, one *sibling, cause VersionCause) *VersionChange {
+func (j *Detector) release(now kernel.Instant, one *sibling, cause VersionCause) *VersionChange {
 	change := VersionChange{Kind: Readmitted, Cause: cause, Count: one.trial(now).count}
 	j.forgetTargets(one)
 	one.readmit(now)
@@ -324,7 +324,7 @@
 
 // forgetTargets forgets what was seen of each of a version's targets: the stages of the
 // version come first, and what came before counts no more after them.
-func (j *Judge) forgetTargets(one *sibling) {
+func (j *Detector) forgetTargets(one *sibling) {
 	for _, target := range one.targets {
 		if target.Order.Rule == directory.RuleJudged {
 			delete(j.records, target.Token)
@@ -337,7 +337,7 @@
 func (s *sibling) try(now kernel.Instant) *VersionChange {
 	var warm []Target
 	for _, target := range s.targets {
-		if !target.Cold && target.Order.Rule == directory.RuleJudged {
+		if !target.WarmingUp && target.Order.Rule == directory.RuleJudged {
 			warm = append(warm, target)
 		}
 	}
@@ -351,22 +351,22 @@
 		s.tried[warm[(s.trials*count+number)%len(warm)].Token] = newRecord()
 	}
 	s.trials++
-	return &VersionChange{Kind: OnProbation, Cause: HoldOver}
+	return &VersionChange{Kind: OnProbation, Cause: HoldExpired}
 }
 
 // endTrial gives the verdict on a version that was tried, once there is one.
-func (j *Judge) endTrial(now kernel.Instant, one *sibling, older []Target) *VersionChange {
+func (j *Detector) endTrial(now kernel.Instant, one *sibling, older []Target) *VersionChange {
 	usual := j.usualOf(now, older)
 	judged := usual < commonShare
 	trial := one.trial(now)
 	switch {
 	case judged && trial.isIll(usual), now >= one.until && trial.leansIll(usual):
 		one.shown = one.shown.Add(trial.count)
-		return j.hold(now, one, VersionChange{Cause: FailsWork, Count: trial.count, Usual: usual})
+		return j.hold(now, one, VersionChange{Cause: HighFailureRate, Count: trial.count, Baseline: usual})
 	case judged && trial.isWell(usual):
-		return j.release(now, one, ServesAgain)
+		return j.release(now, one, Recovered)
 	case now >= one.until:
-		return j.release(now, one, NoVerdict)
+		return j.release(now, one, Inconclusive)
 	}
 	return nil
 }
--- a/internal/outlier/version_test.go
+++ b/internal/outlier/version_test.go
@@ -38,7 +38,7 @@
 	r.position++
 	target := &r.targets[position]
 	target.Token = directory.Token(1000*int(r.position) + position)
-	target.Version, target.Since, target.Slots = version, r.position, slotsOfRelease
+	target.Version, target.RegisteredAt, target.Slots = version, r.position, slotsOfRelease
 	r.seen[position], r.before[position] = map[int]uint32{}, map[int]uint32{}
 }
 
@@ -106,7 +106,7 @@
 						continue
 					}
 					times = append(times, r.now.Sub(begin))
-					require.Equal(t, became("v2", Ejected, FailsWork), r.causes()[0], "seed %d", seed)
+					require.Equal(t, became("v2", Ejected, HighFailureRate), r.causes()[0], "seed %d", seed)
 					all, few := r.flowsTo("v2")
 					require.Zero(t, all+few, "seed %d", seed)
 					all, _ = r.flowsTo("v1")
@@ -138,7 +138,7 @@
 	assert.Zero(t, all, "new targets of a held version are held")
 	r.roll(6, 7, "v2")
 	r.play(time.Second)
-	assert.Equal(t, became("v2", Readmitted, NoRoom), r.causes()[len(r.versions)-1])
+	assert.Equal(t, became("v2", Readmitted, InsufficientCapacity), r.causes()[len(r.versions)-1])
 	r.roll(7, 12, "v2")
 	r.play(5 * time.Second)
 	seen := len(r.versions)
@@ -157,7 +157,7 @@
 	r.play(time.Second)
 	r.roll(6, 12, "v2")
 	r.play(time.Second)
-	assert.Equal(t, []string{became("v2", Ejected, FailsWork), became("v2", Readmitted, NoOther)}, r.causes())
+	assert.Equal(t, []string{became("v2", Ejected, HighFailureRate), became("v2", Readmitted, NoOtherVersion)}, r.causes())
 }
 
 // During the rollback of a release that is held the old version serves.
@@ -166,7 +166,7 @@
 	r.bad["v2"] = 1
 	r.roll(0, 6, "v2")
 	r.play(3 * time.Second)
-	require.Equal(t, []string{became("v2", Ejected, FailsWork)}, r.causes()[:1])
+	require.Equal(t, []string{became("v2", Ejected, HighFailureRate)}, r.causes()[:1])
 	for position := range 6 {
 		r.replace(position, "v1")
 		r.play(time.Second)
@@ -188,7 +188,7 @@
 		_, few := r.flowsTo("v2")
 		require.LessOrEqual(t, few, fewestTrials)
 		r.play(15 * time.Second)
-		expected := []string{became("v2", Ejected, FailsWork), became("v2", OnProbation, HoldOver), became("v2", Readmitted, ServesAgain)}
+		expected := []string{became("v2", Ejected, HighFailureRate), became("v2", OnProbation, HoldExpired), became("v2", Readmitted, Recovered)}
 		require.Equal(t, expected, r.causes(), "seed %d", seed)
 		all, _ := r.flowsTo("v2")
 		require.Equal(t, 4, all)
@@ -204,7 +204,7 @@
 	r.bad["v2"] = 0
 	r.trickle = 0
 	r.play(firstHold + probationLimit + time.Second)
-	assert.Equal(t, became("v2", Readmitted, NoVerdict), r.causes()[len(r.versions)-1])
+	assert.Equal(t, became("v2", Readmitted, Inconclusive), r.causes()[len(r.versions)-1])
 }
 
 // What is no fault of the new version holds none; drawn fleets have more of it.
@@ -253,7 +253,7 @@
 		"the new version is cold": func(r *release) {
 			r.bad["v2"] = 1
 			for position := range 6 {
-				r.targets[position].Cold = true
+				r.targets[position].WarmingUp = true
 			}
 		},
 		"no version is stated": func(r *release) {
@@ -286,13 +286,13 @@
 		require.Len(t, r.versions, 1)
 		before := r.decision
 		r.bad["v2"] = share
-		r.judge = NewJudge()
-		r.judge.Inherit(r.now, 0, before.Ejected, before.Probation)
+		r.judge = NewDetector()
+		r.judge.Restore(r.now, 0, before.Ejected, before.Probation)
 		r.roll(0, 1, "v2")
 		r.play(firstHold)
 		all, _ := r.flowsTo("v2")
 		assert.Zero(t, all)
-		assert.Equal(t, became("v2", Ejected, HeldBefore), r.causes()[1])
+		assert.Equal(t, became("v2", Ejected, HeldByPreviousLeader), r.causes()[1])
 		r.play(15 * time.Second)
 		all, _ = r.flowsTo("v2")
 		if share == 0 {
@@ -323,12 +323,12 @@
 	r.order("v2", directory.VersionReleased)
 	r.roll(6, 8, "v1")
 	r.play(300 * time.Millisecond)
-	assert.Equal(t, []string{became("v2", Ejected, Ordered), became("v2", Readmitted, Ordered)}, r.causes())
+	assert.Equal(t, []string{became("v2", Ejected, OperatorOrder), became("v2", Readmitted, OperatorOrder)}, r.causes())
 	r.play(5 * time.Second)
 	assert.Len(t, r.versions, 2, "released whatever is seen")
 	r.order("v2", directory.VersionJudged)
 	r.play(20 * time.Second)
-	assert.Equal(t, became("v2", Ejected, FailsWork), r.causes()[2])
+	assert.Equal(t, became("v2", Ejected, HighFailureRate), r.causes()[2])
 	r.targets[0].Order.Rule = directory.RuleExempt
 	r.play(200 * time.Millisecond)
 	assert.False(t, r.out[r.targets[0].Token], "an order about a single target")
--- a/internal/outlier/versionevidence.go
+++ b/internal/outlier/versionevidence.go
@@ -33,7 +33,7 @@
 // versionEvidence returns the highest log of the likelihood ratio of a version that fails
 // worseShare of what the ones before do not, to one that is as they are, over the suffixes
 // of the window, and the count that has it.
-func (j *Judge) versionEvidence(now kernel.Instant, newer, older []Target) (highest float64, shown Count) {
+func (j *Detector) versionEvidence(now kernel.Instant, newer, older []Target) (highest float64, shown Count) {
 	zones := j.compare(now, newer, older)
 	for buckets := range windowBuckets {
 		var ratio float64
@@ -57,12 +57,14 @@
 
 // compare sums up what versions show in each zone. It is empty when the newer one shows
 // nothing that could hold it.
-func (j *Judge) compare(now kernel.Instant, newer, older []Target) []*comparison {
+func (j *Detector) compare(now kernel.Instant, newer, older []Target) []*comparison {
 	seen := j.warmOf(now, newer)
 	if len(seen) < fewestTargets || !slices.ContainsFunc(seen, func(one warm) bool { return one.kept.window.total.Failures > 0 }) {
 		return nil
 	}
-	slices.SortStableFunc(seen, func(a, b warm) int { return cmp.Compare(a.kept.window.total.Share(), b.kept.window.total.Share()) })
+	slices.SortStableFunc(seen, func(a, b warm) int {
+		return cmp.Compare(a.kept.window.total.FailureRate(), b.kept.window.total.FailureRate())
+	})
 	zones := map[string]*comparison{}
 	var inOrder []*comparison
 	better := len(seen) - worstOf(len(seen))
@@ -93,11 +95,11 @@
 }
 
 // warmOf returns the warm ones of some targets with exchanges.
-func (j *Judge) warmOf(now kernel.Instant, targets []Target) []warm {
+func (j *Detector) warmOf(now kernel.Instant, targets []Target) []warm {
 	var seen []warm
 	for _, target := range targets {
 		kept, exists := j.records[target.Token]
-		if !exists || target.Cold || target.Order.Rule != directory.RuleJudged || kept.window.Total(now).Exchanges == 0 {
+		if !exists || target.WarmingUp || target.Order.Rule != directory.RuleJudged || kept.window.Total(now).Exchanges == 0 {
 			continue
 		}
 		seen = append(seen, warm{kept: kept, zone: target.Zone})
@@ -113,11 +115,11 @@
 // the versions before showed in the same time. One failure more counts, and twice what
 // they showed: they may have been lucky.
 func usualBeside(older Count) float64 {
-	return usualShare + referenceFactor*older.Add(Count{Exchanges: 1, Failures: 1}).Share()
+	return usualShare + referenceFactor*older.Add(Count{Exchanges: 1, Failures: 1}).FailureRate()
 }
 
 // usualOf returns the same of some targets over the whole window.
-func (j *Judge) usualOf(now kernel.Instant, older []Target) float64 {
+func (j *Detector) usualOf(now kernel.Instant, older []Target) float64 {
 	var sum Count
 	for _, one := range j.warmOf(now, older) {
 		sum = sum.Add(one.kept.window.total)
@@ -133,7 +135,7 @@
 		seen = append(seen, kept)
 		nodes.add(now, kept)
 	}
-	slices.SortFunc(seen, func(a, b *record) int { return cmp.Compare(a.tried.Share(), b.tried.Share()) })
+	slices.SortFunc(seen, func(a, b *record) int { return cmp.Compare(a.tried.FailureRate(), b.tried.FailureRate()) })
 	var count Count
 	better := len(seen) - worstOf(len(seen))
 	for position, kept := range seen {
--- a/internal/outlier/versionproperty_test.go
+++ b/internal/outlier/versionproperty_test.go
@@ -96,7 +96,7 @@
 		run := func(duration time.Duration) {
 			for end := r.now.Add(duration); r.now < end; {
 				for position := range r.targets {
-					r.targets[position].Cold = r.now < warmAt[r.targets[position].Token].Add(WindowTime)
+					r.targets[position].WarmingUp = r.now < warmAt[r.targets[position].Token].Add(WindowTime)
 				}
 				r.play(bucketTime)
 				if len(r.versions) > 0 {
--- a/internal/outlier/window.go
+++ b/internal/outlier/window.go
@@ -62,7 +62,7 @@
 	for w.newest < current {
 		w.newest++
 		position := w.newest % windowBuckets
-		w.total = w.total.Less(w.buckets[position])
+		w.total = w.total.Sub(w.buckets[position])
 		w.buckets[position] = Count{}
 	}
 }
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -76,8 +76,8 @@
 // that of a node for the target's later heartbeats, or "" when it is to stay, as
 // it does until its nodes can know it.
 func (p *Process) Beat(ctx context.Context, beat Heartbeat) (address string, err error) {
-	if p.beats.Take(beat.Target.Start(), beat.Target.State) {
-		return p.spread.Choose(beat.Target.Zone, beat.Target.ID), nil
+	if p.beats.Acknowledge(beat.Target.Start(), beat.Target.State) {
+		return p.spread.Assign(beat.Target.Zone, beat.Target.ID), nil
 	}
 	var refusal error
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
--- a/internal/registry/inputs.go
+++ b/internal/registry/inputs.go
@@ -22,7 +22,7 @@
 	if p.core == nil {
 		return Output{}
 	}
-	p.core.NoteHeard(now, p.beats.TakeHeard())
+	p.core.NoteHeard(now, p.beats.TakeAcknowledged())
 	if !p.core.KnowsLeader() {
 		p.metrics.leaderless.Add(tickInterval.Seconds())
 	}
@@ -57,8 +57,8 @@
 		return Output{}
 	}
 	p.nodes[i.connection] = i.queue
-	p.spread.Add(uint64(i.connection), i.subscribe.Zone, i.subscribe.Beats)
-	p.spread.Weigh(uint64(i.connection), i.subscribe.Strength)
+	p.spread.AddNode(uint64(i.connection), i.subscribe.Zone, i.subscribe.Beats)
+	p.spread.SetStrength(uint64(i.connection), i.subscribe.Strength)
 	p.announcer.follow(i.subscribe.Announcements)
 	return p.core.Open(now, i.connection, i.subscribe)
 }
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -98,7 +98,7 @@
 	m.unstated.Set(float64(core.strengths.unstated))
 	m.bounded.Set(float64(len(core.strengths.bounded)))
 	m.probation.Set(float64(len(core.liveness.verdicts.Probation)))
-	m.versionsHeld.Set(float64(core.outcomes.judge.Held()))
+	m.versionsHeld.Set(float64(core.outcomes.judge.HeldVersions()))
 }
 
 // flag returns the value of a gauge that is 1 or 0.
--- a/internal/registry/outliers.go
+++ b/internal/registry/outliers.go
@@ -55,7 +55,7 @@
 	// spread is that of the time since turnAt, before that of the time before it.
 	spread, before failureSpread
 	turnAt         kernel.Instant
-	judge          *outlier.Judge
+	judge          *outlier.Detector
 	// judgeAt is when the targets are judged next.
 	judgeAt kernel.Instant
 }
@@ -67,9 +67,9 @@
 		spread: newFailureSpread(),
 		before: newFailureSpread(),
 		turnAt: now.Add(spreadTime),
-		judge:  outlier.NewJudge(),
+		judge:  outlier.NewDetector(),
 	}
-	table.judge.Inherit(now, revision, verdicts.Ejected, verdicts.Probation)
+	table.judge.Restore(now, revision, verdicts.Ejected, verdicts.Probation)
 	return table
 }
 
@@ -136,7 +136,7 @@
 	reports := make([]outlier.Report, 0, len(o.unsent))
 	for token, sum := range o.unsent {
 		report := outlier.Report{Outcomes: sum}
-		report.Nodes, report.Seen, report.Most, report.Witness = o.spreadOf(token)
+		report.FailingNodes, report.RecentFailures, report.TopFailures, report.TopNode = o.spreadOf(token)
 		reports = append(reports, report)
 	}
 	clear(o.unsent)
@@ -167,7 +167,7 @@
 // noteOutcomes enters a member's sums into the leader's.
 func (c *Core) noteOutcomes(now kernel.Instant, seen observations) {
 	for _, report := range seen.Outcomes {
-		c.outcomes.judge.Note(now, seen.From, report)
+		c.outcomes.judge.AddReport(now, seen.From, report)
 	}
 }
 
@@ -203,8 +203,8 @@
 func (c *Core) judged(now kernel.Instant, target *directory.Target) outlier.Target {
 	return outlier.Target{
 		Token: target.Token, Service: target.Service, Zone: target.Zone, Order: c.state.TargetOrder(target.ID),
-		Version: target.Version, VersionRule: c.state.VersionOrder(target.ServiceVersion()).Rule, Since: target.Revision, Slots: target.Slots,
-		Cold: target.Warmup != nil && c.warmups.leftOf(now, *target) > -outlier.WindowTime,
+		Version: target.Version, VersionRule: c.state.VersionOrder(target.ServiceVersion()).Rule, RegisteredAt: target.Revision, Slots: target.Slots,
+		WarmingUp: target.Warmup != nil && c.warmups.leftOf(now, *target) > -outlier.WindowTime,
 	}
 }
 
@@ -213,7 +213,7 @@
 	fields := []any{"target", target.ID, "token", target.Token, "service", target.Service, "zone", target.Zone}
 	switch change.Kind {
 	case outlier.Ejected:
-		fields = append(fields, "reason", failedText(change.Count), "nodes", change.Nodes, "usual_share", shareText(change.Usual), "hold", change.Hold)
+		fields = append(fields, "reason", failedText(change.Count), "nodes", change.FailingNodes, "usual_share", shareText(change.Baseline), "hold", change.Hold)
 		c.log(eventlog.TargetEjected, fields...)
 	case outlier.OnProbation:
 		c.log(eventlog.TargetOnProbation, fields...)
@@ -229,7 +229,7 @@
 	}
 	switch change.Kind {
 	case outlier.Ejected:
-		c.log(eventlog.VersionHeld, append(fields, "usual_share", shareText(change.Usual), "hold", change.Hold)...)
+		c.log(eventlog.VersionHeld, append(fields, "usual_share", shareText(change.Baseline), "hold", change.Hold)...)
 	case outlier.OnProbation:
 		c.log(eventlog.VersionOnTrial, fields...)
 	case outlier.Readmitted:
@@ -252,11 +252,11 @@
 	encoder.Uint32(uint32(len(reports)))
 	for _, report := range reports {
 		encoder.Uint32(uint32(report.Token))
-		for _, number := range []uint32{report.Answered, report.Unanswered, report.Short, report.Slow, report.Nodes, report.Seen, report.Most} {
+		for _, number := range []uint32{report.Answered, report.Unanswered, report.Short, report.Slow, report.FailingNodes, report.RecentFailures, report.TopFailures} {
 			encoder.Small(number)
 		}
-		if report.Most > 0 {
-			encoder.Uint32(report.Witness)
+		if report.TopFailures > 0 {
+			encoder.Uint32(report.TopNode)
 		}
 	}
 }
@@ -265,11 +265,11 @@
 	var reports []outlier.Report
 	for count := decoder.Count(smallestReport); count > 0; count-- {
 		report := outlier.Report{Outcomes: directory.Outcomes{Token: directory.Token(decoder.Uint32())}}
-		for _, number := range []*uint32{&report.Answered, &report.Unanswered, &report.Short, &report.Slow, &report.Nodes, &report.Seen, &report.Most} {
+		for _, number := range []*uint32{&report.Answered, &report.Unanswered, &report.Short, &report.Slow, &report.FailingNodes, &report.RecentFailures, &report.TopFailures} {
 			*number = decoder.Small()
 		}
-		if report.Most > 0 {
-			report.Witness = decoder.Uint32()
+		if report.TopFailures > 0 {
+			report.TopNode = decoder.Uint32()
 		}
 		reports = append(reports, report)
 	}
--- a/internal/registry/outliers_test.go
+++ b/internal/registry/outliers_test.go
@@ -268,7 +268,7 @@
 	table.add(0, "b", list)
 	table.add(0, "a", list)
 	expected := []outlier.Report{
-		{Outcomes: directory.Outcomes{Token: 7, Answered: 9, Unanswered: 3}, Nodes: 2, Seen: 3, Most: 2, Witness: directory.NodeKey("a")},
+		{Outcomes: directory.Outcomes{Token: 7, Answered: 9, Unanswered: 3}, FailingNodes: 2, RecentFailures: 3, TopFailures: 2, TopNode: directory.NodeKey("a")},
 		{Outcomes: directory.Outcomes{Token: 8, Answered: 6}},
 	}
 	taken := table.take(0)
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -45,7 +45,7 @@
 	// Strength is what is stated of the machine.
 	Strength strength.Strength
 	// Spread changes how heartbeats are passed on to nodes.
-	Spread []heartbeat.SpreadOption
+	Spread []heartbeat.DistributorOption
 	// CallAddress returns where targets call a member that other members reach at
 	// an address. Without it targets are not sent to members of their zones.
 	CallAddress func(address string) string
@@ -67,7 +67,7 @@
 	nodes    map[ConnectionID]*ring.Ring[wire.Frame]
 	metrics  *metrics
 	beats    *heartbeat.Cache
-	spread   *heartbeat.Spread
+	spread   *heartbeat.Distributor
 	// beatsAt is the revision that the cache of heartbeats has followed.
 	beatsAt uint64
 	// referredAt is the revision of the members that the referral table was made
@@ -102,7 +102,7 @@
 		nodes:    map[ConnectionID]*ring.Ring[wire.Frame]{},
 		metrics:  newMetrics(),
 		beats:    heartbeat.NewCache(),
-		spread:   heartbeat.NewSpread(append([]heartbeat.SpreadOption{heartbeat.WithZone(settings.Core.Zone)}, settings.Spread...)...),
+		spread:   heartbeat.NewDistributor(append([]heartbeat.DistributorOption{heartbeat.WithZone(settings.Core.Zone)}, settings.Spread...)...),
 		stopped:  make(chan struct{}),
 	}
 	process.links = peerlink.New(process.noteLink, peerlink.WithEchoes())
@@ -225,7 +225,7 @@
 		p.beats.Reset()
 		p.beatsAt = 0
 	}
-	p.beats.Follow(state.ChangedTargets(p.beatsAt))
+	p.beats.Update(state.ChangedTargets(p.beatsAt))
 	p.beatsAt = state.Revision()
 }
 
@@ -357,7 +357,7 @@
 	if queue, connected := p.nodes[connection]; connected {
 		queue.Close()
 		delete(p.nodes, connection)
-		p.spread.Remove(uint64(connection))
+		p.spread.RemoveNode(uint64(connection))
 	}
 	if p.core != nil {
 		p.core.Close(connection)
--- a/internal/registry/referral.go
+++ b/internal/registry/referral.go
@@ -79,7 +79,7 @@
 	p.referredAt = revision
 	members := core.referralMembers()
 	p.referrals.Store(newReferralTable(p.settings.Core.Address, p.settings.Core.Zone, members))
-	p.spread.SetHomes(p.homes(members))
+	p.spread.SetMembers(p.homes(members))
 }
 
 // homes returns where targets call the members of each zone.
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -161,14 +161,14 @@
 
 // A node says that its machine has changed over the connection that it has.
 func TestAChangedStrengthComesOverTheConnection(t *testing.T) {
-	process := NewProcess(Settings{Name: "core-1", Spread: []heartbeat.SpreadOption{heartbeat.WithOwnRate(0)}}, eventlog.Discard())
+	process := NewProcess(Settings{Name: "core-1", Spread: []heartbeat.DistributorOption{heartbeat.WithLocalRate(0)}}, eventlog.Discard())
 	for connection, address := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
-		process.spread.Add(uint64(connection), "north", address)
-		process.spread.Weigh(uint64(connection), strength.Strength{Share: 0.1})
+		process.spread.AddNode(uint64(connection), "north", address)
+		process.spread.SetStrength(uint64(connection), strength.Strength{Share: 0.1})
 	}
 	second := func(call int) (count int) {
 		for number := range 400 {
-			if process.spread.Choose("north", fmt.Sprint("i-", call, number)) == "10.0.0.2:1" {
+			if process.spread.Assign("north", fmt.Sprint("i-", call, number)) == "10.0.0.2:1" {
 				count++
 			}
 		}
--- a/internal/registry/versions_test.go
+++ b/internal/registry/versions_test.go
@@ -59,14 +59,14 @@
 		assert.ElementsMatch(t, newer, b.ejected(m))
 	}
 	assert.Equal(t, 1, b.events[eventlog.VersionHeld])
-	assert.Equal(t, 1, b.leader.core.outcomes.judge.Held())
+	assert.Equal(t, 1, b.leader.core.outcomes.judge.HeldVersions())
 	b.ill = nil
 	b.serve(12 * time.Second)
 	assert.Empty(t, b.ejected(b.reporters[0]))
 	assert.Empty(t, b.reporters[0].alive.Verdicts.Probation)
 	assert.Equal(t, 1, b.events[eventlog.VersionOnTrial])
 	assert.Equal(t, 1, b.events[eventlog.VersionReadmitted])
-	assert.Zero(t, b.leader.core.outcomes.judge.Held())
+	assert.Zero(t, b.leader.core.outcomes.judge.HeldVersions())
 }
 
 // A new leader has no sums. It keeps the version held and tries it soon.
--- a/scripts/ablation/mechanisms.py
+++ b/scripts/ablation/mechanisms.py
@@ -38,5 +38,5 @@
     "overlapping-dials": [("internal/peerlink/dial.go", "dialStagger = 40 * time.Millisecond", "dialStagger = 200 * time.Millisecond")],
     "update-pacing": [("internal/registry/nodes.go", "updatePause = 2 * time.Millisecond", "updatePause = 0 * time.Millisecond")],
     "member-zones": [("internal/steer/memberlist.go", "\tif member.Zone == l.Zone {\n\t\treturn 0\n", "\tif true {\n\t\treturn 0\n")],
-    "heartbeats-at-nodes": [("internal/edge/subscriber.go", "Beats: s.process.settings.Beats", "Beats: \"\"")],
+    "heartbeats-at-nodes": [("internal/edge/subscriber.go", "Beats: s.process.settings.HeartbeatAddress", "Beats: \"\"")],
 }
