--- a/internal/edge/announcements_test.go
+++ b/internal/edge/announcements_test.go
@@ -44,7 +44,7 @@
 
 // A node waited for the first seed though members stood that knew where it is.
 func TestANodeGoesToTheMemberThatAnnouncesItself(t *testing.T) {
-	member := newFakeMember(t, registry.Alive{Current: true}.Frame())
+	member := newFakeMember(t, registry.Keepalive{Current: true}.Frame())
 	process := announcedNode(t)
 	announcement := registry.Announcement{From: member.address(), Members: []directory.Member{
 		{ID: 1, Address: "127.0.0.1:1", Zone: "north"},
@@ -53,14 +53,14 @@
 	datagram := wire.AppendFrame(nil, announcement.Frame())
 	assert.Eventually(t, func() bool {
 		tell(t, process, []byte("no frame"))
-		tell(t, process, wire.AppendFrame(nil, registry.Alive{}.Frame()))
+		tell(t, process, wire.AppendFrame(nil, registry.Keepalive{}.Frame()))
 		tell(t, process, datagram)
 		return process.subscriber.followed() == member.address()
 	}, soon, 20*time.Millisecond)
 }
 
 func TestANodeServesWithoutAnnouncements(t *testing.T) {
-	member := newFakeMember(t, registry.Alive{Current: true}.Frame())
+	member := newFakeMember(t, registry.Keepalive{Current: true}.Frame())
 	process := NewProcess(Settings{Name: "edge-1", Zone: "north", Seeds: []string{member.address()}, Announcements: "nowhere"}, eventlog.Discard())
 	process.takeAnnouncements()
 	go process.subscriber.run()
--- a/internal/edge/frames.go
+++ b/internal/edge/frames.go
@@ -75,7 +75,7 @@
 
 // receiveAlive takes a sign of life with the verdicts on targets.
 func (s *subscriber) receiveAlive(payload []byte) error {
-	alive, err := registry.DecodeAlive(payload)
+	alive, err := registry.DecodeKeepalive(payload)
 	if err != nil {
 		return err
 	}
--- a/internal/edge/memory_test.go
+++ b/internal/edge/memory_test.go
@@ -31,7 +31,7 @@
 		}},
 	}
 	member := newFakeMember(t,
-		wire.Frame{Kind: wire.FrameRemembered, Payload: directory.EncodeRemembered(remembered)}, registry.Alive{}.Frame())
+		wire.Frame{Kind: wire.FrameRemembered, Payload: directory.EncodeRemembered(remembered)}, registry.Keepalive{}.Frame())
 	log := &lines{}
 	process := NewProcess(Settings{
 		Name: "edge-1", Zone: "north", Packets: "127.0.0.1:0", Seeds: []string{member.address()}, Format: plainFormat{}, Core: steer.DefaultSettings(),
@@ -60,14 +60,14 @@
 		return len(times) == 1
 	}, hangTime, time.Millisecond)
 	assert.Eventually(t, func() bool { return !process.IsReady() }, hangTime, 10*time.Millisecond, "no member has become current")
-	assert.GreaterOrEqual(t, time.Since(process.started), registry.RememberedFor)
+	assert.GreaterOrEqual(t, time.Since(process.started), registry.RememberedTTL)
 	assert.Contains(t, log.String(), "name=remembered_in_use")
 	assert.Eventually(t, func() bool { return strings.Contains(log.String(), "name=remembered_over") }, hangTime, 10*time.Millisecond)
 }
 
 // A node that knows members heard the announcements of all of them.
 func TestANodeThatKnowsMembersListensToNoAnnouncement(t *testing.T) {
-	member := newFakeMember(t, registry.Alive{Current: true}.Frame())
+	member := newFakeMember(t, registry.Keepalive{Current: true}.Frame())
 	process := announcedNode(t)
 	announcement := registry.Announcement{From: member.address(), Members: []directory.Member{{ID: 1, Address: member.address(), Zone: "north"}}}
 	datagram := wire.AppendFrame(nil, announcement.Frame())
--- a/internal/edge/reports.go
+++ b/internal/edge/reports.go
@@ -67,7 +67,7 @@
 
 // EvidenceOf returns the message with what a node has seen and heard.
 func EvidenceOf(evidence steer.Evidence, heard []directory.Token) registry.Evidence {
-	message := registry.Evidence{Answering: evidence.Answering, Heard: heard}
+	message := registry.Evidence{Answering: evidence.Answering, Heartbeats: heard}
 	message.Silent = targetsOf(evidence.Silent)
 	message.Refused = targetsOf(evidence.Refused)
 	message.Openings = evidence.Openings
@@ -79,8 +79,8 @@
 func targetsOf(silent []steer.SilentTarget) []registry.SilentTarget {
 	var targets []registry.SilentTarget
 	for _, target := range silent {
-		seen := registry.SilentTarget{Token: target.Token, Weight: target.Weight, Doubtful: target.Doubtful}
-		targets = append(targets, seen.Witnessed())
+		seen := registry.SilentTarget{Token: target.Token, Weight: target.Weight, UnreliableWeight: target.Doubtful}
+		targets = append(targets, seen.FromSingleNode())
 	}
 	return targets
 }
--- a/internal/edge/subscriber.go
+++ b/internal/edge/subscriber.go
@@ -23,9 +23,9 @@
 
 const (
 	// SilenceLimit is the longest time without a byte from a member.
-	SilenceLimit = 3*registry.AliveInterval + 100*time.Millisecond
+	SilenceLimit = 3*registry.KeepaliveInterval + 100*time.Millisecond
 	// gapLimit is the longest usual time between two signs of a current member.
-	gapLimit = 2 * registry.AliveInterval
+	gapLimit = 2 * registry.KeepaliveInterval
 	// reportCapacity is the number of reports that wait for a slow member.
 	reportCapacity = 8
 )
@@ -170,16 +170,16 @@
 // subscription returns what the node asks a member for.
 func (s *subscriber) subscription() registry.Subscribe {
 	return registry.Subscribe{
-		Node:      s.process.settings.Name,
-		Zone:      s.process.settings.Zone,
-		Revision:  s.revision,
-		Waited:    time.Since(s.process.started),
-		Beats:     s.process.settings.Beats,
-		Referable: s.follower.IsReferable(),
-
-		Announcements: s.process.settings.Announcements,
-		KeepsVerdicts: true,
-		Strength:      s.takeStrength(),
+		Node:             s.process.settings.Name,
+		Zone:             s.process.settings.Zone,
+		Revision:         s.revision,
+		Waited:           time.Since(s.process.started),
+		HeartbeatAddress: s.process.settings.Beats,
+		Referable:        s.follower.IsReferable(),
+
+		AnnouncementAddress: s.process.settings.Announcements,
+		CachesVerdicts:      true,
+		Strength:            s.takeStrength(),
 	}
 }
 
--- a/internal/edge/subscriber_test.go
+++ b/internal/edge/subscriber_test.go
@@ -104,7 +104,7 @@
 
 // A member whose disk was lost knows nothing until the group has taken it in.
 func TestANodeLeavesAMemberThatKnowsNothing(t *testing.T) {
-	empty := registry.Alive{Empty: true}.Frame()
+	empty := registry.Keepalive{Empty: true}.Frame()
 	first, second := newFakeMember(t, empty), newFakeMember(t, empty)
 	startNode(t, first.address(), second.address())
 	met := func() int { return len(first.visits()) + len(second.visits()) }
--- a/internal/edge/updates.go
+++ b/internal/edge/updates.go
@@ -81,7 +81,7 @@
 
 func (i rememberedInput) handle(p *Process, now kernel.Instant) {
 	before := p.core.PlacesByMemory()
-	known := p.core.Remember(now, i.remembered, p.startedAt().Add(registry.RememberedFor))
+	known := p.core.Remember(now, i.remembered, p.startedAt().Add(registry.RememberedTTL))
 	p.metrics.remembered.Add(float64(known))
 	p.logger.Event(eventlog.TargetsRemembered, "targets", len(i.remembered.Targets), "taken", known, "waiting", len(p.waiting.packets))
 	if p.core.PlacesByMemory() && !before {
--- a/internal/lab/fleetsim/edge.go
+++ b/internal/lab/fleetsim/edge.go
@@ -187,7 +187,7 @@
 	}
 	subscribe := registry.Subscribe{
 		Node: e.name, Zone: e.zone, Revision: e.core.Revision(), Waited: w.now.Sub(e.startedAt), Referable: e.follower.IsReferable(),
-		KeepsVerdicts: true, Strength: e.strength(),
+		CachesVerdicts: true, Strength: e.strength(),
 	}
 	e.told = subscribe.Strength
 	if referral, refers := m.core.Refer(subscribe); refers {
@@ -200,12 +200,12 @@
 	e.heardAt = w.now
 	e.follower.Begin(w.now, next)
 	m.nodes[e.connection] = e
-	m.take(m.core.Open(w.now, e.connection, subscribe))
+	m.take(m.core.Subscribe(w.now, e.connection, subscribe))
 }
 
 func (e *edge) leave() {
 	if e.member != nil && e.member.up {
-		e.member.core.Close(e.connection)
+		e.member.core.Unsubscribe(e.connection)
 		delete(e.member.nodes, e.connection)
 	}
 	e.member = nil
@@ -269,7 +269,7 @@
 	case wire.FrameRemembered:
 		e.remember(frame.Payload)
 	case wire.FrameAlive:
-		alive, err := registry.DecodeAlive(frame.Payload)
+		alive, err := registry.DecodeKeepalive(frame.Payload)
 		if err != nil {
 			panic(err)
 		}
@@ -293,7 +293,7 @@
 	if err != nil {
 		panic(err)
 	}
-	e.core.Remember(e.world.now, remembered, e.startedAt.Add(registry.RememberedFor))
+	e.core.Remember(e.world.now, remembered, e.startedAt.Add(registry.RememberedTTL))
 	e.noteState()
 }
 
--- a/internal/lab/fleetsim/member.go
+++ b/internal/lab/fleetsim/member.go
@@ -208,7 +208,7 @@
 func (m *member) beat(reported directory.Target, answer func(acknowledged bool)) {
 	m.core.Heard(m.world.now, reported.Start())
 	_, registered := m.core.State().Target(reported.ID)
-	if m.core.Holds(reported) || m.world.settings.Switches.EarlyDrain && registered {
+	if m.core.IsRegistered(reported) || m.world.settings.Switches.EarlyDrain && registered {
 		answer(true)
 		return
 	}
--- a/internal/registry/announcement.go
+++ b/internal/registry/announcement.go
@@ -37,10 +37,10 @@
 	return announcement, decoder.Err("registry.decode_announcement")
 }
 
-// announcementPauses are the pauses before each round of announcements. Processes of
+// announcementDelays are the pauses before each round of announcements. Processes of
 // a fleet whose power is back start within some tenths of a second of each other, and
 // datagrams get lost.
-var announcementPauses = [...]time.Duration{
+var announcementDelays = [...]time.Duration{
 	0,
 	50 * time.Millisecond,
 	50 * time.Millisecond,
@@ -54,16 +54,16 @@
 	400 * time.Millisecond,
 }
 
-// announcedMembers is the number of members in an announcement: all members tell each
+// maxAnnouncementMembers is the number of members in an announcement: all members tell each
 // node in each round, over links that callers need.
-const announcedMembers = 3
+const maxAnnouncementMembers = 3
 
-// announced returns the members that one of them names: itself and those that come after
+// announcementMembers returns the members that one of them names: itself and those that come after
 // it in the order of numbers, so that each is named by some.
-func announced(self string, members []directory.Member) []directory.Member {
+func announcementMembers(self string, members []directory.Member) []directory.Member {
 	first := slices.IndexFunc(members, func(member directory.Member) bool { return member.Address == self })
 	var list []directory.Member
-	for offset := range min(announcedMembers, len(members)) {
+	for offset := range min(maxAnnouncementMembers, len(members)) {
 		list = append(list, members[(max(first, 0)+offset)%len(members)])
 	}
 	return list
--- a/internal/registry/announcer.go
+++ b/internal/registry/announcer.go
@@ -22,18 +22,18 @@
 	// twice those of a member in the largest fleet.
 	rosterCapacity = 1024
 	rosterBatch    = 256
-	// rosterPause is the time between two writes of the roster. A fleet changes in the
+	// rosterWriteInterval is the time between two writes of the roster. A fleet changes in the
 	// course of minutes, and each write costs two syncs.
-	rosterPause = 2 * time.Second
-	// rosterLifetime is how long nodes of the member's last life are remembered that
+	rosterWriteInterval = 2 * time.Second
+	// previousNodesTTL is how long nodes of the member's last life are remembered that
 	// nobody has told of again: longer than any outage after which they come back.
-	rosterLifetime = 5 * time.Minute
-	// rosterSharing is the time between two words to the other members on the nodes
+	previousNodesTTL = 5 * time.Minute
+	// rosterShareInterval is the time between two words to the other members on the nodes
 	// that follow this one. A member that has lost its disk lacks them for so long.
-	rosterSharing = 5 * time.Second
-	// announceLimit is the number of nodes that a member announces itself to. In a
+	rosterShareInterval = 5 * time.Second
+	// maxAnnouncedNodes is the number of nodes that a member announces itself to. In a
 	// larger fleet each member takes others.
-	announceLimit = 256
+	maxAnnouncedNodes = 256
 )
 
 // announcer remembers where nodes are and announces the member to them after each start,
@@ -41,13 +41,13 @@
 type announcer struct {
 	process *Process
 	folder  *wal.Folder
-	// known are the nodes of the last life.
-	known []string
-	// notes takes the nodes that follow this member and those that others tell of.
-	notes *ring.Ring[rosterNote]
-	// begun is set once the member has announced itself, and current once it was
+	// previousNodes are the nodes of the last life.
+	previousNodes []string
+	// queue takes the nodes that follow this member and those that others tell of.
+	queue *ring.Ring[rosterEntry]
+	// announcedOnce is set once the member has announced itself, and current once it was
 	// current. The goroutine that owns the core has both.
-	begun, current bool
+	announcedOnce, wasCurrent bool
 	// announcing is set while announcements are sent.
 	announcing atomic.Bool
 
@@ -58,42 +58,44 @@
 }
 
 func newAnnouncer(process *Process) *announcer {
-	return &announcer{process: process, notes: ring.New[rosterNote](rosterCapacity), own: newRoster(nil), since: newRoster(nil)}
+	return &announcer{process: process, queue: ring.New[rosterEntry](rosterCapacity), own: newRoster(nil), since: newRoster(nil)}
 }
 
-// rosterNote tells where a node takes announcements.
-type rosterNote struct {
+// rosterEntry tells where a node takes announcements.
+type rosterEntry struct {
 	address string
 	// own is set on a node that follows this member.
 	own bool
 }
 
-// follow notes a node that follows this member.
-func (a *announcer) follow(address string) { a.notes.TryPush(rosterNote{address: address, own: true}) }
+// addSubscriber notes a node that follows this member.
+func (a *announcer) addSubscriber(address string) {
+	a.queue.TryPush(rosterEntry{address: address, own: true})
+}
 
-// hear notes the nodes that another member tells of.
-func (a *announcer) hear(frame wire.Frame) {
+// receiveRoster notes the nodes that another member tells of.
+func (a *announcer) receiveRoster(frame wire.Frame) {
 	addresses, err := decodeRoster(frame.Payload)
 	if err != nil {
 		a.process.logger.Sampled(eventlog.BadFrame, "kind", frame.Kind, "err", err)
 		return
 	}
 	for _, address := range addresses {
-		if !a.isNoted(address) {
-			a.notes.TryPush(rosterNote{address: address})
+		if !a.isRecorded(address) {
+			a.queue.TryPush(rosterEntry{address: address})
 		}
 	}
 }
 
-func (a *announcer) isNoted(address string) bool {
+func (a *announcer) isRecorded(address string) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.since.addresses[address]
 }
 
-// open reads the nodes of the last life. Without them, nodes find this member by the
+// load reads the nodes of the last life. Without them, nodes find this member by the
 // seeds.
-func (a *announcer) open() {
+func (a *announcer) load() {
 	folder, err := wal.OpenFolder(a.process.settings.DataFolder + "-" + rosterName)
 	if err != nil {
 		a.process.logger.Event(eventlog.RosterFailed, "err", err)
@@ -111,64 +113,64 @@
 		a.process.logger.Event(eventlog.RosterFailed, "err", err)
 		return
 	}
-	a.known = known
+	a.previousNodes = known
 	a.process.logger.Event(eventlog.RosterRead, "nodes", len(known))
 }
 
 // runRoster keeps the file of nodes until the process stops.
 func (a *announcer) runRoster() {
-	all := newRoster(a.known)
+	all := newRoster(a.previousNodes)
 	started := time.Now()
-	var batch []rosterNote
+	var batch []rosterEntry
 	for {
 		var open bool
-		batch, open = a.notes.PopBatch(batch[:0], rosterBatch)
+		batch, open = a.queue.PopBatch(batch[:0], rosterBatch)
 		if !open {
 			return
 		}
 		for _, node := range batch {
-			all.note(node.address)
-			a.note(node)
+			all.add(node.address)
+			a.record(node)
 		}
-		if time.Since(started) > rosterLifetime {
+		if time.Since(started) > previousNodesTTL {
 			a.mutex.Lock()
-			all.keep(a.since.addresses)
+			all.retain(a.since.addresses)
 			a.mutex.Unlock()
 		}
 		a.save(all)
-		if !a.pause(rosterPause) {
+		if !a.wait(rosterWriteInterval) {
 			return
 		}
 	}
 }
 
-// note notes a node of this life.
-func (a *announcer) note(node rosterNote) {
+// record notes a node of this life.
+func (a *announcer) record(node rosterEntry) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.since.note(node.address)
+	a.since.add(node.address)
 	if node.own {
-		a.own.note(node.address)
+		a.own.add(node.address)
 	}
 }
 
-// runSharing tells the other members of the nodes that follow this one until the process
+// runRosterSharing tells the other members of the nodes that follow this one until the process
 // stops.
-func (a *announcer) runSharing() {
-	for a.pause(rosterSharing) {
+func (a *announcer) runRosterSharing() {
+	for a.wait(rosterShareInterval) {
 		a.mutex.Lock()
 		own := a.own.list()
 		a.mutex.Unlock()
 		if len(own) > 0 {
-			a.process.inputs.TryPush(sharingInput{frame: wire.Frame{Kind: wire.FrameRoster, Payload: encodeRoster(own)}})
+			a.process.inputs.TryPush(shareRosterInput{frame: wire.Frame{Kind: wire.FrameRoster, Payload: encodeRoster(own)}})
 		}
 	}
 }
 
-// sharingInput sends a frame to all other members.
-type sharingInput struct{ frame wire.Frame }
+// shareRosterInput sends a frame to all other members.
+type shareRosterInput struct{ frame wire.Frame }
 
-func (i sharingInput) handle(p *Process, _ kernel.Instant) Output {
+func (i shareRosterInput) handle(p *Process, _ kernel.Instant) Output {
 	if p.core == nil {
 		return Output{}
 	}
@@ -182,18 +184,18 @@
 }
 
 func (a *announcer) save(nodes *roster) {
-	if a.folder == nil || !nodes.changed {
+	if a.folder == nil || !nodes.dirty {
 		return
 	}
 	if err := wal.Replace(a.folder, rosterName, encodeRoster(nodes.list())); err != nil {
 		a.process.logger.Event(eventlog.RosterFailed, "err", err)
 		return
 	}
-	nodes.changed = false
+	nodes.dirty = false
 }
 
-// pause waits, and returns false when the process stops.
-func (a *announcer) pause(pause time.Duration) bool {
+// wait waits, and returns false when the process stops.
+func (a *announcer) wait(pause time.Duration) bool {
 	select {
 	case <-time.After(pause):
 		return true
@@ -202,17 +204,17 @@
 	}
 }
 
-// begin announces the member once it has read its disk, and once it is current for the
+// announceIfDue announces the member once it has read its disk, and once it is current for the
 // first time when the first announcements are over by then.
-func (a *announcer) begin(now kernel.Instant, core *Core) {
+func (a *announcer) announceIfDue(now kernel.Instant, core *Core) {
 	isCurrent := core.IsCurrent(now)
-	due := !a.begun || isCurrent && !a.current
-	a.begun = true
-	a.current = a.current || isCurrent
-	if !due || len(a.known) == 0 || !a.announcing.CompareAndSwap(false, true) {
+	due := !a.announcedOnce || isCurrent && !a.wasCurrent
+	a.announcedOnce = true
+	a.wasCurrent = a.wasCurrent || isCurrent
+	if !due || len(a.previousNodes) == 0 || !a.announcing.CompareAndSwap(false, true) {
 		return
 	}
-	announcement := Announcement{From: a.process.settings.Core.Address, Members: announced(a.process.settings.Core.Address, core.referralMembers())}
+	announcement := Announcement{From: a.process.settings.Core.Address, Members: announcementMembers(a.process.settings.Core.Address, core.referralMembers())}
 	a.process.spawn(func() {
 		defer a.announcing.Store(false)
 		a.announce(announcement)
@@ -228,29 +230,29 @@
 	}
 	defer func() { _ = socket.Close() }()
 	datagram := wire.AppendFrame(nil, announcement.Frame())
-	nodes := a.chosen(announcement.From)
+	nodes := a.selectNodes(announcement.From)
 	failed := 0
-	for _, pause := range announcementPauses {
-		if !a.pause(pause) {
+	for _, pause := range announcementDelays {
+		if !a.wait(pause) {
 			return
 		}
 		failed += sendAll(socket, nodes, datagram)
 	}
-	a.process.logger.Event(eventlog.NodesAnnounced, "nodes", len(nodes), "rounds", len(announcementPauses), "failed", failed)
+	a.process.logger.Event(eventlog.NodesAnnounced, "nodes", len(nodes), "rounds", len(announcementDelays), "failed", failed)
 }
 
-// chosen returns the nodes that this member announces itself to.
-func (a *announcer) chosen(self string) []string {
-	if len(a.known) <= announceLimit {
-		return a.known
+// selectNodes returns the nodes that this member announces itself to.
+func (a *announcer) selectNodes(self string) []string {
+	if len(a.previousNodes) <= maxAnnouncedNodes {
+		return a.previousNodes
 	}
-	draws := make([]rendezvous.Node, len(a.known))
-	for position, address := range a.known {
+	draws := make([]rendezvous.Node, len(a.previousNodes))
+	for position, address := range a.previousNodes {
 		draws[position] = rendezvous.Node{Seed: rendezvous.Hash(address), Weight: 1}
 	}
 	var nodes []string
-	for _, position := range rendezvous.First(draws, rendezvous.Hash(self), announceLimit) {
-		nodes = append(nodes, a.known[position])
+	for _, position := range rendezvous.First(draws, rendezvous.Hash(self), maxAnnouncedNodes) {
+		nodes = append(nodes, a.previousNodes[position])
 	}
 	return nodes
 }
--- a/internal/registry/announcer_test.go
+++ b/internal/registry/announcer_test.go
@@ -19,16 +19,16 @@
 
 func TestARosterIsBoundedAndForgetsNodes(t *testing.T) {
 	nodes := newRoster([]string{"10.0.0.1:1"})
-	nodes.note("10.0.0.1:1")
-	nodes.note("")
-	assert.False(t, nodes.changed)
-	for number := range maxRoster {
-		nodes.note(fmt.Sprint("10.1.0.0:", number))
+	nodes.add("10.0.0.1:1")
+	nodes.add("")
+	assert.False(t, nodes.dirty)
+	for number := range maxRosterNodes {
+		nodes.add(fmt.Sprint("10.1.0.0:", number))
 	}
-	assert.Len(t, nodes.addresses, maxRoster)
-	assert.Len(t, nodes.order, maxRoster)
+	assert.Len(t, nodes.addresses, maxRosterNodes)
+	assert.Len(t, nodes.order, maxRosterNodes)
 	assert.NotContains(t, nodes.addresses, "10.0.0.1:1", "the one that was noted first gives way")
-	nodes.keep(map[string]bool{"10.1.0.0:7": true})
+	nodes.retain(map[string]bool{"10.1.0.0:7": true})
 	addresses, err := decodeRoster(encodeRoster(nodes.list()))
 	require.NoError(t, err)
 	assert.Equal(t, []string{"10.1.0.0:7"}, addresses)
@@ -41,7 +41,7 @@
 	settings := Settings{Name: "core-1", DataFolder: folder}
 	settings.Core.Address = "10.0.0.9:1"
 	process := NewProcess(settings, eventlog.Discard())
-	process.announcer.open()
+	process.announcer.load()
 	return process.announcer
 }
 
@@ -53,13 +53,13 @@
 		close(ended)
 	}()
 	for _, address := range addresses {
-		a.follow(address)
+		a.addSubscriber(address)
 	}
 	assert.Eventually(t, func() bool {
 		data, err := a.folder.ReadFile(rosterName)
 		known, _ := decodeRoster(data)
 		return err == nil && len(known) == len(addresses)
-	}, 2*rosterPause+time.Second, 10*time.Millisecond)
+	}, 2*rosterWriteInterval+time.Second, 10*time.Millisecond)
 	close(a.process.stopped)
 	<-ended
 }
@@ -70,17 +70,17 @@
 	require.NoError(t, err)
 	defer func() { _ = node.Close() }()
 	first := newTestAnnouncer(folder)
-	assert.Empty(t, first.known)
+	assert.Empty(t, first.previousNodes)
 	follow(t, first, node.LocalAddr().String())
 
 	second := newTestAnnouncer(folder)
-	require.Equal(t, []string{node.LocalAddr().String()}, second.known)
+	require.Equal(t, []string{node.LocalAddr().String()}, second.previousNodes)
 	sent := Announcement{From: "10.0.0.9:1", Members: []directory.Member{{ID: 1, Address: "10.0.0.9:1", Zone: "north"}}}
 	go second.announce(sent)
 	defer close(second.process.stopped)
 	require.NoError(t, node.SetReadDeadline(time.Now().Add(2*time.Second)))
 	buffer := make([]byte, 2048)
-	for range announcementPauses {
+	for range announcementDelays {
 		size, err := node.Read(buffer)
 		require.NoError(t, err)
 		frame, err := wire.ReadFrame(bytes.NewReader(buffer[:size]))
@@ -95,7 +95,7 @@
 	folder := filepath.Join(t.TempDir(), "member")
 	first := newTestAnnouncer(folder)
 	require.NoError(t, wal.Replace(first.folder, rosterName, []byte{0, 0, 0, 7, 1}))
-	assert.Empty(t, newTestAnnouncer(folder).known)
+	assert.Empty(t, newTestAnnouncer(folder).previousNodes)
 }
 
 // nodeSocket returns a socket at which a node takes announcements.
@@ -113,10 +113,10 @@
 	folder := filepath.Join(t.TempDir(), "member")
 	node := nodeSocket(t)
 	follow(t, newTestAnnouncer(folder), node.LocalAddr().String())
-	_, m := startedAlone(t)
+	_, m := startWithoutPeers(t)
 	second := newTestAnnouncer(folder)
 	defer close(second.process.stopped)
-	second.begin(second.process.now(), m.core)
+	second.announceIfDue(second.process.now(), m.core)
 	buffer := make([]byte, 2048)
 	size, err := node.Read(buffer)
 	require.NoError(t, err)
@@ -132,31 +132,31 @@
 func TestMembersTellEachOtherOfTheNodesThatFollowThem(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "member")
 	a := newTestAnnouncer(folder)
-	a.hear(wire.Frame{Kind: wire.FrameRoster, Payload: encodeRoster([]string{"10.0.0.1:1"})})
-	a.hear(wire.Frame{Kind: wire.FrameRoster, Payload: []byte{0, 0, 0, 9}})
+	a.receiveRoster(wire.Frame{Kind: wire.FrameRoster, Payload: encodeRoster([]string{"10.0.0.1:1"})})
+	a.receiveRoster(wire.Frame{Kind: wire.FrameRoster, Payload: []byte{0, 0, 0, 9}})
 	followAlso := "10.0.0.2:1"
 	ended := make(chan struct{})
 	go func() {
 		a.runRoster()
 		close(ended)
 	}()
-	a.follow(followAlso)
+	a.addSubscriber(followAlso)
 	assert.Eventually(t, func() bool {
 		data, err := a.folder.ReadFile(rosterName)
 		known, _ := decodeRoster(data)
 		return err == nil && len(known) == 2
-	}, 2*rosterPause+time.Second, 10*time.Millisecond)
+	}, 2*rosterWriteInterval+time.Second, 10*time.Millisecond)
 	close(a.process.stopped)
 	<-ended
 	assert.Equal(t, []string{followAlso}, a.own.list(), "what others tell is not told again")
 
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.waitForLeader()
-	require.NoError(t, c.submit(leader, put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 	c.run(time.Second)
 	a.process.core = leader.core
 	a.process.settings.Core.Address = leader.address
-	output := sharingInput{frame: wire.Frame{Kind: wire.FrameRoster}}.handle(a.process, c.now)
+	output := shareRosterInput{frame: wire.Frame{Kind: wire.FrameRoster}}.handle(a.process, c.now)
 	assert.Len(t, output.Members, 2)
 }
 
@@ -165,21 +165,21 @@
 	for number := range uint32(5) {
 		members = append(members, directory.Member{ID: number, Address: fmt.Sprint("10.0.0.", number, ":1")})
 	}
-	named := announced("10.0.0.4:1", members)
-	require.Len(t, named, announcedMembers)
+	named := announcementMembers("10.0.0.4:1", members)
+	require.Len(t, named, maxAnnouncementMembers)
 	assert.Equal(t, members[4], named[0])
 	assert.Equal(t, members[:2], named[1:])
-	assert.Equal(t, members[:1], announced("10.0.0.0:1", members[:1]))
-	assert.Empty(t, announced("10.0.0.0:1", nil))
+	assert.Equal(t, members[:1], announcementMembers("10.0.0.0:1", members[:1]))
+	assert.Empty(t, announcementMembers("10.0.0.0:1", nil))
 }
 
 func TestAMemberAnnouncesItselfToAPartOfALargeFleet(t *testing.T) {
 	a := newTestAnnouncer(filepath.Join(t.TempDir(), "member"))
-	for number := range 2 * announceLimit {
-		a.known = append(a.known, fmt.Sprint("10.1.0.0:", number))
+	for number := range 2 * maxAnnouncedNodes {
+		a.previousNodes = append(a.previousNodes, fmt.Sprint("10.1.0.0:", number))
 	}
-	one, other := a.chosen("10.0.0.1:1"), a.chosen("10.0.0.2:1")
-	assert.Len(t, one, announceLimit)
+	one, other := a.selectNodes("10.0.0.1:1"), a.selectNodes("10.0.0.2:1")
+	assert.Len(t, one, maxAnnouncedNodes)
 	assert.NotEqual(t, one, other)
-	assert.Equal(t, one, a.chosen("10.0.0.1:1"))
+	assert.Equal(t, one, a.selectNodes("10.0.0.1:1"))
 }
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -12,8 +12,8 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// conflictPause is the wait before an edit that met another one is tried again.
-const conflictPause = 5 * time.Millisecond
+// conflictRetryDelay is the wait before an edit that met another one is tried again.
+const conflictRetryDelay = 5 * time.Millisecond
 
 // Heartbeat is the word of a target about itself.
 type Heartbeat struct {
@@ -41,7 +41,7 @@
 			p.logger.Event(eventlog.VersionUnanswered, "version", next.Version, "err", err)
 			return err
 		}
-		if err := pause(ctx, conflictPause); err != nil {
+		if err := pause(ctx, conflictRetryDelay); err != nil {
 			return err
 		}
 	}
@@ -71,18 +71,18 @@
 	return configuration, err
 }
 
-// Beat takes a heartbeat. It returns once what must hold of it is on the
+// HandleHeartbeat takes a heartbeat. It returns once what must hold of it is on the
 // disks of a quorum: that the target exists, and that it drains. The address is
 // that of a node for the target's later heartbeats, or "" when it is to stay, as
 // it does until its nodes can know it.
-func (p *Process) Beat(ctx context.Context, beat Heartbeat) (address string, err error) {
-	if p.beats.Take(beat.Target.Start(), beat.Target.State) {
-		return p.spread.Choose(beat.Target.Zone, beat.Target.ID), nil
+func (p *Process) HandleHeartbeat(ctx context.Context, beat Heartbeat) (address string, err error) {
+	if p.heartbeats.Take(beat.Target.Start(), beat.Target.State) {
+		return p.heartbeatSpread.Choose(beat.Target.Zone, beat.Target.ID), nil
 	}
 	var refusal error
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
 		core.Heard(now, beat.Target.Start())
-		if core.Holds(beat.Target) {
+		if core.IsRegistered(beat.Target) {
 			return 0, Output{}
 		}
 		var ticket Ticket
@@ -94,15 +94,15 @@
 	case err != nil:
 		return "", err
 	case result.Code == directory.CodeTaken:
-		return "", errTaken
+		return "", errAddressTaken
 	case result.Code == directory.CodeOutdated:
-		return "", outdated(beat.Target)
+		return "", outdatedStartError(beat.Target)
 	}
 	return "", refusal
 }
 
-// errTaken refuses a heartbeat; a process that lives sends the next one.
-var errTaken = steperror.New("registry.beat", "", "the address is that of a target that was heard lately")
+// errAddressTaken refuses a heartbeat; a process that lives sends the next one.
+var errAddressTaken = steperror.New("registry.beat", "", "the address is that of a target that was heard lately")
 
 // Evacuate begins or ends the evacuation of a zone. It returns once a quorum has
 // the order on disk. An order that has been overtaken by another one since it came
@@ -138,9 +138,9 @@
 	return slices.Contains(p.settings.Zones, zone) || core.State().HasZone(zone)
 }
 
-// End takes the word of a target that it ends. A start without Born stands for the
+// EndTarget takes the word of a target that it ends. A start without Born stands for the
 // latest one.
-func (p *Process) End(ctx context.Context, start directory.Start) error {
+func (p *Process) EndTarget(ctx context.Context, start directory.Start) error {
 	target := directory.Target{ID: start.ID, Born: start.Born}
 	_, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
 		return core.Submit(now, directory.Command{Kind: directory.CommandEndTarget, Target: target})
--- a/internal/registry/bounds.go
+++ b/internal/registry/bounds.go
@@ -29,12 +29,12 @@
 // watchDisk writes an event when what the member keeps begins or ceases to fill its disk.
 func (p *Process) watchDisk() {
 	held := p.disk.Held()
-	p.metrics.diskHeld.Set(float64(held))
-	fills := p.settings.Strength.IsFilling(held, p.diskFills)
-	if fills == p.diskFills {
+	p.metrics.diskHeldBytes.Set(float64(held))
+	fills := p.settings.Strength.IsFilling(held, p.diskNearlyFull)
+	if fills == p.diskNearlyFull {
 		return
 	}
-	p.diskFills = fills
+	p.diskNearlyFull = fills
 	event := eventlog.DiskRelieved
 	if fills {
 		event = eventlog.DiskFilling
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -39,11 +39,11 @@
 	updates   []directory.Update
 	// remembered is what it told nodes from its disk.
 	remembered []directory.Remembered
-	alive      Alive
+	keepalive  Keepalive
 }
 
-// flight is a frame under way.
-type flight struct {
+// inFlightFrame is a frame under way.
+type inFlightFrame struct {
 	at    kernel.Instant
 	order int
 	from  string
@@ -58,12 +58,12 @@
 	now      kernel.Instant
 	machines map[string]*machine
 	seeds    []string
-	flights  []flight
+	flights  []inFlightFrame
 	order    int
 	cut      func(from, to string) bool
-	// wanted is the number of voters that members keep, and lostZones that of the
+	// voterCount is the number of voters that members keep, and lostZones that of the
 	// zones whose loss they bear.
-	wanted, lostZones int
+	voterCount, lostZones int
 	// zoneOf returns the zone of a member.
 	zoneOf func(name string) string
 	// events counts the events of all members.
@@ -72,28 +72,28 @@
 	sampled map[eventlog.ID]int
 	// batches lets members handle each frame as a batch of its own, as processes do.
 	batches bool
-	// started is told what a member's disk held at its start, and heard what members tell
+	// onStart is told what a member's disk held at its start, and heard what members tell
 	// nodes, unless they are nil.
-	started func(restored raft.Restored)
-	heard   func(m *machine, message NodeFrame)
-	// inForce holds the versions that a member had in force.
-	inForce map[uint64]bool
+	onStart     func(restored raft.Restored)
+	onNodeFrame func(m *machine, message NodeFrame)
+	// versionsInForce holds the versions that a member had in force.
+	versionsInForce map[uint64]bool
 	// trace writes the events of all members to the test's log.
 	trace bool
 }
 
 func newCluster(t *testing.T, seed uint64, members int) *cluster {
 	c := &cluster{
-		T:        t,
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		now:      kernel.Instant(time.Second),
-		machines: map[string]*machine{},
-		cut:      func(string, string) bool { return false },
-		wanted:   3,
-		zoneOf:   func(string) string { return "zone" },
-		events:   map[eventlog.ID]int{},
-		sampled:  map[eventlog.ID]int{},
-		inForce:  map[uint64]bool{},
+		T:               t,
+		random:          rand.New(rand.NewPCG(seed, 1)),
+		now:             kernel.Instant(time.Second),
+		machines:        map[string]*machine{},
+		cut:             func(string, string) bool { return false },
+		voterCount:      3,
+		zoneOf:          func(string) string { return "zone" },
+		events:          map[eventlog.ID]int{},
+		sampled:         map[eventlog.ID]int{},
+		versionsInForce: map[uint64]bool{},
 	}
 	for number := range members {
 		c.seeds = append(c.seeds, address(number+1))
@@ -125,14 +125,14 @@
 	settings.Zone = c.zoneOf(name)
 	settings.Seeds = c.seeds
 	settings.Bootstrap = m.bootstrap
-	settings.Voters = c.wanted
+	settings.Voters = c.voterCount
 	settings.LostZones = c.lostZones
 	settings.Raft.Identity = identity
 	settings.Raft.Random = c.random
 	m.core, err = NewCore(c.now, settings, log, restored)
 	require.NoError(c, err)
-	if c.started != nil {
-		c.started(restored)
+	if c.onStart != nil {
+		c.onStart(restored)
 	}
 	m.log = log
 	m.up = true
@@ -155,17 +155,17 @@
 	c.machines[name].disk.Wipe()
 }
 
-// take carries out what a core wants done.
-func (c *cluster) take(m *machine, output Output) {
+// apply carries out what a core wants done.
+func (c *cluster) apply(m *machine, output Output) {
 	for _, message := range output.Members {
 		c.order++
 		delay := frameTime + time.Duration(c.random.Int64N(int64(frameTime)))
-		c.flights = append(c.flights, flight{at: c.now.Add(delay), order: c.order, from: m.address, to: message.To, frame: message.Frame})
+		c.flights = append(c.flights, inFlightFrame{at: c.now.Add(delay), order: c.order, from: m.address, to: message.To, frame: message.Frame})
 	}
 	for _, event := range output.Events {
 		c.events[event.Event]++
 		if event.Event == eventlog.VersionInForce {
-			c.inForce[event.Fields[1].(uint64)] = true
+			c.versionsInForce[event.Fields[1].(uint64)] = true
 		}
 		if event.Sampled {
 			c.sampled[event.Event]++
@@ -183,8 +183,8 @@
 	}
 	for _, message := range output.Nodes {
 		c.takeNode(m, message.Frame)
-		if c.heard != nil {
-			c.heard(m, message)
+		if c.onNodeFrame != nil {
+			c.onNodeFrame(m, message)
 		}
 	}
 	if output.Reset {
@@ -205,9 +205,9 @@
 		require.NoError(c, err)
 		m.remembered = append(m.remembered, remembered)
 	case wire.FrameAlive:
-		alive, err := DecodeAlive(frame.Payload)
+		alive, err := DecodeKeepalive(frame.Payload)
 		require.NoError(c, err)
-		m.alive = alive
+		m.keepalive = alive
 	}
 }
 
@@ -228,14 +228,14 @@
 		c.deliver()
 		for _, name := range c.names() {
 			if m := c.machines[name]; m.up {
-				c.take(m, m.core.Tick(c.now))
+				c.apply(m, m.core.Tick(c.now))
 			}
 		}
 	}
 }
 
 func (c *cluster) deliver() {
-	slices.SortStableFunc(c.flights, func(a, b flight) int {
+	slices.SortStableFunc(c.flights, func(a, b inFlightFrame) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order))
 	})
 	for len(c.flights) > 0 && c.flights[0].at <= c.now {
@@ -245,19 +245,19 @@
 		if !known || !m.up || c.cut(next.from, next.to) {
 			continue
 		}
-		c.hand(m, next.frame)
+		c.deliverFrame(m, next.frame)
 	}
 }
 
-// hand gives a frame to a member.
-func (c *cluster) hand(m *machine, frame wire.Frame) {
+// deliverFrame gives a frame to a member.
+func (c *cluster) deliverFrame(m *machine, frame wire.Frame) {
 	if !c.batches {
-		c.take(m, m.core.HandleFrame(c.now, frame))
+		c.apply(m, m.core.HandleFrame(c.now, frame))
 		return
 	}
 	m.core.BeginBatch()
-	c.take(m, m.core.HandleFrame(c.now, frame))
-	c.take(m, m.core.EndBatch(c.now))
+	c.apply(m, m.core.HandleFrame(c.now, frame))
+	c.apply(m, m.core.EndBatch(c.now))
 }
 
 // runUntil lets time pass until a condition holds.
@@ -287,7 +287,7 @@
 // submit hands a command to a member and waits for the outcome.
 func (c *cluster) submit(m *machine, command directory.Command) Outcome {
 	ticket, output := m.core.Submit(c.now, command)
-	c.take(m, output)
+	c.apply(m, output)
 	c.runUntil(3*time.Second, "an outcome", func() bool { _, done := m.outcomes[ticket]; return done })
 	return m.outcomes[ticket]
 }
@@ -302,7 +302,7 @@
 // read returns the version that a linearizable read at a member sees.
 func (c *cluster) read(m *machine) (uint64, error) {
 	ticket, output := m.core.Read(c.now)
-	c.take(m, output)
+	c.apply(m, output)
 	c.runUntil(3*time.Second, "an outcome", func() bool { _, done := m.outcomes[ticket]; return done })
 	return m.core.State().Configuration().Version, m.outcomes[ticket].Err
 }
@@ -315,7 +315,7 @@
 	return leader.core.Raft().Membership().Voters
 }
 
-func put(id, at string, state directory.TargetState) directory.Command {
+func putTarget(id, at string, state directory.TargetState) directory.Command {
 	return directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 		ID: id, Service: "booking", Address: netip.MustParseAddrPort(at), State: state,
 	}}
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -107,14 +107,14 @@
 	// replica has no node until this member has a number in the group.
 	replica *replica.Driver
 	state   *directory.State
-	// introduced holds what empty members said while the group is founded.
-	introduced map[string]introduction
-	nextJoin   kernel.Instant
+	// joinRequests holds what empty members said while the group is founded.
+	joinRequests map[string]receivedJoin
+	nextJoin     kernel.Instant
 
 	requests map[Ticket]*request
-	// handed is the number of requests that the leader has, as of the last tick
+	// inFlight is the number of requests that the leader has, as of the last tick
 	// and those handed on since.
-	handed int
+	inFlight int
 	// answered are the requests that wait for this member to apply the log.
 	answered []Ticket
 	// commands finds the open request of a command: targets that get no answer
@@ -123,11 +123,11 @@
 	ticket    Ticket
 	proposals map[uint64]proposal
 	nodes     map[ConnectionID]*subscription
-	// nextSpread is when nodes may get the next updates.
-	nextSpread kernel.Instant
+	// nextUpdate is when nodes may get the next updates.
+	nextUpdate kernel.Instant
 	// wasCurrent is whether this member was current when nodes were last told.
 	wasCurrent bool
-	members    membershipKeeper
+	members    membershipState
 	liveness   livenessTable
 	groupSize  groupSizeWatch
 	warmups    warmupTable
@@ -139,8 +139,8 @@
 
 	// remembered is what this member's disk tells nodes until it is current, and encoded
 	// what it tells those without state from then on.
-	remembered rememberedFrame
-	encoded    encodedState
+	remembered   rememberedPayloads
+	initialState initialState
 	// rememberedMembers are the members on this member's disk.
 	rememberedMembers []directory.Member
 
@@ -152,14 +152,14 @@
 // NewCore returns a member that starts from what its disk held.
 func NewCore(now kernel.Instant, settings CoreSettings, storage replica.Storage, restored raft.Restored) (*Core, error) {
 	core := &Core{
-		settings:   settings,
-		state:      directory.New(),
-		introduced: map[string]introduction{},
-		requests:   map[Ticket]*request{},
-		commands:   map[string]*request{},
-		proposals:  map[uint64]proposal{},
-		nodes:      map[ConnectionID]*subscription{},
-		restored:   restored,
+		settings:     settings,
+		state:        directory.New(),
+		joinRequests: map[string]receivedJoin{},
+		requests:     map[Ticket]*request{},
+		commands:     map[string]*request{},
+		proposals:    map[uint64]proposal{},
+		nodes:        map[ConnectionID]*subscription{},
+		restored:     restored,
 	}
 	core.replica = replica.New(core, storage, settings.SnapshotEntries)
 	core.liveness.reset(now)
@@ -176,18 +176,18 @@
 		core.state = state
 		core.replica.Applied = restored.Snapshot.Index
 	}
-	onDisk := readMemory(restored)
-	core.remembered = newRememberedFrame(now, onDisk)
+	onDisk := readPersistedState(restored)
+	core.remembered = newRememberedPayloads(now, onDisk)
 	core.rememberedMembers = onDisk.state.Members()
-	core.logMemory(onDisk, restored)
-	if number := ownNumber(restored, settings.Raft.Identity); number != raft.NoMember {
-		core.begin(now, number)
+	core.logRemembered(onDisk, restored)
+	if number := ownMemberID(restored, settings.Raft.Identity); number != raft.NoMember {
+		core.startReplica(now, number)
 	}
 	return core, nil
 }
 
-// ownNumber finds this data folder's number in the memberships on its disk.
-func ownNumber(restored raft.Restored, identity uint64) raft.MemberID {
+// ownMemberID finds this data folder's number in the memberships on its disk.
+func ownMemberID(restored raft.Restored, identity uint64) raft.MemberID {
 	memberships := []raft.Membership{restored.Snapshot.Membership}
 	for _, entry := range restored.Entries {
 		if entry.Kind != raft.EntryMembership {
@@ -207,11 +207,11 @@
 	return raft.NoMember
 }
 
-// begin takes part in the replicated log under a number.
-func (c *Core) begin(now kernel.Instant, number raft.MemberID) {
+// startReplica takes part in the replicated log under a number.
+func (c *Core) startReplica(now kernel.Instant, number raft.MemberID) {
 	c.settings.Raft.ID = number
 	c.replica.Node = raft.NewNode(now, c.settings.Raft, c.restored)
-	c.log(eventlog.MemberNumbered, "member", number, "last_index", c.replica.Node.LastIndex())
+	c.logEvent(eventlog.MemberNumbered, "member", number, "last_index", c.replica.Node.LastIndex())
 }
 
 // Failed returns the error of the disk that stopped this member, or nil.
@@ -245,7 +245,7 @@
 		return c.replica.Node.HasLease(now)
 	}
 	at, heard := c.replica.Node.HeardLeaderAt()
-	return heard && now.Sub(at) < c.settings.CurrentFor && c.replica.Node.KnowsCommit()
+	return heard && now.Sub(at) < c.settings.MaxStaleness && c.replica.Node.KnowsCommit()
 }
 
 // LeaderlessFor returns how long this member has neither heard from a leader nor
@@ -260,7 +260,7 @@
 // Tick lets time pass. It is called at least ten times a second.
 func (c *Core) Tick(now kernel.Instant) Output {
 	if c.replica.Failed != nil {
-		return c.take()
+		return c.takeOutput()
 	}
 	c.tickJoin(now)
 	if c.replica.Node != nil {
@@ -276,7 +276,7 @@
 	c.tickRequests(now)
 	c.tickNodes(now)
 	c.tickStrengths(now)
-	return c.take()
+	return c.takeOutput()
 }
 
 // BeginBatch puts off all that needs the disk until EndBatch, so that many
@@ -290,13 +290,13 @@
 	if c.becameCurrent(now) {
 		c.tickNodes(now)
 	}
-	return c.take()
+	return c.takeOutput()
 }
 
 // HandleFrame handles a frame from another member.
 func (c *Core) HandleFrame(now kernel.Instant, frame wire.Frame) Output {
 	if c.replica.Failed != nil {
-		return c.take()
+		return c.takeOutput()
 	}
 	var err error
 	switch frame.Kind {
@@ -318,14 +318,14 @@
 		err = c.receiveRoom(now, frame.Payload)
 	}
 	if err != nil {
-		c.log(eventlog.BadFrame, "kind", frame.Kind, "err", err)
+		c.logEvent(eventlog.BadFrame, "kind", frame.Kind, "err", err)
 	}
 	c.flush(now)
-	c.deliver(now)
+	c.completeAnswered(now)
 	if c.becameCurrent(now) {
 		c.tickNodes(now)
 	}
-	return c.take()
+	return c.takeOutput()
 }
 
 func (c *Core) receiveRaft(now kernel.Instant, payload []byte) error {
@@ -337,18 +337,18 @@
 	return nil
 }
 
-func (c *Core) log(event eventlog.ID, fields ...any) {
+func (c *Core) logEvent(event eventlog.ID, fields ...any) {
 	c.output.Events = append(c.output.Events, LogEvent{Event: event, Fields: fields})
 }
 
-func (c *Core) send(address string, frame wire.Frame) {
+func (c *Core) sendToMember(address string, frame wire.Frame) {
 	if address == "" || address == c.settings.Address {
 		return
 	}
 	c.output.Members = append(c.output.Members, AddressedFrame{To: address, Frame: frame})
 }
 
-func (c *Core) take() Output {
+func (c *Core) takeOutput() Output {
 	output := c.output
 	c.output = Output{}
 	return output
@@ -364,7 +364,7 @@
 	if member, known := c.state.Member(uint32(id)); known {
 		return member.Address
 	}
-	return c.members.learned[id]
+	return c.members.learnedAddresses[id]
 }
 
 // flush does what the replicated log asks for, then tells the requests that
@@ -375,10 +375,10 @@
 		return
 	}
 	c.replica.Flush(now)
-	c.deliver(now)
+	c.completeAnswered(now)
 }
 
-func (c *Core) orderedRequests() []*request {
+func (c *Core) sortedRequests() []*request {
 	list := make([]*request, 0, len(c.requests))
 	for _, ticket := range slices.Sorted(maps.Keys(c.requests)) {
 		list = append(list, c.requests[ticket])
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -59,7 +59,7 @@
 	for _, version := range []uint64{2, 3} {
 		edit := directory.Difference(base, directory.Configuration{Version: version})
 		ticket, output := leader.core.Submit(c.now, directory.Command{Kind: directory.CommandPublish, Edit: edit})
-		c.take(leader, output)
+		c.apply(leader, output)
 		tickets = append(tickets, ticket)
 	}
 	c.run(time.Second)
@@ -182,15 +182,15 @@
 	leader := c.waitForLeader()
 	for _, name := range c.names() {
 		m := c.machines[name]
-		require.NoError(t, c.submit(m, put("i-"+name, name, directory.TargetReady)).Err)
+		require.NoError(t, c.submit(m, putTarget("i-"+name, name, directory.TargetReady)).Err)
 		_, known := m.core.State().Target("i-" + name)
 		assert.True(t, known, "the outcome comes once this member has applied it")
 	}
 	c.kill(leader.address, false)
 	for _, name := range c.names() {
 		if m := c.machines[name]; m.up {
-			ticket, output := m.core.Submit(c.now, put("i-late", "10.1.1.1:1", directory.TargetReady))
-			c.take(m, output)
+			ticket, output := m.core.Submit(c.now, putTarget("i-late", "10.1.1.1:1", directory.TargetReady))
+			c.apply(m, output)
 			c.run(2 * time.Second)
 			outcome, done := m.outcomes[ticket]
 			require.True(t, done, "a request has an outcome within its time")
@@ -207,7 +207,7 @@
 func TestAReplayedLogIsNoHeartbeat(t *testing.T) {
 	c := newCluster(t, 6, 3)
 	leader := c.waitForLeader()
-	require.NoError(t, c.submit(leader, put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 	c.runUntil(6*time.Second, "the silent target is suspected", func() bool { return len(leader.core.liveness.verdicts.Suspects) == 1 })
 	for _, name := range c.names() {
 		if name != leader.address {
@@ -223,7 +223,7 @@
 func TestHeartbeatsAtAnyMemberKeepATargetFromSuspicion(t *testing.T) {
 	c := newCluster(t, 7, 3)
 	leader := c.waitForLeader()
-	require.NoError(t, c.submit(leader, put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 	for range 10 {
 		for _, name := range c.names() {
 			c.machines[name].core.Heard(c.now, directory.Start{ID: "i-1"})
@@ -239,11 +239,11 @@
 	require.NoError(t, c.publish(leader, 1).Err)
 	c.run(time.Second)
 	m := c.machines[address(3)]
-	c.take(m, m.core.Open(c.now, 1, Subscribe{Node: "edge"}))
+	c.apply(m, m.core.Subscribe(c.now, 1, Subscribe{Node: "edge"}))
 	require.Len(t, m.updates, 1)
 	assert.True(t, m.updates[0].Whole)
 	c.run(time.Second)
-	assert.True(t, m.alive.Current)
+	assert.True(t, m.keepalive.Current)
 	require.NoError(t, c.publish(leader, 2).Err)
 	c.run(500 * time.Millisecond)
 	require.Len(t, m.updates, 2)
@@ -251,7 +251,7 @@
 	assert.Len(t, m.updates[1].Edits, 1)
 	c.cut = func(from, to string) bool { return from == m.address || to == m.address }
 	c.run(2 * time.Second)
-	assert.False(t, m.alive.Current)
+	assert.False(t, m.keepalive.Current)
 }
 
 func TestAMemberBehindItsNodeSaysNothingUntilItHasCaughtUp(t *testing.T) {
@@ -261,7 +261,7 @@
 	c.run(time.Second)
 	m := c.machines[address(3)]
 	ahead := m.core.State().Revision() + 1
-	c.take(m, m.core.Open(c.now, 1, Subscribe{Node: "edge", Revision: ahead + 1}))
+	c.apply(m, m.core.Subscribe(c.now, 1, Subscribe{Node: "edge", Revision: ahead + 1}))
 	assert.Empty(t, m.updates)
 	require.NoError(t, c.publish(leader, 2).Err)
 	require.NoError(t, c.publish(leader, 3).Err)
@@ -275,8 +275,8 @@
 	c := newCluster(t, 10, 1)
 	leader := c.waitForLeader()
 	leader.core.replica.Storage = brokenStorage{}
-	ticket, output := leader.core.Submit(c.now, put("i-1", "10.1.1.1:1", directory.TargetReady))
-	c.take(leader, output)
+	ticket, output := leader.core.Submit(c.now, putTarget("i-1", "10.1.1.1:1", directory.TargetReady))
+	c.apply(leader, output)
 	require.Error(t, leader.outcomes[ticket].Err)
 	require.Error(t, leader.core.Failed())
 	assert.False(t, leader.core.IsCurrent(c.now))
@@ -303,7 +303,7 @@
 		c.run(time.Second)
 		for _, name := range c.names() {
 			c.start(name)
-			c.take(c.machines[name], c.machines[name].core.Open(c.now, 1, Subscribe{Node: "edge"}))
+			c.apply(c.machines[name], c.machines[name].core.Subscribe(c.now, 1, Subscribe{Node: "edge"}))
 		}
 		c.run(4 * time.Second)
 		for _, name := range c.names() {
@@ -325,21 +325,21 @@
 		}
 	}
 	c.run(3 * time.Second)
-	c.take(leader, leader.core.Open(c.now, 1, Subscribe{Node: "edge"}))
+	c.apply(leader, leader.core.Subscribe(c.now, 1, Subscribe{Node: "edge"}))
 	c.run(time.Second)
 	assert.Empty(t, leader.updates)
-	c.take(leader, leader.core.Open(c.now, 2, Subscribe{Node: "edge", Waited: firstStateWait}))
+	c.apply(leader, leader.core.Subscribe(c.now, 2, Subscribe{Node: "edge", Waited: initialStateWait}))
 	c.run(time.Second)
 	require.NotEmpty(t, leader.updates)
 	assert.Equal(t, uint64(4), leader.updates[0].Configuration.Version)
 }
 
-// observe gives a member the reports of nodes about one target.
-func (c *cluster) observe(m *machine, nodes int, evidence Evidence) {
+// reportEvidence gives a member the reports of nodes about one target.
+func (c *cluster) reportEvidence(m *machine, nodes int, evidence Evidence) {
 	for node := range nodes {
 		connection := ConnectionID(100 + node)
 		if _, open := m.core.nodes[connection]; !open {
-			c.take(m, m.core.Open(c.now, connection, Subscribe{Node: fmt.Sprint("edge", node)}))
+			c.apply(m, m.core.Subscribe(c.now, connection, Subscribe{Node: fmt.Sprint("edge", node)}))
 		}
 		m.core.Observe(c.now, connection, evidence)
 	}
@@ -370,7 +370,7 @@
 			var tokens []directory.Token
 			for number := range 4 {
 				id := fmt.Sprint("i-", number)
-				require.NoError(t, c.submit(leader, put(id, fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
+				require.NoError(t, c.submit(leader, putTarget(id, fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
 				target, _ := leader.core.State().Target(id)
 				tokens = append(tokens, target.Token)
 			}
@@ -380,9 +380,9 @@
 			}
 			c.run(time.Second)
 			for range 15 {
-				c.observe(follower, test.nodes, silentTarget(tokens[0], test.weight))
+				c.reportEvidence(follower, test.nodes, silentTarget(tokens[0], test.weight))
 				if test.answer {
-					c.observe(leader, 1, Evidence{Answering: tokens[:1]})
+					c.reportEvidence(leader, 1, Evidence{Answering: tokens[:1]})
 				}
 				if test.beats {
 					c.machines[address(3)].core.Heard(c.now, directory.Start{ID: "i-0"})
@@ -394,7 +394,7 @@
 				return
 			}
 			assert.Equal(t, tokens[:1], follower.core.liveness.verdicts.Lost)
-			assert.Equal(t, tokens[:1], follower.alive.Verdicts.Lost)
+			assert.Equal(t, tokens[:1], follower.keepalive.Verdicts.Lost)
 			c.run(2 * time.Second)
 			assert.Equal(t, tokens[:1], follower.core.liveness.verdicts.Lost, "the verdict stands without new evidence")
 			follower.core.Heard(c.now, directory.Start{ID: "i-0"})
@@ -410,7 +410,7 @@
 	var evidence Evidence
 	for number := range 4 {
 		id := fmt.Sprint("i-", number)
-		require.NoError(t, c.submit(leader, put(id, fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, putTarget(id, fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
 		target, _ := leader.core.State().Target(id)
 		evidence.Silent = append(evidence.Silent, SilentTarget{Token: target.Token, Weight: 9, Nodes: 1})
 	}
@@ -418,7 +418,7 @@
 		leader.core.Heard(c.now, directory.Start{ID: fmt.Sprint("i-", number)})
 	}
 	for range 15 {
-		c.observe(leader, 3, evidence)
+		c.reportEvidence(leader, 3, evidence)
 		c.run(100 * time.Millisecond)
 	}
 	assert.Empty(t, leader.core.liveness.verdicts.Lost)
@@ -459,7 +459,7 @@
 func TestANewLearnerIsGivenTimeUnderAnOldLeader(t *testing.T) {
 	c := newCluster(t, 13, 3)
 	leader := c.waitForLeader()
-	c.run(learnerSilence + 5*time.Second)
+	c.run(learnerTimeout + 5*time.Second)
 	require.Equal(t, leader, c.waitForLeader())
 	joined := c.add(address(4), false)
 	c.run(3 * time.Second)
@@ -481,8 +481,8 @@
 	for range 5 {
 		for _, name := range c.names() {
 			m := c.machines[name]
-			ticket, output := m.core.Submit(c.now, put("i-1", "10.1.1.1:1", directory.TargetReady))
-			c.take(m, output)
+			ticket, output := m.core.Submit(c.now, putTarget("i-1", "10.1.1.1:1", directory.TargetReady))
+			c.apply(m, output)
 			calls = append(calls, call{machine: m, ticket: ticket})
 		}
 	}
@@ -502,8 +502,8 @@
 	leader.core.replica.Storage = saves
 	leader.core.BeginBatch()
 	for number := range 20 {
-		_, output := leader.core.Submit(c.now, put(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady))
-		c.take(leader, output)
+		_, output := leader.core.Submit(c.now, putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady))
+		c.apply(leader, output)
 	}
 	assert.Zero(t, saves.count)
 	output := leader.core.EndBatch(c.now)
@@ -535,20 +535,20 @@
 	}
 	handed := 0
 	var refused []Outcome
-	for number := range openLimit + 10 {
-		_, output := follower.core.Submit(c.now, put(fmt.Sprint("i-", number), fmt.Sprintf("10.1.%d.%d:1", number/200, number%200), directory.TargetReady))
+	for number := range maxPending + 10 {
+		_, output := follower.core.Submit(c.now, putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.%d.%d:1", number/200, number%200), directory.TargetReady))
 		for _, message := range output.Members {
 			if message.Frame.Kind == wire.FrameForward {
 				handed++
 			}
 		}
 		refused = append(refused, output.Outcomes...)
-		c.take(follower, output)
+		c.apply(follower, output)
 	}
-	assert.Equal(t, handedLimit, handed)
+	assert.Equal(t, maxInFlight, handed)
 	require.Len(t, refused, 10, "refused at once")
 	assert.ErrorIs(t, refused[0].Err, errOverloaded)
-	c.runUntil(2*time.Second, "all others are done", func() bool { return follower.core.State().TargetCount() == openLimit })
+	c.runUntil(2*time.Second, "all others are done", func() bool { return follower.core.State().TargetCount() == maxPending })
 }
 
 // In a split most targets told members on the other side of it; the leader
@@ -558,7 +558,7 @@
 	c := newCluster(t, 17, 3)
 	leader := c.waitForLeader()
 	for number := range 5 {
-		require.NoError(t, c.submit(leader, put(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
 	}
 	beat := func(targets int) {
 		for range 50 {
@@ -580,12 +580,12 @@
 	var tokens []directory.Token
 	for number := range 4 {
 		id := fmt.Sprint("i-", number)
-		require.NoError(t, c.submit(leader, put(id, fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, putTarget(id, fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
 		target, _ := leader.core.State().Target(id)
 		tokens = append(tokens, target.Token)
 	}
 	for range 50 {
-		c.observe(leader, 1, Evidence{Heard: tokens[:3]})
+		c.reportEvidence(leader, 1, Evidence{Heartbeats: tokens[:3]})
 		c.run(100 * time.Millisecond)
 	}
 	assert.Equal(t, tokens[3:], leader.core.liveness.verdicts.Suspects)
@@ -596,12 +596,12 @@
 	leader := c.waitForLeader()
 	const nodes = 100
 	for connection := range ConnectionID(nodes) {
-		c.take(leader, leader.core.Open(c.now, connection+1, Subscribe{Node: "edge"}))
+		c.apply(leader, leader.core.Subscribe(c.now, connection+1, Subscribe{Node: "edge"}))
 	}
 	c.run(time.Second)
 	before := len(leader.updates)
 	for number := range 40 {
-		require.NoError(t, c.submit(leader, put(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
 	}
 	c.run(time.Second)
 	rounds := (len(leader.updates) - before) / nodes
--- a/internal/registry/evacuation_test.go
+++ b/internal/registry/evacuation_test.go
@@ -44,7 +44,7 @@
 	c.runUntil(10*time.Second, "it is current", func() bool { return m.core.IsCurrent(c.now) })
 	assert.True(t, m.core.State().Evacuation("north").Active)
 	m.updates = nil
-	c.take(m, m.core.Open(c.now, 7, Subscribe{Node: "edge"}))
+	c.apply(m, m.core.Subscribe(c.now, 7, Subscribe{Node: "edge"}))
 	require.NotEmpty(t, m.updates)
 	assert.Equal(t, "north", m.updates[0].Evacuations[0].Zone)
 }
@@ -65,7 +65,7 @@
 		c.cut = func(from, to string) bool { return to == leader.address && from == behind.address }
 		order := directory.Evacuation{Zone: "north", Active: true}
 		ticket, output := behind.core.Submit(c.now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
-		c.take(behind, output)
+		c.apply(behind, output)
 		c.run(100 * time.Millisecond)
 		require.NoError(t, c.evacuate(leader, "north", true).Err)
 		require.NoError(t, c.evacuate(leader, "north", false).Err)
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -77,7 +77,7 @@
 	}
 	r.client++
 	r.open = append(r.open, openOperation{machine: m, core: m.core, ticket: ticket, input: input, call: r.now, client: r.client})
-	r.take(m, output)
+	r.apply(m, output)
 }
 
 // collect enters finished operations into the history. A write whose outcome
@@ -166,7 +166,7 @@
 // settled is the time after a fault that a group is given, as its users do.
 const settled = 4 * time.Second
 
-func playFaults(t *testing.T, seed uint64) {
+func runFaults(t *testing.T, seed uint64) {
 	r := &faultRun{cluster: newCluster(t, seed, 3), nextJoin: 3}
 	r.trace = os.Getenv("BEAMDOOR_FAULT_TRACE") != ""
 	r.waitForLeader()
@@ -234,7 +234,7 @@
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playFaults(t, seed)
+			runFaults(t, seed)
 		})
 	}
 }
--- a/internal/registry/firststate_test.go
+++ b/internal/registry/firststate_test.go
@@ -17,7 +17,7 @@
 	const nodes = 60
 	for seed := range uint64(10) {
 		c := newTolerantCluster(t, seed, 3, 1)
-		require.NoError(t, c.submit(c.leader(), put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+		require.NoError(t, c.submit(c.leader(), putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 		for _, name := range c.names() {
 			c.kill(name, true)
 		}
@@ -26,7 +26,7 @@
 		}
 		m := c.machines[c.names()[0]]
 		for node := range nodes {
-			c.take(m, m.core.Open(c.now, ConnectionID(node), Subscribe{Node: "edge"}))
+			c.apply(m, m.core.Subscribe(c.now, ConnectionID(node), Subscribe{Node: "edge"}))
 		}
 		c.runUntil(5*time.Second, "the member is current", func() bool { return m.core.IsCurrent(c.now) })
 		c.run(stepTime)
@@ -41,7 +41,7 @@
 func TestALeaderGivesNodesNoStateOfItsReplay(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newTolerantCluster(t, seed, 3, 1)
-		require.NoError(t, c.submit(c.leader(), put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+		require.NoError(t, c.submit(c.leader(), putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 		for _, name := range c.names() {
 			c.kill(name, true)
 		}
@@ -50,7 +50,7 @@
 			c.start(name)
 			m := c.machines[name]
 			m.updates = nil
-			c.take(m, m.core.Open(c.now, ConnectionID(1), Subscribe{Node: "edge"}))
+			c.apply(m, m.core.Subscribe(c.now, ConnectionID(1), Subscribe{Node: "edge"}))
 		}
 		for _, name := range c.names() {
 			m := c.machines[name]
--- a/internal/registry/ghost_test.go
+++ b/internal/registry/ghost_test.go
@@ -10,17 +10,17 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// knock hands a registration to a member and returns its outcome.
-func (c *cluster) knock(m *machine, command directory.Command) Outcome {
+// register hands a registration to a member and returns its outcome.
+func (c *cluster) register(m *machine, command directory.Command) Outcome {
 	ticket, output, err := m.core.Register(c.now, command.Target)
 	require.NoError(c, err)
-	c.take(m, output)
+	c.apply(m, output)
 	c.runUntil(3*time.Second, "an outcome", func() bool { _, done := m.outcomes[ticket]; return done })
 	return m.outcomes[ticket]
 }
 
-// hear lets a target beat once a second for a time, at each member by turns.
-func (c *cluster) hear(id string, duration time.Duration) {
+// heartbeatFor lets a target beat once a second for a time, at each member by turns.
+func (c *cluster) heartbeatFor(id string, duration time.Duration) {
 	for turn := 0; duration > 0; turn++ {
 		c.machines[address(1+turn%3)].core.Heard(c.now, directory.Start{ID: id})
 		c.run(min(time.Second, duration))
@@ -28,7 +28,7 @@
 	}
 }
 
-const placeOfGhost = "10.1.1.1:1"
+const contestedAddress = "10.1.1.1:1"
 
 // A process crashed behind a cut before anybody had heard of it; another one registered
 // at its address. The first heartbeats of the first one come late, several of them.
@@ -37,10 +37,10 @@
 		for member := range 3 {
 			c := newCluster(t, 3, 3)
 			leader := c.waitForLeader()
-			require.NoError(t, c.submit(leader, put("i-new", placeOfGhost, directory.TargetReady)).Err)
-			c.hear("i-new", after)
+			require.NoError(t, c.submit(leader, putTarget("i-new", contestedAddress, directory.TargetReady)).Err)
+			c.heartbeatFor("i-new", after)
 			for range 3 {
-				outcome := c.knock(c.machines[address(1+member)], put("i-ghost", placeOfGhost, directory.TargetReady))
+				outcome := c.register(c.machines[address(1+member)], putTarget("i-ghost", contestedAddress, directory.TargetReady))
 				require.NoError(t, outcome.Err)
 				assert.Equal(t, directory.CodeTaken, outcome.Result.Code, "after %v", after)
 			}
@@ -59,9 +59,9 @@
 // a heartbeat; one that leaves, or that a new leader has not heard, at once.
 func TestATargetTakesTheAddressOfOneThatIsGone(t *testing.T) {
 	cases := map[string]func(c *cluster, leader *machine){
-		"crashed": func(c *cluster, _ *machine) { c.run(holderHeardFor) },
+		"crashed": func(c *cluster, _ *machine) { c.run(addressHoldTime) },
 		"left": func(c *cluster, leader *machine) {
-			require.NoError(t, c.submit(leader, put("i-old", placeOfGhost, directory.TargetLeaving)).Err)
+			require.NoError(t, c.submit(leader, putTarget("i-old", contestedAddress, directory.TargetLeaving)).Err)
 		},
 		"before a new leader": func(c *cluster, leader *machine) {
 			c.kill(leader.address, true)
@@ -72,10 +72,10 @@
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 3, 3)
 			leader := c.waitForLeader()
-			require.NoError(t, c.submit(leader, put("i-old", placeOfGhost, directory.TargetReady)).Err)
-			c.hear("i-old", 3*time.Second)
+			require.NoError(t, c.submit(leader, putTarget("i-old", contestedAddress, directory.TargetReady)).Err)
+			c.heartbeatFor("i-old", 3*time.Second)
 			begin(c, leader)
-			outcome := c.knock(c.leader(), put("i-next", placeOfGhost, directory.TargetReady))
+			outcome := c.register(c.leader(), putTarget("i-next", contestedAddress, directory.TargetReady))
 			require.NoError(t, outcome.Err)
 			assert.Equal(t, directory.CodeDone, outcome.Result.Code)
 			next, _ := c.leader().core.State().Target("i-next")
--- a/internal/registry/groupsize.go
+++ b/internal/registry/groupsize.go
@@ -38,13 +38,13 @@
 func (c *Core) watchGroupSize(now kernel.Instant) {
 	if c.IsLeader() && c.IsTooSmall() != c.groupSize.small {
 		c.groupSize.small = !c.groupSize.small
-		c.log(eventlog.GroupSizeChanged, "too_small", c.groupSize.small,
+		c.logEvent(eventlog.GroupSizeChanged, "too_small", c.groupSize.small,
 			"voters", c.Voters(), "voters_needed", c.settings.Voters, "members", len(c.state.Members()))
 	}
 	c.watchZones()
-	if c.replica.Node == nil || now.Before(c.groupSize.nextNoQuorum) || !c.needsPlace(now) {
+	if c.replica.Node == nil || now.Before(c.groupSize.nextNoQuorum) || !c.needsMembership(now) {
 		return
 	}
 	c.groupSize.nextNoQuorum = now.Add(noQuorumInterval)
-	c.log(eventlog.QuorumMissing, "leaderless_for", c.LeaderlessFor(now), "voters", c.Voters(), "term", c.replica.Node.Term())
+	c.logEvent(eventlog.QuorumMissing, "leaderless_for", c.LeaderlessFor(now), "voters", c.Voters(), "term", c.replica.Node.Term())
 }
--- a/internal/registry/groupsize_test.go
+++ b/internal/registry/groupsize_test.go
@@ -17,7 +17,7 @@
 // of some disks at once. Members beyond the seeds join by themselves.
 func newTolerantCluster(t *testing.T, seed uint64, members, tolerance int) *cluster {
 	c := newCluster(t, seed, 0)
-	c.wanted = 2*tolerance + 1
+	c.voterCount = 2*tolerance + 1
 	for number := range min(members, seedsOfPlatform) {
 		c.seeds = append(c.seeds, address(number+1))
 	}
@@ -25,7 +25,7 @@
 		c.add(address(number+1), true)
 	}
 	c.waitForLeader()
-	c.runUntil(5*time.Second, "all members vote", func() bool { return len(c.voters()) == min(members, c.wanted) })
+	c.runUntil(5*time.Second, "all members vote", func() bool { return len(c.voters()) == min(members, c.voterCount) })
 	return c
 }
 
--- a/internal/registry/host.go
+++ b/internal/registry/host.go
@@ -13,12 +13,12 @@
 
 // Send implements replica.Host.
 func (c *Core) Send(message raft.Message) {
-	c.send(c.address(message.To), wire.Frame{Kind: wire.FrameRaft, Payload: raft.EncodeMessage(message)})
+	c.sendToMember(c.address(message.To), wire.Frame{Kind: wire.FrameRaft, Payload: raft.EncodeMessage(message)})
 }
 
 // Stopped implements replica.Host.
 func (c *Core) Stopped(err error) {
-	c.log(eventlog.DiskFailed, "err", err)
+	c.logEvent(eventlog.DiskFailed, "err", err)
 	c.failRequests(err)
 }
 
@@ -30,7 +30,7 @@
 	}
 	c.state = state
 	c.warmups = newWarmupTable(now)
-	c.log(eventlog.SnapshotInstalled, "index", snapshot.Index, "revision", state.Revision())
+	c.logEvent(eventlog.SnapshotInstalled, "index", snapshot.Index, "revision", state.Revision())
 	return nil
 }
 
@@ -53,7 +53,7 @@
 		c.Heard(now, command.Target.Start())
 	}
 	if mine && waiting.term == entry.Term {
-		c.answer(waiting.ticket, result)
+		c.recordResult(waiting.ticket, result)
 	}
 	return nil
 }
@@ -75,18 +75,18 @@
 	}()
 	switch command.Kind {
 	case directory.CommandPublish:
-		c.log(eventlog.VersionInForce, "version", command.Edit.Version, "revision", result.Revision,
+		c.logEvent(eventlog.VersionInForce, "version", command.Edit.Version, "revision", result.Revision,
 			"routes", len(c.state.Configuration().Routes))
 	case directory.CommandPutTarget, directory.CommandEndTarget:
 		target, _ := c.state.Target(command.Target.ID)
-		c.log(eventlog.TargetStage, "target", target.ID, "born", target.Born, "token", target.Token, "service", target.Service,
+		c.logEvent(eventlog.TargetStage, "target", target.ID, "born", target.Born, "token", target.Token, "service", target.Service,
 			"address", target.Address, "state", target.State, "revision", result.Revision)
 	case directory.CommandEvacuate:
-		c.log(eventlog.EvacuationInForce, "zone", command.Evacuation.Zone, "active", command.Evacuation.Active, "revision", result.Revision)
+		c.logEvent(eventlog.EvacuationInForce, "zone", command.Evacuation.Zone, "active", command.Evacuation.Active, "revision", result.Revision)
 	case directory.CommandOrderTarget:
-		c.log(eventlog.TargetOrderInForce, "target", command.TargetOrder.ID, "rule", command.TargetOrder.Rule, "revision", result.Revision)
+		c.logEvent(eventlog.TargetOrderInForce, "target", command.TargetOrder.ID, "rule", command.TargetOrder.Rule, "revision", result.Revision)
 	case directory.CommandAddMember, directory.CommandRemoveMember:
-		c.log(eventlog.MembersChanged, "kind", command.Kind, "member", command.Member.ID,
+		c.logEvent(eventlog.MembersChanged, "kind", command.Kind, "member", command.Member.ID,
 			"address", command.Member.Address, "revision", result.Revision)
 	}
 }
@@ -99,11 +99,11 @@
 // RoleChanged implements replica.Host.
 func (c *Core) RoleChanged(now kernel.Instant, _ raft.Role) {
 	c.proposals = map[uint64]proposal{}
-	c.members.noticed = nil
+	c.members.firstSeen = nil
 	c.liveness.reset(now)
 	c.openings = newOpeningTable()
 	c.outcomes = newOutcomeTable(now, c.state.Revision(), c.liveness.verdicts.Verdicts)
-	c.log(eventlog.RoleChanged, "role", c.replica.Role, "term", c.replica.Term, "leader", c.replica.Node.Leader())
+	c.logEvent(eventlog.RoleChanged, "role", c.replica.Role, "term", c.replica.Term, "leader", c.replica.Node.Leader())
 }
 
 // Encode implements replica.Host.
@@ -111,5 +111,5 @@
 
 // Compacted implements replica.Host.
 func (c *Core) Compacted(snapshot raft.Snapshot) {
-	c.log(eventlog.SnapshotSaved, "index", snapshot.Index, "bytes", len(snapshot.Data))
+	c.logEvent(eventlog.SnapshotSaved, "index", snapshot.Index, "bytes", len(snapshot.Data))
 }
--- a/internal/registry/host_test.go
+++ b/internal/registry/host_test.go
@@ -18,7 +18,7 @@
 	c := newCluster(t, 1, 5)
 	leader := c.waitForLeader()
 	for number := range targets {
-		require.NoError(t, c.submit(leader, put(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
 	}
 	c.run(time.Second)
 	assert.Equal(t, 5*targets, c.events[eventlog.TargetStage])
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -11,15 +11,15 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// beat hands a heartbeat to a member as its process does.
-func (c *cluster) beat(m *machine, command directory.Command) {
+// heartbeat hands a heartbeat to a member as its process does.
+func (c *cluster) heartbeat(m *machine, command directory.Command) {
 	m.core.Heard(c.now, command.Target.Start())
-	if m.core.Holds(command.Target) {
+	if m.core.IsRegistered(command.Target) {
 		return
 	}
 	ticket, output, err := m.core.Register(c.now, command.Target)
 	require.NoError(c, err)
-	c.take(m, output)
+	c.apply(m, output)
 	c.runUntil(3*time.Second, "an outcome", func() bool { _, done := m.outcomes[ticket]; return done })
 }
 
@@ -38,18 +38,18 @@
 				t.Run(fmt.Sprintf("%v, lost %v, new leader %v", late, lost, newLeader), func(t *testing.T) {
 					c := newCluster(t, 3, 3)
 					leader := c.waitForLeader()
-					require.NoError(t, c.submit(leader, put(old, place, directory.TargetReady)).Err)
+					require.NoError(t, c.submit(leader, putTarget(old, place, directory.TargetReady)).Err)
 					first, _ := leader.core.State().Target(old)
 					if lost {
 						c.run(time.Second)
 						for range 10 {
-							c.observe(leader, 3, Evidence{Silent: []SilentTarget{{Token: first.Token, Weight: 4, Nodes: 1}}})
+							c.reportEvidence(leader, 3, Evidence{Silent: []SilentTarget{{Token: first.Token, Weight: 4, Nodes: 1}}})
 							c.run(livenessInterval)
 						}
 						require.Equal(t, []directory.Token{first.Token}, leader.core.liveness.verdicts.Lost)
 					}
-					c.run(holderHeardFor + livenessInterval)
-					require.NoError(t, c.submit(leader, put(next, place, directory.TargetReady)).Err)
+					c.run(addressHoldTime + livenessInterval)
+					require.NoError(t, c.submit(leader, putTarget(next, place, directory.TargetReady)).Err)
 					if newLeader {
 						c.kill(leader.address, true)
 						c.waitForLeader()
@@ -57,7 +57,7 @@
 					}
 					for _, name := range c.names() {
 						if m := c.machines[name]; m.up {
-							c.beat(m, put(old, place, late))
+							c.heartbeat(m, putTarget(old, place, late))
 						}
 					}
 					c.run(time.Second)
@@ -96,13 +96,13 @@
 func TestALateHeartbeatRevivesNothingAfterASnapshot(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	leader := c.waitForLeader()
-	require.NoError(t, c.submit(leader, put("i-old", "10.1.1.1:1", directory.TargetReady)).Err)
-	c.run(holderHeardFor + livenessInterval)
-	require.NoError(t, c.submit(leader, put("i-new", "10.1.1.1:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-old", "10.1.1.1:1", directory.TargetReady)).Err)
+	c.run(addressHoldTime + livenessInterval)
+	require.NoError(t, c.submit(leader, putTarget("i-new", "10.1.1.1:1", directory.TargetReady)).Err)
 	restored, err := directory.Decode(leader.core.State().Encode())
 	require.NoError(t, err)
-	restored.Apply(restored.Revision()+1, put("i-old", "10.1.1.1:1", directory.TargetReady))
-	restored.Apply(restored.Revision()+2, put("i-old", "10.1.1.1:1", directory.TargetDraining))
+	restored.Apply(restored.Revision()+1, putTarget("i-old", "10.1.1.1:1", directory.TargetReady))
+	restored.Apply(restored.Revision()+2, putTarget("i-old", "10.1.1.1:1", directory.TargetDraining))
 	crashed, _ := restored.Target("i-old")
 	assert.Equal(t, directory.TargetEnded, crashed.State)
 	serving, _ := restored.Target("i-new")
--- a/internal/registry/inputs.go
+++ b/internal/registry/inputs.go
@@ -22,7 +22,7 @@
 	if p.core == nil {
 		return Output{}
 	}
-	p.core.NoteHeard(now, p.beats.TakeHeard())
+	p.core.NoteHeard(now, p.heartbeats.TakeHeard())
 	if !p.core.KnowsLeader() {
 		p.metrics.leaderless.Add(tickInterval.Seconds())
 	}
@@ -50,17 +50,17 @@
 		return Output{}
 	}
 	// The node came before this member had read its disk.
-	if table := p.referrals.Load(); table.sendsOn(i.subscribe) {
+	if table := p.referrals.Load(); table.refers(i.subscribe) {
 		p.metrics.referrals.Inc()
 		i.queue.TryPush(table.frame)
 		i.queue.Close()
 		return Output{}
 	}
-	p.nodes[i.connection] = i.queue
-	p.spread.Add(uint64(i.connection), i.subscribe.Zone, i.subscribe.Beats)
-	p.spread.Weigh(uint64(i.connection), i.subscribe.Strength)
-	p.announcer.follow(i.subscribe.Announcements)
-	return p.core.Open(now, i.connection, i.subscribe)
+	p.nodeQueues[i.connection] = i.queue
+	p.heartbeatSpread.Add(uint64(i.connection), i.subscribe.Zone, i.subscribe.HeartbeatAddress)
+	p.heartbeatSpread.Weigh(uint64(i.connection), i.subscribe.Strength)
+	p.announcer.addSubscriber(i.subscribe.AnnouncementAddress)
+	return p.core.Subscribe(now, i.connection, i.subscribe)
 }
 
 type nodeClosed struct{ connection ConnectionID }
@@ -95,7 +95,7 @@
 func (p *Process) call(ctx context.Context, run func(core *Core, now kernel.Instant) (Ticket, Output)) (directory.Result, error) {
 	const step = "registry.call"
 	started := time.Now()
-	defer func() { p.metrics.requests.Observe(time.Since(started).Seconds()) }()
+	defer func() { p.metrics.requestSeconds.Observe(time.Since(started).Seconds()) }()
 	answer := make(chan Outcome, 1)
 	if !p.inputs.TryPush(callInput{run: run, answer: answer}) {
 		return directory.Result{}, steperror.New(step, p.settings.Name, "the member is overloaded or stopping")
--- a/internal/registry/liveness.go
+++ b/internal/registry/liveness.go
@@ -13,107 +13,107 @@
 const (
 	// livenessInterval is the time between two messages about targets.
 	livenessInterval = 100 * time.Millisecond
-	// silenceLifetime is how long a report of silence counts.
-	silenceLifetime = 500 * time.Millisecond
-	// nodeSilenceLifetime is the same for the report of one node.
-	nodeSilenceLifetime = 250 * time.Millisecond
-	// silentWeightNeeded is the weight of the evidence that is needed to hold a
+	// silenceReportTTL is how long a report of silence counts.
+	silenceReportTTL = 500 * time.Millisecond
+	// nodeSilenceReportTTL is the same for the report of one node.
+	nodeSilenceReportTTL = 250 * time.Millisecond
+	// minSilentWeight is the weight of the evidence that is needed to hold a
 	// target for lost.
-	silentWeightNeeded = 4
-	// silentNodesNeeded is the number of nodes that must have seen it: what
+	minSilentWeight = 4
+	// minSilentNodes is the number of nodes that must have seen it: what
 	// only one node sees may be its own fault.
-	silentNodesNeeded = 2
-	// judgedShareDivisor bounds the targets suspected or held for lost to one
+	minSilentNodes = 2
+	// verdictShareDivisor bounds the targets suspected or held for lost to one
 	// part in so many of all: when more seem silent, the observers are more
 	// likely at fault.
-	judgedShareDivisor = 2
-	// verdictsInterval is the time after which verdicts are told again though they have
+	verdictShareDivisor = 2
+	// verdictResendInterval is the time after which verdicts are told again though they have
 	// not changed: a member that missed them, behind a cut, has them a second after it.
-	verdictsInterval = time.Second
-	// questionTime is how long members are asked whether a target answers
+	verdictResendInterval = time.Second
+	// queryDuration is how long members are asked whether a target answers
 	// before it can be held for lost.
-	questionTime = 250 * time.Millisecond
+	queryDuration = 250 * time.Millisecond
 )
 
-// sighting is what the leader knows of one target.
-type sighting struct {
-	// heardAt is when a heartbeat last came, at any member.
-	heardAt kernel.Instant
-	// answeredAt is when the target was last seen to answer a caller.
-	answeredAt kernel.Instant
+// targetStatus is what the leader knows of one target.
+type targetStatus struct {
+	// lastHeartbeat is when a heartbeat last came, at any member.
+	lastHeartbeat kernel.Instant
+	// lastAnswer is when the target was last seen to answer a caller.
+	lastAnswer kernel.Instant
 	silences   map[string]silence
 	// refusals are the members' reports of opening packets that it did not take, and
 	// refusedAt is when there were enough of them.
 	refusals  map[string]silence
 	refusedAt kernel.Instant
-	// questionedAt is when members were first asked about the target; 0 while
+	// queriedSince is when members were first asked about the target; 0 while
 	// nobody has reported its silence.
-	questionedAt kernel.Instant
+	queriedSince kernel.Instant
 	lost         bool
 }
 
-func (s *sighting) lastSign() kernel.Instant { return max(s.heardAt, s.answeredAt) }
+func (s *targetStatus) lastSeen() kernel.Instant { return max(s.lastHeartbeat, s.lastAnswer) }
 
 // livenessTable knows when targets were last heard from and seen to answer.
 // It is not replicated: a new leader begins with the benefit of the doubt.
 type livenessTable struct {
-	since     kernel.Instant
-	sightings map[directory.Token]*sighting
-	// unsentHeard and unsentEvidence wait for the next message to the leader.
-	unsentHeard    map[directory.Token]bool
-	unsentEvidence map[directory.Token]bool
-	verdicts       judgement
-	next           kernel.Instant
-	// nextVerdicts is when the leader tells its verdicts again.
-	nextVerdicts kernel.Instant
+	since    kernel.Instant
+	statuses map[directory.Token]*targetStatus
+	// unsentHeartbeats and unsentEvidence wait for the next message to the leader.
+	unsentHeartbeats map[directory.Token]bool
+	unsentAnswers    map[directory.Token]bool
+	verdicts         leaderVerdicts
+	nextReport       kernel.Instant
+	// nextVerdictResend is when the leader tells its verdicts again.
+	nextVerdictResend kernel.Instant
 }
 
 func (l *livenessTable) reset(now kernel.Instant) {
 	l.since = now
-	l.sightings = map[directory.Token]*sighting{}
+	l.statuses = map[directory.Token]*targetStatus{}
 	l.clearUnsent()
 }
 
 func (l *livenessTable) clearUnsent() {
-	l.unsentHeard = map[directory.Token]bool{}
-	l.unsentEvidence = map[directory.Token]bool{}
+	l.unsentHeartbeats = map[directory.Token]bool{}
+	l.unsentAnswers = map[directory.Token]bool{}
 }
 
-func (l *livenessTable) sighting(token directory.Token) *sighting {
-	known, exists := l.sightings[token]
+func (l *livenessTable) status(token directory.Token) *targetStatus {
+	known, exists := l.statuses[token]
 	if !exists {
-		known = &sighting{heardAt: l.since, silences: map[string]silence{}}
-		l.sightings[token] = known
+		known = &targetStatus{lastHeartbeat: l.since, silences: map[string]silence{}}
+		l.statuses[token] = known
 	}
 	return known
 }
 
-// judge works out the verdicts and tells the other members when they change.
-func (c *Core) judge(now kernel.Instant) {
+// evaluateTargets works out the verdicts and tells the other members when they change.
+func (c *Core) evaluateTargets(now kernel.Instant) {
 	if now.Sub(c.liveness.since) < c.settings.LostAfter {
 		return
 	}
-	var next judgement
+	var next leaderVerdicts
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.State == directory.TargetEnded {
 			return
 		}
-		seen := c.liveness.sighting(target.Token)
+		seen := c.liveness.status(target.Token)
 		refuses := seen.refuses(now)
-		if refuses || now.Sub(seen.lastSign()) >= c.settings.SuspectAfter {
+		if refuses || now.Sub(seen.lastSeen()) >= c.settings.SuspectAfter {
 			next.Suspects = append(next.Suspects, target.Token)
 		}
-		if questioned := c.isQuestioned(now, seen); questioned || refuses {
-			next.Questioned = append(next.Questioned, target.Token)
+		if questioned := c.isQueried(now, seen); questioned || refuses {
+			next.Queried = append(next.Queried, target.Token)
 		}
 		if c.isLost(now, target, seen) {
 			next.Lost = append(next.Lost, target.Token)
 		}
 	})
 	slices.Sort(next.Suspects)
-	slices.Sort(next.Questioned)
+	slices.Sort(next.Queried)
 	slices.Sort(next.Lost)
-	limit := max(1, c.state.TargetCount()/judgedShareDivisor)
+	limit := max(1, c.state.TargetCount()/verdictShareDivisor)
 	if len(next.Lost) > limit {
 		next.Lost = c.liveness.verdicts.Lost
 	}
@@ -122,18 +122,18 @@
 	}
 	next.AvoidedZones = c.avoidedZones(now)
 	c.judgeOutcomes(now, &next)
-	c.spreadVerdicts(now, next)
+	c.sendVerdicts(now, next)
 }
 
-// isQuestioned reports whether members are asked about a target: somebody has
+// isQueried reports whether members are asked about a target: somebody has
 // lately reported its silence.
-func (c *Core) isQuestioned(now kernel.Instant, seen *sighting) bool {
+func (c *Core) isQueried(now kernel.Instant, seen *targetStatus) bool {
 	if seen.silence(now).all() == 0 {
-		seen.questionedAt = 0
+		seen.queriedSince = 0
 		return false
 	}
-	if seen.questionedAt == 0 {
-		seen.questionedAt = now
+	if seen.queriedSince == 0 {
+		seen.queriedSince = now
 	}
 	return true
 }
@@ -141,40 +141,40 @@
 // isLost reports whether a target is held for dead: flows at several nodes wait
 // for its answers, and for LostAfter nobody has seen it answer or heard it.
 // The verdict stands until there is a sign of life.
-func (c *Core) isLost(now kernel.Instant, target *directory.Target, seen *sighting) bool {
-	quiet := now.Sub(seen.lastSign())
+func (c *Core) isLost(now kernel.Instant, target *directory.Target, seen *targetStatus) bool {
+	quiet := now.Sub(seen.lastSeen())
 	if seen.lost {
 		seen.lost = quiet >= c.settings.LostAfter
 		return seen.lost
 	}
-	if seen.questionedAt == 0 || now.Sub(seen.questionedAt) < questionTime {
+	if seen.queriedSince == 0 || now.Sub(seen.queriedSince) < queryDuration {
 		return false
 	}
 	seen.lost = quiet >= c.settings.LostAfter && seen.isSilent(now)
 	if seen.lost {
 		sum := seen.silence(now)
-		c.log(eventlog.TargetHeldLost, "target", target.ID, "token", target.Token, "weight", sum.Weight, "nodes", sum.Nodes,
-			"doubtful", sum.Doubtful, "witnesses", sum.Witnesses, "heartbeat_age", now.Sub(seen.heardAt), "answer_age", now.Sub(seen.answeredAt))
+		c.logEvent(eventlog.TargetHeldLost, "target", target.ID, "token", target.Token, "weight", sum.Weight, "nodes", sum.Nodes,
+			"doubtful", sum.UnreliableWeight, "witnesses", sum.Reporters, "heartbeat_age", now.Sub(seen.lastHeartbeat), "answer_age", now.Sub(seen.lastAnswer))
 	}
 	return seen.lost
 }
 
-func (c *Core) spreadVerdicts(now kernel.Instant, next judgement) {
+func (c *Core) sendVerdicts(now kernel.Instant, next leaderVerdicts) {
 	current := &c.liveness.verdicts
 	judged := next.Equal(current.Verdicts)
-	repeated := !now.Before(c.liveness.nextVerdicts) && c.replica.Node.HasLease(now)
-	if judged && slices.Equal(next.Questioned, current.Questioned) && !repeated {
+	repeated := !now.Before(c.liveness.nextVerdictResend) && c.replica.Node.HasLease(now)
+	if judged && slices.Equal(next.Queried, current.Queried) && !repeated {
 		return
 	}
-	c.liveness.nextVerdicts = now.Add(verdictsInterval)
+	c.liveness.nextVerdictResend = now.Add(verdictResendInterval)
 	if !judged {
-		c.log(eventlog.TargetsSuspected, "suspects", tokenText(next.Suspects), "lost", tokenText(next.Lost),
+		c.logEvent(eventlog.TargetsSuspected, "suspects", tokenText(next.Suspects), "lost", tokenText(next.Lost),
 			"avoided_zones", strings.Join(next.AvoidedZones, ","),
 			"ejected", tokenText(next.Ejected), "probation", tokenText(next.Probation))
 	}
 	*current = next
 	for _, member := range c.state.Members() {
-		c.send(member.Address, next.frame())
+		c.sendToMember(member.Address, next.frame())
 	}
 }
 
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -13,71 +13,71 @@
 )
 
 const (
-	// introductionLifetime is how long the word of an empty member counts.
-	introductionLifetime = 2 * time.Second
+	// joinRequestTTL is how long the word of an empty member counts.
+	joinRequestTTL = 2 * time.Second
 	// membershipInterval is the time between two checks of the membership.
 	membershipInterval = 100 * time.Millisecond
-	// learnerSilence is the silence after which a learner is removed.
-	learnerSilence = 20 * time.Second
-	// orphanAfter is the time without a leader after which a member asks
+	// learnerTimeout is the silence after which a learner is removed.
+	learnerTimeout = 20 * time.Second
+	// rejoinAfter is the time without a leader after which a member asks
 	// whether it still belongs to the group.
-	orphanAfter = 1500 * time.Millisecond
+	rejoinAfter = 1500 * time.Millisecond
 )
 
-// introduction is what an empty founder said and when.
-type introduction struct {
+// receivedJoin is what an empty founder said and when.
+type receivedJoin struct {
 	request joinRequest
 	at      kernel.Instant
 }
 
-// membershipKeeper holds what the leader does about the membership.
-type membershipKeeper struct {
+// membershipState holds what the leader does about the membership.
+type membershipState struct {
 	nextCheck kernel.Instant
-	// learned holds addresses of members before the replicated state is here.
-	learned map[raft.MemberID]string
-	// noticed is when this leader first saw each member: one that has just
+	// learnedAddresses holds addresses of members before the replicated state is here.
+	learnedAddresses map[raft.MemberID]string
+	// firstSeen is when this leader first saw each member: one that has just
 	// been added has not had the time to be heard.
-	noticed map[raft.MemberID]kernel.Instant
-	// submitted is the time of the last command about members.
-	submitted kernel.Instant
+	firstSeen map[raft.MemberID]kernel.Instant
+	// lastSubmitted is the time of the last command about members.
+	lastSubmitted kernel.Instant
 }
 
 // tickJoin asks for a place while this member has none, and founds the group
 // when it is the first of the founders and all of them are ready.
 func (c *Core) tickJoin(now kernel.Instant) {
-	if now < c.nextJoin || !c.needsPlace(now) {
+	if now < c.nextJoin || !c.needsMembership(now) {
 		return
 	}
 	c.nextJoin = now.Add(c.settings.JoinInterval)
 	message := joinRequest{
-		Address:  c.settings.Address,
-		Zone:     c.settings.Zone,
-		Identity: c.settings.Raft.Identity,
-		Founder:  c.isFounder(),
-		Known:    uint32(c.settings.Raft.ID),
+		Address:      c.settings.Address,
+		Zone:         c.settings.Zone,
+		Identity:     c.settings.Raft.Identity,
+		CanBootstrap: c.canBootstrap(),
+		KnownID:      uint32(c.settings.Raft.ID),
 	}
-	for _, address := range c.contacts() {
-		c.send(address, message.frame())
+	for _, address := range c.knownAddresses() {
+		c.sendToMember(address, message.frame())
 	}
-	if c.isFounder() {
-		c.tryFound(now)
+	if c.canBootstrap() {
+		c.tryBootstrap(now)
 	}
 }
 
-// needsPlace reports whether this member has no number, or has not heard from
+// needsMembership reports whether this member has no number, or has not heard from
 // a leader for so long that it may have been removed.
-func (c *Core) needsPlace(now kernel.Instant) bool {
+func (c *Core) needsMembership(now kernel.Instant) bool {
 	if c.replica.Node == nil {
 		return true
 	}
 	if c.IsLeader() {
 		return false
 	}
-	return c.LeaderlessFor(now) > orphanAfter
+	return c.LeaderlessFor(now) > rejoinAfter
 }
 
-// contacts returns the addresses of all members that this one knows of.
-func (c *Core) contacts() []string {
+// knownAddresses returns the addresses of all members that this one knows of.
+func (c *Core) knownAddresses() []string {
 	addresses := slices.Clone(c.settings.Seeds)
 	for _, member := range c.state.Members() {
 		addresses = append(addresses, member.Address)
@@ -89,9 +89,9 @@
 	return slices.Compact(addresses)
 }
 
-// isFounder reports whether this member may found the group: it is one of the
+// canBootstrap reports whether this member may found the group: it is one of the
 // seeds, the whole group starts for the first time and its folder is empty.
-func (c *Core) isFounder() bool {
+func (c *Core) canBootstrap() bool {
 	return c.settings.Bootstrap && c.replica.Node == nil && c.restored.Snapshot.Index == 0 &&
 		slices.Contains(c.settings.Seeds, c.settings.Address)
 }
@@ -99,9 +99,9 @@
 // SetSeeds replaces the seed addresses after the settings have changed.
 func (c *Core) SetSeeds(seeds []string) { c.settings.Seeds = seeds }
 
-// tryFound founds the group when every founder has said lately that its
+// tryBootstrap founds the group when every founder has said lately that its
 // folder is empty too. Only the founder with the lowest address does so.
-func (c *Core) tryFound(now kernel.Instant) {
+func (c *Core) tryBootstrap(now kernel.Instant) {
 	founders := slices.Clone(c.settings.Seeds)
 	slices.Sort(founders)
 	founders = slices.Compact(founders)
@@ -113,26 +113,26 @@
 	for position, address := range founders {
 		member := directory.Member{Identity: c.settings.Raft.Identity, Address: address, Zone: c.settings.Zone}
 		if address != c.settings.Address {
-			known, heard := c.introduced[address]
-			if !heard || !known.request.Founder || now.Sub(known.at) > introductionLifetime {
+			known, heard := c.joinRequests[address]
+			if !heard || !known.request.CanBootstrap || now.Sub(known.at) > joinRequestTTL {
 				return
 			}
 			member.Identity = known.request.Identity
 			member.Zone = known.request.Zone
 		}
-		state.Apply(foundingIndex, directory.Command{Kind: directory.CommandAddMember, Member: member})
+		state.Apply(bootstrapIndex, directory.Command{Kind: directory.CommandAddMember, Member: member})
 		id := raft.MemberID(position + 1)
 		membership = membership.AddLearner(id, member.Identity).WithAddress(id, address).Promote(id)
 	}
-	c.found(now, state, membership)
+	c.bootstrap(now, state, membership)
 }
 
-// foundingIndex is the log position of a group's first snapshot.
-const foundingIndex = 1
+// bootstrapIndex is the log position of a group's first snapshot.
+const bootstrapIndex = 1
 
-func (c *Core) found(now kernel.Instant, state *directory.State, membership raft.Membership) {
+func (c *Core) bootstrap(now kernel.Instant, state *directory.State, membership raft.Membership) {
 	restored := raft.Restored{Snapshot: raft.Snapshot{
-		Index:      foundingIndex,
+		Index:      bootstrapIndex,
 		Membership: membership,
 		Data:       state.Encode(),
 	}}
@@ -142,9 +142,9 @@
 	}
 	c.restored = restored
 	c.state = state
-	c.replica.Applied = foundingIndex
-	c.log(eventlog.GroupFounded, "members", len(membership.Voters))
-	c.begin(now, ownNumber(restored, c.settings.Raft.Identity))
+	c.replica.Applied = bootstrapIndex
+	c.logEvent(eventlog.GroupFounded, "members", len(membership.Voters))
+	c.startReplica(now, ownMemberID(restored, c.settings.Raft.Identity))
 }
 
 // receiveJoin answers a member that asks for a place. Numbers and removals are
@@ -154,25 +154,25 @@
 	if err != nil {
 		return err
 	}
-	c.introduced[message.Address] = introduction{request: message, at: now}
+	c.joinRequests[message.Address] = receivedJoin{request: message, at: now}
 	if c.replica.Node == nil {
 		return nil
 	}
 	if member, known := c.state.MemberByIdentity(message.Identity); known {
-		c.send(message.Address, joinReply{Identity: message.Identity, Number: member.ID, Members: c.state.Members()}.frame())
+		c.sendToMember(message.Address, joinReply{Identity: message.Identity, Number: member.ID, Members: c.state.Members()}.frame())
 		return nil
 	}
 	if c.state.WasRemoved(message.Identity) {
-		c.send(message.Address, joinReply{Identity: message.Identity}.frame())
+		c.sendToMember(message.Address, joinReply{Identity: message.Identity}.frame())
 		return nil
 	}
 	if !c.IsLeader() {
 		if leader := c.address(c.replica.Node.Leader()); leader != message.Address {
-			c.send(leader, message.frame())
+			c.sendToMember(leader, message.frame())
 		}
 		return nil
 	}
-	if message.Known != 0 {
+	if message.KnownID != 0 {
 		return nil
 	}
 	c.submitMember(now, directory.Command{
@@ -184,12 +184,12 @@
 
 // submitMember proposes a command about members, at most one at a time.
 func (c *Core) submitMember(now kernel.Instant, command directory.Command) {
-	if c.members.submitted != 0 && now.Sub(c.members.submitted) < membershipInterval {
+	if c.members.lastSubmitted != 0 && now.Sub(c.members.lastSubmitted) < membershipInterval {
 		return
 	}
-	c.members.submitted = now
+	c.members.lastSubmitted = now
 	if _, _, err := c.replica.Node.Propose(now, directory.EncodeCommand(command)); err != nil {
-		c.log(eventlog.MembershipRefused, "err", err)
+		c.logEvent(eventlog.MembershipRefused, "err", err)
 	}
 }
 
@@ -201,19 +201,19 @@
 	}
 	if message.Number == 0 {
 		if c.replica.Node != nil {
-			c.log(eventlog.MemberRemoved, "member", c.settings.Raft.ID)
+			c.logEvent(eventlog.MemberRemoved, "member", c.settings.Raft.ID)
 			c.output.Reset = true
 		}
 		return nil
 	}
-	if c.members.learned == nil {
-		c.members.learned = map[raft.MemberID]string{}
+	if c.members.learnedAddresses == nil {
+		c.members.learnedAddresses = map[raft.MemberID]string{}
 	}
 	for _, member := range message.Members {
-		c.members.learned[raft.MemberID(member.ID)] = member.Address
+		c.members.learnedAddresses[raft.MemberID(member.ID)] = member.Address
 	}
 	if c.replica.Node == nil {
-		c.begin(now, raft.MemberID(message.Number))
+		c.startReplica(now, raft.MemberID(message.Number))
 	}
 	return nil
 }
@@ -225,12 +225,12 @@
 		return
 	}
 	c.members.nextCheck = now.Add(membershipInterval)
-	c.noticeMembers(now)
+	c.recordNewMembers(now)
 	if next, reason, wanted := c.nextMembership(now); wanted {
 		c.proposeMembership(now, next, reason)
 		return
 	}
-	c.forgetMembers(now)
+	c.removeStaleMembers(now)
 }
 
 func (c *Core) proposeMembership(now kernel.Instant, next raft.Membership, reason string) {
@@ -238,7 +238,7 @@
 	if err != nil {
 		return
 	}
-	c.log(eventlog.MembershipProposed, "reason", reason, "voters", len(next.Voters), "learners", len(next.Learners))
+	c.logEvent(eventlog.MembershipProposed, "reason", reason, "voters", len(next.Voters), "learners", len(next.Learners))
 }
 
 // nextMembership returns the next step: wiped members leave first, then new
@@ -295,22 +295,22 @@
 	return raft.NoMember, false
 }
 
-// noticeMembers notes the members that were added since the last check.
-func (c *Core) noticeMembers(now kernel.Instant) {
+// recordNewMembers notes the members that were added since the last check.
+func (c *Core) recordNewMembers(now kernel.Instant) {
 	membership := c.replica.Node.Membership()
-	known := c.members.noticed
-	c.members.noticed = map[raft.MemberID]kernel.Instant{}
+	known := c.members.firstSeen
+	c.members.firstSeen = map[raft.MemberID]kernel.Instant{}
 	for id := range membership.Identities {
-		c.members.noticed[id] = now
+		c.members.firstSeen[id] = now
 		if at, before := known[id]; before {
-			c.members.noticed[id] = at
+			c.members.firstSeen[id] = at
 		}
 	}
 }
 
 // silenceOf returns how long a member has not been heard by this leader.
 func (c *Core) silenceOf(now kernel.Instant, id raft.MemberID) time.Duration {
-	return now.Sub(max(c.replica.Node.LastContact(id), c.members.noticed[id]))
+	return now.Sub(max(c.replica.Node.LastContact(id), c.members.firstSeen[id]))
 }
 
 func (c *Core) isLive(now kernel.Instant, id raft.MemberID, limit time.Duration) bool {
@@ -347,9 +347,9 @@
 	return silent, silent != raft.NoMember
 }
 
-// forgetMembers removes members from the state that no longer vote or learn,
+// removeStaleMembers removes members from the state that no longer vote or learn,
 // and learners that have been silent for long.
-func (c *Core) forgetMembers(now kernel.Instant) {
+func (c *Core) removeStaleMembers(now kernel.Instant) {
 	membership := c.replica.Node.Membership()
 	for _, member := range c.state.Members() {
 		id := raft.MemberID(member.ID)
@@ -360,7 +360,7 @@
 	}
 	learners := slices.SortedFunc(slices.Values(membership.Learners), cmp.Compare[raft.MemberID])
 	for _, id := range learners {
-		if !c.isLive(now, id, learnerSilence) {
+		if !c.isLive(now, id, learnerTimeout) {
 			c.proposeMembership(now, membership.Remove(id), "learner is silent")
 			return
 		}
--- a/internal/registry/memory_test.go
+++ b/internal/registry/memory_test.go
@@ -16,45 +16,47 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// memoryNode is a node that follows members at random.
-type memoryNode struct {
+// simulatedNode is a node that follows members at random.
+type simulatedNode struct {
 	core      *steer.Core
 	startedAt kernel.Instant
 	// version is the highest version that it has placed by.
 	version uint64
 }
 
-// memoryRun plays faults while nodes start and follow members, and targets of two
+// rememberedRun plays faults while nodes start and follow members, and targets of two
 // services use a few addresses by turns.
-type memoryRun struct {
+type rememberedRun struct {
 	*faultRun
-	nodes       map[ConnectionID]*memoryNode
+	nodes       map[ConnectionID]*simulatedNode
 	connections ConnectionID
 	targets     int
 	// serviceOf holds the service of each target that ever registered.
 	serviceOf map[string]string
-	// told are the versions that disks gave as known to be committed.
-	told map[uint64]bool
-	// byMemory counts the nodes that could place by a disk.
-	byMemory int
+	// rememberedVersions are the versions that disks gave as known to be committed.
+	rememberedVersions map[uint64]bool
+	// placedByMemory counts the nodes that could place by a disk.
+	placedByMemory int
 }
 
-func newMemoryRun(t *testing.T, seed uint64) *memoryRun {
-	r := &memoryRun{
-		faultRun:  &faultRun{cluster: newCluster(t, seed, 3), nextJoin: 3},
-		nodes:     map[ConnectionID]*memoryNode{},
-		serviceOf: map[string]string{},
-		told:      map[uint64]bool{0: true},
+func newRememberedRun(t *testing.T, seed uint64) *rememberedRun {
+	r := &rememberedRun{
+		faultRun:           &faultRun{cluster: newCluster(t, seed, 3), nextJoin: 3},
+		nodes:              map[ConnectionID]*simulatedNode{},
+		serviceOf:          map[string]string{},
+		rememberedVersions: map[uint64]bool{0: true},
 	}
-	r.started = func(restored raft.Restored) { r.told[readMemory(restored).configuration.Version] = true }
-	r.heard = r.tell
+	r.onStart = func(restored raft.Restored) {
+		r.rememberedVersions[readPersistedState(restored).configuration.Version] = true
+	}
+	r.onNodeFrame = r.deliverNodeFrame
 	r.each = r.step
 	return r
 }
 
 // step registers a target, lets a node follow another member, and starts one at each
 // member that is not current.
-func (r *memoryRun) step() {
+func (r *rememberedRun) step() {
 	m := r.anyUp()
 	if m == nil {
 		return
@@ -73,20 +75,20 @@
 	}
 }
 
-func (r *memoryRun) newNode() *memoryNode {
+func (r *rememberedRun) newNode() *simulatedNode {
 	settings := steer.DefaultSettings()
 	settings.Random = r.random
-	return &memoryNode{core: steer.New(settings), startedAt: r.now}
+	return &simulatedNode{core: steer.New(settings), startedAt: r.now}
 }
 
-func (r *memoryRun) follow(m *machine, node *memoryNode) {
+func (r *rememberedRun) follow(m *machine, node *simulatedNode) {
 	r.connections++
 	r.nodes[r.connections] = node
-	r.take(m, m.core.Open(r.now, r.connections, Subscribe{Node: "edge", Revision: node.core.Revision()}))
+	r.apply(m, m.core.Subscribe(r.now, r.connections, Subscribe{Node: "edge", Revision: node.core.Revision()}))
 }
 
 // register registers a new target at one of a few addresses.
-func (r *memoryRun) register(m *machine) {
+func (r *rememberedRun) register(m *machine) {
 	r.targets++
 	id := fmt.Sprintf("i-%08x", r.targets)
 	r.serviceOf[id] = fmt.Sprint("service-", r.random.IntN(2))
@@ -94,11 +96,11 @@
 		ID: id, Service: r.serviceOf[id], Zone: "north", Slots: 1, State: directory.TargetReady,
 		Address: netip.AddrPortFrom(netip.MustParseAddr("10.1.0.1"), uint16(8000+r.random.IntN(8))),
 	}})
-	r.take(m, output)
+	r.apply(m, output)
 }
 
-// tell hands a node what a member tells it.
-func (r *memoryRun) tell(_ *machine, message NodeFrame) {
+// deliverNodeFrame hands a node what a member tells it.
+func (r *rememberedRun) deliverNodeFrame(_ *machine, message NodeFrame) {
 	node := r.nodes[message.Connection]
 	if node == nil {
 		return
@@ -110,9 +112,9 @@
 		for _, target := range remembered.Targets {
 			require.Equal(r, r.serviceOf[target.ID], target.Service)
 		}
-		node.core.Remember(r.now, remembered, node.startedAt.Add(RememberedFor))
+		node.core.Remember(r.now, remembered, node.startedAt.Add(RememberedTTL))
 		if node.core.PlacesByMemory() {
-			r.byMemory++
+			r.placedByMemory++
 		}
 	case wire.FrameUpdate:
 		update, err := directory.DecodeUpdate(message.Frame.Payload)
@@ -128,22 +130,22 @@
 func TestWhatDisksRememberWasCommitted(t *testing.T) {
 	byMemory := 0
 	for seed := range uint64(20) {
-		r := newMemoryRun(t, seed)
+		r := newRememberedRun(t, seed)
 		r.waitForLeader()
 		r.play(30 * time.Second)
 		context := fmt.Sprintf("seed %d, faults %v", seed, r.faults)
 		require.NotNil(t, r.leader(), context)
 		version, err := r.read(r.leader())
 		require.NoError(t, err, context)
-		r.inForce[0] = true
-		for told := range r.told {
+		r.versionsInForce[0] = true
+		for told := range r.rememberedVersions {
 			require.LessOrEqual(t, told, version, context)
-			require.True(t, r.inForce[told], "version %d was never in force: %s", told, context)
+			require.True(t, r.versionsInForce[told], "version %d was never in force: %s", told, context)
 		}
 		for _, node := range r.nodes {
 			require.LessOrEqual(t, node.version, version, context)
 		}
-		byMemory += r.byMemory
+		byMemory += r.placedByMemory
 	}
 	assert.Greater(t, byMemory, 20, "nodes place by disks after these faults")
 	t.Log(byMemory, "nodes placed by a disk")
@@ -166,17 +168,17 @@
 func TestOnlyWhatIsKnownToBeCommittedIsRememberedAsConfiguration(t *testing.T) {
 	commands := []directory.Command{publishing(3, directory.Configuration{}), publishing(5, configurationOf(3)), publishing(8, configurationOf(5))}
 	for commit, want := range []uint64{0, 3, 5, 8} {
-		memory := readMemory(restoredOf(uint64(commit), commands...))
+		memory := readPersistedState(restoredOf(uint64(commit), commands...))
 		assert.Equal(t, want, memory.configuration.Version)
 	}
 	state := directory.New()
 	state.Apply(1, commands[0])
 	snapshot := raft.Restored{Snapshot: raft.Snapshot{Index: 1, Term: 1, Data: state.Encode()}}
-	assert.Equal(t, uint64(3), readMemory(snapshot).configuration.Version, "a snapshot is committed")
+	assert.Equal(t, uint64(3), readPersistedState(snapshot).configuration.Version, "a snapshot is committed")
 }
 
 // stageOf returns the stage in which a disk tells of a target.
-func stageOf(t *testing.T, memory memory, id string) directory.TargetState {
+func stageOf(t *testing.T, memory persistedState, id string) directory.TargetState {
 	for _, target := range memory.targets() {
 		if target.ID == id {
 			assert.Nil(t, target.Warmup)
@@ -187,27 +189,27 @@
 }
 
 func TestTargetsThatMayBeClosedGetNoNewFlowsByADisk(t *testing.T) {
-	cold := put("cold", "10.1.1.1:1", directory.TargetReady)
+	cold := putTarget("cold", "10.1.1.1:1", directory.TargetReady)
 	cold.Target.Warmup = &directory.Warmup{Left: time.Second, Budget: 2, Stewards: []uint32{1}}
-	spared := put("spared", "10.1.1.2:1", directory.TargetReady)
+	spared := putTarget("spared", "10.1.1.2:1", directory.TargetReady)
 	spared.Target.Warmup = &directory.Warmup{Left: time.Second}
-	far := put("far", "10.1.1.3:1", directory.TargetReady)
+	far := putTarget("far", "10.1.1.3:1", directory.TargetReady)
 	far.Target.Zone = "far"
-	back := put("back", "10.1.1.4:1", directory.TargetReady)
+	back := putTarget("back", "10.1.1.4:1", directory.TargetReady)
 	back.Target.Zone = "back"
 	budget := []directory.ServiceWarmup{{Service: "booking", Warmup: directory.Warmup{Left: time.Second, Budget: 1}}}
 	commands := []directory.Command{
-		put("warm", "10.1.1.5:1", directory.TargetReady),
-		put("ejected", "10.1.1.6:1", directory.TargetReady),
-		put("draining", "10.1.1.7:1", directory.TargetDraining),
-		put("ended", "10.1.1.8:1", directory.TargetEnded),
+		putTarget("warm", "10.1.1.5:1", directory.TargetReady),
+		putTarget("ejected", "10.1.1.6:1", directory.TargetReady),
+		putTarget("draining", "10.1.1.7:1", directory.TargetDraining),
+		putTarget("ended", "10.1.1.8:1", directory.TargetEnded),
 		cold, spared, far, back,
 		{Kind: directory.CommandOrderTarget, TargetOrder: directory.TargetOrder{ID: "ejected", Rule: directory.RuleEjected}},
 		{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "far", Active: true}},
 		{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "back", Active: true}},
 		{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "back", Revision: 11, Warmups: budget}},
 	}
-	memory := readMemory(restoredOf(uint64(len(commands)), commands...))
+	memory := readPersistedState(restoredOf(uint64(len(commands)), commands...))
 	for id, want := range map[string]directory.TargetState{
 		"warm": directory.TargetReady, "spared": directory.TargetReady,
 		"cold": directory.TargetLeaving, "far": directory.TargetLeaving, "back": directory.TargetLeaving,
@@ -216,19 +218,19 @@
 		assert.Equal(t, want, stageOf(t, memory, id), id)
 	}
 	takenBack := directory.Command{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "far", Revision: 10}}
-	uncertain := readMemory(restoredOf(uint64(len(commands)), append(commands, takenBack)...))
+	uncertain := readPersistedState(restoredOf(uint64(len(commands)), append(commands, takenBack)...))
 	assert.Equal(t, directory.TargetLeaving, stageOf(t, uncertain, "far"), "the order that takes the zone back may not hold")
-	certain := readMemory(restoredOf(uint64(len(commands)+1), append(commands, takenBack)...))
+	certain := readPersistedState(restoredOf(uint64(len(commands)+1), append(commands, takenBack)...))
 	assert.Equal(t, directory.TargetLeaving, stageOf(t, certain, "back"))
 }
 
-// startedAlone returns a member that has restarted without the others.
-func startedAlone(t *testing.T) (*cluster, *machine) {
+// startWithoutPeers returns a member that has restarted without the others.
+func startWithoutPeers(t *testing.T) (*cluster, *machine) {
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.waitForLeader()
-	require.NoError(t, c.submit(leader, put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 	require.NoError(t, c.publish(leader, 7).Err)
-	require.NoError(t, c.submit(leader, put("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
 	c.run(time.Second)
 	for _, name := range c.names() {
 		c.kill(name, true)
@@ -238,20 +240,20 @@
 }
 
 func TestAMemberTellsItsConfigurationForTheFirstSecondsOfItsLife(t *testing.T) {
-	c, m := startedAlone(t)
-	c.take(m, m.core.Open(c.now, 1, Subscribe{Node: "edge"}))
+	c, m := startWithoutPeers(t)
+	c.apply(m, m.core.Subscribe(c.now, 1, Subscribe{Node: "edge"}))
 	require.Len(t, m.remembered, 1)
 	assert.Equal(t, uint64(7), m.remembered[0].Configuration.Version)
 	assert.Len(t, m.remembered[0].Targets, 2)
-	c.run(RememberedFor)
-	c.take(m, m.core.Open(c.now, 2, Subscribe{Node: "edge"}))
+	c.run(RememberedTTL)
+	c.apply(m, m.core.Subscribe(c.now, 2, Subscribe{Node: "edge"}))
 	require.Len(t, m.remembered, 2)
 	assert.Zero(t, m.remembered[1].Configuration.Version)
 	assert.Len(t, m.remembered[1].Targets, 2, "open flows need them for longer")
 }
 
 func TestAMemberThatHasBeenCurrentRemembersNothing(t *testing.T) {
-	c, m := startedAlone(t)
+	c, m := startWithoutPeers(t)
 	for _, name := range c.names()[1:] {
 		c.start(name)
 	}
@@ -262,16 +264,16 @@
 	}
 	c.run(2 * time.Second)
 	require.False(t, m.core.IsCurrent(c.now))
-	c.take(m, m.core.Open(c.now, 1, Subscribe{Node: "edge"}))
+	c.apply(m, m.core.Subscribe(c.now, 1, Subscribe{Node: "edge"}))
 	assert.Empty(t, m.remembered)
 }
 
 func TestNodesThatStartTogetherGetTheSameBytes(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.waitForLeader()
-	require.NoError(t, c.submit(leader, put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 	payloadOf := func(connection ConnectionID) []byte {
-		for _, message := range leader.core.Open(c.now, connection, Subscribe{Node: "edge"}).Nodes {
+		for _, message := range leader.core.Subscribe(c.now, connection, Subscribe{Node: "edge"}).Nodes {
 			if message.Frame.Kind == wire.FrameUpdate {
 				return message.Frame.Payload
 			}
@@ -281,7 +283,7 @@
 	first := payloadOf(1)
 	require.NotEmpty(t, first)
 	assert.Same(t, &first[0], &payloadOf(2)[0])
-	require.NoError(t, c.submit(leader, put("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
 	update, err := directory.DecodeUpdate(payloadOf(3))
 	require.NoError(t, err)
 	assert.Len(t, update.Targets, 2)
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -14,10 +14,10 @@
 	Address  string
 	Zone     string
 	Identity uint64
-	// Founder is set while the sender waits for the group to be founded.
-	Founder bool
-	// Known is the number under which the sender knows itself; 0 if none.
-	Known uint32
+	// CanBootstrap is set while the sender waits for the group to be founded.
+	CanBootstrap bool
+	// KnownID is the number under which the sender knows itself; 0 if none.
+	KnownID uint32
 }
 
 func (j joinRequest) frame() wire.Frame {
@@ -25,19 +25,19 @@
 	encoder.String(j.Address)
 	encoder.String(j.Zone)
 	encoder.Uint64(j.Identity)
-	encoder.Bool(j.Founder)
-	encoder.Uint32(j.Known)
+	encoder.Bool(j.CanBootstrap)
+	encoder.Uint32(j.KnownID)
 	return wire.Frame{Kind: wire.FrameJoin, Payload: encoder.Buffer}
 }
 
 func decodeJoinRequest(payload []byte) (joinRequest, error) {
 	decoder := wire.NewDecoder(payload)
 	request := joinRequest{
-		Address:  decoder.String(),
-		Zone:     decoder.String(),
-		Identity: decoder.Uint64(),
-		Founder:  decoder.Bool(),
-		Known:    decoder.Uint32(),
+		Address:      decoder.String(),
+		Zone:         decoder.String(),
+		Identity:     decoder.Uint64(),
+		CanBootstrap: decoder.Bool(),
+		KnownID:      decoder.Uint32(),
 	}
 	return request, decoder.Err("registry.decode_join")
 }
@@ -119,16 +119,16 @@
 	Revision uint64
 	// Waited is how long the node has been without any state.
 	Waited time.Duration
-	// Beats is the address at which the node takes heartbeats of targets, or "".
-	Beats string
+	// HeartbeatAddress is the address at which the node takes heartbeats of targets, or "".
+	HeartbeatAddress string
 	// Referable is set while the node knows no member but the seeds: it can be
 	// sent on to a nearer one.
 	Referable bool
-	// Announcements is the address at which the node takes announcements, or "".
-	Announcements string
-	// KeepsVerdicts is set by nodes that keep the verdicts of a member until it sends
+	// AnnouncementAddress is the address at which the node takes announcements, or "".
+	AnnouncementAddress string
+	// CachesVerdicts is set by nodes that keep the verdicts of a member until it sends
 	// others.
-	KeepsVerdicts bool
+	CachesVerdicts bool
 	// Strength is what is stated of the node's machine. A node whose machine has changed
 	// sends the whole message again over the open connection.
 	Strength strength.Strength
@@ -141,10 +141,10 @@
 	encoder.String(s.Zone)
 	encoder.Uint64(s.Revision)
 	encoder.Uint64(uint64(s.Waited))
-	encoder.String(s.Beats)
+	encoder.String(s.HeartbeatAddress)
 	encoder.Bool(s.Referable)
-	encoder.String(s.Announcements)
-	encoder.Bool(s.KeepsVerdicts)
+	encoder.String(s.AnnouncementAddress)
+	encoder.Bool(s.CachesVerdicts)
 	s.Strength.Encode(&encoder)
 	return wire.Frame{Kind: wire.FrameSubscribe, Payload: encoder.Buffer}
 }
@@ -154,12 +154,12 @@
 	decoder := wire.NewDecoder(payload)
 	subscribe := Subscribe{Node: decoder.String(), Zone: decoder.String(), Revision: decoder.Uint64()}
 	subscribe.Waited = time.Duration(decoder.Uint64())
-	subscribe.Beats = decoder.String()
+	subscribe.HeartbeatAddress = decoder.String()
 	subscribe.Referable = decoder.Bool()
-	subscribe.Announcements = decoder.String()
+	subscribe.AnnouncementAddress = decoder.String()
 	// Nodes of versions that heard the verdicts with each sign of life end here.
 	if decoder.HasMore() {
-		subscribe.KeepsVerdicts = decoder.Bool()
+		subscribe.CachesVerdicts = decoder.Bool()
 	}
 	// Nodes of versions that stated no strength end here.
 	if decoder.HasMore() {
@@ -168,8 +168,8 @@
 	return subscribe, decoder.Err("registry.decode_subscribe")
 }
 
-// Alive tells a node that its member is up.
-type Alive struct {
+// Keepalive tells a node that its member is up.
+type Keepalive struct {
 	// Current is set while the member hears from a leader with a quorum.
 	Current bool
 	// Empty is set while the member has no place in the group: its disk is new, and
@@ -186,7 +186,7 @@
 }
 
 // Frame returns the frame of the message.
-func (a Alive) Frame() wire.Frame {
+func (a Keepalive) Frame() wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(a.Current)
 	encoder.Bool(a.Empty)
@@ -196,10 +196,10 @@
 	return wire.Frame{Kind: wire.FrameAlive, Payload: encoder.Buffer}
 }
 
-// DecodeAlive reads the message.
-func DecodeAlive(payload []byte) (Alive, error) {
+// DecodeKeepalive reads the message.
+func DecodeKeepalive(payload []byte) (Keepalive, error) {
 	decoder := wire.NewDecoder(payload)
-	alive := Alive{Current: decoder.Bool(), Empty: decoder.Bool()}
+	alive := Keepalive{Current: decoder.Bool(), Empty: decoder.Bool()}
 	alive.Leaderless = time.Duration(decoder.Uint32()) * time.Millisecond
 	alive.Verdicts = directory.DecodeVerdicts(decoder)
 	if decoder.HasMore() {
@@ -215,15 +215,15 @@
 	Weight uint32
 	// Nodes is the number of nodes that have seen it.
 	Nodes uint32
-	// Doubtful is the weight of what nodes have seen whose callers' data gets lost, and
+	// UnreliableWeight is the weight of what nodes have seen whose callers' data gets lost, and
 	// Witnesses the number of nodes that have seen anything.
-	Doubtful  uint32
-	Witnesses uint32
+	UnreliableWeight uint32
+	Reporters        uint32
 }
 
-// Witnessed returns the silence as seen by one node.
-func (s SilentTarget) Witnessed() SilentTarget {
-	s.Witnesses = 1
+// FromSingleNode returns the silence as seen by one node.
+func (s SilentTarget) FromSingleNode() SilentTarget {
+	s.Reporters = 1
 	s.Nodes = 0
 	if s.Weight > 0 {
 		s.Nodes = 1
@@ -236,13 +236,13 @@
 	s.Token = other.Token
 	s.Weight += other.Weight
 	s.Nodes += other.Nodes
-	s.Doubtful += other.Doubtful
-	s.Witnesses += other.Witnesses
+	s.UnreliableWeight += other.UnreliableWeight
+	s.Reporters += other.Reporters
 	return s
 }
 
-// silentSize is the encoded size of a SilentTarget in bytes.
-const silentSize = 20
+// silentTargetSize is the encoded size of a SilentTarget in bytes.
+const silentTargetSize = 20
 
 // Evidence is what a node has seen of targets since its last report.
 type Evidence struct {
@@ -252,21 +252,21 @@
 	// number of these. Openings count those of all targets by zone.
 	Refused  []SilentTarget
 	Openings []directory.ZoneOpenings
-	// Heard are the targets whose heartbeats came to the node.
-	Heard []directory.Token
+	// Heartbeats are the targets whose heartbeats came to the node.
+	Heartbeats []directory.Token
 	// Outcomes count how exchanges with targets ended.
 	Outcomes []directory.Outcomes
 }
 
 // IsEmpty reports whether there is nothing to tell.
 func (e Evidence) IsEmpty() bool {
-	return len(e.Answering)+len(e.Silent)+len(e.Heard)+len(e.Refused)+len(e.Openings)+len(e.Outcomes) == 0
+	return len(e.Answering)+len(e.Silent)+len(e.Heartbeats)+len(e.Refused)+len(e.Openings)+len(e.Outcomes) == 0
 }
 
 func (e Evidence) encode(encoder *wire.Encoder) {
 	directory.EncodeTokens(encoder, e.Answering)
 	encodeSilent(encoder, e.Silent)
-	directory.EncodeTokens(encoder, e.Heard)
+	directory.EncodeTokens(encoder, e.Heartbeats)
 	encodeSilent(encoder, e.Refused)
 	encoder.Uint32(uint32(len(e.Openings)))
 	for _, counted := range e.Openings {
@@ -283,33 +283,33 @@
 		encoder.Uint32(uint32(silent.Token))
 		encoder.Uint32(silent.Weight)
 		encoder.Uint32(silent.Nodes)
-		encoder.Uint32(silent.Doubtful)
-		encoder.Uint32(silent.Witnesses)
+		encoder.Uint32(silent.UnreliableWeight)
+		encoder.Uint32(silent.Reporters)
 	}
 }
 
 func decodeSilent(decoder *wire.Decoder) []SilentTarget {
 	var targets []SilentTarget
-	for count := decoder.Count(silentSize); count > 0; count-- {
+	for count := decoder.Count(silentTargetSize); count > 0; count-- {
 		silent := SilentTarget{Token: directory.Token(decoder.Uint32()), Weight: decoder.Uint32()}
 		silent.Nodes = decoder.Uint32()
-		silent.Doubtful = decoder.Uint32()
-		silent.Witnesses = decoder.Uint32()
+		silent.UnreliableWeight = decoder.Uint32()
+		silent.Reporters = decoder.Uint32()
 		targets = append(targets, silent)
 	}
 	return targets
 }
 
-// smallestOpenings is the encoded size in bytes of the counts of a zone without a
+// minZoneOpeningsSize is the encoded size in bytes of the counts of a zone without a
 // name.
-const smallestOpenings = 12
+const minZoneOpeningsSize = 12
 
 func decodeEvidence(decoder *wire.Decoder) Evidence {
 	evidence := Evidence{Answering: directory.DecodeTokens(decoder)}
 	evidence.Silent = decodeSilent(decoder)
-	evidence.Heard = directory.DecodeTokens(decoder)
+	evidence.Heartbeats = directory.DecodeTokens(decoder)
 	evidence.Refused = decodeSilent(decoder)
-	for count := decoder.Count(smallestOpenings); count > 0; count-- {
+	for count := decoder.Count(minZoneOpeningsSize); count > 0; count-- {
 		counted := directory.ZoneOpenings{Zone: decoder.String(), Opened: decoder.Uint32(), Refused: decoder.Uint32()}
 		evidence.Openings = append(evidence.Openings, counted)
 	}
@@ -335,9 +335,9 @@
 type observations struct {
 	// From is the address of the member.
 	From string
-	// Heard are the targets whose heartbeats came since the last message.
-	Heard    []directory.Token
-	Evidence Evidence
+	// Heartbeats are the targets whose heartbeats came since the last message.
+	Heartbeats []directory.Token
+	Evidence   Evidence
 	// Outcomes are the sums of what the member's nodes counted; those of the evidence
 	// are empty here.
 	Outcomes []outlier.Report
@@ -345,43 +345,43 @@
 
 // isEmpty reports whether there is nothing to tell.
 func (o observations) isEmpty() bool {
-	return len(o.Heard) == 0 && len(o.Outcomes) == 0 && o.Evidence.IsEmpty()
+	return len(o.Heartbeats) == 0 && len(o.Outcomes) == 0 && o.Evidence.IsEmpty()
 }
 
 func (o observations) frame() wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(false)
 	encoder.String(o.From)
-	directory.EncodeTokens(&encoder, o.Heard)
+	directory.EncodeTokens(&encoder, o.Heartbeats)
 	o.Evidence.encode(&encoder)
 	encodeReports(&encoder, o.Outcomes)
 	return wire.Frame{Kind: wire.FrameLiveness, Payload: encoder.Buffer}
 }
 
-// judgement is what the leader tells the members about targets.
-type judgement struct {
+// leaderVerdicts is what the leader tells the members about targets.
+type leaderVerdicts struct {
 	directory.Verdicts
-	// Questioned are the targets of which members tell whether they answer.
-	Questioned []directory.Token
+	// Queried are the targets of which members tell whether they answer.
+	Queried []directory.Token
 }
 
-func (j judgement) frame() wire.Frame {
+func (j leaderVerdicts) frame() wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(true)
 	j.Encode(&encoder)
-	directory.EncodeTokens(&encoder, j.Questioned)
+	directory.EncodeTokens(&encoder, j.Queried)
 	return wire.Frame{Kind: wire.FrameLiveness, Payload: encoder.Buffer}
 }
 
 // decodeLiveness reads verdicts of the leader or observations of a member.
-func decodeLiveness(payload []byte) (fromLeader bool, judged judgement, seen observations, err error) {
+func decodeLiveness(payload []byte) (fromLeader bool, judged leaderVerdicts, seen observations, err error) {
 	decoder := wire.NewDecoder(payload)
 	fromLeader = decoder.Bool()
 	if fromLeader {
-		judged = judgement{Verdicts: directory.DecodeVerdicts(decoder)}
-		judged.Questioned = directory.DecodeTokens(decoder)
+		judged = leaderVerdicts{Verdicts: directory.DecodeVerdicts(decoder)}
+		judged.Queried = directory.DecodeTokens(decoder)
 	} else {
-		seen = observations{From: decoder.String(), Heard: directory.DecodeTokens(decoder)}
+		seen = observations{From: decoder.String(), Heartbeats: directory.DecodeTokens(decoder)}
 		seen.Evidence = decodeEvidence(decoder)
 		seen.Outcomes = decodeReports(decoder)
 	}
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -35,17 +35,17 @@
 	// bearsLostZones is 1 while the voters bear the loss of the zones that the
 	// settings state.
 	bearsLostZones prometheus.Gauge
-	// requests is the time from a call to its outcome, in seconds.
-	requests prometheus.Histogram
-	// saves is the time that the disk takes to make a batch last, in seconds.
-	saves prometheus.Histogram
-	// frames counts the bytes of frames to members and nodes by their kind.
-	frames *prometheus.CounterVec
-	// unstated and bounded are the numbers of nodes that state no processor, and of those
+	// requestSeconds is the time from a call to its outcome, in seconds.
+	requestSeconds prometheus.Histogram
+	// saveSeconds is the time that the disk takes to make a batch last, in seconds.
+	saveSeconds prometheus.Histogram
+	// frameBytes counts the bytes of frames to members and nodes by their kind.
+	frameBytes *prometheus.CounterVec
+	// nodesWithoutStrength and bounded are the numbers of nodes that state no processor, and of those
 	// whose word was taken for less than it says.
-	unstated, bounded prometheus.Gauge
-	// diskHeld is what the log and its snapshots take on the disk in bytes.
-	diskHeld prometheus.Gauge
+	nodesWithoutStrength, nodesBounded prometheus.Gauge
+	// diskHeldBytes is what the log and its snapshots take on the disk in bytes.
+	diskHeldBytes prometheus.Gauge
 	// referrals counts the nodes that were sent on to another member.
 	referrals prometheus.Counter
 	// leaderless is the time without a known leader, in seconds.
@@ -55,36 +55,36 @@
 func newMetrics() *metrics {
 	set := hosting.NewMetrics("member")
 	return &metrics{
-		set:            set,
-		leader:         set.Gauge("leader", "1 while this member leads"),
-		term:           set.Gauge("term", "term of the replicated log"),
-		revision:       set.Gauge("revision", "log position of the last change"),
-		version:        set.Gauge("configuration_version", "version of the configuration that holds"),
-		nodes:          set.Gauge("nodes", "subscribed nodes"),
-		targets:        set.Gauge("targets", "targets that have not ended"),
-		suspects:       set.Gauge("suspects", "targets not heard from lately"),
-		lost:           set.Gauge("lost", "targets held for dead"),
-		ejected:        set.Gauge("ejected", "targets that get no new flows because they fail their work"),
-		probation:      set.Gauge("probation", "targets that are tried after they were ejected"),
-		versionsHeld:   set.Gauge("versions_held", "versions of services whose targets get trial flows only, at the leader"),
-		voters:         set.Gauge("voters", "voters of the group that this member knows of"),
-		votersMissing:  set.Gauge("voters_missing", "voters that the stated tolerance needs and the group has not"),
-		bearsLostZones: set.Gauge("bears_lost_zones", "1 while a quorum is left after the loss of the zones that must be borne"),
-		requests:       set.Seconds("request_seconds", "time from a call to its outcome"),
-		saves:          set.Seconds("save_seconds", "time of the disk to make a batch last"),
-		frames:         set.CounterVec("frame_bytes_total", "bytes of frames sent to members and nodes", "kind"),
-		unstated:       set.Gauge("nodes_without_strength", "subscribed nodes that state no processor"),
-		bounded:        set.Gauge("nodes_bounded", "subscribed nodes whose stated processor was taken for less"),
-		diskHeld:       set.Gauge("disk_held_bytes", "bytes of the log and of its snapshots, while one is written too"),
-		referrals:      set.Counter("referrals_total", "nodes that were sent on to another member"),
-		leaderless:     set.Counter("leaderless_seconds_total", "time without a known leader"),
+		set:                  set,
+		leader:               set.Gauge("leader", "1 while this member leads"),
+		term:                 set.Gauge("term", "term of the replicated log"),
+		revision:             set.Gauge("revision", "log position of the last change"),
+		version:              set.Gauge("configuration_version", "version of the configuration that holds"),
+		nodes:                set.Gauge("nodes", "subscribed nodes"),
+		targets:              set.Gauge("targets", "targets that have not ended"),
+		suspects:             set.Gauge("suspects", "targets not heard from lately"),
+		lost:                 set.Gauge("lost", "targets held for dead"),
+		ejected:              set.Gauge("ejected", "targets that get no new flows because they fail their work"),
+		probation:            set.Gauge("probation", "targets that are tried after they were ejected"),
+		versionsHeld:         set.Gauge("versions_held", "versions of services whose targets get trial flows only, at the leader"),
+		voters:               set.Gauge("voters", "voters of the group that this member knows of"),
+		votersMissing:        set.Gauge("voters_missing", "voters that the stated tolerance needs and the group has not"),
+		bearsLostZones:       set.Gauge("bears_lost_zones", "1 while a quorum is left after the loss of the zones that must be borne"),
+		requestSeconds:       set.Seconds("request_seconds", "time from a call to its outcome"),
+		saveSeconds:          set.Seconds("save_seconds", "time of the disk to make a batch last"),
+		frameBytes:           set.CounterVec("frame_bytes_total", "bytes of frames sent to members and nodes", "kind"),
+		nodesWithoutStrength: set.Gauge("nodes_without_strength", "subscribed nodes that state no processor"),
+		nodesBounded:         set.Gauge("nodes_bounded", "subscribed nodes whose stated processor was taken for less"),
+		diskHeldBytes:        set.Gauge("disk_held_bytes", "bytes of the log and of its snapshots, while one is written too"),
+		referrals:            set.Counter("referrals_total", "nodes that were sent on to another member"),
+		leaderless:           set.Counter("leaderless_seconds_total", "time without a known leader"),
 	}
 }
 
 // observe copies the state of the core.
 func (m *metrics) observe(core *Core) {
-	m.leader.Set(flag(core.IsLeader()))
-	m.bearsLostZones.Set(flag(core.BearsLostZones()))
+	m.leader.Set(gaugeValue(core.IsLeader()))
+	m.bearsLostZones.Set(gaugeValue(core.BearsLostZones()))
 	m.term.Set(float64(core.replica.Term))
 	m.revision.Set(float64(core.state.Revision()))
 	m.version.Set(float64(core.state.Configuration().Version))
@@ -95,14 +95,14 @@
 	m.lost.Set(float64(len(core.liveness.verdicts.Lost)))
 	m.suspects.Set(float64(len(core.liveness.verdicts.Suspects)))
 	m.ejected.Set(float64(len(core.liveness.verdicts.Ejected)))
-	m.unstated.Set(float64(core.strengths.unstated))
-	m.bounded.Set(float64(len(core.strengths.bounded)))
+	m.nodesWithoutStrength.Set(float64(core.strengths.unstated))
+	m.nodesBounded.Set(float64(len(core.strengths.bounded)))
 	m.probation.Set(float64(len(core.liveness.verdicts.Probation)))
 	m.versionsHeld.Set(float64(core.outcomes.judge.Held()))
 }
 
-// flag returns the value of a gauge that is 1 or 0.
-func flag(set bool) float64 {
+// gaugeValue returns the value of a gauge that is 1 or 0.
+func gaugeValue(set bool) float64 {
 	if set {
 		return 1
 	}
@@ -111,7 +111,7 @@
 
 // countFrame counts a frame that is sent to a member or a node.
 func (m *metrics) countFrame(frame wire.Frame) {
-	m.frames.WithLabelValues(frame.Kind.String()).Add(float64(wire.FrameSize(frame)))
+	m.frameBytes.WithLabelValues(frame.Kind.String()).Add(float64(wire.FrameSize(frame)))
 }
 
 // Metrics returns the handler of the metrics address.
--- a/internal/registry/nodes_test.go
+++ b/internal/registry/nodes_test.go
@@ -11,16 +11,16 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// signs returns the signs of life that a core sends to a node in the time between two,
+// takeKeepalives returns the signs of life that a core sends to a node in the time between two,
 // and their bytes.
-func signs(t *testing.T, core *Core, now kernel.Instant, connection ConnectionID) (list []Alive, bytes int) {
+func takeKeepalives(t *testing.T, core *Core, now kernel.Instant, connection ConnectionID) (list []Keepalive, bytes int) {
 	t.Helper()
-	core.tellAlive(now, connection)
-	for _, sent := range core.take().Nodes {
+	core.sendKeepalive(now, connection)
+	for _, sent := range core.takeOutput().Nodes {
 		if sent.Connection != connection || sent.Frame.Kind != wire.FrameAlive {
 			continue
 		}
-		alive, err := DecodeAlive(sent.Frame.Payload)
+		alive, err := DecodeKeepalive(sent.Frame.Payload)
 		require.NoError(t, err)
 		list = append(list, alive)
 		bytes += wire.FrameSize(sent.Frame)
@@ -38,14 +38,14 @@
 	for number := range tokens {
 		tokens[number] = directory.Token(number + 1)
 	}
-	core.liveness.verdicts = judgement{Verdicts: directory.Verdicts{Suspects: tokens}}
+	core.liveness.verdicts = leaderVerdicts{Verdicts: directory.Verdicts{Suspects: tokens}}
 	for _, keeps := range []bool{true, false} {
 		const connection = 7
-		core.Open(c.now, connection, Subscribe{Node: "edge", KeepsVerdicts: keeps})
+		core.Subscribe(c.now, connection, Subscribe{Node: "edge", CachesVerdicts: keeps})
 		total := 0
 		for range 10 {
-			core.nodes[connection].nextAlive = c.now
-			list, bytes := signs(t, core, c.now, connection)
+			core.nodes[connection].nextKeepalive = c.now
+			list, bytes := takeKeepalives(t, core, c.now, connection)
 			require.Len(t, list, 1)
 			require.True(t, list[0].Current)
 			assert.Equal(t, keeps, list[0].Unchanged, "the first was told as it subscribed")
@@ -57,13 +57,13 @@
 			assert.Greater(t, total, 10*suspects*4)
 		}
 		core.liveness.verdicts.Lost = []directory.Token{3}
-		list, _ := signs(t, core, c.now, connection)
+		list, _ := takeKeepalives(t, core, c.now, connection)
 		require.Len(t, list, 1)
 		assert.False(t, list[0].Unchanged)
 		assert.Equal(t, []directory.Token{3}, list[0].Verdicts.Lost)
 		assert.Len(t, list[0].Verdicts.Suspects, suspects)
 		core.liveness.verdicts.Lost = nil
-		core.Close(connection)
+		core.Unsubscribe(connection)
 	}
 }
 
@@ -72,17 +72,17 @@
 func TestVerdictsAreToldAgainOnceTheMemberIsCurrent(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	core := c.waitForLeader().core
-	core.liveness.verdicts = judgement{Verdicts: directory.Verdicts{Suspects: []directory.Token{5}}}
-	late := c.now.Add(10 * core.settings.CurrentFor)
+	core.liveness.verdicts = leaderVerdicts{Verdicts: directory.Verdicts{Suspects: []directory.Token{5}}}
+	late := c.now.Add(10 * core.settings.MaxStaleness)
 	require.False(t, core.IsCurrent(late))
-	core.Open(late, 7, Subscribe{Node: "edge", KeepsVerdicts: true})
-	core.take()
-	list, _ := signs(t, core, late.Add(AliveInterval), 7)
+	core.Subscribe(late, 7, Subscribe{Node: "edge", CachesVerdicts: true})
+	core.takeOutput()
+	list, _ := takeKeepalives(t, core, late.Add(KeepaliveInterval), 7)
 	require.Len(t, list, 1)
 	assert.False(t, list[0].Current || list[0].Unchanged)
 	require.True(t, core.IsCurrent(c.now))
-	core.nodes[7].nextAlive = c.now
-	list, _ = signs(t, core, c.now, 7)
+	core.nodes[7].nextKeepalive = c.now
+	list, _ = takeKeepalives(t, core, c.now, 7)
 	require.Len(t, list, 1)
 	assert.True(t, list[0].Current)
 	assert.False(t, list[0].Unchanged)
--- a/internal/registry/observations.go
+++ b/internal/registry/observations.go
@@ -24,17 +24,17 @@
 // NoteHeard notes heartbeats of targets by their tokens.
 func (c *Core) NoteHeard(now kernel.Instant, tokens []directory.Token) {
 	for _, token := range tokens {
-		c.liveness.sighting(token).heardAt = now
-		c.liveness.unsentHeard[token] = true
+		c.liveness.status(token).lastHeartbeat = now
+		c.liveness.unsentHeartbeats[token] = true
 	}
 }
 
 // Observe notes what a subscribed node has seen of targets.
 func (c *Core) Observe(now kernel.Instant, connection ConnectionID, evidence Evidence) {
 	for _, token := range evidence.Answering {
-		c.liveness.unsentEvidence[token] = true
+		c.liveness.unsentAnswers[token] = true
 	}
-	c.NoteHeard(now, evidence.Heard)
+	c.NoteHeard(now, evidence.Heartbeats)
 	c.openings.add(evidence)
 	if node, connected := c.nodes[connection]; connected {
 		node.silent = evidence.Silent
@@ -47,7 +47,7 @@
 func (c *Core) silentTargets(now kernel.Instant) []SilentTarget {
 	sums := map[directory.Token]SilentTarget{}
 	for _, node := range c.nodes {
-		if now.Sub(node.silentAt) >= nodeSilenceLifetime {
+		if now.Sub(node.silentAt) >= nodeSilenceReportTTL {
 			continue
 		}
 		for _, silent := range node.silent {
@@ -60,29 +60,29 @@
 // tickLiveness passes observations on to the leader, and on the leader judges
 // which targets are silent.
 func (c *Core) tickLiveness(now kernel.Instant) {
-	if now.Before(c.liveness.next) {
+	if now.Before(c.liveness.nextReport) {
 		return
 	}
-	c.liveness.next = now.Add(livenessInterval)
+	c.liveness.nextReport = now.Add(livenessInterval)
 	seen := c.takeObservations(now)
 	c.forgetEnded()
 	if c.IsLeader() {
 		c.note(now, seen)
-		c.judge(now)
+		c.evaluateTargets(now)
 		return
 	}
 	if seen.isEmpty() {
 		return
 	}
-	c.send(c.address(c.replica.Node.Leader()), seen.frame())
+	c.sendToMember(c.address(c.replica.Node.Leader()), seen.frame())
 }
 
 // takeObservations returns what was seen since the last message.
 func (c *Core) takeObservations(now kernel.Instant) observations {
 	seen := observations{From: c.settings.Address}
-	seen.Heard = slices.Sorted(maps.Keys(c.liveness.unsentHeard))
-	for _, token := range c.liveness.verdicts.Questioned {
-		if c.liveness.unsentEvidence[token] {
+	seen.Heartbeats = slices.Sorted(maps.Keys(c.liveness.unsentHeartbeats))
+	for _, token := range c.liveness.verdicts.Queried {
+		if c.liveness.unsentAnswers[token] {
 			seen.Evidence.Answering = append(seen.Evidence.Answering, token)
 		}
 	}
@@ -95,18 +95,18 @@
 
 // note enters a member's observations into the leader's table.
 func (c *Core) note(now kernel.Instant, seen observations) {
-	for _, token := range seen.Heard {
-		c.liveness.sighting(token).heardAt = now
+	for _, token := range seen.Heartbeats {
+		c.liveness.status(token).lastHeartbeat = now
 	}
 	for _, token := range seen.Evidence.Answering {
-		c.liveness.sighting(token).answeredAt = now
+		c.liveness.status(token).lastAnswer = now
 	}
 	c.openings.note(now, seen.Evidence.Openings)
 	c.noteOutcomes(now, seen)
 	for _, refused := range seen.Evidence.Refused {
-		c.liveness.sighting(refused.Token).noteRefused(now, seen.From, refused)
+		c.liveness.status(refused.Token).noteRefused(now, seen.From, refused)
 	}
 	for _, silent := range seen.Evidence.Silent {
-		c.liveness.sighting(silent.Token).noteSilence(now, seen.From, silent)
+		c.liveness.status(silent.Token).noteSilence(now, seen.From, silent)
 	}
 }
--- a/internal/registry/openings.go
+++ b/internal/registry/openings.go
@@ -133,13 +133,13 @@
 		opened, refused := record.sum()
 		isAvoided, begins := record.judge(now)
 		if begins {
-			c.log(eventlog.ZoneAvoided, "zone", zone, "opened", opened, "refused", refused, "hold", record.hold)
+			c.logEvent(eventlog.ZoneAvoided, "zone", zone, "opened", opened, "refused", refused, "hold", record.hold)
 		}
 		if isAvoided {
 			avoided = append(avoided, zone)
 		}
 	}
-	if len(avoided) > 0 && c.targetsIn(avoided) > c.state.TargetCount()/judgedShareDivisor {
+	if len(avoided) > 0 && c.targetsIn(avoided) > c.state.TargetCount()/verdictShareDivisor {
 		return nil
 	}
 	return avoided
@@ -157,7 +157,7 @@
 }
 
 // noteRefused enters a member's report of a target that took no opening packets.
-func (s *sighting) noteRefused(now kernel.Instant, from string, refused SilentTarget) {
+func (s *targetStatus) noteRefused(now kernel.Instant, from string, refused SilentTarget) {
 	if s.refusals == nil {
 		s.refusals = map[string]silence{}
 	}
@@ -173,7 +173,7 @@
 
 // refuses reports whether a target is suspected because it takes no opening packets.
 // A sign of it ends that.
-func (s *sighting) refuses(now kernel.Instant) bool {
+func (s *targetStatus) refuses(now kernel.Instant) bool {
 	var weight, nodes uint32
 	for _, report := range s.refusals {
 		if now.Sub(report.at) < refusalLifetime {
@@ -181,9 +181,9 @@
 			nodes += report.Nodes
 		}
 	}
-	if weight >= refusalsNeeded && nodes >= silentNodesNeeded {
+	if weight >= refusalsNeeded && nodes >= minSilentNodes {
 		s.refusedAt = now
 		s.refusals = nil
 	}
-	return s.refusedAt > s.lastSign() && now.Sub(s.refusedAt) < refusedHold
+	return s.refusedAt > s.lastSeen() && now.Sub(s.refusedAt) < refusedHold
 }
--- a/internal/registry/openings_test.go
+++ b/internal/registry/openings_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	for number := range zonesOfTest * targetsPerZone {
-		command := put(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
+		command := putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
 		command.Target.Zone = fmt.Sprint("zone-", number%zonesOfTest)
 		require.NoError(t, b.submit(b.leader, command).Err)
 		target, _ := b.leader.core.State().Target(command.Target.ID)
@@ -45,11 +45,11 @@
 // report gives the follower the same evidence of some nodes every 100 ms for a time.
 func (b *openingBench) report(duration time.Duration, nodes int, evidence Evidence) {
 	for end := b.now.Add(duration); b.now < end; b.run(livenessInterval) {
-		b.observe(b.follower, nodes, evidence)
+		b.reportEvidence(b.follower, nodes, evidence)
 	}
 }
 
-func (b *openingBench) verdicts() directory.Verdicts { return b.follower.alive.Verdicts }
+func (b *openingBench) verdicts() directory.Verdicts { return b.follower.keepalive.Verdicts }
 
 func TestAZoneThatTakesNoOpeningPacketsIsAvoidedSoon(t *testing.T) {
 	b := newOpeningBench(t)
@@ -95,10 +95,10 @@
 	b := newOpeningBench(t)
 	token := b.tokens["zone-1"][0]
 	b.report(200*time.Millisecond, 2, Evidence{Refused: []SilentTarget{{Token: token, Weight: 1, Nodes: 1}}})
-	b.run(AliveInterval)
+	b.run(KeepaliveInterval)
 	assert.Equal(t, []directory.Token{token}, b.verdicts().Suspects)
 	b.follower.core.NoteHeard(b.now, []directory.Token{token})
-	b.run(livenessInterval + AliveInterval + 100*time.Millisecond)
+	b.run(livenessInterval + KeepaliveInterval + 100*time.Millisecond)
 	assert.Empty(t, b.verdicts().Suspects)
 }
 
@@ -106,12 +106,12 @@
 	b := newOpeningBench(t)
 	token := b.tokens["zone-1"][0]
 	b.report(time.Second, 1, Evidence{Refused: []SilentTarget{{Token: token, Weight: 2, Nodes: 1}}})
-	b.run(AliveInterval)
+	b.run(KeepaliveInterval)
 	assert.Empty(t, b.verdicts().Suspects)
 }
 
 func TestAnAnswerEndsTheSuspicionOfATargetThatRefused(t *testing.T) {
-	s := &sighting{heardAt: kernel.Instant(time.Second)}
+	s := &targetStatus{lastHeartbeat: kernel.Instant(time.Second)}
 	now := kernel.Instant(time.Minute)
 	s.noteRefused(now, "m1", SilentTarget{Weight: 2, Nodes: 1})
 	assert.False(t, s.refuses(now), "too few")
@@ -119,7 +119,7 @@
 	assert.True(t, s.refuses(now))
 	assert.True(t, s.refuses(now.Add(refusedHold-1)))
 	assert.False(t, s.refuses(now.Add(refusedHold)))
-	s.answeredAt = now.Add(1)
+	s.lastAnswer = now.Add(1)
 	assert.False(t, s.refuses(now.Add(2)))
 }
 
--- a/internal/registry/order_test.go
+++ b/internal/registry/order_test.go
@@ -58,7 +58,7 @@
 	for id, zone := range map[string]string{"i-1": "north", "i-2": "south"} {
 		target := directory.Target{ID: id, Service: "booking", Zone: zone, Slots: 2, State: directory.TargetReady}
 		target.Address = netip.MustParseAddrPort("10.0.0." + id[2:] + ":1")
-		_, err := process.Beat(context.Background(), Heartbeat{Target: target})
+		_, err := process.HandleHeartbeat(context.Background(), Heartbeat{Target: target})
 		require.NoError(t, err)
 	}
 	shares := order(t, address, Order{Kind: OrderEvacuate, Zone: "north"}).Shares
--- a/internal/registry/outliers.go
+++ b/internal/registry/outliers.go
@@ -174,7 +174,7 @@
 // judgeOutcomes adds the targets that fail their work to the verdicts. Those that take
 // no new flows anyway, also in evacuated zones, or are held for lost, are not judged and
 // forgotten; they bear nothing, so they do not count in the share that may be left out.
-func (c *Core) judgeOutcomes(now kernel.Instant, next *judgement) {
+func (c *Core) judgeOutcomes(now kernel.Instant, next *leaderVerdicts) {
 	if now.Before(c.outcomes.judgeAt) {
 		next.Ejected = c.liveness.verdicts.Ejected
 		next.Probation = c.liveness.verdicts.Probation
@@ -214,11 +214,11 @@
 	switch change.Kind {
 	case outlier.Ejected:
 		fields = append(fields, "reason", failedText(change.Count), "nodes", change.Nodes, "usual_share", shareText(change.Usual), "hold", change.Hold)
-		c.log(eventlog.TargetEjected, fields...)
+		c.logEvent(eventlog.TargetEjected, fields...)
 	case outlier.OnProbation:
-		c.log(eventlog.TargetOnProbation, fields...)
+		c.logEvent(eventlog.TargetOnProbation, fields...)
 	case outlier.Readmitted:
-		c.log(eventlog.TargetReadmitted, append(fields, "reason", failedText(change.Count))...)
+		c.logEvent(eventlog.TargetReadmitted, append(fields, "reason", failedText(change.Count))...)
 	}
 }
 
@@ -229,11 +229,11 @@
 	}
 	switch change.Kind {
 	case outlier.Ejected:
-		c.log(eventlog.VersionHeld, append(fields, "usual_share", shareText(change.Usual), "hold", change.Hold)...)
+		c.logEvent(eventlog.VersionHeld, append(fields, "usual_share", shareText(change.Usual), "hold", change.Hold)...)
 	case outlier.OnProbation:
-		c.log(eventlog.VersionOnTrial, fields...)
+		c.logEvent(eventlog.VersionOnTrial, fields...)
 	case outlier.Readmitted:
-		c.log(eventlog.VersionReadmitted, fields...)
+		c.logEvent(eventlog.VersionReadmitted, fields...)
 	}
 }
 
--- a/internal/registry/outliers_test.go
+++ b/internal/registry/outliers_test.go
@@ -49,7 +49,7 @@
 }
 
 func (b *outcomeBench) register(id string, number int) directory.Target {
-	command := put(id, fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
+	command := putTarget(id, fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
 	command.Target.Zone = fmt.Sprint("zone-", number%zonesOfTest)
 	require.NoError(b, b.submit(b.leader, command).Err)
 	target, _ := b.leader.core.State().Target(id)
@@ -61,7 +61,7 @@
 func (b *outcomeBench) open(m *machine, node int) ConnectionID {
 	connection := ConnectionID(100 + node)
 	if _, known := m.core.nodes[connection]; !known {
-		b.take(m, m.core.Open(b.now, connection, Subscribe{Node: fmt.Sprint("edge", node)}))
+		b.apply(m, m.core.Subscribe(b.now, connection, Subscribe{Node: fmt.Sprint("edge", node)}))
 	}
 	return connection
 }
@@ -89,8 +89,8 @@
 
 // ejected returns what nodes are told at a member.
 func (b *outcomeBench) ejected(m *machine) []directory.Token {
-	b.run(AliveInterval / 4)
-	return m.alive.Verdicts.Ejected
+	b.run(KeepaliveInterval / 4)
+	return m.keepalive.Verdicts.Ejected
 }
 
 func TestATargetThatFailsItsWorkIsEjectedAtAllMembers(t *testing.T) {
@@ -106,9 +106,9 @@
 	assert.Equal(t, 1, b.events[eventlog.TargetEjected])
 	b.ill = nil
 	b.serve(2 * time.Second)
-	assert.Equal(t, []directory.Token{sick}, b.reporters[0].alive.Verdicts.Probation)
+	assert.Equal(t, []directory.Token{sick}, b.reporters[0].keepalive.Verdicts.Probation)
 	b.serve(3 * time.Second)
-	assert.Empty(t, b.reporters[0].alive.Verdicts.Probation)
+	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Probation)
 	assert.Equal(t, 1, b.events[eventlog.TargetOnProbation])
 	assert.Equal(t, 1, b.events[eventlog.TargetReadmitted])
 }
@@ -157,7 +157,7 @@
 	m := b.reporters[0]
 	for number := range 30 {
 		connection := ConnectionID(1000 + number)
-		b.take(m, m.core.Open(b.now, connection, Subscribe{Node: "edge1"}))
+		b.apply(m, m.core.Subscribe(b.now, connection, Subscribe{Node: "edge1"}))
 		m.core.Observe(b.now, connection, Evidence{Outcomes: []directory.Outcomes{{Token: b.targets[0].Token, Unanswered: 5}}})
 		b.serve(livenessInterval)
 	}
@@ -177,12 +177,12 @@
 	b.ill = nil
 	b.run(b.leader2().core.settings.LostAfter + 200*time.Millisecond)
 	for _, m := range b.reporters {
-		assert.Equal(t, []directory.Token{sick}, m.alive.Verdicts.Ejected)
+		assert.Equal(t, []directory.Token{sick}, m.keepalive.Verdicts.Ejected)
 	}
 	b.serve(6 * time.Second)
 	for _, m := range b.reporters {
-		assert.Empty(t, m.alive.Verdicts.Ejected)
-		assert.Empty(t, m.alive.Verdicts.Probation)
+		assert.Empty(t, m.keepalive.Verdicts.Ejected)
+		assert.Empty(t, m.keepalive.Verdicts.Probation)
 	}
 }
 
@@ -212,8 +212,8 @@
 	require.Equal(t, []directory.Token{sick}, b.ejected(behind))
 	b.cut = func(string, string) bool { return false }
 	b.run(3 * time.Second)
-	assert.Empty(t, behind.alive.Verdicts.Ejected)
-	assert.Empty(t, behind.alive.Verdicts.Probation)
+	assert.Empty(t, behind.keepalive.Verdicts.Ejected)
+	assert.Empty(t, behind.keepalive.Verdicts.Probation)
 }
 
 // The counts of nodes behind a cut are missing; the others are enough.
@@ -238,7 +238,7 @@
 		old := b.targets[0]
 		b.targets = b.targets[1:]
 		b.register(fmt.Sprint("new-", number), 100+number)
-		draining := put(old.ID, old.Address.String(), directory.TargetDraining)
+		draining := putTarget(old.ID, old.Address.String(), directory.TargetDraining)
 		require.NoError(t, b.submit(b.leader, draining).Err)
 		for node := range 4 {
 			b.reportTo(b.reporters[0], node, directory.Outcomes{Token: old.Token, Unanswered: 2})
@@ -319,16 +319,16 @@
 	require.Equal(t, []directory.Token{sick}, b.ejected(b.reporters[0]))
 	b.targets = nil
 	for range 8 {
-		b.observe(b.reporters[0], 3, Evidence{Silent: []SilentTarget{{Token: sick, Weight: 4, Nodes: 1}}})
+		b.reportEvidence(b.reporters[0], 3, Evidence{Silent: []SilentTarget{{Token: sick, Weight: 4, Nodes: 1}}})
 		b.run(livenessInterval)
 	}
-	require.Equal(t, []directory.Token{sick}, b.reporters[0].alive.Verdicts.Lost)
-	assert.Empty(t, b.reporters[0].alive.Verdicts.Ejected)
+	require.Equal(t, []directory.Token{sick}, b.reporters[0].keepalive.Verdicts.Lost)
+	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Ejected)
 	b.reporters[0].core.NoteHeard(b.now, []directory.Token{sick})
 	b.run(4 * livenessInterval)
-	assert.Empty(t, b.reporters[0].alive.Verdicts.Lost)
-	assert.Empty(t, b.reporters[0].alive.Verdicts.Ejected)
-	assert.Empty(t, b.reporters[0].alive.Verdicts.Probation)
+	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Lost)
+	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Ejected)
+	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Probation)
 }
 
 // A node whose way to one target is cut loses its member too and goes to another one. It
@@ -362,7 +362,7 @@
 		b.ill[target.Token] = true
 		for range 8 {
 			b.serve(livenessInterval)
-			assert.LessOrEqual(t, len(b.reporters[0].alive.Verdicts.Ejected), len(b.targets)/3)
+			assert.LessOrEqual(t, len(b.reporters[0].keepalive.Verdicts.Ejected), len(b.targets)/3)
 		}
 	}
 }
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	inputCapacity = 4096
-	inputBatch    = 64
-	nodeCapacity  = 256
-	tickInterval  = 25 * time.Millisecond
+	inputQueueCapacity = 4096
+	inputBatch         = 64
+	nodeQueueCapacity  = 256
+	tickInterval       = 25 * time.Millisecond
 	// busyAfter is how long after the last tick a process is busy: its ticker has
 	// not had a turn. A message takes several such turns on its way, so that twice
 	// as much would let elections fail.
 	busyAfter = tickInterval + 15*time.Millisecond
-	// reopenPause is the time between two attempts to use a failed disk.
-	reopenPause = 500 * time.Millisecond
+	// reopenInterval is the time between two attempts to use a failed disk.
+	reopenInterval = 500 * time.Millisecond
 )
 
 // Settings are the settings of a member's process.
@@ -44,11 +44,11 @@
 	Zones []string
 	// Strength is what is stated of the machine.
 	Strength strength.Strength
-	// Spread changes how heartbeats are passed on to nodes.
-	Spread []heartbeat.SpreadOption
-	// CallAddress returns where targets call a member that other members reach at
+	// HeartbeatOptions changes how heartbeats are passed on to nodes.
+	HeartbeatOptions []heartbeat.SpreadOption
+	// APIAddress returns where targets call a member that other members reach at
 	// an address. Without it targets are not sent to members of their zones.
-	CallAddress func(address string) string
+	APIAddress func(address string) string
 }
 
 // Process runs a member: one goroutine owns the core, others have one duty
@@ -60,58 +60,58 @@
 	inputs   *ring.Ring[input]
 	links    *peerlink.Links
 	// core is nil while the disk cannot be used.
-	core     *Core
-	disk     *wal.Log
-	reopenAt time.Time
-	waiting  map[Ticket]chan Outcome
-	nodes    map[ConnectionID]*ring.Ring[wire.Frame]
-	metrics  *metrics
-	beats    *heartbeat.Cache
-	spread   *heartbeat.Spread
-	// beatsAt is the revision that the cache of heartbeats has followed.
-	beatsAt uint64
-	// referredAt is the revision of the members that the referral table was made
+	core            *Core
+	disk            *wal.Log
+	reopenAt        time.Time
+	waiting         map[Ticket]chan Outcome
+	nodeQueues      map[ConnectionID]*ring.Ring[wire.Frame]
+	metrics         *metrics
+	heartbeats      *heartbeat.Cache
+	heartbeatSpread *heartbeat.Spread
+	// heartbeatsRevision is the revision that the cache of heartbeats has followed.
+	heartbeatsRevision uint64
+	// referralRevision is the revision of the members that the referral table was made
 	// from; the goroutines of connections share the table.
-	referredAt uint64
-	referrals  atomic.Pointer[referralTable]
+	referralRevision uint64
+	referrals        atomic.Pointer[referralTable]
 
 	announcer *announcer
 
 	connections *hosting.Connections
-	// diskFills is set while what the member keeps nearly fills its disk.
-	diskFills bool
+	// diskNearlyFull is set while what the member keeps nearly fills its disk.
+	diskNearlyFull bool
 
 	// tickedAt is when the ticker last ran, in nanoseconds since the start.
 	tickedAt atomic.Int64
 
-	mutex    sync.Mutex
-	nextConn ConnectionID
-	listener net.Listener
-	group    sync.WaitGroup
-	stopped  chan struct{}
+	mutex          sync.Mutex
+	nextConnection ConnectionID
+	listener       net.Listener
+	group          sync.WaitGroup
+	stopped        chan struct{}
 }
 
 // NewProcess prepares a member. Nothing listens yet.
 func NewProcess(settings Settings, logger *eventlog.Logger) *Process {
 	process := &Process{
-		settings: settings,
-		logger:   logger,
-		started:  time.Now(),
-		inputs:   ring.New[input](inputCapacity),
-		waiting:  map[Ticket]chan Outcome{},
-		nodes:    map[ConnectionID]*ring.Ring[wire.Frame]{},
-		metrics:  newMetrics(),
-		beats:    heartbeat.NewCache(),
-		spread:   heartbeat.NewSpread(append([]heartbeat.SpreadOption{heartbeat.WithZone(settings.Core.Zone)}, settings.Spread...)...),
-		stopped:  make(chan struct{}),
-	}
-	process.links = peerlink.New(process.noteLink, peerlink.WithEchoes())
+		settings:        settings,
+		logger:          logger,
+		started:         time.Now(),
+		inputs:          ring.New[input](inputQueueCapacity),
+		waiting:         map[Ticket]chan Outcome{},
+		nodeQueues:      map[ConnectionID]*ring.Ring[wire.Frame]{},
+		metrics:         newMetrics(),
+		heartbeats:      heartbeat.NewCache(),
+		heartbeatSpread: heartbeat.NewSpread(append([]heartbeat.SpreadOption{heartbeat.WithZone(settings.Core.Zone)}, settings.HeartbeatOptions...)...),
+		stopped:         make(chan struct{}),
+	}
+	process.links = peerlink.New(process.logLink, peerlink.WithEchoes())
 	process.announcer = newAnnouncer(process)
 	process.connections = hosting.NewConnections(settings.Strength.Connections(), eventlog.MemberConnectionsFull, process.metrics.set, logger)
 	return process
 }
 
-func (p *Process) noteLink(address string, err error) {
+func (p *Process) logLink(address string, err error) {
 	if err != nil {
 		p.logger.Event(eventlog.PeerLost, "address", address, "err", err)
 		return
@@ -131,19 +131,19 @@
 	}
 	p.listener = listener
 	p.logger.Event(eventlog.ProcessStarted, "member", p.settings.Name, "data_folder", p.settings.DataFolder)
-	p.announcer.open()
+	p.announcer.load()
 	p.spawn(p.runCore)
 	p.spawn(p.runTicker)
 	p.spawn(p.accept)
 	p.spawn(p.announcer.runRoster)
-	p.spawn(p.announcer.runSharing)
+	p.spawn(p.announcer.runRosterSharing)
 	<-ctx.Done()
 	p.logger.Event(eventlog.StopRequested)
 	close(p.stopped)
 	_ = listener.Close()
 	p.inputs.Close()
 	p.links.Close()
-	p.announcer.notes.Close()
+	p.announcer.queue.Close()
 	p.group.Wait()
 	p.logger.Event(eventlog.ProcessStopped, "member", p.settings.Name)
 	return nil
@@ -209,24 +209,24 @@
 		p.dispatch(p.core.EndBatch(p.now()))
 	}
 	if p.core != nil {
-		p.followBeats(p.core.State())
-		p.followMembers(p.core)
+		p.refreshHeartbeats(p.core.State())
+		p.refreshReferrals(p.core)
 		p.watchDisk()
-		p.announcer.begin(p.now(), p.core)
+		p.announcer.announceIfDue(p.now(), p.core)
 	}
 }
 
-// followBeats takes the targets that changed over into the cache of heartbeats.
-func (p *Process) followBeats(state *directory.State) {
-	if state.Revision() == p.beatsAt {
+// refreshHeartbeats takes the targets that changed over into the cache of heartbeats.
+func (p *Process) refreshHeartbeats(state *directory.State) {
+	if state.Revision() == p.heartbeatsRevision {
 		return
 	}
-	if state.Revision() < p.beatsAt {
-		p.beats.Reset()
-		p.beatsAt = 0
+	if state.Revision() < p.heartbeatsRevision {
+		p.heartbeats.Reset()
+		p.heartbeatsRevision = 0
 	}
-	p.beats.Follow(state.ChangedTargets(p.beatsAt))
-	p.beatsAt = state.Revision()
+	p.heartbeats.Follow(state.ChangedTargets(p.heartbeatsRevision))
+	p.heartbeatsRevision = state.Revision()
 }
 
 // reopen reads the data folder when there is no core: at the start, after a
@@ -238,14 +238,14 @@
 	core, disk, err := p.openCore()
 	if err != nil {
 		p.logger.Event(eventlog.DiskFailed, "err", err)
-		p.reopenAt = time.Now().Add(reopenPause)
+		p.reopenAt = time.Now().Add(reopenInterval)
 		return
 	}
 	p.core = core
 	p.disk = disk
-	p.followMembers(core)
-	p.announcer.begin(p.now(), core)
-	for connection := range p.nodes {
+	p.refreshReferrals(core)
+	p.announcer.announceIfDue(p.now(), core)
+	for connection := range p.nodeQueues {
 		p.dropNode(connection)
 	}
 }
@@ -269,7 +269,7 @@
 	settings := p.settings.Core
 	settings.Raft.Identity = identity
 	settings.Raft.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	core, err := NewCore(p.now(), settings, &timedStorage{Storage: disk, saves: p.metrics.saves}, restored)
+	core, err := NewCore(p.now(), settings, &timedStorage{Storage: disk, saves: p.metrics.saveSeconds}, restored)
 	return core, disk, err
 }
 
@@ -278,7 +278,7 @@
 	_ = p.disk.Close()
 	p.core = nil
 	p.disk = nil
-	p.reopenAt = time.Now().Add(reopenPause)
+	p.reopenAt = time.Now().Add(reopenInterval)
 	p.failWaiting("the disk of this member failed")
 }
 
@@ -291,7 +291,7 @@
 
 func (p *Process) closeAll() {
 	p.failWaiting("the member is stopping")
-	for _, queue := range p.nodes {
+	for _, queue := range p.nodeQueues {
 		queue.Close()
 	}
 	if p.disk != nil {
@@ -347,20 +347,20 @@
 // it subscribes again and gets all that it lacks.
 func (p *Process) sendNode(message NodeFrame) {
 	p.metrics.countFrame(message.Frame)
-	queue, connected := p.nodes[message.Connection]
+	queue, connected := p.nodeQueues[message.Connection]
 	if connected && !queue.TryPush(message.Frame) {
 		p.dropNode(message.Connection)
 	}
 }
 
 func (p *Process) dropNode(connection ConnectionID) {
-	if queue, connected := p.nodes[connection]; connected {
+	if queue, connected := p.nodeQueues[connection]; connected {
 		queue.Close()
-		delete(p.nodes, connection)
-		p.spread.Remove(uint64(connection))
+		delete(p.nodeQueues, connection)
+		p.heartbeatSpread.Remove(uint64(connection))
 	}
 	if p.core != nil {
-		p.core.Close(connection)
+		p.core.Unsubscribe(connection)
 	}
 }
 
--- a/internal/registry/referral.go
+++ b/internal/registry/referral.go
@@ -45,9 +45,9 @@
 	return &referralTable{zone: zone, frame: Referral{Members: members}.Frame()}
 }
 
-// sendsOn reports whether a node goes to another member: one of its own zone, or
+// refers reports whether a node goes to another member: one of its own zone, or
 // any when its zone has none, so that the seeds do not bear them all.
-func (t *referralTable) sendsOn(subscribe Subscribe) bool {
+func (t *referralTable) refers(subscribe Subscribe) bool {
 	return t != nil && subscribe.Referable && subscribe.Zone != t.zone
 }
 
@@ -56,7 +56,7 @@
 func (c *Core) Refer(subscribe Subscribe) (Referral, bool) {
 	members := c.referralMembers()
 	table := newReferralTable(c.settings.Address, c.settings.Zone, members)
-	return Referral{Members: members}, table.sendsOn(subscribe)
+	return Referral{Members: members}, table.refers(subscribe)
 }
 
 // referralMembers returns the members that nodes are told of: those of the
@@ -69,27 +69,27 @@
 	return c.rememberedMembers
 }
 
-// followMembers tells connections and heartbeats of the members when these have
+// refreshReferrals tells connections and heartbeats of the members when these have
 // changed.
-func (p *Process) followMembers(core *Core) {
+func (p *Process) refreshReferrals(core *Core) {
 	revision := core.state.MemberRevision()
-	if revision == p.referredAt && p.referrals.Load() != nil {
+	if revision == p.referralRevision && p.referrals.Load() != nil {
 		return
 	}
-	p.referredAt = revision
+	p.referralRevision = revision
 	members := core.referralMembers()
 	p.referrals.Store(newReferralTable(p.settings.Core.Address, p.settings.Core.Zone, members))
-	p.spread.SetHomes(p.homes(members))
+	p.heartbeatSpread.SetHomes(p.apiAddressesByZone(members))
 }
 
-// homes returns where targets call the members of each zone.
-func (p *Process) homes(members []directory.Member) map[string][]string {
+// apiAddressesByZone returns where targets call the members of each zone.
+func (p *Process) apiAddressesByZone(members []directory.Member) map[string][]string {
 	homes := map[string][]string{}
-	if p.settings.CallAddress == nil {
+	if p.settings.APIAddress == nil {
 		return homes
 	}
 	for _, member := range members {
-		homes[member.Zone] = append(homes[member.Zone], p.settings.CallAddress(member.Address))
+		homes[member.Zone] = append(homes[member.Zone], p.settings.APIAddress(member.Address))
 	}
 	return homes
 }
--- a/internal/registry/referral_test.go
+++ b/internal/registry/referral_test.go
@@ -36,7 +36,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			table := newReferralTable(referred[0].Address, "south", test.members)
-			assert.Equal(t, test.sent, table.sendsOn(test.subscribe))
+			assert.Equal(t, test.sent, table.refers(test.subscribe))
 		})
 	}
 }
--- a/internal/registry/registration.go
+++ b/internal/registry/registration.go
@@ -6,12 +6,12 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// errBehind refuses the registration of a cold target at a member that may not know
+// errNotCurrent refuses the registration of a cold target at a member that may not know
 // what the target bears.
-var errBehind = steperror.New("registry.register", "", "this member is not current and cannot tell what a cold target bears")
+var errNotCurrent = steperror.New("registry.register", "", "this member is not current and cannot tell what a cold target bears")
 
-// Holds reports whether what a target says of itself is registered already.
-func (c *Core) Holds(target directory.Target) bool {
+// IsRegistered reports whether what a target says of itself is registered already.
+func (c *Core) IsRegistered(target directory.Target) bool {
 	known, registered := c.state.Target(target.ID)
 	return registered && known.Start() == target.Start() && known.State >= target.State
 }
@@ -20,14 +20,14 @@
 // One that registers while it is cold needs a member that is current.
 func (c *Core) Register(now kernel.Instant, target directory.Target) (Ticket, Output, error) {
 	if known, registered := c.state.Target(target.ID); registered && target.Start().IsBefore(known.Start()) {
-		return 0, Output{}, outdated(target)
+		return 0, Output{}, outdatedStartError(target)
 	}
 	if err := c.checkService(target); err != nil {
 		return 0, Output{}, err
 	}
 	if target.Warmup != nil {
 		if !c.IsCurrent(now) {
-			return 0, Output{}, errBehind
+			return 0, Output{}, errNotCurrent
 		}
 		target.Warmup = c.warmupOf(target)
 	}
@@ -35,8 +35,8 @@
 	return ticket, output, nil
 }
 
-// outdated refuses the word of a start that a later one has replaced.
-func outdated(target directory.Target) error {
+// outdatedStartError refuses the word of a start that a later one has replaced.
+func outdatedStartError(target directory.Target) error {
 	return directory.NewProblem("born", target.Born, "a later start of "+target.ID+" is registered")
 }
 
--- a/internal/registry/remembered.go
+++ b/internal/registry/remembered.go
@@ -12,25 +12,25 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// RememberedFor bounds what nodes may place by a member's disk: a member tells its
+// RememberedTTL bounds what nodes may place by a member's disk: a member tells its
 // configuration no longer after its start, and a node uses it no longer after its own.
 // Both have so long to find a group with a leader again.
-const RememberedFor = 3 * time.Second
+const RememberedTTL = 3 * time.Second
 
-// memory is what a member's disk held at its start.
-type memory struct {
+// persistedState is what a member's disk held at its start.
+type persistedState struct {
 	// state is the state by all that the disk holds, committed or not.
 	state *directory.State
 	// configuration is the newest one that is known to be committed.
 	configuration directory.Configuration
-	// closed are the zones whose targets may not get new flows, by what is known to be
+	// closedZones are the zones whose targets may not get new flows, by what is known to be
 	// committed or by the rest.
-	closed map[string]bool
+	closedZones map[string]bool
 }
 
-// readMemory applies all that a disk holds.
-func readMemory(restored raft.Restored) memory {
-	m := memory{state: directory.New(), closed: map[string]bool{}}
+// readPersistedState applies all that a disk holds.
+func readPersistedState(restored raft.Restored) persistedState {
+	m := persistedState{state: directory.New(), closedZones: map[string]bool{}}
 	if restored.Snapshot.Index > 0 {
 		decoded, err := directory.Decode(restored.Snapshot.Data)
 		if err != nil {
@@ -44,13 +44,13 @@
 	}
 	m.apply(restored.Entries[:known])
 	m.configuration = m.state.Configuration()
-	m.close()
+	m.closeZones()
 	m.apply(restored.Entries[known:])
-	m.close()
+	m.closeZones()
 	return m
 }
 
-func (m *memory) apply(entries []raft.Entry) {
+func (m *persistedState) apply(entries []raft.Entry) {
 	for _, entry := range entries {
 		if entry.Kind != raft.EntryCommand {
 			continue
@@ -61,13 +61,13 @@
 	}
 }
 
-// close enters the zones that are being evacuated, and those that were taken back with
+// closeZones enters the zones that are being evacuated, and those that were taken back with
 // a budget: what they were sent since is not on the disk.
-func (m *memory) close() {
+func (m *persistedState) closeZones() {
 	for _, evacuation := range m.state.Evacuations() {
 		bounded := slices.ContainsFunc(evacuation.Warmups, func(known directory.ServiceWarmup) bool { return known.Warmup.Budget > 0 })
 		if evacuation.Active || bounded {
-			m.closed[evacuation.Zone] = true
+			m.closedZones[evacuation.Zone] = true
 		}
 	}
 }
@@ -76,14 +76,14 @@
 // not. Whether an entry is committed does not decide where the packets of open flows go:
 // a target's name and address never change, nor does its token where that follows from
 // the name. Those that may not get new flows are told as leaving.
-func (m *memory) targets() []directory.Target {
+func (m *persistedState) targets() []directory.Target {
 	var targets []directory.Target
 	m.state.EachTarget(func(target *directory.Target) {
 		if target.State == directory.TargetEnded || !target.HasOwnToken() {
 			return
 		}
 		told := *target
-		if !m.takesNewFlows(target) {
+		if !m.acceptsNewFlows(target) {
 			told.State = max(told.State, directory.TargetLeaving)
 		}
 		told.Warmup = nil
@@ -93,57 +93,57 @@
 	return targets
 }
 
-// takesNewFlows reports whether a target may get new flows by what the disk holds. How
+// acceptsNewFlows reports whether a target may get new flows by what the disk holds. How
 // much of its budget a cold target has used is not on it.
-func (m *memory) takesNewFlows(target *directory.Target) bool {
+func (m *persistedState) acceptsNewFlows(target *directory.Target) bool {
 	cold := target.Warmup != nil && target.Warmup.Budget > 0
 	ejected := m.state.TargetOrder(target.ID).Rule == directory.RuleEjected
-	return target.State == directory.TargetReady && !cold && !ejected && !m.closed[target.Zone]
+	return target.State == directory.TargetReady && !cold && !ejected && !m.closedZones[target.Zone]
 }
 
-// rememberedFrame is what nodes without state are told while this member has not been
+// rememberedPayloads is what nodes without state are told while this member has not been
 // current since its start.
-type rememberedFrame struct {
-	// payload is encoded; none once the member has been current.
-	payload []byte
-	// targets is the payload without the configuration, for which it gives way at until.
-	targets []byte
-	until   kernel.Instant
+type rememberedPayloads struct {
+	// withConfiguration is encoded; none once the member has been current.
+	withConfiguration []byte
+	// targetsOnly is the payload without the configuration, for which it gives way at until.
+	targetsOnly        []byte
+	configurationUntil kernel.Instant
 }
 
-func newRememberedFrame(now kernel.Instant, m memory) rememberedFrame {
+func newRememberedPayloads(now kernel.Instant, m persistedState) rememberedPayloads {
 	targets := m.targets()
 	if len(targets) == 0 {
-		return rememberedFrame{}
+		return rememberedPayloads{}
 	}
-	return rememberedFrame{
-		payload: directory.EncodeRemembered(directory.Remembered{Targets: targets, Configuration: m.configuration}),
-		targets: directory.EncodeRemembered(directory.Remembered{Targets: targets}),
-		until:   now.Add(RememberedFor),
+	return rememberedPayloads{
+		withConfiguration:  directory.EncodeRemembered(directory.Remembered{Targets: targets, Configuration: m.configuration}),
+		targetsOnly:        directory.EncodeRemembered(directory.Remembered{Targets: targets}),
+		configurationUntil: now.Add(RememberedTTL),
 	}
 }
 
-// tellRemembered sends a node without state what is on this member's disk, as long as
+// sendRemembered sends a node without state what is on this member's disk, as long as
 // this member has not been current.
-func (c *Core) tellRemembered(now kernel.Instant, connection ConnectionID) {
+func (c *Core) sendRemembered(now kernel.Instant, connection ConnectionID) {
 	if c.IsCurrent(now) {
-		c.remembered = rememberedFrame{}
+		c.remembered = rememberedPayloads{}
 	}
-	if c.nodes[connection].revision > 0 || len(c.remembered.payload) == 0 {
+	if c.nodes[connection].revision > 0 || len(c.remembered.withConfiguration) == 0 {
 		return
 	}
-	payload := c.remembered.payload
-	if !now.Before(c.remembered.until) {
-		payload = c.remembered.targets
+	payload := c.remembered.withConfiguration
+	if !now.Before(c.remembered.configurationUntil) {
+		payload = c.remembered.targetsOnly
 	}
-	c.sendNode(connection, wire.Frame{Kind: wire.FrameRemembered, Payload: payload})
+	c.sendToNode(connection, wire.Frame{Kind: wire.FrameRemembered, Payload: payload})
 }
 
-// logMemory tells what nodes are told until a member is current.
-func (c *Core) logMemory(m memory, restored raft.Restored) {
-	if len(c.remembered.payload) == 0 {
+// logRemembered tells what nodes are told until a member is current.
+func (c *Core) logRemembered(m persistedState, restored raft.Restored) {
+	if len(c.remembered.withConfiguration) == 0 {
 		return
 	}
-	c.log(eventlog.StateRemembered, "commit", max(restored.Snapshot.Index, restored.HardState.Commit),
-		"version", m.configuration.Version, "targets", m.state.TargetCount(), "bytes", len(c.remembered.payload))
+	c.logEvent(eventlog.StateRemembered, "commit", max(restored.Snapshot.Index, restored.HardState.Commit),
+		"version", m.configuration.Version, "targets", m.state.TargetCount(), "bytes", len(c.remembered.withConfiguration))
 }
--- a/internal/registry/remembered_test.go
+++ b/internal/registry/remembered_test.go
@@ -13,9 +13,9 @@
 func TestAMemberTellsAFreshNodeTheTargetsOnItsDiskAtOnce(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.leader()
-	require.NoError(t, c.submit(leader, put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
-	require.NoError(t, c.submit(leader, put("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
-	require.NoError(t, c.submit(leader, put("i-2", "10.1.1.2:1", directory.TargetEnded)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-2", "10.1.1.2:1", directory.TargetEnded)).Err)
 	c.run(time.Second)
 	for _, name := range c.names() {
 		c.kill(name, true)
@@ -23,19 +23,19 @@
 	alone := c.names()[0]
 	c.start(alone)
 	m := c.machines[alone]
-	c.take(m, m.core.Open(c.now, 1, Subscribe{Node: "edge"}))
+	c.apply(m, m.core.Subscribe(c.now, 1, Subscribe{Node: "edge"}))
 	require.Len(t, m.remembered, 1, "one without a leader")
 	require.Len(t, m.remembered[0].Targets, 1, "only what has not ended")
 	assert.Equal(t, "i-1", m.remembered[0].Targets[0].ID)
 	assert.Empty(t, m.updates)
-	c.take(m, m.core.Open(c.now, 2, Subscribe{Node: "other", Revision: 5}))
+	c.apply(m, m.core.Subscribe(c.now, 2, Subscribe{Node: "other", Revision: 5}))
 	assert.Len(t, m.remembered, 1, "a node with state needs none")
 }
 
 func TestAMemberThatIsCurrentTellsWhatHolds(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.leader()
-	require.NoError(t, c.submit(leader, put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 	for _, name := range c.names() {
 		c.kill(name, true)
 	}
@@ -44,7 +44,7 @@
 	}
 	leader = c.waitForLeader()
 	c.run(time.Second)
-	c.take(leader, leader.core.Open(c.now, 1, Subscribe{Node: "edge"}))
+	c.apply(leader, leader.core.Subscribe(c.now, 1, Subscribe{Node: "edge"}))
 	assert.Empty(t, leader.remembered)
 	assert.NotEmpty(t, leader.updates)
 }
--- a/internal/registry/replaced.go
+++ b/internal/registry/replaced.go
@@ -14,14 +14,14 @@
 // though it serves. So an address whose holder was heard lately is not given away. A
 // true successor calls again and gets it once the holder has missed a heartbeat.
 
-// holderHeardFor is how long after a heartbeat of its holder an address is not given
+// addressHoldTime is how long after a heartbeat of its holder an address is not given
 // away: a heartbeat comes each second, and the leader knows of it some tenths later. It
 // is less than the 2 s after which an address is used again.
-const holderHeardFor = 1500 * time.Millisecond
+const addressHoldTime = 1500 * time.Millisecond
 
-// isTaken reports whether a command would register a target at the address of one
+// isAddressTaken reports whether a command would register a target at the address of one
 // that this leader has heard lately.
-func (c *Core) isTaken(now kernel.Instant, encoded []byte) bool {
+func (c *Core) isAddressTaken(now kernel.Instant, encoded []byte) bool {
 	command, err := directory.DecodeCommand(encoded)
 	if err != nil || command.Kind != directory.CommandPutTarget {
 		return false
@@ -34,16 +34,16 @@
 	if !held || holder.State > directory.TargetDraining || holder.ID == command.Target.ID {
 		return false
 	}
-	window := holderHeardFor
+	window := addressHoldTime
 	if command.Target.Born > 0 && command.Target.Born < holder.Born {
 		// The process started before the holder did: it has most likely ended.
 		window = max(window, c.settings.SuspectAfter)
 	}
-	seen, sighted := c.liveness.sightings[holder.Token]
-	taken := sighted && seen.heardAt > c.liveness.since && now.Sub(seen.heardAt) < window
+	seen, sighted := c.liveness.statuses[holder.Token]
+	taken := sighted && seen.lastHeartbeat > c.liveness.since && now.Sub(seen.lastHeartbeat) < window
 	if taken {
-		c.log(eventlog.AddressTaken, "target", command.Target.ID, "address", command.Target.Address,
-			"holder", holder.ID, "heartbeat_age", now.Sub(seen.heardAt))
+		c.logEvent(eventlog.AddressTaken, "target", command.Target.ID, "address", command.Target.Address,
+			"holder", holder.ID, "heartbeat_age", now.Sub(seen.lastHeartbeat))
 	}
 	return taken
 }
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -14,12 +14,12 @@
 const resendInterval = 250 * time.Millisecond
 
 const (
-	// handedLimit is the number of requests that a member has with the leader at
+	// maxInFlight is the number of requests that a member has with the leader at
 	// a time. The others wait here, where they cost the leader nothing.
-	handedLimit = 64
-	// openLimit is the number of requests that wait at a member; more are refused
+	maxInFlight = 64
+	// maxPending is the number of requests that wait at a member; more are refused
 	// at once, so that their callers go elsewhere.
-	openLimit = 256
+	maxPending = 256
 )
 
 // errOverloaded refuses a request that found too many others waiting.
@@ -28,21 +28,21 @@
 // Submit hands a command to the group. The outcome follows under the ticket
 // that is returned; it is delivered once this member has applied the command.
 func (c *Core) Submit(now kernel.Instant, command directory.Command) (Ticket, Output) {
-	return c.open(now, &request{command: directory.EncodeCommand(command)})
+	return c.openRequest(now, &request{command: directory.EncodeCommand(command)})
 }
 
 // Read asks for the position that a linearizable read must see. The outcome
 // is delivered once this member has applied the log that far.
 func (c *Core) Read(now kernel.Instant) (Ticket, Output) {
-	return c.open(now, &request{})
+	return c.openRequest(now, &request{})
 }
 
-func (c *Core) open(now kernel.Instant, opened *request) (Ticket, Output) {
+func (c *Core) openRequest(now kernel.Instant, opened *request) (Ticket, Output) {
 	c.ticket++
 	ticket := c.ticket
 	c.admit(now, opened, waiter{ticket: ticket})
 	c.flush(now)
-	return ticket, c.take()
+	return ticket, c.takeOutput()
 }
 
 // admit begins a request, or lets the waiter join the open one that asks for
@@ -53,7 +53,7 @@
 		same.waiters = append(same.waiters, waiting)
 		return
 	}
-	if len(c.requests) >= openLimit && !opened.forwarded {
+	if len(c.requests) >= maxPending && !opened.forwarded {
 		c.output.Outcomes = append(c.output.Outcomes, Outcome{Ticket: waiting.ticket, Err: errOverloaded})
 		return
 	}
@@ -67,34 +67,34 @@
 		c.commands[key] = opened
 	}
 	if c.replica.Failed != nil {
-		c.finish(opened, c.replica.Failed)
+		c.complete(opened, c.replica.Failed)
 		return
 	}
-	c.handOn(now, opened)
+	c.dispatchRequest(now, opened)
 }
 
-// handOn proposes the request here, or sends it to the leader.
-func (c *Core) handOn(now kernel.Instant, open *request) {
+// dispatchRequest proposes the request here, or sends it to the leader.
+func (c *Core) dispatchRequest(now kernel.Instant, open *request) {
 	if c.replica.Node == nil {
 		return
 	}
 	if c.IsLeader() {
-		c.handle(now, open)
+		c.handleAsLeader(now, open)
 		return
 	}
 	leader := c.replica.Node.Leader()
-	if leader == raft.NoMember || open.forwarded || c.handed >= handedLimit {
+	if leader == raft.NoMember || open.forwarded || c.inFlight >= maxInFlight {
 		return
 	}
-	c.handed++
+	c.inFlight++
 	open.sentTerm = c.replica.Node.Term()
 	open.sentAt = now
 	message := forward{Origin: c.settings.Address, Ticket: open.ticket, Command: open.command}
-	c.send(c.address(leader), message.frame())
+	c.sendToMember(c.address(leader), message.frame())
 }
 
-// handle serves a request on the leader.
-func (c *Core) handle(now kernel.Instant, open *request) {
+// handleAsLeader serves a request on the leader.
+func (c *Core) handleAsLeader(now kernel.Instant, open *request) {
 	if len(open.command) == 0 {
 		open.sentTerm = c.replica.Node.Term()
 		open.sentAt = now
@@ -105,8 +105,8 @@
 	if open.sentTerm == c.replica.Node.Term() {
 		return
 	}
-	if c.isTaken(now, open.command) {
-		c.answer(open.ticket, directory.Result{Code: directory.CodeTaken})
+	if c.isAddressTaken(now, open.command) {
+		c.recordResult(open.ticket, directory.Result{Code: directory.CodeTaken})
 		return
 	}
 	index, term, err := c.replica.Node.Propose(now, open.command)
@@ -125,7 +125,7 @@
 	}
 	for _, open := range c.requests {
 		if len(open.command) == 0 && !open.answered && c.replica.Node.ConfirmedSince(now, open.openedAt) {
-			c.answer(open.ticket, directory.Result{Revision: c.replica.Node.Commit()})
+			c.recordResult(open.ticket, directory.Result{Revision: c.replica.Node.Commit()})
 		}
 	}
 }
@@ -145,12 +145,12 @@
 	if err != nil {
 		return err
 	}
-	c.answer(message.Ticket, message.Result)
+	c.recordResult(message.Ticket, message.Result)
 	return nil
 }
 
-// answer notes the result of a request.
-func (c *Core) answer(ticket Ticket, result directory.Result) {
+// recordResult notes the result of a request.
+func (c *Core) recordResult(ticket Ticket, result directory.Result) {
 	open, waiting := c.requests[ticket]
 	if !waiting {
 		return
@@ -162,8 +162,8 @@
 	open.result = result
 }
 
-// deliver ends the requests whose result this member has applied.
-func (c *Core) deliver(now kernel.Instant) {
+// completeAnswered ends the requests whose result this member has applied.
+func (c *Core) completeAnswered(now kernel.Instant) {
 	if len(c.requests) == 0 {
 		return
 	}
@@ -176,15 +176,15 @@
 		case c.replica.Applied < open.result.Revision:
 			waiting = append(waiting, ticket)
 		default:
-			c.finish(open, nil)
+			c.complete(open, nil)
 		}
 	}
 	c.answered = waiting
 }
 
-// finish ends a request and tells its waiters. Members that forwarded it hear
+// complete ends a request and tells its waiters. Members that forwarded it hear
 // only of success; they ask again otherwise.
-func (c *Core) finish(open *request, err error) {
+func (c *Core) complete(open *request, err error) {
 	delete(c.requests, open.ticket)
 	if c.commands[string(open.command)] == open {
 		delete(c.commands, string(open.command))
@@ -195,52 +195,52 @@
 			continue
 		}
 		if err == nil {
-			c.send(waiting.origin, forwarded{Ticket: waiting.ticket, Result: open.result}.frame())
+			c.sendToMember(waiting.origin, forwarded{Ticket: waiting.ticket, Result: open.result}.frame())
 		}
 	}
 }
 
 func (c *Core) failRequests(err error) {
-	for _, open := range c.orderedRequests() {
-		c.finish(open, err)
+	for _, open := range c.sortedRequests() {
+		c.complete(open, err)
 	}
 }
 
 // tickRequests hands requests on again after a change of leader, and gives up
 // those that waited too long. Commands may be repeated without harm.
 func (c *Core) tickRequests(now kernel.Instant) {
-	c.countHanded(now)
-	for _, open := range c.orderedRequests() {
+	c.countInFlight(now)
+	for _, open := range c.sortedRequests() {
 		if !now.Before(open.deadline) {
-			c.log(eventlog.RequestGivenUp, "ticket", open.ticket, "command", len(open.command) > 0)
-			c.finish(open, steperror.New("registry.request", "", "the group did not answer in time"))
+			c.logEvent(eventlog.RequestGivenUp, "ticket", open.ticket, "command", len(open.command) > 0)
+			c.complete(open, steperror.New("registry.request", "", "the group did not answer in time"))
 			continue
 		}
 		if open.answered || c.replica.Node == nil {
 			continue
 		}
-		if !c.isHanded(now, open) {
-			c.handOn(now, open)
+		if !c.isInFlight(now, open) {
+			c.dispatchRequest(now, open)
 		}
 	}
 	c.flush(now)
 }
 
-// isHanded reports whether a request was handed on in this term and not too
+// isInFlight reports whether a request was handed on in this term and not too
 // long ago.
-func (c *Core) isHanded(now kernel.Instant, open *request) bool {
+func (c *Core) isInFlight(now kernel.Instant, open *request) bool {
 	return open.sentTerm == c.replica.Node.Term() && now.Sub(open.sentAt) < resendInterval
 }
 
-// countHanded counts the requests that the leader has.
-func (c *Core) countHanded(now kernel.Instant) {
-	c.handed = 0
+// countInFlight counts the requests that the leader has.
+func (c *Core) countInFlight(now kernel.Instant) {
+	c.inFlight = 0
 	if c.replica.Node == nil {
 		return
 	}
 	for _, open := range c.requests {
-		if !open.answered && c.isHanded(now, open) {
-			c.handed++
+		if !open.answered && c.isInFlight(now, open) {
+			c.inFlight++
 		}
 	}
 }
--- a/internal/registry/room.go
+++ b/internal/registry/room.go
@@ -67,7 +67,7 @@
 	if c.IsLeader() {
 		c.sumRoom(now, own)
 	} else if len(own) > 0 && c.room.toLeader.isDue(now, own) {
-		c.send(c.address(c.replica.Node.Leader()), room.Message{From: c.settings.Address, Zones: own}.Frame())
+		c.sendToMember(c.address(c.replica.Node.Leader()), room.Message{From: c.settings.Address, Zones: own}.Frame())
 	}
 	c.tellRoom(now)
 }
@@ -81,7 +81,7 @@
 	}
 	c.takeFleet(now, room.Message{Term: c.replica.Node.Term(), Zones: zones})
 	for _, member := range c.state.Members() {
-		c.send(member.Address, c.room.fleet.Frame())
+		c.sendToMember(member.Address, c.room.fleet.Frame())
 	}
 }
 
@@ -116,9 +116,9 @@
 	switch {
 	case fullest >= 0 && !c.room.full:
 		zone := zones[fullest]
-		c.log(eventlog.ZoneShortOfRoom, "zone", zone.Zone, "nodes", zone.Nodes(), "refusing", zone.Refusing, "rate", zone.Rate, "used", zone.Used)
+		c.logEvent(eventlog.ZoneShortOfRoom, "zone", zone.Zone, "nodes", zone.Nodes(), "refusing", zone.Refusing, "rate", zone.Rate, "used", zone.Used)
 	case fullest < 0 && c.room.full:
-		c.log(eventlog.ZonesHaveRoom, "zones", len(zones))
+		c.logEvent(eventlog.ZonesHaveRoom, "zones", len(zones))
 	}
 	c.room.full = fullest >= 0
 }
@@ -132,9 +132,9 @@
 	for _, zone := range c.room.fleet.Zones {
 		frames[zone.Zone] = room.Message{Term: c.room.fleet.Term, Zones: []room.ZoneSum{zone}}.Frame()
 	}
-	for _, connection := range c.orderedNodes() {
+	for _, connection := range c.sortedConnections() {
 		if frame, known := frames[c.nodes[connection].zone]; known {
-			c.sendNode(connection, frame)
+			c.sendToNode(connection, frame)
 		}
 	}
 }
--- a/internal/registry/room_test.go
+++ b/internal/registry/room_test.go
@@ -26,7 +26,7 @@
 			b.follower = m
 		}
 		for node := range ConnectionID(2) {
-			b.take(m, m.core.Open(b.now, node+1, Subscribe{Node: "edge", Zone: "north"}))
+			b.apply(m, m.core.Subscribe(b.now, node+1, Subscribe{Node: "edge", Zone: "north"}))
 		}
 	}
 	return b
@@ -91,11 +91,11 @@
 	b := newRoomBench(t)
 	b.tell(4*time.Second, room.Word{Rate: 100})
 	old := room.Message{Term: 0, Zones: []room.ZoneSum{{Zone: "south"}}}
-	b.take(b.follower, b.follower.core.HandleFrame(b.now, old.Frame()))
+	b.apply(b.follower, b.follower.core.HandleFrame(b.now, old.Frame()))
 	assert.Equal(t, 6, b.nodes(b.follower))
 	own := room.Message{From: b.follower.address, Zones: b.follower.core.room.nodes.Sum(b.now)}
 	for range 3 {
-		b.take(b.leader, b.leader.core.HandleFrame(b.now, own.Frame()))
+		b.apply(b.leader, b.leader.core.HandleFrame(b.now, own.Frame()))
 	}
 	b.tell(3*time.Second, room.Word{Rate: 100, In: 1})
 	assert.Equal(t, 6, b.nodes(b.leader))
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -7,9 +7,9 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// maxRoster is the number of nodes that a roster holds: all those of the largest
+// maxRosterNodes is the number of nodes that a roster holds: all those of the largest
 // fleet that the system is built for (docs/CAPACITY.md) and a third more, 0.2 MB.
-const maxRoster = 8192
+const maxRosterNodes = 8192
 
 // roster holds the addresses at which nodes take announcements: those that have
 // followed this member since its start, and those of its last life.
@@ -17,42 +17,42 @@
 	addresses map[string]bool
 	// order holds the addresses, those that were noted first in front.
 	order []string
-	// changed is set while the file does not hold what the roster does.
-	changed bool
+	// dirty is set while the file does not hold what the roster does.
+	dirty bool
 }
 
 func newRoster(addresses []string) *roster {
 	r := &roster{addresses: map[string]bool{}}
 	for _, address := range addresses {
-		r.note(address)
+		r.add(address)
 	}
-	r.changed = false
+	r.dirty = false
 	return r
 }
 
-// note takes the address of a node, or "" of one that takes no announcements. A full
+// add takes the address of a node, or "" of one that takes no announcements. A full
 // roster forgets the one that was noted first: machines are replaced in the long run.
-func (r *roster) note(address string) {
+func (r *roster) add(address string) {
 	if address == "" || r.addresses[address] {
 		return
 	}
-	if len(r.order) >= maxRoster {
+	if len(r.order) >= maxRosterNodes {
 		delete(r.addresses, r.order[0])
 		r.order = r.order[1:]
 	}
 	r.addresses[address] = true
 	r.order = append(r.order, address)
-	r.changed = true
+	r.dirty = true
 }
 
-// keep forgets all nodes but some.
-func (r *roster) keep(addresses map[string]bool) {
+// retain forgets all nodes but some.
+func (r *roster) retain(addresses map[string]bool) {
 	r.order = slices.DeleteFunc(r.order, func(address string) bool {
 		if addresses[address] {
 			return false
 		}
 		delete(r.addresses, address)
-		r.changed = true
+		r.dirty = true
 		return true
 	})
 }
@@ -68,13 +68,13 @@
 	return encoder.Buffer
 }
 
-// smallestAddress is the encoded size in bytes of an address without a character.
-const smallestAddress = 4
+// minAddressSize is the encoded size in bytes of an address without a character.
+const minAddressSize = 4
 
 func decodeRoster(data []byte) ([]string, error) {
 	decoder := wire.NewDecoder(data)
 	var addresses []string
-	for count := decoder.Count(smallestAddress); count > 0; count-- {
+	for count := decoder.Count(minAddressSize); count > 0; count-- {
 		addresses = append(addresses, decoder.String())
 	}
 	return addresses, decoder.Err("registry.decode_roster")
--- a/internal/registry/settings.go
+++ b/internal/registry/settings.go
@@ -28,9 +28,9 @@
 	ReplaceAfter time.Duration
 	// RequestTimeout is how long a request waits for the group.
 	RequestTimeout time.Duration
-	// CurrentFor is how long a member counts as current after it heard from
+	// MaxStaleness is how long a member counts as current after it heard from
 	// the leader.
-	CurrentFor time.Duration
+	MaxStaleness time.Duration
 	// SuspectAfter is the silence after which a target is suspected.
 	SuspectAfter time.Duration
 	// LostAfter is the shortest silence after which a target can be held for
@@ -79,7 +79,7 @@
 		JoinInterval:    250 * time.Millisecond,
 		ReplaceAfter:    2500 * time.Millisecond,
 		RequestTimeout:  900 * time.Millisecond,
-		CurrentFor:      800 * time.Millisecond,
+		MaxStaleness:    800 * time.Millisecond,
 		SuspectAfter:    suspectAfter,
 		LostAfter:       600 * time.Millisecond,
 		SnapshotEntries: 1024,
--- a/internal/registry/sightings.go
+++ b/internal/registry/sightings.go
@@ -8,16 +8,16 @@
 
 // forgetEnded forgets what is known of targets that have ended, now and then.
 func (c *Core) forgetEnded() {
-	if len(c.liveness.sightings) <= sightingSlack {
+	if len(c.liveness.statuses) <= sightingSlack {
 		return
 	}
-	if len(c.liveness.sightings) <= 2*c.state.TargetCount()+sightingSlack {
+	if len(c.liveness.statuses) <= 2*c.state.TargetCount()+sightingSlack {
 		return
 	}
-	for token := range c.liveness.sightings {
+	for token := range c.liveness.statuses {
 		target, known := c.state.TargetByToken(token)
 		if !known || target.State == directory.TargetEnded {
-			delete(c.liveness.sightings, token)
+			delete(c.liveness.statuses, token)
 		}
 	}
 }
--- a/internal/registry/sightings_test.go
+++ b/internal/registry/sightings_test.go
@@ -18,7 +18,7 @@
 	leader := c.waitForLeader()
 	for number := range 300 {
 		id := fmt.Sprint("i-", number)
-		require.NoError(t, c.submit(leader, put(id, fmt.Sprintf("10.1.1.%d:%d", number%200+1, number+1), directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, putTarget(id, fmt.Sprintf("10.1.1.%d:%d", number%200+1, number+1), directory.TargetReady)).Err)
 		for _, name := range c.names() {
 			c.machines[name].core.Heard(c.now, directory.Start{ID: id})
 		}
@@ -34,8 +34,8 @@
 		m := c.machines[name]
 		m.core.Heard(c.now, directory.Start{ID: "i-299"})
 		c.run(livenessInterval)
-		assert.LessOrEqual(t, len(m.core.liveness.sightings), 2+sightingSlack, name)
-		assert.Contains(t, m.core.liveness.sightings, last.Token)
+		assert.LessOrEqual(t, len(m.core.liveness.statuses), 2+sightingSlack, name)
+		assert.Contains(t, m.core.liveness.statuses, last.Token)
 	}
 }
 
@@ -47,7 +47,7 @@
 	var living []directory.Target
 	for number := range 40 {
 		id := fmt.Sprint("i-", number)
-		require.NoError(t, c.submit(leader, put(id, fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, putTarget(id, fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)).Err)
 		target, _ := leader.core.State().Target(id)
 		if number < 34 {
 			target.State = directory.TargetEnded
@@ -65,8 +65,8 @@
 		silent = append(silent, SilentTarget{Token: target.Token, Weight: 4, Nodes: 1})
 	}
 	for range 15 {
-		c.observe(leader, 3, Evidence{Silent: silent})
+		c.reportEvidence(leader, 3, Evidence{Silent: silent})
 		c.run(livenessInterval)
-		assert.LessOrEqual(t, len(leader.core.liveness.verdicts.Lost), len(living)/judgedShareDivisor)
+		assert.LessOrEqual(t, len(leader.core.liveness.verdicts.Lost), len(living)/verdictShareDivisor)
 	}
 }
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -18,18 +18,18 @@
 }
 
 // all returns the weight of all evidence, also what is doubtful.
-func (s silence) all() uint32 { return s.Weight + s.Doubtful }
+func (s silence) all() uint32 { return s.Weight + s.UnreliableWeight }
 
 // isEnough reports whether weight from so many nodes holds a target for lost.
 func isEnough(weight, nodes uint32) bool {
-	return weight >= silentWeightNeeded && nodes >= silentNodesNeeded
+	return weight >= minSilentWeight && nodes >= minSilentNodes
 }
 
 // silence sums up the reports that still count.
-func (s *sighting) silence(now kernel.Instant) silence {
+func (s *targetStatus) silence(now kernel.Instant) silence {
 	var sum silence
 	for _, report := range s.silences {
-		if now.Sub(report.at) < silenceLifetime {
+		if now.Sub(report.at) < silenceReportTTL {
 			sum.SilentTarget = sum.add(report.SilentTarget)
 		}
 	}
@@ -38,15 +38,15 @@
 
 // isSilent reports whether there is evidence enough that a target is silent. What is
 // doubtful counts only after a longer silence.
-func (s *sighting) isSilent(now kernel.Instant) bool {
+func (s *targetStatus) isSilent(now kernel.Instant) bool {
 	sum := s.silence(now)
 	if isEnough(sum.Weight, sum.Nodes) {
 		return true
 	}
-	return now.Sub(s.lastSign()) >= doubtfulSilence && isEnough(sum.all(), sum.Witnesses)
+	return now.Sub(s.lastSeen()) >= doubtfulSilence && isEnough(sum.all(), sum.Reporters)
 }
 
 // noteSilence enters a member's report of silence.
-func (s *sighting) noteSilence(now kernel.Instant, from string, silent SilentTarget) {
+func (s *targetStatus) noteSilence(now kernel.Instant, from string, silent SilentTarget) {
 	s.silences[from] = silence{SilentTarget: silent, at: now}
 }
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -21,19 +21,19 @@
 	}{
 		{"certain", SilentTarget{Weight: 2}, 2, time.Millisecond, true},
 		{"certain, of one node", SilentTarget{Weight: 9}, 1, time.Minute, false},
-		{"doubtful, lately seen", SilentTarget{Doubtful: 9}, 2, doubtfulSilence - time.Millisecond, false},
-		{"doubtful", SilentTarget{Doubtful: 2}, 2, doubtfulSilence, true},
-		{"doubtful, of one node", SilentTarget{Doubtful: 9}, 1, time.Minute, false},
-		{"both", SilentTarget{Weight: 1, Doubtful: 1}, 2, doubtfulSilence, true},
-		{"both, lately seen", SilentTarget{Weight: 1, Doubtful: 1}, 2, time.Millisecond, false},
-		{"too little", SilentTarget{Doubtful: 1}, 3, time.Minute, false},
+		{"doubtful, lately seen", SilentTarget{UnreliableWeight: 9}, 2, doubtfulSilence - time.Millisecond, false},
+		{"doubtful", SilentTarget{UnreliableWeight: 2}, 2, doubtfulSilence, true},
+		{"doubtful, of one node", SilentTarget{UnreliableWeight: 9}, 1, time.Minute, false},
+		{"both", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, doubtfulSilence, true},
+		{"both, lately seen", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, time.Millisecond, false},
+		{"too little", SilentTarget{UnreliableWeight: 1}, 3, time.Minute, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			now := kernel.Instant(time.Hour)
-			seen := &sighting{silences: map[string]silence{}, heardAt: now.Add(-test.quiet)}
+			seen := &targetStatus{silences: map[string]silence{}, lastHeartbeat: now.Add(-test.quiet)}
 			for number := range test.nodes {
-				seen.noteSilence(now, address(number), test.seen.Witnessed())
+				seen.noteSilence(now, address(number), test.seen.FromSingleNode())
 			}
 			assert.Equal(t, test.silent, seen.isSilent(now))
 		})
--- a/internal/registry/speeds.go
+++ b/internal/registry/speeds.go
@@ -176,7 +176,7 @@
 		c.noteSums(now, c.settings.Address, words)
 		return
 	}
-	c.send(c.speeds.leader, speed.Frame(c.settings.Address, words))
+	c.sendToMember(c.speeds.leader, speed.Frame(c.settings.Address, words))
 }
 
 func (c *Core) noteSums(now kernel.Instant, member string, words []speed.Word) {
@@ -216,7 +216,7 @@
 	}
 	frame := speed.ToldFrame(c.speeds.term, list)
 	for _, member := range c.state.Members() {
-		c.send(member.Address, frame)
+		c.sendToMember(member.Address, frame)
 	}
 }
 
@@ -291,10 +291,10 @@
 	switch {
 	case !c.speeds.uneven[service] && ratio >= unevenRatio:
 		c.speeds.uneven[service] = true
-		c.log(eventlog.SpeedsDiffer, "service", service, "slowest", slowest.Time(), "fastest", fastest.Time())
+		c.logEvent(eventlog.SpeedsDiffer, "service", service, "slowest", slowest.Time(), "fastest", fastest.Time())
 	case c.speeds.uneven[service] && ratio < evenRatio:
 		delete(c.speeds.uneven, service)
-		c.log(eventlog.SpeedsAlike, "service", service, "slowest", slowest.Time(), "fastest", fastest.Time())
+		c.logEvent(eventlog.SpeedsAlike, "service", service, "slowest", slowest.Time(), "fastest", fastest.Time())
 	}
 }
 
@@ -361,24 +361,24 @@
 	list := c.speeds.list(c.speeds.changed.pop(toldAtOnce))
 	list = append(list, c.speeds.repeated(&c.speeds.nodeTurn)...)
 	shared := speed.ToldFrame(c.speeds.term, list)
-	for _, connection := range c.orderedNodes() {
+	for _, connection := range c.sortedConnections() {
 		if own := c.firstSteps(c.nodes[connection]); len(own) > 0 {
-			c.sendNode(connection, speed.ToldFrame(c.speeds.term, slices.Concat(list, own)))
+			c.sendToNode(connection, speed.ToldFrame(c.speeds.term, slices.Concat(list, own)))
 		} else if len(list) > 0 {
-			c.sendNode(connection, shared)
+			c.sendToNode(connection, shared)
 		}
 	}
 }
 
 // firstSteps returns the next part of what a node that has come lately was not told yet.
 func (c *Core) firstSteps(node *subscription) []speed.Told {
-	from := min(node.stepsTold, len(c.speeds.order))
+	from := min(node.stepsSent, len(c.speeds.order))
 	to := min(from+toldAtOnce, len(c.speeds.order))
-	if node.hasSteps {
+	if node.hasAllSteps {
 		return nil
 	}
-	node.stepsTold = to
-	node.hasSteps = to == len(c.speeds.order)
+	node.stepsSent = to
+	node.hasAllSteps = to == len(c.speeds.order)
 	return c.speeds.list(c.speeds.order[from:to])
 }
 
