--- a/internal/registry/speeds_test.go
+++ b/internal/registry/speeds_test.go
@@ -120,7 +120,7 @@
 	b := newSpeedBench(t)
 	b.learn(10 * time.Second)
 	old := b.targets[2]
-	command := put(old.ID, old.Address.String(), directory.TargetReady)
+	command := putTarget(old.ID, old.Address.String(), directory.TargetReady)
 	command.Target.Zone = old.Zone
 	command.Target.Born = 1
 	require.NoError(t, b.submit(b.leader, command).Err)
@@ -195,7 +195,7 @@
 	token, m := b.targets[0].Token, b.reporters[0]
 	before := b.leader.core.speeds.members.Total(b.now, token).Count
 	for node := 0; node < nodesOfBench; node += len(b.reporters) {
-		m.core.Close(b.open(m, node))
+		m.core.Unsubscribe(b.open(m, node))
 	}
 	b.run(speed.SweepInterval + 2*speedInterval)
 	most := 1 - 1/float64(len(b.reporters))
@@ -242,12 +242,12 @@
 	c := newCluster(t, 1, 3)
 	core := c.waitForLeader().core
 	known := map[ConnectionID]map[directory.Token]bool{first: {}, late: {}}
-	core.Open(c.now, first, Subscribe{Node: "edge"})
-	core.take()
+	core.Subscribe(c.now, first, Subscribe{Node: "edge"})
+	core.takeOutput()
 	for second := range seconds {
 		if second == seconds/3 {
-			core.Open(c.now, late, Subscribe{Node: "edge2"})
-			core.take()
+			core.Subscribe(c.now, late, Subscribe{Node: "edge2"})
+			core.takeOutput()
 		}
 		bytes := map[ConnectionID]int{}
 		for half := range 2 {
@@ -258,7 +258,7 @@
 			}
 			core.setSteps(c.now, list)
 			core.tellNodesSpeeds()
-			for _, sent := range core.take().Nodes {
+			for _, sent := range core.takeOutput().Nodes {
 				bytes[sent.Connection] += wire.FrameSize(sent.Frame)
 				message, err := speed.Decode(sent.Frame.Payload)
 				require.NoError(t, err)
--- a/internal/registry/start_test.go
+++ b/internal/registry/start_test.go
@@ -14,9 +14,9 @@
 
 const bornFirst, bornLater = 1_790_000_000_000, 1_790_000_005_000
 
-// starting is the word of one start of the target i-1.
-func starting(born uint64, at string, state directory.TargetState) directory.Command {
-	command := put("i-1", at, state)
+// startCommand is the word of one start of the target i-1.
+func startCommand(born uint64, at string, state directory.TargetState) directory.Command {
+	command := putTarget("i-1", at, state)
 	command.Target.Born = born
 	return command
 }
@@ -33,10 +33,10 @@
 				t.Run(fmt.Sprint(stage, " ", place, " ", trouble), func(t *testing.T) {
 					c := newCluster(t, uint64(number), 3)
 					leader := c.waitForLeader()
-					require.NoError(t, c.submit(leader, starting(bornFirst, here, directory.TargetReady)).Err)
+					require.NoError(t, c.submit(leader, startCommand(bornFirst, here, directory.TargetReady)).Err)
 					first, _ := leader.core.State().Target("i-1")
-					require.NoError(t, c.submit(leader, starting(bornFirst, here, stage)).Err)
-					c.beat(leader, starting(bornLater, place, directory.TargetReady))
+					require.NoError(t, c.submit(leader, startCommand(bornFirst, here, stage)).Err)
+					c.heartbeat(leader, startCommand(bornLater, place, directory.TargetReady))
 					switch trouble {
 					case "leader killed":
 						c.kill(leader.address, true)
@@ -48,7 +48,7 @@
 					for _, late := range stages[:2] {
 						for _, name := range c.names() {
 							if m := c.machines[name]; m.up {
-								checkRefused(t, c, m, starting(bornFirst, here, late))
+								checkRefused(t, c, m, startCommand(bornFirst, here, late))
 							}
 						}
 					}
@@ -63,10 +63,10 @@
 func checkRefused(t *testing.T, c *cluster, m *machine, late directory.Command) {
 	t.Helper()
 	token := func() directory.Token { target, _ := m.core.State().Target("i-1"); return target.Token }()
-	seen := m.core.liveness.sighting(token).heardAt
+	seen := m.core.liveness.status(token).lastHeartbeat
 	m.core.Heard(c.now, late.Target.Start())
-	assert.Equal(t, seen, m.core.liveness.sighting(token).heardAt, "no sign of life of the later start")
-	require.False(t, m.core.Holds(late.Target))
+	assert.Equal(t, seen, m.core.liveness.status(token).lastHeartbeat, "no sign of life of the later start")
+	require.False(t, m.core.IsRegistered(late.Target))
 	_, _, err := m.core.Register(c.now, late.Target)
 	var problem *directory.Problem
 	require.ErrorAs(t, err, &problem)
@@ -94,11 +94,11 @@
 func TestALaterStartTakesNoAddressFromALivingTarget(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := c.waitForLeader()
-	require.NoError(t, c.submit(leader, starting(bornFirst, "10.1.1.1:1", directory.TargetReady)).Err)
-	require.NoError(t, c.submit(leader, put("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, startCommand(bornFirst, "10.1.1.1:1", directory.TargetReady)).Err)
+	require.NoError(t, c.submit(leader, putTarget("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
 	c.run(livenessInterval)
-	assert.Equal(t, directory.CodeTaken, c.knock(leader, starting(bornLater, "10.1.1.2:1", directory.TargetReady)).Result.Code)
-	assert.Equal(t, directory.CodeDone, c.knock(leader, starting(bornLater, "10.1.1.1:1", directory.TargetReady)).Result.Code,
+	assert.Equal(t, directory.CodeTaken, c.register(leader, startCommand(bornLater, "10.1.1.2:1", directory.TargetReady)).Result.Code)
+	assert.Equal(t, directory.CodeDone, c.register(leader, startCommand(bornLater, "10.1.1.1:1", directory.TargetReady)).Result.Code,
 		"its own address is free: it has ended itself")
 }
 
@@ -117,11 +117,11 @@
 	} {
 		c := newCluster(t, 1, 3)
 		leader := c.waitForLeader()
-		require.NoError(t, c.submit(leader, starting(bornLater, "10.1.1.1:1", directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, startCommand(bornLater, "10.1.1.1:1", directory.TargetReady)).Err)
 		c.run(test.after)
-		claim := put("i-2", "10.1.1.1:1", directory.TargetReady)
+		claim := putTarget("i-2", "10.1.1.1:1", directory.TargetReady)
 		claim.Target.Born = test.born
-		assert.Equal(t, test.want, c.knock(leader, claim).Result.Code, "born %d, after %v", test.born, test.after)
+		assert.Equal(t, test.want, c.register(leader, claim).Result.Code, "born %d, after %v", test.born, test.after)
 	}
 }
 
@@ -139,16 +139,16 @@
 func TestAWordForAnUnknownServiceRegistersNothing(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := c.waitForLeader()
-	_, _, err := leader.core.Register(c.now, put("i-0", "10.1.1.9:1", directory.TargetReady).Target)
+	_, _, err := leader.core.Register(c.now, putTarget("i-0", "10.1.1.9:1", directory.TargetReady).Target)
 	require.NoError(t, err, "before the first configuration any service is taken")
 	next := directory.Configuration{Version: 1, Services: []directory.Service{{Name: "booking"}}}
 	edit := directory.Difference(leader.core.State().Configuration(), next)
 	require.NoError(t, c.submit(leader, directory.Command{Kind: directory.CommandPublish, Edit: edit}).Err)
-	word := put("i-1", "10.1.1.1:1", directory.TargetReady).Target
+	word := putTarget("i-1", "10.1.1.1:1", directory.TargetReady).Target
 	word.Service = "other"
 	_, _, err = leader.core.Register(c.now, word)
 	require.ErrorContains(t, err, `service: other: is not in the configuration`)
-	known := put("i-0", "10.1.1.9:1", directory.TargetDraining).Target
+	known := putTarget("i-0", "10.1.1.9:1", directory.TargetDraining).Target
 	known.Service = "other"
 	_, _, err = leader.core.Register(c.now, known)
 	assert.NoError(t, err, "its drain is taken")
--- a/internal/registry/startfaults_test.go
+++ b/internal/registry/startfaults_test.go
@@ -17,8 +17,8 @@
 // environment variable of the same meaning.
 const startSeeds = 30
 
-// word is what a target says, and the member that hears it.
-type word struct {
+// submittedCommand is what a target says, and the member that hears it.
+type submittedCommand struct {
 	machine *machine
 	core    *Core
 	ticket  Ticket
@@ -28,21 +28,21 @@
 // startRun lets targets start again and again under their IDs while members fail.
 type startRun struct {
 	*faultRun
-	// living is the newest start of each target, and said are all words of all starts,
+	// newestStarts is the newest start of each target, and said are all words of all starts,
 	// which may come once more.
-	living map[string]directory.Target
-	said   []directory.Command
-	words  []word
+	newestStarts map[string]directory.Target
+	sentCommands []directory.Command
+	pending      []submittedCommand
 	// acknowledged is the newest that each target was told to hold.
 	acknowledged map[string]directory.Target
 	born         uint64
 }
 
-// say hands a word to a member as its process does.
-func (r *startRun) say(m *machine, command directory.Command) {
+// submitAsProcess hands a word to a member as its process does.
+func (r *startRun) submitAsProcess(m *machine, command directory.Command) {
 	if command.Kind == directory.CommandPutTarget {
 		m.core.Heard(r.now, command.Target.Start())
-		if m.core.Holds(command.Target) {
+		if m.core.IsRegistered(command.Target) {
 			return
 		}
 	}
@@ -56,38 +56,38 @@
 	} else {
 		ticket, output = m.core.Submit(r.now, command)
 	}
-	r.words = append(r.words, word{machine: m, core: m.core, ticket: ticket, command: command})
-	r.take(m, output)
+	r.pending = append(r.pending, submittedCommand{machine: m, core: m.core, ticket: ticket, command: command})
+	r.apply(m, output)
 }
 
-// act lets a target start, drain or leave, or an old word come late.
-func (r *startRun) act(m *machine) {
+// step lets a target start, drain or leave, or an old word come late.
+func (r *startRun) step(m *machine) {
 	id := fmt.Sprint("i-", r.random.IntN(4))
-	target, lives := r.living[id]
+	target, lives := r.newestStarts[id]
 	command := directory.Command{Kind: directory.CommandPutTarget}
 	switch choice := r.random.IntN(8); {
-	case choice < 2 && len(r.said) > 0:
-		r.say(m, r.said[r.random.IntN(len(r.said))])
+	case choice < 2 && len(r.sentCommands) > 0:
+		r.submitAsProcess(m, r.sentCommands[r.random.IntN(len(r.sentCommands))])
 		return
 	case choice < 4 || !lives:
 		r.born += uint64(1 + r.random.IntN(3))
-		target = put(id, fmt.Sprintf("10.1.1.%d:1", 1+r.random.IntN(3)), directory.TargetReady).Target
+		target = putTarget(id, fmt.Sprintf("10.1.1.%d:1", 1+r.random.IntN(3)), directory.TargetReady).Target
 		target.Born = r.born
 	case choice == 4:
 		target.State = directory.TargetDraining
 	case choice == 5:
 		command.Kind = directory.CommandEndTarget
 	}
-	r.living[id] = target
+	r.newestStarts[id] = target
 	command.Target = target
-	r.said = append(r.said, command)
-	r.say(m, command)
+	r.sentCommands = append(r.sentCommands, command)
+	r.submitAsProcess(m, command)
 }
 
-// note enters what was acknowledged.
-func (r *startRun) note() {
-	var open []word
-	for _, w := range r.words {
+// collectAcknowledged enters what was acknowledged.
+func (r *startRun) collectAcknowledged() {
+	var open []submittedCommand
+	for _, w := range r.pending {
 		outcome, done := w.machine.outcomes[w.ticket]
 		alive := w.machine.core == w.core && w.machine.up
 		switch {
@@ -100,7 +100,7 @@
 			}
 		}
 	}
-	r.words = open
+	r.pending = open
 }
 
 // check holds a member's state against what was acknowledged.
@@ -121,19 +121,19 @@
 	}
 }
 
-func playStarts(t *testing.T, seed uint64) {
+func runStarts(t *testing.T, seed uint64) {
 	r := &startRun{
-		faultRun: &faultRun{cluster: newCluster(t, seed, 3), nextJoin: 3},
-		living:   map[string]directory.Target{}, acknowledged: map[string]directory.Target{},
+		faultRun:     &faultRun{cluster: newCluster(t, seed, 3), nextJoin: 3},
+		newestStarts: map[string]directory.Target{}, acknowledged: map[string]directory.Target{},
 	}
 	r.waitForLeader()
 	end := r.now.Add(40 * time.Second)
 	nextFault := r.now.Add(time.Second)
 	for r.now < end {
 		r.run(time.Duration(20+r.random.IntN(200)) * time.Millisecond)
-		r.note()
+		r.collectAcknowledged()
 		if m := r.anyUp(); m != nil {
-			r.act(m)
+			r.step(m)
 		}
 		if r.heal != nil && r.now >= r.healAt {
 			r.heal()
@@ -148,7 +148,7 @@
 		r.heal()
 	}
 	r.run(6 * time.Second)
-	r.note()
+	r.collectAcknowledged()
 	context := fmt.Sprintf("seed %d, faults %v", seed, r.faults)
 	leader := r.leader()
 	require.NotNil(t, leader, context)
@@ -173,7 +173,7 @@
 	for seed := range uint64(seeds) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playStarts(t, seed)
+			runStarts(t, seed)
 		})
 	}
 }
--- a/internal/registry/streams.go
+++ b/internal/registry/streams.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		if frame.Kind == wire.FrameRoster {
-			p.announcer.hear(frame)
+			p.announcer.receiveRoster(frame)
 			continue
 		}
 		p.inputs.Push(frameInput{frame: frame})
@@ -72,15 +72,15 @@
 		p.logger.Event(eventlog.BadFrame, "peer", connection.RemoteAddr(), "err", err)
 		return
 	}
-	if table := p.referrals.Load(); table.sendsOn(subscribe) {
+	if table := p.referrals.Load(); table.refers(subscribe) {
 		p.refer(connection, subscribe, table)
 		return
 	}
 	p.mutex.Lock()
-	p.nextConn++
-	id := p.nextConn
+	p.nextConnection++
+	id := p.nextConnection
 	p.mutex.Unlock()
-	queue := ring.New[wire.Frame](nodeCapacity)
+	queue := ring.New[wire.Frame](nodeQueueCapacity)
 	go p.writeNode(connection, queue)
 	p.inputs.Push(nodeOpened{connection: id, subscribe: subscribe, queue: queue})
 	for {
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -32,13 +32,13 @@
 func (c *Core) Restate(connection ConnectionID, stated strength.Strength) Output {
 	node, follows := c.nodes[connection]
 	if !follows || node.strength == stated {
-		return c.take()
+		return c.takeOutput()
 	}
 	c.output.Events = append(c.output.Events, LogEvent{Event: eventlog.StrengthChanged, Sampled: true, Fields: []any{
 		"node", node.name, "before", node.strength, "strength", stated}})
 	node.strength = stated
 	c.strengths.isStale = true
-	return c.take()
+	return c.takeOutput()
 }
 
 // tickStrengths looks at changed strengths now and then, so that a false one shows.
@@ -58,7 +58,7 @@
 	}
 	positions := map[uint32]int{}
 	var nodes []*subscription
-	for _, connection := range c.orderedNodes() {
+	for _, connection := range c.sortedConnections() {
 		node := c.nodes[connection]
 		key := directory.NodeKey(node.name)
 		if position, known := positions[key]; known {
@@ -120,7 +120,7 @@
 }
 
 func (i strengthInput) handle(p *Process, _ kernel.Instant) Output {
-	p.spread.Weigh(uint64(i.connection), i.stated)
+	p.heartbeatSpread.Weigh(uint64(i.connection), i.stated)
 	if p.core == nil {
 		return Output{}
 	}
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -23,7 +23,7 @@
 // A node of before ends its word where the strength begins, and a member of before reads
 // no further.
 func TestASubscriptionOfBeforeStatesNoStrength(t *testing.T) {
-	subscribe := Subscribe{Node: "edge-1", Zone: "north", Beats: "10.0.0.1:1", KeepsVerdicts: true, Strength: strength.Strength{Share: 0.25, Cores: 2}}
+	subscribe := Subscribe{Node: "edge-1", Zone: "north", HeartbeatAddress: "10.0.0.1:1", CachesVerdicts: true, Strength: strength.Strength{Share: 0.25, Cores: 2}}
 	payload := subscribe.Frame().Payload
 	known, err := DecodeSubscribe(payload)
 	require.NoError(t, err)
@@ -41,7 +41,7 @@
 	leader := withNodes(c, 0)
 	for number, share := range shares {
 		subscribe := Subscribe{Node: fmt.Sprint("edge-", number), Strength: strength.Strength{Share: share}}
-		c.take(leader, leader.core.Open(c.now, ConnectionID(number+1), subscribe))
+		c.apply(leader, leader.core.Subscribe(c.now, ConnectionID(number+1), subscribe))
 	}
 	return leader
 }
@@ -77,7 +77,7 @@
 	for number := range before {
 		before[number] = leader.core.stewards(fmt.Sprint("i-", number), 2, 2)
 	}
-	c.take(leader, leader.core.Restate(6, strength.Strength{Share: 0.15}))
+	c.apply(leader, leader.core.Restate(6, strength.Strength{Share: 0.15}))
 	for number := range before {
 		after := leader.core.stewards(fmt.Sprint("i-", number), 2, 2)
 		for _, steward := range before[number] {
@@ -87,8 +87,8 @@
 		}
 	}
 	assert.Equal(t, 1, c.events[eventlog.StrengthChanged])
-	c.take(leader, leader.core.Restate(6, strength.Strength{Share: 0.15}))
-	c.take(leader, leader.core.Restate(99, strength.Strength{Share: 0.15}))
+	c.apply(leader, leader.core.Restate(6, strength.Strength{Share: 0.15}))
+	c.apply(leader, leader.core.Restate(99, strength.Strength{Share: 0.15}))
 	assert.Equal(t, 1, c.events[eventlog.StrengthChanged], "the same word, and one of no node")
 }
 
@@ -100,11 +100,11 @@
 	for _, node := range leader.core.weighNodes() {
 		assert.LessOrEqual(t, node.Weight, 0.8)
 	}
-	c.take(leader, leader.core.Open(c.now, 50, Subscribe{Node: "edge-old"}))
+	c.apply(leader, leader.core.Subscribe(c.now, 50, Subscribe{Node: "edge-old"}))
 	c.run(2 * weighInterval)
 	assert.Equal(t, 1, c.events[eventlog.StrengthBounded], "no second time")
 	assert.Equal(t, 1, leader.core.strengths.unstated)
-	leader.core.Close(6)
+	leader.core.Unsubscribe(6)
 	c.run(2 * weighInterval)
 	assert.Empty(t, leader.core.strengths.bounded)
 }
@@ -122,7 +122,7 @@
 				core.nodes[connection] = &subscription{name: name, strength: stated}
 				core.strengths.isStale = true
 			case 1:
-				core.Close(connection)
+				core.Unsubscribe(connection)
 			case 2:
 				core.Restate(connection, stated)
 			}
@@ -154,21 +154,21 @@
 		fills bool
 	}{{0, false}, {held * 2, false}, {held * 3 / 2, false}, {held + held/10, true}, {held * 3 / 2, true}, {held * 2, false}, {held * 3 / 2, false}, {held, true}, {0, false}} {
 		process.handleBatch([]input{changeInput{next: hosting.Changeable{Strength: strength.Strength{Disk: test.disk}}}})
-		assert.Equal(t, test.fills, process.diskFills, "%d of %d", held, test.disk)
+		assert.Equal(t, test.fills, process.diskNearlyFull, "%d of %d", held, test.disk)
 	}
 	assert.NoError(t, disk.Close())
 }
 
 // A node says that its machine has changed over the connection that it has.
 func TestAChangedStrengthComesOverTheConnection(t *testing.T) {
-	process := NewProcess(Settings{Name: "core-1", Spread: []heartbeat.SpreadOption{heartbeat.WithOwnRate(0)}}, eventlog.Discard())
+	process := NewProcess(Settings{Name: "core-1", HeartbeatOptions: []heartbeat.SpreadOption{heartbeat.WithOwnRate(0)}}, eventlog.Discard())
 	for connection, address := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
-		process.spread.Add(uint64(connection), "north", address)
-		process.spread.Weigh(uint64(connection), strength.Strength{Share: 0.1})
+		process.heartbeatSpread.Add(uint64(connection), "north", address)
+		process.heartbeatSpread.Weigh(uint64(connection), strength.Strength{Share: 0.1})
 	}
 	second := func(call int) (count int) {
 		for number := range 400 {
-			if process.spread.Choose("north", fmt.Sprint("i-", call, number)) == "10.0.0.2:1" {
+			if process.heartbeatSpread.Choose("north", fmt.Sprint("i-", call, number)) == "10.0.0.2:1" {
 				count++
 			}
 		}
--- a/internal/registry/targetorder_test.go
+++ b/internal/registry/targetorder_test.go
@@ -25,7 +25,7 @@
 		target := directory.Target{ID: id, Service: "booking", Zone: zone, Slots: 2, State: directory.TargetReady}
 		target.Address = netip.MustParseAddrPort("10.0.0." + id[2:] + ":1")
 		require.Eventually(t, func() bool {
-			_, err := process.Beat(context.Background(), Heartbeat{Target: target})
+			_, err := process.HandleHeartbeat(context.Background(), Heartbeat{Target: target})
 			return err == nil
 		}, 10*time.Second, 20*time.Millisecond)
 	}
@@ -72,8 +72,8 @@
 	for seed := range uint64(20) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		leader := c.leader()
-		require.NoError(t, c.submit(leader, put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
-		require.NoError(t, c.submit(leader, put("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, putTarget("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
 		require.NoError(t, c.orderTarget(leader, "i-1", directory.RuleEjected).Err)
 		require.NoError(t, c.orderTarget(leader, "i-2", directory.RuleEjected).Err)
 		require.NoError(t, c.orderTarget(leader, "i-2", directory.RuleJudged).Err)
@@ -115,7 +115,7 @@
 	for seed := range uint64(20) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		leader := c.leader()
-		require.NoError(t, c.submit(leader, put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
+		require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 		c.run(200 * time.Millisecond)
 		var behind *machine
 		for _, name := range c.names() {
@@ -126,7 +126,7 @@
 		c.cut = func(from, to string) bool { return to == leader.address && from == behind.address }
 		order := directory.TargetOrder{ID: "i-1", Rule: directory.RuleEjected}
 		ticket, output := behind.core.Submit(c.now, directory.Command{Kind: directory.CommandOrderTarget, TargetOrder: order})
-		c.take(behind, output)
+		c.apply(behind, output)
 		c.run(100 * time.Millisecond)
 		require.NoError(t, c.orderTarget(leader, "i-1", directory.RuleEjected).Err)
 		require.NoError(t, c.orderTarget(leader, "i-1", directory.RuleJudged).Err)
--- a/internal/registry/uploads_test.go
+++ b/internal/registry/uploads_test.go
@@ -100,7 +100,7 @@
 	require.NoError(c, c.submit(b.leader, directory.Command{Kind: directory.CommandPublish, Edit: edit}).Err)
 	for number := range targets {
 		id := fmt.Sprint("i-", number)
-		require.NoError(c, c.submit(b.leader, put(id, fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)).Err)
+		require.NoError(c, c.submit(b.leader, putTarget(id, fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)).Err)
 		target, _ := b.leader.core.State().Target(id)
 		b.targets = append(b.targets, target)
 	}
@@ -121,7 +121,7 @@
 	settings.Random = b.random
 	node := &uploadNode{core: steer.New(settings), connection: ConnectionID(100 + number), drained: b.moment}
 	require.True(b, node.core.Update(b.moment, b.leader.core.State().Since(0)))
-	b.take(b.follower, b.follower.core.Open(b.now, node.connection, Subscribe{Node: settings.Name}))
+	b.apply(b.follower, b.follower.core.Subscribe(b.now, node.connection, Subscribe{Node: settings.Name}))
 	b.nodes = append(b.nodes, node)
 	b.after(time.Duration(b.random.Int64N(int64(livenessInterval))), func() { b.report(node) })
 	for range callers {
@@ -165,8 +165,8 @@
 	evidence := node.core.Report(b.moment, livenessInterval)
 	message := Evidence{Answering: evidence.Answering, Openings: evidence.Openings}
 	for _, silent := range evidence.Silent {
-		seen := SilentTarget{Token: silent.Token, Weight: silent.Weight, Doubtful: silent.Doubtful}
-		message.Silent = append(message.Silent, seen.Witnessed())
+		seen := SilentTarget{Token: silent.Token, Weight: silent.Weight, UnreliableWeight: silent.Doubtful}
+		message.Silent = append(message.Silent, seen.FromSingleNode())
 	}
 	if b.judged {
 		message.Outcomes = evidence.Outcomes
--- a/internal/registry/versions_test.go
+++ b/internal/registry/versions_test.go
@@ -21,7 +21,7 @@
 	b.leader = b.waitForLeader()
 	var newer []directory.Token
 	for number := range targetsOfBench {
-		command := put(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
+		command := putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
 		command.Target.Zone = fmt.Sprint("zone-", number%zonesOfTest)
 		command.Target.Slots = 2
 		command.Target.Version = "v1"
@@ -63,7 +63,7 @@
 	b.ill = nil
 	b.serve(12 * time.Second)
 	assert.Empty(t, b.ejected(b.reporters[0]))
-	assert.Empty(t, b.reporters[0].alive.Verdicts.Probation)
+	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Probation)
 	assert.Equal(t, 1, b.events[eventlog.VersionOnTrial])
 	assert.Equal(t, 1, b.events[eventlog.VersionReadmitted])
 	assert.Zero(t, b.leader.core.outcomes.judge.Held())
@@ -78,14 +78,14 @@
 	b.runUntil(5*time.Second, "another leader", func() bool { return b.leader2() != nil })
 	b.run(b.leader2().core.settings.LostAfter + 200*time.Millisecond)
 	for _, m := range b.reporters {
-		assert.ElementsMatch(t, newer, m.alive.Verdicts.Ejected)
+		assert.ElementsMatch(t, newer, m.keepalive.Verdicts.Ejected)
 	}
 	assert.Equal(t, 2, b.events[eventlog.VersionHeld])
 	b.serve(4 * time.Second)
 	assert.Equal(t, 3, b.events[eventlog.VersionHeld], "it was tried and fails")
 	b.ill = nil
 	b.serve(20 * time.Second)
-	assert.Empty(t, b.reporters[0].alive.Verdicts.Ejected)
+	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Ejected)
 }
 
 func TestAnOrderAboutAVersionOutlivesLeadersAndDisks(t *testing.T) {
@@ -93,7 +93,7 @@
 		c := newTolerantCluster(t, seed, 5, 2)
 		leader := c.leader()
 		for number, version := range []string{"v1", "v2"} {
-			command := put(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
+			command := putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
 			command.Target.Version = version
 			require.NoError(t, c.submit(leader, command).Err)
 		}
@@ -115,7 +115,7 @@
 		target := directory.Target{ID: id, Service: "booking", Zone: "north", Slots: 2, State: directory.TargetReady, Version: version}
 		target.Address = netip.MustParseAddrPort("10.0.0." + id[2:] + ":1")
 		require.Eventually(t, func() bool {
-			_, err := process.Beat(context.Background(), Heartbeat{Target: target})
+			_, err := process.HandleHeartbeat(context.Background(), Heartbeat{Target: target})
 			return err == nil
 		}, 10*time.Second, 20*time.Millisecond)
 	}
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -195,7 +195,7 @@
 		}
 		warmth, err := c.settings.WarmthOf(service)
 		if err != nil {
-			c.log(eventlog.WarmthUnreadable, "service", name, "err", err)
+			c.logEvent(eventlog.WarmthUnreadable, "service", name, "err", err)
 			return Warmth{}
 		}
 		return warmth
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -47,7 +47,7 @@
 	edit := directory.Difference(leader.core.State().Configuration(), next)
 	require.NoError(c, c.submit(leader, directory.Command{Kind: directory.CommandPublish, Edit: edit}).Err)
 	for number := range nodes {
-		c.take(leader, leader.core.Open(c.now, ConnectionID(number+1), Subscribe{Node: string(rune('a' + number))}))
+		c.apply(leader, leader.core.Subscribe(c.now, ConnectionID(number+1), Subscribe{Node: string(rune('a' + number))}))
 	}
 	return leader
 }
@@ -55,7 +55,7 @@
 func TestAColdTargetHasStewardsUntilItIsWarm(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := withNodes(c, 10)
-	command := put("i-1", "10.1.1.1:1", directory.TargetReady)
+	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
 	command.Target.Warmup = &directory.Warmup{Left: time.Second}
 	command.Target.Warmup = leader.core.warmupOf(command.Target)
 	require.Equal(t, uint32(3), command.Target.Warmup.Budget)
@@ -76,7 +76,7 @@
 func TestAMemberCountsColdTimeFromItsStart(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := withNodes(c, 4)
-	command := put("i-1", "10.1.1.1:1", directory.TargetReady)
+	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
 	command.Target.Warmup = &directory.Warmup{Left: 2 * time.Second}
 	require.NoError(t, c.submit(leader, command).Err)
 	c.run(500 * time.Millisecond)
@@ -95,7 +95,7 @@
 func TestAZoneThatIsTakenBackTellsTheWarmUpOfItsServices(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := withNodes(c, 10)
-	command := put("i-1", "10.1.1.1:1", directory.TargetReady)
+	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
 	command.Target.Zone = "north"
 	require.NoError(t, c.submit(leader, command).Err)
 	require.NoError(t, c.evacuate(leader, "north", true).Err)
@@ -151,17 +151,17 @@
 	c.start(name)
 	m := c.machines[name]
 	require.False(t, m.core.IsCurrent(c.now))
-	cold := put("i-1", "10.1.1.1:1", directory.TargetReady).Target
+	cold := putTarget("i-1", "10.1.1.1:1", directory.TargetReady).Target
 	cold.Warmup = &directory.Warmup{Left: 2 * time.Second}
 	_, _, err := m.core.Register(c.now, cold)
-	assert.ErrorIs(t, err, errBehind)
-	warm := put("i-2", "10.1.1.2:1", directory.TargetReady).Target
+	assert.ErrorIs(t, err, errNotCurrent)
+	warm := putTarget("i-2", "10.1.1.2:1", directory.TargetReady).Target
 	ticket, output, err := m.core.Register(c.now, warm)
 	require.NoError(t, err, "a warm one waits for the group")
-	c.take(m, output)
+	c.apply(m, output)
 	c.runUntil(5*time.Second, "an outcome", func() bool { _, done := m.outcomes[ticket]; return done })
 	c.runUntil(5*time.Second, "it is current", func() bool { return m.core.IsCurrent(c.now) })
 	_, output, err = m.core.Register(c.now, cold)
 	require.NoError(t, err)
-	c.take(m, output)
+	c.apply(m, output)
 }
--- a/internal/registry/zones.go
+++ b/internal/registry/zones.go
@@ -84,7 +84,7 @@
 		return
 	}
 	c.groupSize.exposed = !c.groupSize.exposed
-	c.log(eventlog.ZoneToleranceChanged, "bears_lost_zones", !c.groupSize.exposed, "lost_zones", c.settings.LostZones,
+	c.logEvent(eventlog.ZoneToleranceChanged, "bears_lost_zones", !c.groupSize.exposed, "lost_zones", c.settings.LostZones,
 		"voters_by_zone", zoneText(c.votersByZone(c.replica.Node.Membership())))
 }
 
--- a/internal/registry/zones_test.go
+++ b/internal/registry/zones_test.go
@@ -20,7 +20,7 @@
 // two disks or of one zone.
 func newZonedCluster(t *testing.T, seed uint64, members int) *cluster {
 	c := newCluster(t, seed, 0)
-	c.wanted = 5
+	c.voterCount = 5
 	c.lostZones = 1
 	zones := map[string]string{}
 	c.zoneOf = func(name string) string { return zones[name] }
@@ -51,7 +51,7 @@
 func (c *cluster) waitForSpread() {
 	c.runUntil(15*time.Second, "the voters are spread", func() bool {
 		leader := c.leader()
-		return leader != nil && len(c.voters()) == c.wanted && leader.core.BearsLostZones()
+		return leader != nil && len(c.voters()) == c.voterCount && leader.core.BearsLostZones()
 	})
 }
 
@@ -128,7 +128,7 @@
 // Moving a voter never leaves the group with fewer than it needs.
 func TestAVoterIsMovedWhileTheGroupIsWhole(t *testing.T) {
 	c := newZonedCluster(t, 1, 9)
-	least := c.wanted
+	least := c.voterCount
 	c.kill(c.inZone("zone-0")[0], true)
 	c.kill(c.inZone("zone-0")[1], true)
 	c.kill(c.inZone("zone-0")[2], true)
