--- a/internal/edge/announcements.go
+++ b/internal/edge/announcements.go
@@ -105,7 +105,7 @@
 	if announcement == nil {
 		return nil
 	}
-	order := s.follower.List.Announced(announcement.From, announcement.Members)
+	order := s.follower.List.ApplyAnnouncement(announcement.From, announcement.Members)
 	if order != nil {
 		s.inform(announcement.Members)
 		s.process.logger.Sampled(eventlog.MemberAnnounced, "address", announcement.From, "members", len(announcement.Members))
--- a/internal/edge/bounds.go
+++ b/internal/edge/bounds.go
@@ -41,7 +41,7 @@
 // served: a packet finds its target by its token, and only the count of open flows and
 // what copies of opening packets rest on is missing.
 func (p *Process) noteUnkept() {
-	unkept := p.core.TakeUnkept()
+	unkept := p.core.TakeUntracked()
 	if unkept == 0 {
 		return
 	}
--- a/internal/edge/frames.go
+++ b/internal/edge/frames.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	s.inform(referral.Members)
-	return s.follower.Refer(referral.Members)
+	return s.follower.ApplyReferral(referral.Members)
 }
 
 // receiveRemembered takes what is on a member's disk before the member knows more.
@@ -79,8 +79,8 @@
 	if err != nil {
 		return err
 	}
-	presence := steer.Presence{Current: alive.Current, Empty: alive.Empty, Leaderless: alive.Leaderless}
-	if err := s.follower.Hear(s.process.now(), presence, s.revision == 0); err != nil {
+	presence := steer.MemberStatus{Current: alive.Current, Empty: alive.Empty, Leaderless: alive.Leaderless}
+	if err := s.follower.HandleStatus(s.process.now(), presence, s.revision == 0); err != nil {
 		return err
 	}
 	if !alive.Current {
--- a/internal/edge/linknotes.go
+++ b/internal/edge/linknotes.go
@@ -54,7 +54,7 @@
 	now := s.process.now()
 	s.process.metrics.writeErrors.Inc()
 	s.process.logger.Sampled(eventlog.SocketFailed, "step", "edge.write", "peer", address, "err", err)
-	s.process.core.NoteDropped(now, flow)
+	s.process.core.RecordDrop(now, flow)
 	if errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.EAGAIN) {
 		s.learner.NoteWriteError(now)
 	}
@@ -64,7 +64,7 @@
 func (s *sender) noteDuplicate(now kernel.Instant, item *egress.Item) {
 	s.process.metrics.duplicates.Inc()
 	if item.Kind == egress.KindData {
-		s.process.core.NoteHeld(now, item.Flow)
+		s.process.core.RecordHeld(now, item.Flow)
 	}
 }
 
@@ -89,7 +89,7 @@
 func (s *sender) noteDropped(now kernel.Instant, item *egress.Item, reason egress.DropReason) {
 	s.process.metrics.linkDropped[reason].Inc()
 	s.process.metrics.linkDroppedBytes[reason].Add(float64(item.Size))
-	s.process.core.NoteDropped(now, item.Flow)
+	s.process.core.RecordDrop(now, item.Flow)
 }
 
 // noteCongestion writes an event when the link becomes congested or is relieved.
--- a/internal/edge/packets.go
+++ b/internal/edge/packets.go
@@ -141,7 +141,7 @@
 // notePlaced notes that a new flow was placed by state of an age.
 func (p *Process) notePlaced(age time.Duration) {
 	p.metrics.stateAge.Observe(age.Seconds())
-	if p.core.PlacesByMemory() {
+	if p.core.UsesRemembered() {
 		p.metrics.placedByMemory.Inc()
 	}
 	if !p.placed {
@@ -171,6 +171,6 @@
 	p.logger.Sampled(event, "caller", packet.Flow.Caller, "virtual", packet.Flow.Virtual,
 		"reason", decision.Reason, "route", decision.Route, "copy", packet.Copy, "token", packet.Token,
 		"target", decision.Target.ID, "target_token", decision.Target.Token,
-		"candidates", decision.Candidates, "waiting", decision.Waiting, "time", decision.Time, "doubtful", decision.Doubtful, "ejected", decision.Ejected,
+		"candidates", decision.Candidates, "waiting", decision.Waiting, "time", decision.RelativeTime, "doubtful", decision.Doubtful, "ejected", decision.Ejected,
 		"version", p.core.Version(), "revision", p.core.Revision(), "state_age", age)
 }
--- a/internal/edge/prober.go
+++ b/internal/edge/prober.go
@@ -65,7 +65,7 @@
 func (r *prober) ask(targets []directory.Target) {
 	for _, target := range targets {
 		if !r.asked.TryPush(target) {
-			_ = r.process.core.NoteProbe(r.process.now(), target.Token, steer.ProbeUnknown)
+			_ = r.process.core.HandleProbeOutcome(r.process.now(), target.Token, steer.ProbeUnknown)
 		}
 	}
 }
@@ -115,5 +115,5 @@
 }
 
 func (i probeInput) handle(p *Process, now kernel.Instant) {
-	p.resetFlows(now, p.core.NoteProbe(now, i.target.Token, i.outcome), steer.ReasonUnreachable)
+	p.resetFlows(now, p.core.HandleProbeOutcome(now, i.target.Token, i.outcome), steer.ReasonUnreachable)
 }
--- a/internal/edge/sender.go
+++ b/internal/edge/sender.go
@@ -166,7 +166,7 @@
 	s.scheduler.Tick(now)
 	delay := max(s.scheduler.Delay(now), s.longest)
 	s.longest = 0
-	s.process.core.NoteLinkDelay(now, delay)
+	s.process.core.RecordLinkDelay(now, delay)
 	s.process.metrics.linkQueue.Set(float64(s.scheduler.Len()))
 	s.process.metrics.linkQueueBytes.Set(float64(s.scheduler.Bytes()))
 	s.noteCongestion(now, delay)
--- a/internal/edge/subscriber.go
+++ b/internal/edge/subscriber.go
@@ -116,7 +116,7 @@
 		reason := s.follow(ctx, connection, member)
 		select {
 		case <-ctx.Done():
-		case <-time.After(s.follower.Pause(reason)):
+		case <-time.After(s.follower.RetryDelay(reason)):
 		}
 	}
 }
@@ -137,13 +137,13 @@
 		member := order[0]
 		order = order[1:]
 		tried[member.Address] = member
-		s.follower.List.NoteFault(member.Address, s.process.now())
+		s.follower.List.RecordFailure(member.Address, s.process.now())
 		return member.Address, true
 	}, peerlink.WithHints(s.hints))
 	if err != nil {
 		return nil, directory.Member{}
 	}
-	s.follower.List.NoteFault(address, s.process.now())
+	s.follower.List.RecordFailure(address, s.process.now())
 	return connection, tried[address]
 }
 
@@ -175,7 +175,7 @@
 		Revision:  s.revision,
 		Waited:    time.Since(s.process.started),
 		Beats:     s.process.settings.Beats,
-		Referable: s.follower.IsReferable(),
+		Referable: s.follower.NeedsReferral(),
 
 		Announcements: s.process.settings.Announcements,
 		KeepsVerdicts: true,
@@ -185,17 +185,17 @@
 
 func (s *subscriber) read(connection net.Conn, member directory.Member) error {
 	const step = "edge.follow"
-	s.follower.Begin(s.process.now(), member)
+	s.follower.Follow(s.process.now(), member)
 	reader := bufio.NewReader(peerlink.NewReader(connection, s.silenceLimit))
 	for {
 		frame, err := wire.ReadFrame(reader)
 		if err == nil {
 			err = s.receive(frame)
 		} else {
-			err = s.follower.Silent(err)
+			err = s.follower.HandleReadError(err)
 		}
 		if err == nil {
-			err = s.follower.Check(s.process.now())
+			err = s.follower.CheckZone(s.process.now())
 		}
 		if err != nil {
 			return steperror.Wrap(step, member.Address, err)
@@ -205,7 +205,7 @@
 
 // silenceLimit returns how long the node waits for the member's next byte.
 func (s *subscriber) silenceLimit() time.Duration {
-	return s.follower.SilenceLimit(SilenceLimit, s.revision == 0)
+	return s.follower.ReadTimeout(SilenceLimit, s.revision == 0)
 }
 
 // followed returns the address of the member that is followed, or "".
--- a/internal/edge/updates.go
+++ b/internal/edge/updates.go
@@ -29,15 +29,15 @@
 	before := p.core.Version()
 	revision := p.core.Revision()
 	evacuated := p.core.EvacuatedZones()
-	byMemory := p.core.PlacesByMemory()
+	byMemory := p.core.UsesRemembered()
 	started := time.Now()
 	fits := p.core.Update(now, i.update)
 	p.metrics.applying.Observe(time.Since(started).Seconds())
 	if fits && p.core.Revision() > revision {
 		p.beats.Follow(i.update.Targets)
 	}
-	p.resetFlows(now, p.core.EndUnanswered(), steer.ReasonEnded)
-	if byMemory && !p.core.PlacesByMemory() {
+	p.resetFlows(now, p.core.ResetUnanswered(), steer.ReasonEnded)
+	if byMemory && !p.core.UsesRemembered() {
 		p.logger.Event(eventlog.RememberedOver, "reason", reasonCurrent, "version", p.core.Version())
 	}
 	p.noteReadiness()
@@ -80,11 +80,11 @@
 type rememberedInput struct{ remembered directory.Remembered }
 
 func (i rememberedInput) handle(p *Process, now kernel.Instant) {
-	before := p.core.PlacesByMemory()
-	known := p.core.Remember(now, i.remembered, p.startedAt().Add(registry.RememberedFor))
+	before := p.core.UsesRemembered()
+	known := p.core.ApplyRemembered(now, i.remembered, p.startedAt().Add(registry.RememberedFor))
 	p.metrics.remembered.Add(float64(known))
 	p.logger.Event(eventlog.TargetsRemembered, "targets", len(i.remembered.Targets), "taken", known, "waiting", len(p.waiting.packets))
-	if p.core.PlacesByMemory() && !before {
+	if p.core.UsesRemembered() && !before {
 		p.logger.Event(eventlog.RememberedInUse, "version", p.core.Version(), "after", time.Since(p.started))
 	}
 	p.noteReadiness()
@@ -93,7 +93,7 @@
 
 // endMemory ends the use of what a member's disk remembers when its time is up.
 func (p *Process) endMemory(now kernel.Instant) {
-	if p.core.EndMemory(now) {
+	if p.core.ExpireRemembered(now) {
 		p.logger.Event(eventlog.RememberedOver, "reason", reasonTime, "version", p.core.Version())
 		p.noteReadiness()
 	}
@@ -109,7 +109,7 @@
 type verdictsInput struct{ verdicts directory.Verdicts }
 
 func (i verdictsInput) handle(p *Process, now kernel.Instant) {
-	p.resetFlows(now, p.core.Judge(i.verdicts), steer.ReasonLost)
+	p.resetFlows(now, p.core.ApplyVerdicts(i.verdicts), steer.ReasonLost)
 }
 
 // resetFlows tells the callers of flows that are over, each by a packet of its flow.
--- a/internal/heartbeat/spread.go
+++ b/internal/heartbeat/spread.go
@@ -88,7 +88,7 @@
 	if left == 0 {
 		return p.pick(id)
 	}
-	return p.addresses[rendezvous.First(p.draws, rendezvous.Hash(id), left+1)[left]]
+	return p.addresses[rendezvous.BestN(p.draws, rendezvous.Hash(id), left+1)[left]]
 }
 
 // SpreadOption changes a new spread.
--- a/internal/lab/fleetsim/edge.go
+++ b/internal/lab/fleetsim/edge.go
@@ -107,7 +107,7 @@
 	w := e.world
 	evidence := e.core.Report(w.now, reportInterval)
 	e.core.Tick(w.now)
-	if e.core.EndMemory(w.now) {
+	if e.core.ExpireRemembered(w.now) {
 		e.noteState()
 	}
 	if w.settings.Switches.HastyLoss {
@@ -120,7 +120,7 @@
 	e.send(evidence)
 	e.restate()
 	silent := w.now.Sub(e.heardAt) > product.SilenceLimit
-	if silent || !e.member.up || e.follower.Check(w.now) != nil {
+	if silent || !e.member.up || e.follower.CheckZone(w.now) != nil {
 		e.leave()
 	}
 }
@@ -131,7 +131,7 @@
 	for _, silent := range evidence.Silent {
 		lost = append(lost, silent.Token)
 	}
-	for _, packet := range e.core.Judge(directory.Verdicts{Lost: lost}) {
+	for _, packet := range e.core.ApplyVerdicts(directory.Verdicts{Lost: lost}) {
 		e.reset(packet)
 	}
 }
@@ -170,8 +170,8 @@
 	w := e.world
 	list := e.follower.List
 	if w.settings.Switches.ForgetFaults {
-		list.ClearFaults()
-		list.NoteFault(e.left, w.now)
+		list.ClearFailures()
+		list.RecordFailure(e.left, w.now)
 	}
 	if members := e.core.Members(); members != nil {
 		list.Members = members
@@ -179,26 +179,26 @@
 	list.Seeds = e.seeds
 	next := list.Order()[0]
 	address := next.Address
-	list.NoteFault(address, w.now)
+	list.RecordFailure(address, w.now)
 	e.left = address
 	m := w.memberAt(address)
 	if m == nil || !m.up || w.cuts[m.name] || w.cuts[e.name] {
 		return
 	}
 	subscribe := registry.Subscribe{
-		Node: e.name, Zone: e.zone, Revision: e.core.Revision(), Waited: w.now.Sub(e.startedAt), Referable: e.follower.IsReferable(),
+		Node: e.name, Zone: e.zone, Revision: e.core.Revision(), Waited: w.now.Sub(e.startedAt), Referable: e.follower.NeedsReferral(),
 		KeepsVerdicts: true, Strength: e.strength(),
 	}
 	e.told = subscribe.Strength
 	if referral, refers := m.core.Refer(subscribe); refers {
-		_ = e.follower.Refer(referral.Members)
+		_ = e.follower.ApplyReferral(referral.Members)
 		return
 	}
 	m.nextConn++
 	e.member = m
 	e.connection = m.nextConn
 	e.heardAt = w.now
-	e.follower.Begin(w.now, next)
+	e.follower.Follow(w.now, next)
 	m.nodes[e.connection] = e
 	m.take(m.core.Open(w.now, e.connection, subscribe))
 }
@@ -273,15 +273,15 @@
 		if err != nil {
 			panic(err)
 		}
-		presence := steer.Presence{Current: alive.Current, Empty: alive.Empty, Leaderless: alive.Leaderless}
-		if e.follower.Hear(w.now, presence, e.core.Revision() == 0) != nil {
+		presence := steer.MemberStatus{Current: alive.Current, Empty: alive.Empty, Leaderless: alive.Leaderless}
+		if e.follower.HandleStatus(w.now, presence, e.core.Revision() == 0) != nil {
 			e.leave()
 			return
 		}
 		if !alive.Current || alive.Unchanged {
 			return
 		}
-		for _, packet := range e.core.Judge(alive.Verdicts) {
+		for _, packet := range e.core.ApplyVerdicts(alive.Verdicts) {
 			e.reset(packet)
 		}
 	}
@@ -293,7 +293,7 @@
 	if err != nil {
 		panic(err)
 	}
-	e.core.Remember(e.world.now, remembered, e.startedAt.Add(registry.RememberedFor))
+	e.core.ApplyRemembered(e.world.now, remembered, e.startedAt.Add(registry.RememberedFor))
 	e.noteState()
 }
 
@@ -342,7 +342,7 @@
 		return
 	}
 	w := e.world
-	if e.core.PlacesByMemory() && !e.core.CanDecide(p) {
+	if e.core.UsesRemembered() && !e.core.CanDecide(p) {
 		// It waits for the current state; the caller's copies stand for that here.
 		return
 	}
--- a/internal/registry/announcer.go
+++ b/internal/registry/announcer.go
@@ -249,7 +249,7 @@
 		draws[position] = rendezvous.Node{Seed: rendezvous.Hash(address), Weight: 1}
 	}
 	var nodes []string
-	for _, position := range rendezvous.First(draws, rendezvous.Hash(self), announceLimit) {
+	for _, position := range rendezvous.BestN(draws, rendezvous.Hash(self), announceLimit) {
 		nodes = append(nodes, a.known[position])
 	}
 	return nodes
--- a/internal/registry/ejectedlost_test.go
+++ b/internal/registry/ejectedlost_test.go
@@ -93,7 +93,7 @@
 		b.pass(500 * time.Millisecond)
 		require.Contains(t, b.leader.core.liveness.verdicts.Ejected, target.Token)
 		for _, node := range b.nodes {
-			node.core.Judge(b.leader.core.liveness.verdicts.Verdicts)
+			node.core.ApplyVerdicts(b.leader.core.liveness.verdicts.Verdicts)
 		}
 		b.pass(500 * time.Millisecond)
 	}
--- a/internal/registry/memory_test.go
+++ b/internal/registry/memory_test.go
@@ -110,8 +110,8 @@
 		for _, target := range remembered.Targets {
 			require.Equal(r, r.serviceOf[target.ID], target.Service)
 		}
-		node.core.Remember(r.now, remembered, node.startedAt.Add(RememberedFor))
-		if node.core.PlacesByMemory() {
+		node.core.ApplyRemembered(r.now, remembered, node.startedAt.Add(RememberedFor))
+		if node.core.UsesRemembered() {
 			r.byMemory++
 		}
 	case wire.FrameUpdate:
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -223,7 +223,7 @@
 	}
 	nodes := c.weighNodes()
 	var stewards []uint32
-	for _, position := range rendezvous.First(nodes, rendezvous.Hash(key), min(limit, int(budget))) {
+	for _, position := range rendezvous.BestN(nodes, rendezvous.Hash(key), min(limit, int(budget))) {
 		stewards = append(stewards, uint32(nodes[position].Seed))
 	}
 	return stewards
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -51,9 +51,9 @@
 	return best[0].position
 }
 
-// First returns the positions of the nodes with the least costs for a key, so many at
+// BestN returns the positions of the nodes with the least costs for a key, so many at
 // most, the least first.
-func First(nodes []Node, key uint64, limit int) []int {
+func BestN(nodes []Node, key uint64, limit int) []int {
 	var positions []int
 	for _, chosen := range first(nodes, key, make([]candidate, 0, max(0, min(limit, len(nodes))))) {
 		positions = append(positions, chosen.position)
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -57,7 +57,7 @@
 		costOf := func(position int) float64 { return cost(point(nodes[position].Seed, key), nodes[position].Weight) }
 		slices.SortFunc(order, func(a, b int) int { return cmp.Compare(costOf(a), costOf(b)) })
 		assert.Equal(t, order[0], Best(nodes, key))
-		first := First(nodes, key, limit)
+		first := BestN(nodes, key, limit)
 		assert.Len(t, first, min(limit, len(nodes)))
 		assert.True(t, slices.Equal(order[:len(first)], first))
 	})
@@ -79,7 +79,7 @@
 
 func TestWithoutNodesNobodyHasAKey(t *testing.T) {
 	assert.Equal(t, -1, Best(nil, 1))
-	assert.Empty(t, First(nil, 1, 3))
+	assert.Empty(t, BestN(nil, 1, 3))
 	assert.Equal(t, 0, Best([]Node{{Seed: 1}}, 1), "a single one without a weight")
 }
 
@@ -98,7 +98,7 @@
 	b.Run("first 4", func(b *testing.B) {
 		for b.Loop() {
 			key++
-			First(nodes, key, 4)
+			BestN(nodes, key, 4)
 		}
 	})
 }
--- a/internal/steer/announced.go
+++ b/internal/steer/announced.go
@@ -6,10 +6,10 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// Announced takes the members that one of them names, which is up and current. It
+// ApplyAnnouncement takes the members that one of them names, which is up and current. It
 // returns the members to try, that one first, or nil when the node knows members
 // already: then it needs no hint.
-func (l *MemberList) Announced(from string, members []directory.Member) []directory.Member {
+func (l *MemberList) ApplyAnnouncement(from string, members []directory.Member) []directory.Member {
 	if len(l.Members) > 0 || len(members) == 0 {
 		return nil
 	}
--- a/internal/steer/announced_test.go
+++ b/internal/steer/announced_test.go
@@ -32,7 +32,7 @@
 			list := NewMemberList("north")
 			list.Seeds = []string{"10.0.0.9:1"}
 			list.Members = test.known
-			order := list.Announced(test.from, test.members)
+			order := list.ApplyAnnouncement(test.from, test.members)
 			assert.Len(t, order, test.length)
 			if test.length > 0 {
 				assert.Equal(t, test.first, order[0].Address)
--- a/internal/steer/choice.go
+++ b/internal/steer/choice.go
@@ -12,21 +12,21 @@
 	// answer.
 	Waiting int
 	Slots   int
-	// Near is set when the target stands in the node's own zone.
-	Near bool
-	// Time is the time that the target takes for a request, as a multiple of what is
+	// Local is set when the target stands in the node's own zone.
+	Local bool
+	// RelativeTime is the time that the target takes for a request, as a multiple of what is
 	// usual for its service.
-	Time float64
+	RelativeTime float64
 }
 
 // Choice is what a target is chosen from.
 type Choice struct {
 	// Candidates holds at least one.
 	Candidates []Candidate
-	// Near and Far are the slots of the candidates in the own zone and in the others, and
-	// of those that are passed over since they fail or do not answer. Far also holds those
+	// LocalSlots and RemoteSlots are the slots of the candidates in the own zone and in the others, and
+	// of those that are passed over since they fail or do not answer. RemoteSlots also holds those
 	// that are spared.
-	Near, Far int
+	LocalSlots, RemoteSlots int
 }
 
 // Chooser picks the target of a new flow.
@@ -101,7 +101,7 @@
 
 func costOf(candidate Candidate) float64 {
 	cost := float64(candidate.Waiting) / float64(max(candidate.Slots, 1))
-	if !candidate.Near {
+	if !candidate.Local {
 		cost += farCost
 	}
 	return cost
--- a/internal/steer/choiceothers_test.go
+++ b/internal/steer/choiceothers_test.go
@@ -11,7 +11,7 @@
 // delay returns the expected time of a new flow's request: the wait and its own service.
 func (c Candidate) delay() float64 {
 	delay := float64(c.Waiting+1) / c.rate()
-	if !c.Near {
+	if !c.Local {
 		delay += farCost
 	}
 	return delay
--- a/internal/steer/choicespeed.go
+++ b/internal/steer/choicespeed.go
@@ -7,7 +7,7 @@
 )
 
 // rate returns the requests that a target serves in the usual time of one.
-func (c Candidate) rate() float64 { return float64(max(c.Slots, 1)) / c.Time }
+func (c Candidate) rate() float64 { return float64(max(c.Slots, 1)) / c.RelativeTime }
 
 // wait returns the time that a new flow waits behind this node's own ones, in usual
 // times of a request.
@@ -23,18 +23,18 @@
 // flows alone.
 // Times hold the wait at a target too: that tells how the other nodes load the zone.
 func (c Choice) spill() float64 {
-	if c.Near == 0 || c.Far == 0 {
+	if c.LocalSlots == 0 || c.RemoteSlots == 0 {
 		return 0
 	}
 	near, far := 0.0, 0.0
 	for _, candidate := range c.Candidates {
-		if candidate.Near {
+		if candidate.Local {
 			near += candidate.rate()
 		} else {
 			far += candidate.rate()
 		}
 	}
-	slower := far / float64(c.Far) * float64(c.Near)
+	slower := far / float64(c.RemoteSlots) * float64(c.LocalSlots)
 	if slower <= spillStart*near {
 		return 0
 	}
@@ -62,7 +62,7 @@
 	lowest, rates := 0.0, 0.0
 	for position, candidate := range choice.Candidates {
 		cost := candidate.wait()
-		if candidate.Near != wantsNear {
+		if candidate.Local != wantsNear {
 			cost += farCost
 		}
 		rate := candidate.rate()
--- a/internal/steer/choicespeed_test.go
+++ b/internal/steer/choicespeed_test.go
@@ -89,9 +89,9 @@
 		}
 		node := random.IntN(nodes)
 		for number, count := range waiting[node] {
-			candidates[number] = Candidate{Waiting: count, Slots: simulatedSlots, Near: true, Time: times[number]}
+			candidates[number] = Candidate{Waiting: count, Slots: simulatedSlots, Local: true, RelativeTime: times[number]}
 		}
-		chosen := chooser.Choose(Choice{Candidates: candidates, Near: simulatedSlots * len(candidates)}, random)
+		chosen := chooser.Choose(Choice{Candidates: candidates, LocalSlots: simulatedSlots * len(candidates)}, random)
 		target := &targets[chosen]
 		if target.held == simulatedSlots+simulatedQueue {
 			result.shed++
@@ -216,19 +216,19 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			choice := Choice{Near: test.nearSlots, Far: 12}
+			choice := Choice{LocalSlots: test.nearSlots, RemoteSlots: 12}
 			for range test.nearUsable {
-				choice.Candidates = append(choice.Candidates, Candidate{Slots: 1, Near: true, Time: test.nearTime})
+				choice.Candidates = append(choice.Candidates, Candidate{Slots: 1, Local: true, RelativeTime: test.nearTime})
 			}
 			for range 12 {
-				choice.Candidates = append(choice.Candidates, Candidate{Slots: 1, Time: 1})
+				choice.Candidates = append(choice.Candidates, Candidate{Slots: 1, RelativeTime: 1})
 			}
 			assert.InDelta(t, test.want, choice.spill(), 1e-9)
 			const draws = 4000
 			random := rand.New(rand.NewPCG(1, 2))
 			left := 0
 			for range draws {
-				if !choice.Candidates[(&rateChoice{}).Choose(choice, random)].Near {
+				if !choice.Candidates[(&rateChoice{}).Choose(choice, random)].Local {
 					left++
 				}
 			}
@@ -242,16 +242,16 @@
 		var choice Choice
 		for range rapid.IntRange(1, 6).Draw(t, "candidates") {
 			candidate := Candidate{
-				Waiting: rapid.IntRange(0, 3).Draw(t, "waiting"),
-				Slots:   rapid.IntRange(1, 3).Draw(t, "slots"),
-				Near:    rapid.Bool().Draw(t, "near"),
-				Time:    1,
+				Waiting:      rapid.IntRange(0, 3).Draw(t, "waiting"),
+				Slots:        rapid.IntRange(1, 3).Draw(t, "slots"),
+				Local:        rapid.Bool().Draw(t, "near"),
+				RelativeTime: 1,
 			}
 			choice.Candidates = append(choice.Candidates, candidate)
-			if candidate.Near {
-				choice.Near += candidate.Slots
+			if candidate.Local {
+				choice.LocalSlots += candidate.Slots
 			} else {
-				choice.Far += candidate.Slots
+				choice.RemoteSlots += candidate.Slots
 			}
 		}
 		seed := rapid.Uint64().Draw(t, "seed")
--- a/internal/steer/core.go
+++ b/internal/steer/core.go
@@ -17,12 +17,12 @@
 	Zone    string
 	Chooser Chooser
 	Random  *rand.Rand
-	// DoubtFor is how long a target that left an opening packet unanswered is
+	// SuspectFor is how long a target that left an opening packet unanswered is
 	// passed over.
-	DoubtFor time.Duration
-	// AnswerTime is how long a target has to answer an opening packet before a
+	SuspectFor time.Duration
+	// AnswerTimeout is how long a target has to answer an opening packet before a
 	// copy of it shows that it does not.
-	AnswerTime time.Duration
+	AnswerTimeout time.Duration
 	// OpeningLifetime is how long an opening packet is remembered for its copies.
 	OpeningLifetime time.Duration
 	// FlowLifetime is how long an idle flow counts as open.
@@ -38,8 +38,8 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Chooser:         &rateChoice{},
-		DoubtFor:        3 * time.Second,
-		AnswerTime:      100 * time.Millisecond,
+		SuspectFor:      3 * time.Second,
+		AnswerTimeout:   100 * time.Millisecond,
 		OpeningLifetime: 3 * time.Second,
 		FlowLifetime:    20 * time.Second,
 		FlowLimit:       200_000,
@@ -244,9 +244,9 @@
 // counted stay until they end.
 func (c *Core) SetFlowLimit(limit int) { c.settings.FlowLimit = limit }
 
-// TakeUnkept returns how often a flow found no room among those that are counted since
+// TakeUntracked returns how often a flow found no room among those that are counted since
 // the last call.
-func (c *Core) TakeUnkept() int {
+func (c *Core) TakeUntracked() int {
 	unkept := c.unkept
 	c.unkept = 0
 	return unkept
--- a/internal/steer/core_test.go
+++ b/internal/steer/core_test.go
@@ -190,9 +190,9 @@
 	b := booking(t)
 	first := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	second := b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
-	b.core.Judge(directory.Verdicts{Suspects: []directory.Token{first.Token}})
+	b.core.ApplyVerdicts(directory.Verdicts{Suspects: []directory.Token{first.Token}})
 	assert.Equal(t, "i-2", b.core.Decide(start, opening(1, 0)).Target.ID)
-	b.core.Judge(directory.Verdicts{Suspects: []directory.Token{first.Token, second.Token}})
+	b.core.ApplyVerdicts(directory.Verdicts{Suspects: []directory.Token{first.Token, second.Token}})
 	assert.Equal(t, ActionForward, b.core.Decide(start, opening(2, 0)).Action)
 }
 
@@ -363,14 +363,14 @@
 	b.core.Decide(start, following(1, target.Token, 77))
 	b.core.Decide(start, opening(2, 0))
 	lost := []directory.Token{target.Token}
-	packets := b.core.Judge(directory.Verdicts{Lost: lost})
+	packets := b.core.ApplyVerdicts(directory.Verdicts{Lost: lost})
 	require.Len(t, packets, 1, "a flow that is not open has nothing to reset")
 	assert.Equal(t, uint32(77), packets[0].Acknowledged)
-	assert.Empty(t, b.core.Judge(directory.Verdicts{Lost: lost}))
+	assert.Empty(t, b.core.ApplyVerdicts(directory.Verdicts{Lost: lost}))
 	decision := b.core.Decide(start, following(5, target.Token, 3))
 	assert.Equal(t, ActionReset, decision.Action)
 	assert.Equal(t, ReasonLost, decision.Reason)
-	b.core.Judge(directory.Verdicts{})
+	b.core.ApplyVerdicts(directory.Verdicts{})
 	assert.Equal(t, ActionForward, b.core.Decide(start, following(5, target.Token, 3)).Action)
 }
 
@@ -401,7 +401,7 @@
 		require.Equal(t, ActionForward, b.core.Decide(start, following(9, first.Token, 5)).Action)
 		again(100, "10.0.0.1:1", directory.TargetDraining)
 		later := again(200, place, directory.TargetReady)
-		assert.Empty(t, b.core.EndUnanswered(), "a caller that does not wait learns it with its next packet")
+		assert.Empty(t, b.core.ResetUnanswered(), "a caller that does not wait learns it with its next packet")
 		decision := b.core.Decide(start, following(9, first.Token, 6))
 		assert.Equal(t, []any{ActionReset, ReasonEnded}, []any{decision.Action, decision.Reason})
 		placed := b.core.Decide(start, opening(3, 0))
@@ -422,10 +422,10 @@
 	for _, after := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
 		require.Equal(t, ActionForward, b.core.Decide(start.Add(after), asks).Action)
 	}
-	assert.Empty(t, b.core.EndUnanswered(), "its target lives")
+	assert.Empty(t, b.core.ResetUnanswered(), "its target lives")
 	b.target(start.Add(time.Second), "i-2", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-	packets := b.core.EndUnanswered()
+	packets := b.core.ResetUnanswered()
 	require.Len(t, packets, 1)
 	assert.Equal(t, Packet{Flow: asks.Flow, Token: first.Token, Acknowledged: asks.Acknowledged}, packets[0])
-	assert.Empty(t, b.core.EndUnanswered())
+	assert.Empty(t, b.core.ResetUnanswered())
 }
--- a/internal/steer/ejection_test.go
+++ b/internal/steer/ejection_test.go
@@ -23,14 +23,14 @@
 func TestAnEjectedTargetGetsNoNewFlowsAndKeepsItsOpenOnes(t *testing.T) {
 	b, tokens := bookingOf(t, directory.RouteRepeatable, 3)
 	b.core.Decide(start, following(1, tokens[0], 5))
-	assert.Empty(t, b.core.Judge(directory.Verdicts{Ejected: tokens[:1]}), "nothing is reset")
+	assert.Empty(t, b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokens[:1]}), "nothing is reset")
 	for port := range uint16(60) {
 		decision := b.core.Decide(start, opening(100+port, 0))
 		assert.NotEqual(t, tokens[0], decision.Target.Token)
 		assert.Equal(t, 1, decision.Ejected)
 	}
 	assert.Equal(t, ActionForward, b.core.Decide(start, following(1, tokens[0], 6)).Action)
-	b.core.Judge(directory.Verdicts{})
+	b.core.ApplyVerdicts(directory.Verdicts{})
 	taken := 0
 	for port := range uint16(60) {
 		if b.openFlow(start, 200+port) == tokens[0] {
@@ -42,7 +42,7 @@
 
 func TestWhenAllTargetsAreEjectedNoneIsPassedOver(t *testing.T) {
 	b, tokens := bookingOf(t, directory.RouteOnce, 3)
-	b.core.Judge(directory.Verdicts{Ejected: tokens})
+	b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokens})
 	seen := map[directory.Token]bool{}
 	for port := range uint16(60) {
 		decision := b.core.Decide(start, opening(100+port, 0))
@@ -74,7 +74,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			b, tokens := bookingOf(t, directory.RouteOnce, 3)
-			b.core.Judge(test.verdicts(tokens))
+			b.core.ApplyVerdicts(test.verdicts(tokens))
 			for port := range uint16(20) {
 				assert.Equal(t, tokens[test.want], b.core.Decide(start, opening(port+1, 0)).Target.Token)
 			}
@@ -84,7 +84,7 @@
 
 func TestACopyGoesToAnEjectedTargetOnlyWhenNothingElseIsLeft(t *testing.T) {
 	b, tokens := bookingOf(t, directory.RouteRepeatable, 3)
-	b.core.Judge(directory.Verdicts{Ejected: tokens[2:]})
+	b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokens[2:]})
 	seen := []directory.Token{}
 	for copies := range uint32(3) {
 		now := start.Add(time.Duration(copies) * 200 * time.Millisecond)
@@ -115,7 +115,7 @@
 	} {
 		t.Run(kind.String(), func(t *testing.T) {
 			b, tokens := bookingOf(t, kind, 10)
-			b.core.Judge(directory.Verdicts{Probation: tokens[:1]})
+			b.core.ApplyVerdicts(directory.Verdicts{Probation: tokens[:1]})
 			got := b.trials(start, flows, pause, tokens[0])
 			assert.LessOrEqual(t, got, most, "one a second in 200 s")
 			if most > 0 {
@@ -127,7 +127,7 @@
 
 func TestATargetOnProbationGetsAPartOfWhatItWouldGetOtherwise(t *testing.T) {
 	b, tokens := bookingOf(t, directory.RouteRepeatable, 10)
-	b.core.Judge(directory.Verdicts{Probation: tokens[:1]})
+	b.core.ApplyVerdicts(directory.Verdicts{Probation: tokens[:1]})
 	const flows = 10_000
 	got := b.trials(start, flows, probationPause, tokens[0])
 	assert.InEpsilon(t, flows/10*probationShare, got, 0.2)
@@ -135,13 +135,13 @@
 
 func TestACopyIsNoTrial(t *testing.T) {
 	b, tokens := bookingOf(t, directory.RouteRepeatable, 10)
-	b.core.Judge(directory.Verdicts{Probation: tokens[:1]})
+	b.core.ApplyVerdicts(directory.Verdicts{Probation: tokens[:1]})
 	for port := range uint16(200) {
 		now := start.Add(time.Duration(port) * probationPause)
 		if b.core.Decide(now, opening(port, 0)).Target.Token == tokens[0] {
 			continue
 		}
-		again := b.core.Decide(now.Add(b.core.settings.AnswerTime), opening(port, 1))
+		again := b.core.Decide(now.Add(b.core.settings.AnswerTimeout), opening(port, 1))
 		assert.NotEqual(t, tokens[0], again.Target.Token)
 	}
 }
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -39,7 +39,7 @@
 	far := b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
 	assert.Equal(t, near.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
 	b.evacuate(start, "north", true)
-	soon := start.Add(b.core.settings.AnswerTime / 2)
+	soon := start.Add(b.core.settings.AnswerTimeout / 2)
 	assert.Equal(t, far.ID, b.core.Decide(soon, opening(1, 1)).Target.ID)
 }
 
@@ -57,7 +57,7 @@
 	assert.Equal(t, ActionReset, decision.Action)
 	assert.Equal(t, ReasonEvacuated, decision.Reason)
 	assert.Equal(t, north.ID, b.core.Decide(start, following(50, north.Token, 1)).Target.ID)
-	b.core.Judge(directory.Verdicts{Suspects: []directory.Token{north.Token}})
+	b.core.ApplyVerdicts(directory.Verdicts{Suspects: []directory.Token{north.Token}})
 	assert.Equal(t, ReasonEvacuated, b.core.Decide(start, opening(2, 0)).Reason, "doubt about targets opens no way there")
 	b.evacuate(start, "south", false)
 	later := start.Add(time.Minute)
--- a/internal/steer/evidence.go
+++ b/internal/steer/evidence.go
@@ -154,10 +154,10 @@
 	}
 }
 
-// Judge takes the control members' verdicts. New flows avoid what is suspected while
+// ApplyVerdicts takes the control members' verdicts. New flows avoid what is suspected while
 // other targets are left. It returns the open flows of targets
 // that were not held for lost before; their callers can be told at once.
-func (c *Core) Judge(verdicts directory.Verdicts) []Packet {
+func (c *Core) ApplyVerdicts(verdicts directory.Verdicts) []Packet {
 	before := map[*targetEntry]bool{}
 	for _, entry := range c.targets {
 		before[entry] = entry.lost
@@ -180,10 +180,10 @@
 	return c.endFlows(func(entry *targetEntry) bool { return entry.lost && !before[entry] })
 }
 
-// EndUnanswered forgets the flows at targets that have ended whose callers have sent data
+// ResetUnanswered forgets the flows at targets that have ended whose callers have sent data
 // again, and returns a packet of each for its reset. Their next packet would be reset too,
 // but comes up to 1.6 s later, which is half of the time that some callers have.
-func (c *Core) EndUnanswered() []Packet {
+func (c *Core) ResetUnanswered() []Packet {
 	var packets []Packet
 	for key, flow := range c.unanswered {
 		if flow.target.target.State != directory.TargetEnded {
--- a/internal/steer/exchange_oracle_test.go
+++ b/internal/steer/exchange_oracle_test.go
@@ -248,7 +248,7 @@
 			seen.packet.Forged = false
 			w.core.Decide(w.now, seen.packet)
 			if dropped {
-				w.core.NoteDropped(w.now, seen.packet.Flow)
+				w.core.RecordDrop(w.now, seen.packet.Flow)
 			}
 		}
 		w.advance(3 * time.Second)
--- a/internal/steer/exchange_test.go
+++ b/internal/steer/exchange_test.go
@@ -112,7 +112,7 @@
 		packet.Closing, packet.Reset, packet.Opening = step.closing, step.reset, step.opening
 		w.core.Decide(w.now, packet)
 		if step.dropped {
-			w.core.NoteDropped(w.now, packet.Flow)
+			w.core.RecordDrop(w.now, packet.Flow)
 		}
 	}
 	w.advance(3 * time.Second)
@@ -225,7 +225,7 @@
 	w, token := newWatched(t)
 	w.core.Decide(w.now, opening(1, 0))
 	w.core.Decide(w.now, sending(1, token, isn, 1, 100))
-	w.core.NoteLinkDelay(w.now, linkDelayLimit)
+	w.core.RecordLinkDelay(w.now, linkDelayLimit)
 	w.advance(2 * time.Second)
 	assert.Equal(t, nothing, w.sums[token])
 	assert.Equal(t, unanswered, w.play(token, step{opening: true}, step{size: 100}), "a later one speaks")
@@ -319,7 +319,7 @@
 	w, token := newWatched(t)
 	w.core.Decide(w.now, opening(1, 0))
 	w.core.Decide(w.now, sending(1, token, isn, 1, 100))
-	assert.Len(t, w.core.Judge(directory.Verdicts{Lost: []directory.Token{token}}), 1)
+	assert.Len(t, w.core.ApplyVerdicts(directory.Verdicts{Lost: []directory.Token{token}}), 1)
 	w.advance(2 * time.Second)
 	assert.Equal(t, nothing, w.sums[token])
 }
--- a/internal/steer/follower.go
+++ b/internal/steer/follower.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// NotCurrentLimit is how long a member may be not current: some elections.
-	NotCurrentLimit = 700 * time.Millisecond
-	// LeaderlessLimit is how long a member may be without a leader: as long as it
+	// NotCurrentTimeout is how long a member may be not current: some elections.
+	NotCurrentTimeout = 700 * time.Millisecond
+	// LeaderlessTimeout is how long a member may be without a leader: as long as it
 	// counts as current after it has heard from one, and longer than an election
 	// takes (0.25 to 0.5 s without a leader, then a few round trips).
-	LeaderlessLimit = 800 * time.Millisecond
-	// LeaveSpread is the time over which nodes leave a member without a leader:
+	LeaderlessTimeout = 800 * time.Millisecond
+	// LeaveJitter is the time over which nodes leave a member without a leader:
 	// the members of one side of a split lose theirs at the same moment, and
 	// hundreds of nodes with them.
-	LeaveSpread = 200 * time.Millisecond
+	LeaveJitter = 200 * time.Millisecond
 	// firstPause and longestPause bound the pause after each further member that
 	// has no leader; it doubles, so that a group without a quorum is not kept from
 	// its election by nodes that go round. Six members in a row cost half a second.
 	firstPause   = 10 * time.Millisecond
 	longestPause = 320 * time.Millisecond
-	// RetryPause is the pause after a member that was left for another reason.
-	RetryPause = 40 * time.Millisecond
-	// FirstSignLimit is how long a node that has lost its leader waits for the
+	// DefaultRetryDelay is the pause after a member that was left for another reason.
+	DefaultRetryDelay = 40 * time.Millisecond
+	// FirstStatusTimeout is how long a node that has lost its leader waits for the
 	// first sign of life of a member; a member that runs gives it at once.
-	FirstSignLimit = 200 * time.Millisecond
-	// FarLimit is how long a node stays with a member of another zone before it
+	FirstStatusTimeout = 200 * time.Millisecond
+	// RemoteStay is how long a node stays with a member of another zone before it
 	// tries one of its own zone again that it has left for a fault.
-	FarLimit = 8 * time.Second
-	// FarSpread is the time over which the nodes of a fleet go to members of their
+	RemoteStay = 8 * time.Second
+	// ReturnJitter is the time over which the nodes of a fleet go to members of their
 	// own zones: hundreds at once would hold up those members. A fleet that has
 	// just been founded registers its targets in its first seconds, and each
 	// registration goes to each node, so a longer time costs bytes between zones.
-	FarSpread = time.Second
+	ReturnJitter = time.Second
 )
 
 // The reasons for which a node leaves a member.
 var (
-	// ErrNearer ends the stream of a far member.
-	ErrNearer = errors.New("a member of the own zone is tried")
+	// ErrCloserMember ends the stream of a far member.
+	ErrCloserMember = errors.New("a member of the own zone is tried")
 	// ErrReferred ends the stream of a seed that names the group's members.
 	ErrReferred = errors.New("the member names others")
 	// ErrEmpty ends the stream of a member that knows nothing.
@@ -55,8 +55,8 @@
 	ErrLeaderless = errors.New("the member has no leader")
 )
 
-// Presence is what a member says about itself in a sign of life.
-type Presence struct {
+// MemberStatus is what a member says about itself in a sign of life.
+type MemberStatus struct {
 	// Current is set while the member hears from a leader with a quorum.
 	Current bool
 	// Empty is set while the member has no place in the group.
@@ -92,26 +92,26 @@
 	return &Follower{List: list, random: random}
 }
 
-// Begin notes that a member is followed.
-func (f *Follower) Begin(now kernel.Instant, member directory.Member) {
+// Follow notes that a member is followed.
+func (f *Follower) Follow(now kernel.Instant, member directory.Member) {
 	f.member = member
 	f.currentAt = now
 	f.leaveAt = 0
 	f.signed = false
 }
 
-// IsReferable reports whether the node knows no member but the seeds.
-func (f *Follower) IsReferable() bool { return len(f.List.Members) == 0 }
+// NeedsReferral reports whether the node knows no member but the seeds.
+func (f *Follower) NeedsReferral() bool { return len(f.List.Members) == 0 }
 
-// Refer takes the members that a seed names. The node goes to one of them.
-func (f *Follower) Refer(members []directory.Member) error {
+// ApplyReferral takes the members that a seed names. The node goes to one of them.
+func (f *Follower) ApplyReferral(members []directory.Member) error {
 	f.List.Members = members
 	return ErrReferred
 }
 
-// Hear takes a sign of life and returns why the member is to be left, or nil.
+// HandleStatus takes a sign of life and returns why the member is to be left, or nil.
 // Stateless is set while the node waits for its first state.
-func (f *Follower) Hear(now kernel.Instant, presence Presence, stateless bool) error {
+func (f *Follower) HandleStatus(now kernel.Instant, presence MemberStatus, stateless bool) error {
 	f.signed = true
 	if presence.Current {
 		f.currentAt = now
@@ -119,14 +119,14 @@
 		f.leaderless = 0
 		return nil
 	}
-	if presence.Leaderless >= LeaderlessLimit && f.mayFindLeader() {
+	if presence.Leaderless >= LeaderlessTimeout && f.mayFindLeader() {
 		f.leaderless++
 		return ErrLeaderless
 	}
 	if presence.Empty && stateless && f.leavesEmpty() {
 		return ErrEmpty
 	}
-	if now.Sub(f.currentAt) > NotCurrentLimit {
+	if now.Sub(f.currentAt) > NotCurrentTimeout {
 		return ErrNotCurrent
 	}
 	return nil
@@ -137,16 +137,16 @@
 // gives each of them the time of some elections.
 func (f *Follower) mayFindLeader() bool { return f.leaderless < f.List.Len() }
 
-// Pause returns the wait before the next member is tried, after one was left for
+// RetryDelay returns the wait before the next member is tried, after one was left for
 // a reason.
-func (f *Follower) Pause(reason error) time.Duration {
+func (f *Follower) RetryDelay(reason error) time.Duration {
 	switch {
 	case errors.Is(reason, ErrReferred):
 		return 0
 	case !errors.Is(reason, ErrLeaderless):
-		return RetryPause
+		return DefaultRetryDelay
 	case f.leaderless <= 1:
-		return time.Duration(f.random.Int64N(int64(LeaveSpread)))
+		return time.Duration(f.random.Int64N(int64(LeaveJitter)))
 	}
 	doublings := min(f.leaderless-2, maxPauseDoublings)
 	return min(firstPause<<doublings, longestPause)
@@ -155,19 +155,19 @@
 // maxPauseDoublings keeps the pause within its type.
 const maxPauseDoublings = 16
 
-// SilenceLimit returns how long the node waits for the next byte of the member
+// ReadTimeout returns how long the node waits for the next byte of the member
 // that it follows, where usual is the limit for one that is current. A node that
 // waits for its first state stays with the member that prepares it.
-func (f *Follower) SilenceLimit(usual time.Duration, stateless bool) time.Duration {
+func (f *Follower) ReadTimeout(usual time.Duration, stateless bool) time.Duration {
 	if stateless || f.signed || f.leaderless == 0 || !f.mayFindLeader() {
 		return usual
 	}
-	return FirstSignLimit
+	return FirstStatusTimeout
 }
 
-// Silent notes that the member gave no sign of life within the limit, and returns
+// HandleReadError notes that the member gave no sign of life within the limit, and returns
 // why it is left.
-func (f *Follower) Silent(reason error) error {
+func (f *Follower) HandleReadError(reason error) error {
 	if f.signed || f.leaderless == 0 || !f.mayFindLeader() {
 		return reason
 	}
@@ -182,10 +182,10 @@
 	return f.emptyMet < f.List.Len()
 }
 
-// Check returns ErrNearer when the node has stayed with a far member for long
+// CheckZone returns ErrNearer when the node has stayed with a far member for long
 // enough, else nil. The near ones then come first.
-func (f *Follower) Check(now kernel.Instant) error {
-	if !f.List.IsFar(f.member) {
+func (f *Follower) CheckZone(now kernel.Instant) error {
+	if !f.List.HasCloserThan(f.member) {
 		return nil
 	}
 	if f.leaveAt == 0 {
@@ -194,16 +194,16 @@
 	if now.Before(f.leaveAt) {
 		return nil
 	}
-	f.List.ClearFaults()
-	return ErrNearer
+	f.List.ClearFailures()
+	return ErrCloserMember
 }
 
 // farTime returns how long the node stays with a far member: not long when a
 // member of its own zone has not been tried yet.
 func (f *Follower) farTime() time.Duration {
-	spread := time.Duration(f.random.Int64N(int64(FarSpread)))
-	if f.List.HasUntriedNear() {
+	spread := time.Duration(f.random.Int64N(int64(ReturnJitter)))
+	if f.List.HasUntriedLocal() {
 		return spread
 	}
-	return FarLimit + spread
+	return RemoteStay + spread
 }
--- a/internal/steer/follower_test.go
+++ b/internal/steer/follower_test.go
@@ -23,55 +23,55 @@
 	times := map[time.Duration]bool{}
 	for range 100 {
 		wait := f.farTime()
-		assert.Less(t, wait, FarSpread, "the near member was never tried")
-		times[wait/(FarSpread/10)] = true
+		assert.Less(t, wait, ReturnJitter, "the near member was never tried")
+		times[wait/(ReturnJitter/10)] = true
 	}
 	assert.Greater(t, len(times), 5)
-	f.List.NoteFault("b", start)
-	assert.GreaterOrEqual(t, f.farTime(), FarLimit)
+	f.List.RecordFailure("b", start)
+	assert.GreaterOrEqual(t, f.farTime(), RemoteStay)
 }
 
 func TestAFarMemberIsLeftForANearOne(t *testing.T) {
 	f := newTestFollower()
-	f.Begin(start, f.List.Members[0])
-	assert.NoError(t, f.Check(start))
-	assert.ErrorIs(t, f.Check(start.Add(FarSpread)), ErrNearer)
-	f.List.NoteFault("b", start)
-	f.Begin(start, f.List.Members[0])
-	assert.NoError(t, f.Check(start))
-	assert.NoError(t, f.Check(start.Add(FarLimit-time.Millisecond)), "the near one was left for a fault")
-	assert.ErrorIs(t, f.Check(start.Add(FarLimit+FarSpread)), ErrNearer)
+	f.Follow(start, f.List.Members[0])
+	assert.NoError(t, f.CheckZone(start))
+	assert.ErrorIs(t, f.CheckZone(start.Add(ReturnJitter)), ErrCloserMember)
+	f.List.RecordFailure("b", start)
+	f.Follow(start, f.List.Members[0])
+	assert.NoError(t, f.CheckZone(start))
+	assert.NoError(t, f.CheckZone(start.Add(RemoteStay-time.Millisecond)), "the near one was left for a fault")
+	assert.ErrorIs(t, f.CheckZone(start.Add(RemoteStay+ReturnJitter)), ErrCloserMember)
 	assert.Equal(t, "b", f.List.Order()[0].Address)
-	f.Begin(start, f.List.Members[1])
-	assert.NoError(t, f.Check(start.Add(time.Hour)), "a near member is never left for that")
+	f.Follow(start, f.List.Members[1])
+	assert.NoError(t, f.CheckZone(start.Add(time.Hour)), "a near member is never left for that")
 }
 
 func TestAMemberThatIsNotCurrentIsLeftAfterAWhile(t *testing.T) {
 	f := newTestFollower()
-	f.Begin(start, f.List.Members[1])
-	later := start.Add(NotCurrentLimit)
-	assert.NoError(t, f.Hear(later, Presence{}, false))
-	assert.ErrorIs(t, f.Hear(later.Add(1), Presence{}, false), ErrNotCurrent)
-	assert.NoError(t, f.Hear(later.Add(2), Presence{Current: true}, false))
-	assert.NoError(t, f.Hear(later.Add(3), Presence{}, false), "it has been current since")
+	f.Follow(start, f.List.Members[1])
+	later := start.Add(NotCurrentTimeout)
+	assert.NoError(t, f.HandleStatus(later, MemberStatus{}, false))
+	assert.ErrorIs(t, f.HandleStatus(later.Add(1), MemberStatus{}, false), ErrNotCurrent)
+	assert.NoError(t, f.HandleStatus(later.Add(2), MemberStatus{Current: true}, false))
+	assert.NoError(t, f.HandleStatus(later.Add(3), MemberStatus{}, false), "it has been current since")
 }
 
 func TestAMemberThatKnowsNothingIsLeftAtOnceUntilAllWereMet(t *testing.T) {
 	f := newTestFollower()
 	f.List.Seeds = []string{"c"}
-	empty := Presence{Empty: true}
-	f.Begin(start, f.List.Members[1])
-	assert.NoError(t, f.Hear(start, empty, false), "a node that has state waits")
-	assert.ErrorIs(t, f.Hear(start, empty, true), ErrEmpty)
-	assert.ErrorIs(t, f.Hear(start, empty, true), ErrEmpty)
-	assert.NoError(t, f.Hear(start, empty, true), "all three were met")
-	assert.NoError(t, f.Hear(start, Presence{Current: true}, true))
-	assert.ErrorIs(t, f.Hear(start, empty, true), ErrEmpty)
+	empty := MemberStatus{Empty: true}
+	f.Follow(start, f.List.Members[1])
+	assert.NoError(t, f.HandleStatus(start, empty, false), "a node that has state waits")
+	assert.ErrorIs(t, f.HandleStatus(start, empty, true), ErrEmpty)
+	assert.ErrorIs(t, f.HandleStatus(start, empty, true), ErrEmpty)
+	assert.NoError(t, f.HandleStatus(start, empty, true), "all three were met")
+	assert.NoError(t, f.HandleStatus(start, MemberStatus{Current: true}, true))
+	assert.ErrorIs(t, f.HandleStatus(start, empty, true), ErrEmpty)
 }
 
 func TestANodeIsReferredOnce(t *testing.T) {
 	f := NewFollower(NewMemberList("north"), rand.New(rand.NewPCG(1, 1)))
-	assert.True(t, f.IsReferable())
-	assert.ErrorIs(t, f.Refer([]directory.Member{{Address: "b", Zone: "north"}}), ErrReferred)
-	assert.False(t, f.IsReferable())
+	assert.True(t, f.NeedsReferral())
+	assert.ErrorIs(t, f.ApplyReferral([]directory.Member{{Address: "b", Zone: "north"}}), ErrReferred)
+	assert.False(t, f.NeedsReferral())
 }
--- a/internal/steer/leaderless_test.go
+++ b/internal/steer/leaderless_test.go
@@ -57,17 +57,17 @@
 // says that it has no leader any more, and returns when one is current.
 func (g *splitGroup) seek(f *Follower, now kernel.Instant) (kernel.Instant, []visit) {
 	var visits []visit
-	reason := f.Hear(now, Presence{Leaderless: now.Sub(g.since)}, false)
+	reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.since)}, false)
 	for reason == nil {
 		now = now.Add(400 * time.Millisecond)
-		reason = f.Hear(now, Presence{Leaderless: now.Sub(g.since)}, false)
+		reason = f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.since)}, false)
 	}
 	for len(visits) < 100 {
-		now = now.Add(f.Pause(reason))
+		now = now.Add(f.RetryDelay(reason))
 		member := f.List.Order()[0]
-		f.List.NoteFault(member.Address, now)
+		f.List.RecordFailure(member.Address, now)
 		now = now.Add(connectTime)
-		f.Begin(now, member)
+		f.Follow(now, member)
 		visits = append(visits, visit{address: member.Address, at: now})
 		if now, reason = g.stay(f, now, member); reason == nil {
 			return now, visits
@@ -79,15 +79,15 @@
 // stay follows one member until it is left; the reason is nil when it is current.
 func (g *splitGroup) stay(f *Follower, now kernel.Instant, member directory.Member) (kernel.Instant, error) {
 	wait := g.signAfter(member.Address)
-	if limit := f.SilenceLimit(usualSilence, false); wait > limit {
-		return now.Add(limit), f.Silent(assert.AnError)
+	if limit := f.ReadTimeout(usualSilence, false); wait > limit {
+		return now.Add(limit), f.HandleReadError(assert.AnError)
 	}
 	now = now.Add(wait)
 	if !g.behind[member.Address] {
-		return now, f.Hear(now, Presence{Current: true}, false)
+		return now, f.HandleStatus(now, MemberStatus{Current: true}, false)
 	}
 	for {
-		if reason := f.Hear(now, Presence{Leaderless: now.Sub(g.since)}, false); reason != nil {
+		if reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.since)}, false); reason != nil {
 			return now, reason
 		}
 		now = now.Add(400 * time.Millisecond)
@@ -99,9 +99,9 @@
 	random := rand.New(rand.NewPCG(seed, 1))
 	f := NewFollower(NewMemberList(zone, WithShuffle(random.Shuffle)), random)
 	f.List.Members = slices.Clone(g.members)
-	f.Begin(now, f.List.Order()[0])
-	f.List.NoteFault(f.member.Address, now)
-	_ = f.Hear(now, Presence{Current: true}, false)
+	f.Follow(now, f.List.Order()[0])
+	f.List.RecordFailure(f.member.Address, now)
+	_ = f.HandleStatus(now, MemberStatus{Current: true}, false)
 	return f
 }
 
@@ -112,7 +112,7 @@
 	for _, size := range []int{3, 5, 9, 13} {
 		for seed := range uint64(200) {
 			cut := start
-			told := cut.Add(LeaderlessLimit)
+			told := cut.Add(LeaderlessTimeout)
 			g := newSplitGroup(size, cut)
 			found, visits := g.seek(g.followerIn("zone-0", seed, cut), told)
 			assert.LessOrEqual(t, found.Sub(told), time.Second, "%d members, seed %d, visits %v", size, seed, visits)
@@ -124,7 +124,7 @@
 func TestAMemberThatSaysNothingIsLeftSoonWhileTheNodeSeeksALeader(t *testing.T) {
 	for seed := range uint64(200) {
 		cut := start
-		told := cut.Add(LeaderlessLimit)
+		told := cut.Add(LeaderlessTimeout)
 		g := newSplitGroup(9, cut)
 		silent := g.members[seed%9].Address
 		g.signAfter = func(address string) time.Duration {
@@ -144,7 +144,7 @@
 	const nodes = 346
 	const window = 50 * time.Millisecond
 	cut := start
-	told := cut.Add(LeaderlessLimit)
+	told := cut.Add(LeaderlessTimeout)
 	g := newSplitGroup(9, cut)
 	counts := map[string]map[int]int{}
 	for node := range nodes {
@@ -167,7 +167,7 @@
 // every member once, then stays with one for the time of some elections.
 func TestNodesGoRoundAGroupWithoutAQuorumOnce(t *testing.T) {
 	cut := start
-	told := cut.Add(LeaderlessLimit)
+	told := cut.Add(LeaderlessTimeout)
 	g := newSplitGroup(9, cut)
 	for _, member := range g.members {
 		g.behind[member.Address] = true
@@ -186,7 +186,7 @@
 
 func TestAMemberInAnElectionIsNotLeft(t *testing.T) {
 	f := newTestFollower()
-	f.Begin(start, f.List.Members[1])
-	assert.NoError(t, f.Hear(start, Presence{Leaderless: LeaderlessLimit - time.Millisecond}, false))
-	assert.ErrorIs(t, f.Hear(start, Presence{Leaderless: LeaderlessLimit}, false), ErrLeaderless)
+	f.Follow(start, f.List.Members[1])
+	assert.NoError(t, f.HandleStatus(start, MemberStatus{Leaderless: LeaderlessTimeout - time.Millisecond}, false))
+	assert.ErrorIs(t, f.HandleStatus(start, MemberStatus{Leaderless: LeaderlessTimeout}, false), ErrLeaderless)
 }
--- a/internal/steer/memberlist.go
+++ b/internal/steer/memberlist.go
@@ -42,13 +42,13 @@
 	return l
 }
 
-// NoteFault makes a member come after all that were left earlier or never.
-func (l *MemberList) NoteFault(address string, now kernel.Instant) {
+// RecordFailure makes a member come after all that were left earlier or never.
+func (l *MemberList) RecordFailure(address string, now kernel.Instant) {
 	l.faults[address] = now
 }
 
-// ClearFaults forgets that members were left, so that the nearest comes first.
-func (l *MemberList) ClearFaults() { clear(l.faults) }
+// ClearFailures forgets that members were left, so that the nearest comes first.
+func (l *MemberList) ClearFailures() { clear(l.faults) }
 
 // Order returns the members to try. Those that were never left for a fault
 // come first: the own zone, then others in random order, then seeds that are
@@ -108,9 +108,9 @@
 // Len returns the number of members and of seeds that are not among them.
 func (l *MemberList) Len() int { return len(l.Members) + len(l.unknownSeeds()) }
 
-// HasUntriedNear reports whether a member of the own zone was never left for a
+// HasUntriedLocal reports whether a member of the own zone was never left for a
 // fault.
-func (l *MemberList) HasUntriedNear() bool {
+func (l *MemberList) HasUntriedLocal() bool {
 	return slices.ContainsFunc(l.Members, func(member directory.Member) bool {
 		_, left := l.faults[member.Address]
 		return member.Zone == l.Zone && !left
@@ -124,9 +124,9 @@
 	return 1
 }
 
-// IsFar reports whether a nearer member than this one is known. The zone of a
+// HasCloserThan reports whether a nearer member than this one is known. The zone of a
 // seed is known once the list of members is.
-func (l *MemberList) IsFar(member directory.Member) bool {
+func (l *MemberList) HasCloserThan(member directory.Member) bool {
 	for _, known := range l.Members {
 		if known.Address == member.Address {
 			member = known
--- a/internal/steer/memberlist_test.go
+++ b/internal/steer/memberlist_test.go
@@ -29,14 +29,14 @@
 	for range 20 {
 		assert.Equal(t, "b", l.Order()[0].Address)
 	}
-	assert.True(t, l.IsFar(directory.Member{Address: "a"}), "a seed whose zone is known by now")
-	assert.False(t, l.IsFar(directory.Member{Address: "b"}))
+	assert.True(t, l.HasCloserThan(directory.Member{Address: "a"}), "a seed whose zone is known by now")
+	assert.False(t, l.HasCloserThan(directory.Member{Address: "b"}))
 }
 
 func TestAMemberThatWasLeftForAFaultComesLast(t *testing.T) {
 	l := NewMemberList("north")
 	l.Members = []directory.Member{{Address: "a", Zone: "south"}, {Address: "b", Zone: "north"}}
-	l.NoteFault("b", faultTime)
+	l.RecordFailure("b", faultTime)
 	order := addresses(l.Order())
 	assert.Equal(t, "a", order[0])
 	assert.Equal(t, "b", order[len(order)-1])
@@ -57,7 +57,7 @@
 		next := l.Order()[0].Address
 		assert.False(t, tried[next], "visit %d goes to %s again", visit, next)
 		tried[next] = true
-		l.NoteFault(next, faultTime.Add(time.Duration(visit)*time.Second))
+		l.RecordFailure(next, faultTime.Add(time.Duration(visit)*time.Second))
 	}
 	assert.Equal(t, "own", l.Order()[0].Address, "the own zone comes first in the next round")
 }
@@ -65,16 +65,16 @@
 func TestANearerMemberIsTriedAgainAfterItsFault(t *testing.T) {
 	l := NewMemberList("north")
 	l.Members = []directory.Member{{Address: "a", Zone: "south"}, {Address: "b", Zone: "north"}}
-	l.NoteFault("b", faultTime)
-	l.NoteFault("a", faultTime.Add(time.Second))
-	l.ClearFaults()
+	l.RecordFailure("b", faultTime)
+	l.RecordFailure("a", faultTime.Add(time.Second))
+	l.ClearFailures()
 	assert.Equal(t, "b", l.Order()[0].Address)
 }
 
 func TestFaultsOfForgottenAddressesAreDropped(t *testing.T) {
 	l := NewMemberList("north")
 	l.Seeds = []string{"old", "new"}
-	l.NoteFault("old", faultTime)
+	l.RecordFailure("old", faultTime)
 	l.Seeds = []string{"new", "newer"}
 	l.Order()
 	assert.Empty(t, l.faults)
--- a/internal/steer/memory_test.go
+++ b/internal/steer/memory_test.go
@@ -25,9 +25,9 @@
 	b := newBench(t)
 	leaving := rememberedTarget("i-8", 8)
 	leaving.State = directory.TargetLeaving
-	assert.Equal(t, 2, b.core.Remember(start, remembering(4, rememberedTarget("i-7", 7), leaving), memoryEnd))
+	assert.Equal(t, 2, b.core.ApplyRemembered(start, remembering(4, rememberedTarget("i-7", 7), leaving), memoryEnd))
 	assert.True(t, b.core.IsReady())
-	assert.True(t, b.core.PlacesByMemory())
+	assert.True(t, b.core.UsesRemembered())
 	assert.Equal(t, uint64(4), b.core.Version())
 	require.True(t, b.core.CanDecide(opening(1, 0)))
 	for port := range uint16(20) {
@@ -43,21 +43,21 @@
 	b := newBench(t)
 	other := rememberedTarget("i-7", 7)
 	other.Service = "other"
-	b.core.Remember(start, remembering(4, other), memoryEnd)
+	b.core.ApplyRemembered(start, remembering(4, other), memoryEnd)
 	assert.False(t, b.core.CanDecide(opening(1, 0)))
 }
 
 func TestNewFlowsFollowADiskOnlyForAWhile(t *testing.T) {
 	b := newBench(t)
-	b.core.Remember(start, remembering(4, rememberedTarget("i-7", 7)), memoryEnd)
-	assert.False(t, b.core.EndMemory(memoryEnd-1))
+	b.core.ApplyRemembered(start, remembering(4, rememberedTarget("i-7", 7)), memoryEnd)
+	assert.False(t, b.core.ExpireRemembered(memoryEnd-1))
 	assert.Equal(t, ReasonNotReady, b.core.Decide(memoryEnd, opening(1, 0)).Reason, "also before its end was noted")
-	assert.True(t, b.core.EndMemory(memoryEnd))
-	assert.False(t, b.core.EndMemory(memoryEnd))
+	assert.True(t, b.core.ExpireRemembered(memoryEnd))
+	assert.False(t, b.core.ExpireRemembered(memoryEnd))
 	assert.False(t, b.core.IsReady())
 	assert.False(t, b.core.CanDecide(opening(1, 0)))
 	assert.True(t, b.core.CanDecide(following(1, 7, 1)), "open flows go on")
-	b.core.Remember(memoryEnd, remembering(5, rememberedTarget("i-9", 9)), memoryEnd)
+	b.core.ApplyRemembered(memoryEnd, remembering(5, rememberedTarget("i-9", 9)), memoryEnd)
 	assert.False(t, b.core.IsReady(), "a later word comes too late")
 }
 
@@ -65,13 +65,13 @@
 	b := newBench(t)
 	draining := rememberedTarget("i-7", 7)
 	draining.State = directory.TargetDraining
-	b.core.Remember(start, remembering(4, rememberedTarget("i-7", 7), rememberedTarget("i-8", 8)), memoryEnd)
-	assert.Equal(t, 0, b.core.Remember(start, remembering(3, draining, rememberedTarget("i-8", 8)), memoryEnd))
+	b.core.ApplyRemembered(start, remembering(4, rememberedTarget("i-7", 7), rememberedTarget("i-8", 8)), memoryEnd)
+	assert.Equal(t, 0, b.core.ApplyRemembered(start, remembering(3, draining, rememberedTarget("i-8", 8)), memoryEnd))
 	assert.Equal(t, uint64(4), b.core.Version(), "a node never goes back")
 	for port := range uint16(20) {
 		assert.Equal(t, "i-8", b.core.Decide(start, opening(port, 0)).Target.ID)
 	}
-	b.core.Remember(start, remembering(6), memoryEnd)
+	b.core.ApplyRemembered(start, remembering(6), memoryEnd)
 	assert.Equal(t, uint64(6), b.core.Version())
 }
 
@@ -86,20 +86,20 @@
 	confirmed, _ := state.Target("i-1")
 	told := confirmed
 	told.Warmup = nil
-	b.core.Remember(start, remembering(4, told, rememberedTarget("i-7", 7)), memoryEnd)
+	b.core.ApplyRemembered(start, remembering(4, told, rememberedTarget("i-7", 7)), memoryEnd)
 	require.True(t, b.core.Update(start, state.Since(0)))
-	assert.False(t, b.core.PlacesByMemory())
+	assert.False(t, b.core.UsesRemembered())
 	assert.Equal(t, uint64(5), b.core.Version())
 	assert.Len(t, b.core.services["booking"], 1)
 	assert.Equal(t, ReasonCold, b.core.Decide(start, opening(1, 0)).Reason, "what the node is not a steward of is closed")
-	assert.False(t, b.core.EndMemory(memoryEnd))
-	assert.Equal(t, 0, b.core.Remember(start, remembering(9, rememberedTarget("i-8", 8)), memoryEnd))
+	assert.False(t, b.core.ExpireRemembered(memoryEnd))
+	assert.Equal(t, 0, b.core.ApplyRemembered(start, remembering(9, rememberedTarget("i-8", 8)), memoryEnd))
 	assert.Equal(t, uint64(5), b.core.Version())
 }
 
 func TestAnOlderStateDoesNotTakeAConfigurationBack(t *testing.T) {
 	b := newBench(t)
-	b.core.Remember(start, remembering(9, rememberedTarget("i-7", 7)), memoryEnd)
+	b.core.ApplyRemembered(start, remembering(9, rememberedTarget("i-7", 7)), memoryEnd)
 	state := directory.New()
 	state.Apply(1, directory.Command{Kind: directory.CommandPublish, Edit: directory.Difference(directory.Configuration{}, rememberedBooking(5))})
 	require.True(t, b.core.Update(start, state.Since(0)))
--- a/internal/steer/openings_test.go
+++ b/internal/steer/openings_test.go
@@ -80,10 +80,10 @@
 
 func TestNewFlowsAvoidAZoneThatRefusesAndOpenOnesStay(t *testing.T) {
 	b, near, far := twoZones(t)
-	b.core.Judge(directory.Verdicts{AvoidedZones: []string{"north"}})
+	b.core.ApplyVerdicts(directory.Verdicts{AvoidedZones: []string{"north"}})
 	assert.Equal(t, far.ID, b.core.Decide(start, opening(2, 0)).Target.ID)
 	assert.Equal(t, near.ID, b.core.Decide(start, following(1, near.Token, 1)).Target.ID)
-	b.core.Judge(directory.Verdicts{AvoidedZones: []string{"north", "south"}})
+	b.core.ApplyVerdicts(directory.Verdicts{AvoidedZones: []string{"north", "south"}})
 	assert.Equal(t, near.ID, b.core.Decide(start, opening(3, 0)).Target.ID, "no other zone is left")
 }
 
--- a/internal/steer/ownlink.go
+++ b/internal/steer/ownlink.go
@@ -19,10 +19,10 @@
 	linkRecovery = resentTwiceLifetime
 )
 
-// NoteDropped notes that the node has dropped a packet of a flow that it had decided
+// RecordDrop notes that the node has dropped a packet of a flow that it had decided
 // to forward. What the flow showed against its target is forgotten, and what the
 // caller sends again next shows nothing.
-func (c *Core) NoteDropped(_ kernel.Instant, key FlowKey) {
+func (c *Core) RecordDrop(_ kernel.Instant, key FlowKey) {
 	flow, known := c.flows[key]
 	if !known {
 		return
@@ -37,9 +37,9 @@
 	delete(c.unanswered, key)
 }
 
-// NoteHeld notes that data which a caller has just sent again waits at the node still:
+// RecordHeld notes that data which a caller has just sent again waits at the node still:
 // that it came again shows nothing. What came again before counts as before.
-func (c *Core) NoteHeld(now kernel.Instant, key FlowKey) {
+func (c *Core) RecordHeld(now kernel.Instant, key FlowKey) {
 	flow, known := c.flows[key]
 	if !known || !flow.pending.undoResent(now) {
 		return
@@ -49,9 +49,9 @@
 	}
 }
 
-// NoteLinkDelay notes how long the oldest datagram has waited for the node's own
+// RecordLinkDelay notes how long the oldest datagram has waited for the node's own
 // link; 0 while none waits.
-func (c *Core) NoteLinkDelay(now kernel.Instant, delay time.Duration) {
+func (c *Core) RecordLinkDelay(now kernel.Instant, delay time.Duration) {
 	if delay >= linkDelayLimit {
 		c.delayedUntil = now.Add(linkRecovery)
 		c.voidExchanges(now)
--- a/internal/steer/ownlink_test.go
+++ b/internal/steer/ownlink_test.go
@@ -22,30 +22,30 @@
 func TestWhatTheNodeHasDroppedIsNoSilence(t *testing.T) {
 	b := booking(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-	silent := b.silentAfter(target, func() { b.core.NoteDropped(start, data(1, target.Token, 10).Flow) })
+	silent := b.silentAfter(target, func() { b.core.RecordDrop(start, data(1, target.Token, 10).Flow) })
 	assert.Empty(t, silent)
 	second := start.Add(600 * time.Millisecond)
 	b.core.Decide(second, data(1, target.Token, 10))
 	evidence := b.tick(start.Add(300*time.Millisecond), second)
 	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, evidence.Silent, "the first copy was passed on")
-	b.core.NoteDropped(second, data(1, target.Token, 10).Flow)
+	b.core.RecordDrop(second, data(1, target.Token, 10).Flow)
 	assert.Empty(t, b.tick(second, second.Add(reportEvery)).Silent)
-	b.core.NoteDropped(start, opening(99, 0).Flow)
+	b.core.RecordDrop(start, opening(99, 0).Flow)
 }
 
 func TestDataThatTheNodeStillHoldsIsNoSilence(t *testing.T) {
 	b := booking(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	packet := data(1, target.Token, 10)
-	b.core.NoteHeld(start, packet.Flow)
+	b.core.RecordHeld(start, packet.Flow)
 	b.core.Decide(start, packet)
-	b.core.NoteHeld(start, packet.Flow)
+	b.core.RecordHeld(start, packet.Flow)
 	first := start.Add(200 * time.Millisecond)
 	b.core.Decide(first, packet)
 	second := first.Add(400 * time.Millisecond)
 	b.core.Decide(second, packet)
-	b.core.NoteHeld(second, packet.Flow)
-	b.core.NoteHeld(second, packet.Flow)
+	b.core.RecordHeld(second, packet.Flow)
+	b.core.RecordHeld(second, packet.Flow)
 	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, b.tick(start, second).Silent, "the first copy had left")
 	last := first.Add(resentLifetime)
 	assert.Empty(t, b.tick(second, last).Silent, "and counts no longer than without the second")
@@ -67,7 +67,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := booking(t)
 			target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-			silent := b.silentAfter(target, func() { b.core.NoteLinkDelay(start.Add(test.after), test.delay) })
+			silent := b.silentAfter(target, func() { b.core.RecordLinkDelay(start.Add(test.after), test.delay) })
 			test.want.Token = target.Token
 			assert.Equal(t, []SilentTarget{test.want}, silent)
 		})
@@ -85,7 +85,7 @@
 		w.core.Decide(w.now, opening(1, 0))
 		w.core.Decide(w.now, sending(1, token, isn, 1, 100))
 		w.advance(50 * ms)
-		w.core.NoteLinkDelay(w.now, delay)
+		w.core.RecordLinkDelay(w.now, delay)
 		w.advance(3 * time.Second)
 		counted := w.sums[token]
 		counted.Token = 0
@@ -96,7 +96,7 @@
 func TestADroppedOpeningPacketWasNotRefused(t *testing.T) {
 	b, near, far := twoZones(t)
 	assert.Equal(t, near.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
-	b.core.NoteDropped(start, opening(1, 0).Flow)
+	b.core.RecordDrop(start, opening(1, 0).Flow)
 	evidence := b.tick(start, start.Add(reportEvery))
 	assert.Empty(t, evidence.Openings)
 	assert.Empty(t, evidence.Refused)
@@ -109,7 +109,7 @@
 func TestOpeningPacketsThatTheNodeHoldsBackWereNotRefused(t *testing.T) {
 	b, near, _ := twoZones(t)
 	b.core.Decide(start, opening(1, 0))
-	b.core.NoteLinkDelay(start, linkDelayLimit)
+	b.core.RecordLinkDelay(start, linkDelayLimit)
 	evidence := b.tick(start, start.Add(2*reportEvery))
 	assert.Empty(t, evidence.Openings)
 	assert.Empty(t, evidence.Refused)
--- a/internal/steer/packet.go
+++ b/internal/steer/packet.go
@@ -123,9 +123,9 @@
 	// Waiting is the number of flows of the chosen target at this node whose
 	// callers waited for an answer when the choice was made.
 	Waiting int
-	// Time is the time that the chosen target takes for a request, as a multiple of what
+	// RelativeTime is the time that the chosen target takes for a request, as a multiple of what
 	// is usual for its service.
-	Time float64
+	RelativeTime float64
 	// Doubtful is the number of candidates passed over for lack of answers.
 	Doubtful int
 	// Ejected is the number of candidates passed over because they fail their work.
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -8,7 +8,7 @@
 // place chooses the target of a new flow. A copy of an opening packet goes to
 // a target that has not been tried: the first one is silent or full.
 func (c *Core) place(now kernel.Instant, packet Packet) Decision {
-	if c.configuration.Version == 0 || c.PlacesByMemory() && !now.Before(c.rememberedUntil) {
+	if c.configuration.Version == 0 || c.UsesRemembered() && !now.Before(c.rememberedUntil) {
 		return Decision{Action: ActionDrop, Reason: ReasonNotReady}
 	}
 	entry, routed := c.routes[packet.Flow.Virtual]
@@ -43,7 +43,7 @@
 	if flow.opened {
 		return true
 	}
-	return now.Sub(flow.placedAt) < c.settings.AnswerTime && !c.isClosed(now, flow.target)
+	return now.Sub(flow.placedAt) < c.settings.AnswerTimeout && !c.isClosed(now, flow.target)
 }
 
 func (c *Core) notePlaced(now kernel.Instant, packet Packet, target *targetEntry) {
@@ -89,13 +89,13 @@
 		position := c.settings.Chooser.Choose(c.choice, c.settings.Random)
 		chosen := c.usable[position]
 		return Decision{
-			Action:     ActionForward,
-			Target:     chosen.target,
-			Candidates: len(c.usable),
-			Waiting:    chosen.waitingFlows,
-			Time:       c.choice.Candidates[position].Time,
-			Doubtful:   passed.doubtful,
-			Ejected:    passed.ejected,
+			Action:       ActionForward,
+			Target:       chosen.target,
+			Candidates:   len(c.usable),
+			Waiting:      chosen.waitingFlows,
+			RelativeTime: c.choice.Candidates[position].RelativeTime,
+			Doubtful:     passed.doubtful,
+			Ejected:      passed.ejected,
 		}, chosen
 	}
 	return Decision{Action: ActionReset, Reason: c.refusal(entry)}, nil
@@ -214,9 +214,9 @@
 // that this flow has tried has lost none.
 func (c *Core) countSlots(entry *targetEntry) {
 	if entry.target.Zone == c.settings.Zone {
-		c.choice.Near += slotsOf(entry)
+		c.choice.LocalSlots += slotsOf(entry)
 	} else {
-		c.choice.Far += slotsOf(entry)
+		c.choice.RemoteSlots += slotsOf(entry)
 	}
 }
 
@@ -235,10 +235,10 @@
 	c.countSlots(entry)
 	c.usable = append(c.usable, entry)
 	c.choice.Candidates = append(c.choice.Candidates, Candidate{
-		Waiting: entry.waitingFlows,
-		Slots:   slotsOf(entry),
-		Near:    entry.target.Zone == c.settings.Zone,
-		Time:    entry.relativeTime(now),
+		Waiting:      entry.waitingFlows,
+		Slots:        slotsOf(entry),
+		Local:        entry.target.Zone == c.settings.Zone,
+		RelativeTime: entry.relativeTime(now),
 	})
 }
 
@@ -246,7 +246,7 @@
 // nobody has heard its heartbeats, or it cannot be reached, or it left an opening packet
 // or data unanswered and has not been seen to answer since.
 func (c *Core) isDoubtful(now kernel.Instant, entry *targetEntry) bool {
-	missed := entry.missedAt > entry.answeredAt && now.Sub(entry.missedAt) < c.settings.DoubtFor
+	missed := entry.missedAt > entry.answeredAt && now.Sub(entry.missedAt) < c.settings.SuspectFor
 	return missed || entry.reach.isUnreachable(now) || entry.refuses(now) || entry.fails(now) || entry.suspected || entry.lost
 }
 
--- a/internal/steer/reach.go
+++ b/internal/steer/reach.go
@@ -151,10 +151,10 @@
 	return targets
 }
 
-// NoteProbe notes the outcome of a probe. When the target cannot be reached it forgets
+// HandleProbeOutcome notes the outcome of a probe. When the target cannot be reached it forgets
 // this node's flows there and returns a packet of each for its reset: their callers have
 // time to ask another target, and would wait until their deadline otherwise.
-func (c *Core) NoteProbe(now kernel.Instant, token directory.Token, outcome ProbeOutcome) []Packet {
+func (c *Core) HandleProbeOutcome(now kernel.Instant, token directory.Token, outcome ProbeOutcome) []Packet {
 	c.probing--
 	entry, known := c.targets[token]
 	if !known {
--- a/internal/steer/reach_test.go
+++ b/internal/steer/reach_test.go
@@ -57,7 +57,7 @@
 		}
 		w.core.Report(w.now, tick)
 		if token, ends := w.due[w.now]; ends {
-			if w.resets = w.core.NoteProbe(w.now, token, w.outcome); len(w.resets) > 0 {
+			if w.resets = w.core.HandleProbeOutcome(w.now, token, w.outcome); len(w.resets) > 0 {
 				return after
 			}
 		}
@@ -144,8 +144,8 @@
 			require.Equal(t, 1, w.probes)
 			trouble(w.core, w.now)
 			later := w.now.Add(time.Millisecond)
-			assert.Empty(t, w.core.NoteProbe(later, w.target.Token, ProbeFailed))
-			assert.Empty(t, w.core.NoteProbe(later, w.target.Token, ProbeFailed))
+			assert.Empty(t, w.core.HandleProbeOutcome(later, w.target.Token, ProbeFailed))
+			assert.Empty(t, w.core.HandleProbeOutcome(later, w.target.Token, ProbeFailed))
 			assert.Empty(t, w.core.Probes(later.Add(probeRest)))
 		})
 	}
@@ -167,6 +167,6 @@
 	asked := b.core.Probes(now)
 	assert.Len(t, asked, probeLimit)
 	assert.Empty(t, b.core.Probes(now))
-	assert.Empty(t, b.core.NoteProbe(now, asked[0].Token, ProbeFailed))
+	assert.Empty(t, b.core.HandleProbeOutcome(now, asked[0].Token, ProbeFailed))
 	assert.Len(t, b.core.Probes(now), 1)
 }
--- a/internal/steer/remembered.go
+++ b/internal/steer/remembered.go
@@ -34,12 +34,12 @@
 	return false
 }
 
-// Remember takes what a member's disk knows, before any member is current. A token names
+// ApplyRemembered takes what a member's disk knows, before any member is current. A token names
 // one target for ever, so the packets of open flows can follow it. Where the disk tells a
 // configuration, new flows are placed by it until an instant or the first update. It
 // returns the number of targets that were not known. A core that has state of its own
 // takes nothing.
-func (c *Core) Remember(now kernel.Instant, remembered directory.Remembered, until kernel.Instant) int {
+func (c *Core) ApplyRemembered(now kernel.Instant, remembered directory.Remembered, until kernel.Instant) int {
 	if c.revision > 0 {
 		return 0
 	}
@@ -76,14 +76,14 @@
 	return !known
 }
 
-// PlacesByMemory reports whether new flows are placed by what a member's disk remembers.
-func (c *Core) PlacesByMemory() bool { return c.rememberedUntil > 0 && c.revision == 0 }
+// UsesRemembered reports whether new flows are placed by what a member's disk remembers.
+func (c *Core) UsesRemembered() bool { return c.rememberedUntil > 0 && c.revision == 0 }
 
-// EndMemory places no new flows any more by what a disk remembers once its time is up,
+// ExpireRemembered places no new flows any more by what a disk remembers once its time is up,
 // and reports whether that has just come. What is known of open flows stays, and so does
 // the configuration, which may only be replaced by a newer one.
-func (c *Core) EndMemory(now kernel.Instant) bool {
-	if !c.PlacesByMemory() || now.Before(c.rememberedUntil) {
+func (c *Core) ExpireRemembered(now kernel.Instant) bool {
+	if !c.UsesRemembered() || now.Before(c.rememberedUntil) {
 		return false
 	}
 	c.closeRemembered()
--- a/internal/steer/remembered_test.go
+++ b/internal/steer/remembered_test.go
@@ -27,7 +27,7 @@
 func TestOpenFlowsFollowWhatADiskRemembers(t *testing.T) {
 	b := newBench(t)
 	assert.False(t, b.core.CanDecide(following(1, 7, 1)))
-	assert.Equal(t, 1, b.core.Remember(start, directory.Remembered{Targets: []directory.Target{rememberedTarget("i-7", 7)}}, memoryEnd))
+	assert.Equal(t, 1, b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{rememberedTarget("i-7", 7)}}, memoryEnd))
 	assert.True(t, b.core.CanDecide(following(1, 7, 1)))
 	decision := b.core.Decide(start, following(1, 7, 1))
 	assert.Equal(t, ActionForward, decision.Action)
@@ -42,11 +42,11 @@
 	state := directory.New()
 	state.Apply(1, directory.Command{Kind: directory.CommandPutTarget, Target: rememberedTarget("i-1", 0)})
 	confirmed, _ := state.Target("i-1")
-	b.core.Remember(start, directory.Remembered{Targets: []directory.Target{confirmed, rememberedTarget("i-7", 7)}}, memoryEnd)
+	b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{confirmed, rememberedTarget("i-7", 7)}}, memoryEnd)
 	b.core.Decide(start, following(1, 7, 1))
 	require.True(t, b.core.Update(start, state.Since(0)))
 	assert.Equal(t, ReasonUnknownToken, b.core.Decide(start, following(1, 7, 2)).Reason)
 	assert.Equal(t, ActionForward, b.core.Decide(start, following(2, confirmed.Token, 1)).Action)
 	assert.Len(t, b.core.services["booking"], 1)
-	assert.Equal(t, 0, b.core.Remember(start, directory.Remembered{Targets: []directory.Target{rememberedTarget("i-8", 8)}}, memoryEnd), "the core has state of its own")
+	assert.Equal(t, 0, b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{rememberedTarget("i-8", 8)}}, memoryEnd), "the core has state of its own")
 }
--- a/internal/steer/speeds_test.go
+++ b/internal/steer/speeds_test.go
@@ -223,7 +223,7 @@
 		decision := b.core.Decide(b.now, opening(b.port, 0))
 		counts[decision.Target.Token]++
 		if decision.Target.Token == b.tokens[0] {
-			assert.InDelta(t, 2, decision.Time, 0.02)
+			assert.InDelta(t, 2, decision.RelativeTime, 0.02)
 		}
 		closing := sending(b.port, decision.Target.Token, 1, 1, 0)
 		closing.Reset = true
@@ -279,7 +279,7 @@
 				}
 				return list
 			}
-			b.core.Judge(directory.Verdicts{Ejected: tokensOf(test.ejected)})
+			b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokensOf(test.ejected)})
 			for minute := range 55 {
 				now := start.Add(time.Duration(minute) * time.Minute)
 				b.core.listUsable(now, "booking", directory.RouteRepeatable, tokensOf(test.tried))
