--- a/internal/registry/announcer.go
+++ b/internal/registry/announcer.go
@@ -251,7 +251,7 @@
 		draws[position] = rendezvous.Node{Seed: rendezvous.Hash(address), Weight: 1}
 	}
 	var nodes []string
-	for _, position := range rendezvous.First(draws, rendezvous.Hash(self), maxAnnouncedNodes) {
+	for _, position := range rendezvous.BestN(draws, rendezvous.Hash(self), maxAnnouncedNodes) {
 		nodes = append(nodes, a.previousNodes[position])
 	}
 	return nodes
--- a/internal/registry/memory_test.go
+++ b/internal/registry/memory_test.go
@@ -112,8 +112,8 @@
 		for _, target := range remembered.Targets {
 			require.Equal(r, r.serviceOf[target.ID], target.Service)
 		}
-		node.core.Remember(r.now, remembered, node.startedAt.Add(RememberedTTL))
-		if node.core.PlacesByMemory() {
+		node.core.ApplyRemembered(r.now, remembered, node.startedAt.Add(RememberedTTL))
+		if node.core.UsesRemembered() {
 			r.placedByMemory++
 		}
 	case wire.FrameUpdate:
