--- a/internal/edge/bounds.go
+++ b/internal/edge/bounds.go
@@ -9,7 +9,9 @@
 )
 
 // waitingOf returns the number of flows whose packets wait at a node of a strength.
-func waitingOf(stated strength.Strength) int { return stated.Waiting(waitCapacity, maxDatagram) }
+func waitingOf(stated strength.Resources) int {
+	return stated.MaxQueuedPackets(waitCapacity, maxDatagram)
+}
 
 // Connections returns the bound of those that callers over HTTP hold.
 func (p *Process) Connections() *hosting.Connections { return p.connections }
@@ -18,23 +20,23 @@
 func (p *Process) ApplySettings(next hosting.Changeable) {
 	p.subscriber.setSeeds(next.Seeds)
 	p.subscriber.setStrength(next.Strength)
-	p.connections.SetLimit(next.Strength.Connections())
+	p.connections.SetLimit(next.Strength.MaxConnections())
 	p.inputs.Push(strengthInput{stated: next.Strength})
 }
 
 // strengthInput brings another strength of the machine.
-type strengthInput struct{ stated strength.Strength }
+type strengthInput struct{ stated strength.Resources }
 
 func (i strengthInput) handle(p *Process, _ kernel.Instant) {
-	p.core.SetFlowLimit(i.stated.Flows(p.flows, steer.FlowBytes))
+	p.core.SetFlowLimit(i.stated.MaxFlows(p.flows, steer.FlowBytes))
 	p.waiting.capacity = waitingOf(i.stated)
 	p.logBounds(i.stated)
 }
 
 // logBounds writes what the node holds itself to.
-func (p *Process) logBounds(stated strength.Strength) {
-	p.logger.Event(eventlog.BoundsSet, "strength", stated, "flows", stated.Flows(p.flows, steer.FlowBytes),
-		"waiting", waitingOf(stated), "connections", stated.Connections())
+func (p *Process) logBounds(stated strength.Resources) {
+	p.logger.Event(eventlog.BoundsSet, "strength", stated, "flows", stated.MaxFlows(p.flows, steer.FlowBytes),
+		"waiting", waitingOf(stated), "connections", stated.MaxConnections())
 }
 
 // noteUnkept tells of flows that found no room among those that are kept. They are
--- a/internal/edge/bounds_test.go
+++ b/internal/edge/bounds_test.go
@@ -64,7 +64,7 @@
 
 func TestAChangedStrengthIsToldOverTheOpenConnection(t *testing.T) {
 	address, connections, heard := listen(t)
-	first, second := strength.Strength{Share: 0.045}, strength.Strength{Share: 0.25, Descriptors: 4000}
+	first, second := strength.Resources{CPUShare: 0.045}, strength.Resources{CPUShare: 0.25, Descriptors: 4000}
 	process := NewProcess(Settings{Name: "edge-1", Zone: "north", Seeds: []string{address}, Strength: first}, eventlog.Discard())
 	go process.subscriber.run()
 	t.Cleanup(func() { close(process.stopped) })
@@ -82,7 +82,7 @@
 	assert.Empty(t, heard, "the same word is not told again")
 	require.Len(t, connections, 1)
 	// A member that comes back hears the newest word at once, and not again.
-	third := strength.Strength{Share: 0.5}
+	third := strength.Resources{CPUShare: 0.5}
 	process.ApplySettings(hosting.Changeable{Seeds: []string{address}, Strength: third})
 	require.NoError(t, (<-connections).Close())
 	assert.Equal(t, third, next(t, heard).Strength)
@@ -92,8 +92,8 @@
 }
 
 // flowsOf returns a machine with memory for so many flows.
-func flowsOf(count int64) strength.Strength {
-	return strength.Strength{Memory: 4 * count * steer.FlowBytes}
+func flowsOf(count int64) strength.Resources {
+	return strength.Resources{Memory: 4 * count * steer.FlowBytes}
 }
 
 func TestFlowsBeyondTheMemoryAreServedAndTold(t *testing.T) {
@@ -117,7 +117,7 @@
 
 func TestPacketsBeyondTheMemoryDoNotWait(t *testing.T) {
 	var lines strings.Builder
-	small := strength.Strength{Memory: 32 * 3 * maxDatagram}
+	small := strength.Resources{Memory: 32 * 3 * maxDatagram}
 	process := NewProcess(Settings{Name: "edge-1", Zone: "north", Format: plainFormat{}, Core: steer.DefaultSettings(), Strength: small}, eventlog.New(&lines, "edge-1"))
 	for port := range uint16(5) {
 		process.handleDatagram(linkStart, plainDatagram(1000+port, 0, plainOpening, 0))
--- a/internal/edge/linknotes.go
+++ b/internal/edge/linknotes.go
@@ -17,16 +17,16 @@
 const narrowShare = 0.8
 
 // noteSent notes a datagram that the system has taken.
-func (s *sender) noteSent(now kernel.Instant, sent egress.Sent) {
+func (s *sender) noteSent(now kernel.Instant, sent egress.SentDatagram) {
 	s.process.metrics.linkSent.Add(float64(sent.Size))
-	s.room.usage.NoteSent(sent.Size)
-	s.learner.NoteSent(now, sent)
+	s.room.usage.RecordSent(sent.Size)
+	s.learner.RecordSent(now, sent)
 }
 
 // noteReceived notes a datagram that has come, with all headers.
 func (s *sender) noteReceived(now kernel.Instant, size int) {
-	s.room.usage.NoteReceived(size)
-	s.learner.NoteReceived(now, size)
+	s.room.usage.RecordReceived(size)
+	s.learner.RecordReceived(now, size)
 }
 
 // noteArrived notes a packet of an open flow that has come.
@@ -34,14 +34,14 @@
 	if packet.Opening {
 		return
 	}
-	s.admission.NoteData(now, packet.Flow, packet.Sequence, packet.Size)
+	s.admission.RecordData(now, packet.Flow, packet.Sequence, packet.Size)
 	if packet.Closing || packet.Reset {
-		s.admission.NoteEnd(packet.Flow, packet.Closing)
+		s.admission.RecordEnd(packet.Flow, packet.Closing)
 	}
 	if packet.Reset {
 		return
 	}
-	s.learner.NoteArrived(now, egress.Arrived{
+	s.learner.RecordPacket(now, egress.ReceivedPacket{
 		Flow:         packet.Flow,
 		Sequence:     packet.Sequence,
 		Acknowledged: packet.Acknowledged,
@@ -56,7 +56,7 @@
 	s.process.logger.Sampled(eventlog.SocketFailed, "step", "edge.write", "peer", address, "err", err)
 	s.process.core.RecordDrop(now, flow)
 	if errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.EAGAIN) {
-		s.learner.NoteWriteError(now)
+		s.learner.RecordWriteError(now)
 	}
 }
 
@@ -70,7 +70,7 @@
 
 // noteWait notes how long a datagram that leaves has waited.
 func (s *sender) noteWait(now kernel.Instant, item *egress.Item) {
-	waited := now.Sub(item.Since)
+	waited := now.Sub(item.OfferedAt)
 	s.longest = max(s.longest, waited)
 	s.process.metrics.observeLinkWait(item.Urgency, waited)
 	if item.WaitedLong {
@@ -94,20 +94,20 @@
 
 // noteCongestion writes an event when the link becomes congested or is relieved.
 func (s *sender) noteCongestion(now kernel.Instant, delay time.Duration) {
-	began, ended := s.watch.Note(now, delay)
+	began, ended := s.watch.Update(now, delay)
 	switch {
 	case began:
 		s.process.logger.Event(eventlog.LinkCongested, "delay", delay, "packets", s.scheduler.Len(),
 			"bytes", s.scheduler.Bytes(), "rate", s.scheduler.Rate(now))
 	case ended:
-		s.process.logger.Event(eventlog.LinkRelieved, "lasted", s.watch.Lasted(), "packets", s.scheduler.Len())
+		s.process.logger.Event(eventlog.LinkRelieved, "lasted", s.watch.Duration(), "packets", s.scheduler.Len())
 	}
 }
 
 // noteRate writes an event when the link is found to be narrower than stated, or to
 // carry what is stated again. Rises take as long as a second, so events are few.
 func (s *sender) noteRate(now kernel.Instant) {
-	rate, stated := s.learner.Rate(now), s.learner.Stated()
+	rate, stated := s.learner.Rate(now), s.learner.ConfiguredRate()
 	s.process.metrics.linkRate.Set(rate)
 	s.process.metrics.linkReductions.Add(float64(s.learner.Reductions() - s.reductions))
 	s.reductions = s.learner.Reductions()
--- a/internal/edge/linkrate_test.go
+++ b/internal/edge/linkrate_test.go
@@ -87,7 +87,7 @@
 	assert.NotContains(t, log.String(), "link_narrower")
 	now := node.loseSome(4)
 	node.sender.tick(now)
-	assert.Less(t, node.sender.scheduler.Rate(now), node.sender.learner.Stated())
+	assert.Less(t, node.sender.scheduler.Rate(now), node.sender.learner.ConfiguredRate())
 	assert.Contains(t, log.String(), "link_narrower")
 	node.sender.tick(now.Add(time.Minute))
 	assert.Contains(t, log.String(), "link_as_stated")
@@ -107,7 +107,7 @@
 	}
 	now := node.loseSome(flows)
 	require.Equal(t, flows, failures)
-	assert.InDelta(t, node.sender.learner.Stated(), node.sender.learner.Rate(now), 0)
+	assert.InDelta(t, node.sender.learner.ConfiguredRate(), node.sender.learner.Rate(now), 0)
 }
 
 func TestAFullSystemQueueLowersTheRateAndOtherErrorsDoNot(t *testing.T) {
@@ -118,7 +118,7 @@
 			node.ask(node.now(), port, 1, 1)
 		}
 		later := node.now().Add(100 * time.Millisecond)
-		assert.Equal(t, lowers, node.sender.learner.Rate(later) < node.sender.learner.Stated(), "%v", cause)
+		assert.Equal(t, lowers, node.sender.learner.Rate(later) < node.sender.learner.ConfiguredRate(), "%v", cause)
 	}
 }
 
@@ -147,7 +147,7 @@
 func TestWhatWaitsAtTheNodeIsNoSilenceOfATarget(t *testing.T) {
 	node := newStillNode(t, io.Discard)
 	wait := func() {
-		for node.sender.scheduler.Pass(linkStart, steer.FlowKey{}, 500) {
+		for node.sender.scheduler.Allow(linkStart, steer.FlowKey{}, 500) {
 			continue
 		}
 	}
@@ -173,7 +173,7 @@
 func TestACopyOfAnOpeningPacketThatWaitsHereIsNotPlacedAgain(t *testing.T) {
 	log := &strings.Builder{}
 	node := newStillNode(t, log)
-	for node.sender.scheduler.Pass(linkStart, steer.FlowKey{}, 20) {
+	for node.sender.scheduler.Allow(linkStart, steer.FlowKey{}, 20) {
 		continue
 	}
 	const port = 3000
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -143,7 +143,7 @@
 		m.linkDroppedBytes = append(m.linkDroppedBytes, bytes.WithLabelValues(reason.String()))
 	}
 	admissions := set.CounterVec("admissions_total", "new flows by why they were not taken at once", "reason")
-	for _, reason := range egress.Reasons() {
+	for _, reason := range egress.DecisionReasons() {
 		m.admissions = append(m.admissions, admissions.WithLabelValues(reason.String()))
 	}
 	m.openingsHeld = set.Seconds("opening_held_seconds", "time that opening packets were held until their data had room")
@@ -153,7 +153,7 @@
 	m.roomOffered = set.Gauge("room_offered_wait_seconds", "the same at the least used nodes of the zone, 0 while unknown")
 	m.roomKnown = set.Gauge("room_known", "1 while the use of other nodes is known")
 	waits := set.SecondsVec("link_wait_seconds", "time that datagrams waited for the link, by urgency", "urgency")
-	for urgency := range egress.Urgencies {
+	for urgency := range egress.UrgencyCount {
 		m.linkWaits = append(m.linkWaits, waits.WithLabelValues(strconv.Itoa(urgency)))
 	}
 }
@@ -162,18 +162,18 @@
 func (m *metrics) noteRoom(k *roomKeeper, load egress.LinkLoad) {
 	m.linkUseIn.Set(k.in)
 	m.linkUseOut.Set(k.out)
-	m.linkWait.Set(load.Wait().Seconds())
+	m.linkWait.Set(load.ExpectedWait().Seconds())
 	m.roomKnown.Set(0)
 	m.roomOffered.Set(0)
 	if k.known {
 		m.roomKnown.Set(1)
-		m.roomOffered.Set(load.Offered.Seconds())
+		m.roomOffered.Set(load.RetryWait.Seconds())
 	}
 }
 
 // observeLinkWait notes how long a datagram waited for the link.
 func (m *metrics) observeLinkWait(urgency uint8, waited time.Duration) {
-	m.linkWaits[min(int(urgency), egress.Urgencies-1)].Observe(waited.Seconds())
+	m.linkWaits[min(int(urgency), egress.UrgencyCount-1)].Observe(waited.Seconds())
 }
 
 func (m *metrics) count(decision steer.Decision) { m.decisions[decision.Reason].Inc() }
--- a/internal/edge/packets.go
+++ b/internal/edge/packets.go
@@ -89,7 +89,7 @@
 
 // decide carries out the core's decision on a packet.
 func (p *Process) decide(now kernel.Instant, packet steer.Packet, datagram []byte) {
-	if packet.Opening && (p.sender.held.Holds(packet.Flow) || packet.Copy > 0 && p.sender.scheduler.HoldsOpening(packet.Flow)) {
+	if packet.Opening && (p.sender.held.Contains(packet.Flow) || packet.Copy > 0 && p.sender.scheduler.HasQueuedOpening(packet.Flow)) {
 		p.metrics.duplicates.Inc()
 		return
 	}
@@ -122,12 +122,12 @@
 }
 
 // refuse resets a flow that is better off at another node: its caller comes back there.
-func (p *Process) refuse(now kernel.Instant, packet steer.Packet, reason egress.Reason) {
+func (p *Process) refuse(now kernel.Instant, packet steer.Packet, reason egress.DecisionReason) {
 	p.metrics.linkRefused.Inc()
 	p.reset(now, packet)
 	load := p.sender.load(now)
 	p.logger.Sampled(eventlog.FlowReset, "caller", packet.Flow.Caller, "virtual", packet.Flow.Virtual,
-		"reason", reason, "rate", load.Rate, "use", load.Use, "wait", load.Wait(), "offered", load.Offered,
+		"reason", reason, "rate", load.Rate, "use", load.Utilization, "wait", load.ExpectedWait(), "offered", load.RetryWait,
 		"version", p.core.Version(), "revision", p.core.Revision())
 }
 
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -58,7 +58,7 @@
 	// Link is what is stated of the machine's own link.
 	Link egress.Link
 	// Strength is what is stated of the machine.
-	Strength strength.Strength
+	Strength strength.Resources
 	// AnnouncementAddress is the UDP address at which members announce themselves, or "".
 	AnnouncementAddress string
 	// DrainTime is how long the node forwards after it was told to stop.
@@ -119,7 +119,7 @@
 	settings.Core.Name = settings.Name
 	settings.Core.Zone = settings.Zone
 	flows := settings.Core.FlowLimit
-	settings.Core.FlowLimit = settings.Strength.Flows(flows, steer.FlowBytes)
+	settings.Core.FlowLimit = settings.Strength.MaxFlows(flows, steer.FlowBytes)
 	settings.Core.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	process := &Process{
 		settings: settings,
@@ -138,7 +138,7 @@
 		socketErr: socketErr,
 	}
 	process.waiting.capacity = waitingOf(settings.Strength)
-	process.connections = hosting.NewConnections(settings.Strength.Connections(), eventlog.NodeConnectionsFull, process.metrics.set, logger)
+	process.connections = hosting.NewConnections(settings.Strength.MaxConnections(), eventlog.NodeConnectionsFull, process.metrics.set, logger)
 	process.subscriber = newSubscriber(process)
 	process.prober = newProber(process)
 	process.sender = newSender(process, settings)
--- a/internal/edge/room_test.go
+++ b/internal/edge/room_test.go
@@ -31,23 +31,23 @@
 
 // hear tells the node that all nodes of its zone are idle.
 func (n *roomNode) hear(t *testing.T) {
-	idle := room.ZoneSum{Zone: n.settings.Zone}
-	idle.Waits[0] = 4
-	input := roomInput{message: room.Message{Term: 1, Zones: []room.ZoneSum{idle}}}
+	idle := room.ZoneSummary{Zone: n.settings.Zone}
+	idle.NodesByWait[0] = 4
+	input := roomInput{message: room.Message{Term: 1, Zones: []room.ZoneSummary{idle}}}
 	input.handle(n.Process, n.now)
-	require.True(t, n.sender.room.view.IsKnown(n.now))
+	require.True(t, n.sender.room.view.IsCurrent(n.now))
 }
 
 // work lets time pass while a share of the link is used.
 func (n *roomNode) work(duration time.Duration, use float64) {
 	for end := n.now.Add(duration); n.now < end; n.now = n.now.Add(reportInterval) {
-		n.sender.noteReceived(n.now, int(use*n.sender.learner.Stated()*reportInterval.Seconds()))
+		n.sender.noteReceived(n.now, int(use*n.sender.learner.ConfiguredRate()*reportInterval.Seconds()))
 		n.tickRoom(n.now)
 	}
 }
 
-func (n *roomNode) words(t *testing.T) []room.Word {
-	var words []room.Word
+func (n *roomNode) words(t *testing.T) []room.LinkReport {
+	var words []room.LinkReport
 	n.told.Close()
 	for {
 		frame, open := n.told.Pop()
@@ -56,7 +56,7 @@
 		}
 		message, err := room.Decode(frame.Payload)
 		require.NoError(t, err)
-		words = append(words, *message.Word)
+		words = append(words, *message.Report)
 	}
 }
 
@@ -66,8 +66,8 @@
 	n.work(20*time.Second, 0)
 	words := n.words(t)
 	assert.LessOrEqual(t, len(words), 4+2+10+1)
-	assert.Equal(t, uint8(50), words[1].In)
-	assert.Zero(t, words[len(words)-1].In)
+	assert.Equal(t, uint8(50), words[1].InPercent)
+	assert.Zero(t, words[len(words)-1].InPercent)
 }
 
 func TestAFullNodeRefusesWhileOthersAreIdle(t *testing.T) {
@@ -90,9 +90,9 @@
 func TestAnOldViewRefusesNothing(t *testing.T) {
 	n := newRoomNode(t, &strings.Builder{})
 	n.hear(t)
-	n.work(room.Lifetime+time.Second, 0.8)
-	assert.False(t, n.sender.load(n.now).Known)
-	assert.Zero(t, n.sender.load(n.now).Refused)
+	n.work(room.ReportLifetime+time.Second, 0.8)
+	assert.False(t, n.sender.load(n.now).PeersKnown)
+	assert.Zero(t, n.sender.load(n.now).RefusalFraction)
 	n.open(n.now, 3001)
 	assert.NotEqual(t, "reset", n.sent[len(n.sent)-1])
 }
@@ -116,7 +116,7 @@
 
 func TestNothingIsHeldOrToldWhereNoLinkIsStated(t *testing.T) {
 	n := newRoomNode(t, &strings.Builder{})
-	n.sender.learner = egress.NewRateLearner(0)
+	n.sender.learner = egress.NewRateEstimator(0)
 	n.work(5*time.Second, 1)
 	for port := range uint16(20) {
 		n.open(n.now, 3000+port)
--- a/internal/edge/sender.go
+++ b/internal/edge/sender.go
@@ -29,10 +29,10 @@
 	timer  *time.Timer
 	armed  bool
 	wakeAt kernel.Instant
-	watch  egress.CongestionWatch
+	watch  egress.CongestionDetector
 	// learner learns the rate that the link carries now.
-	learner   *egress.RateLearner
-	admission *egress.Admission
+	learner   *egress.RateEstimator
+	admission *egress.AdmissionController
 	// narrow is set while the link is held to carry clearly less than stated.
 	narrow     bool
 	reductions uint64
@@ -45,12 +45,12 @@
 func newSender(process *Process, settings Settings) *sender {
 	s := &sender{
 		process:   process,
-		scheduler: egress.New(egress.WithLink(settings.Link), egress.WithMemory(settings.Strength.Memory)),
+		scheduler: egress.New(egress.WithLink(settings.Link), egress.WithMemoryLimit(settings.Strength.Memory)),
 	}
-	s.scheduler.Dropped = s.dropped
-	s.learner = egress.NewRateLearner(s.scheduler.Rate(process.now()))
+	s.scheduler.OnDrop = s.dropped
+	s.learner = egress.NewRateEstimator(s.scheduler.Rate(process.now()))
 	s.scheduler.Rate = s.learner.Rate
-	s.admission = egress.NewAdmission()
+	s.admission = egress.NewAdmissionController()
 	s.transmit = s.writeToSocket
 	return s
 }
@@ -64,7 +64,7 @@
 // reset sends the output, which holds a reset, to a caller. What waits of the flow is
 // of no use any more.
 func (s *sender) reset(now kernel.Instant, packet steer.Packet, address netip.AddrPort) {
-	s.scheduler.Cancel(packet.Flow)
+	s.scheduler.CancelFlow(packet.Flow)
 	s.send(now, packet, egress.KindReset, address)
 }
 
@@ -73,7 +73,7 @@
 	case packet.Opening:
 		return egress.KindOpening
 	case packet.Reset:
-		return egress.KindBreak
+		return egress.KindAbort
 	case packet.Size > 0:
 		return egress.KindData
 	case packet.Closing:
@@ -85,7 +85,7 @@
 // send sends the output now, or lets it wait for the link.
 func (s *sender) send(now kernel.Instant, packet steer.Packet, kind egress.ItemKind, address netip.AddrPort) {
 	size := len(s.output) + egress.HeaderBytes
-	if s.scheduler.Pass(now, packet.Flow, size) {
+	if s.scheduler.Allow(now, packet.Flow, size) {
 		s.write(now, sentOf(packet, size), s.output, address)
 		return
 	}
@@ -94,7 +94,7 @@
 	item.Address = address
 	item.Payload = s.output
 	switch s.scheduler.Offer(now, &item) {
-	case egress.OutcomeThrough:
+	case egress.OutcomeSendNow:
 		s.write(now, sentOf(packet, size), s.output, address)
 	case egress.OutcomeQueued:
 		s.output = s.takeSpare()
@@ -114,7 +114,7 @@
 	item.Urgency = route.Urgency
 	item.Objective = route.Objective
 	if route.Timeout > 0 {
-		item.Expires = now.Add(route.Timeout)
+		item.ExpiresAt = now.Add(route.Timeout)
 	}
 	return item
 }
@@ -132,10 +132,10 @@
 			break
 		}
 		s.noteWait(now, &item)
-		s.write(now, egress.Sent{Flow: item.Flow, Sequence: item.Sequence, Data: item.Data, Size: item.Size}, item.Payload, item.Address)
+		s.write(now, egress.SentDatagram{Flow: item.Flow, Sequence: item.Sequence, Data: item.Data, Size: item.Size}, item.Payload, item.Address)
 		s.giveSpare(item.Payload)
 	}
-	if wait, waits := s.scheduler.Wait(now); waits {
+	if wait, waits := s.scheduler.TimeUntilNext(now); waits {
 		s.wake(now, wait)
 	}
 }
@@ -164,7 +164,7 @@
 // tick tells the core and the log how the link is.
 func (s *sender) tick(now kernel.Instant) {
 	s.scheduler.Tick(now)
-	delay := max(s.scheduler.Delay(now), s.longest)
+	delay := max(s.scheduler.QueueDelay(now), s.longest)
 	s.longest = 0
 	s.process.core.RecordLinkDelay(now, delay)
 	s.process.metrics.linkQueue.Set(float64(s.scheduler.Len()))
@@ -179,12 +179,12 @@
 	}
 }
 
-func sentOf(packet steer.Packet, size int) egress.Sent {
-	return egress.Sent{Flow: packet.Flow, Sequence: packet.Sequence, Data: packet.Size, Size: size}
+func sentOf(packet steer.Packet, size int) egress.SentDatagram {
+	return egress.SentDatagram{Flow: packet.Flow, Sequence: packet.Sequence, Data: packet.Size, Size: size}
 }
 
 // write hands a datagram to the network and notes what became of it.
-func (s *sender) write(now kernel.Instant, sent egress.Sent, datagram []byte, address netip.AddrPort) {
+func (s *sender) write(now kernel.Instant, sent egress.SentDatagram, datagram []byte, address netip.AddrPort) {
 	if err := s.transmit(datagram, address); err != nil {
 		s.noteWriteError(sent.Flow, address, err)
 		return
@@ -215,21 +215,21 @@
 // load returns how the link stands and what is known of others.
 func (s *sender) load(now kernel.Instant) egress.LinkLoad {
 	return egress.LinkLoad{
-		Rate:    s.learner.Rate(now),
-		Stated:  s.learner.Stated(),
-		Queued:  float64(s.scheduler.Bytes()),
-		Held:    s.held.Len(),
-		Use:     max(s.room.in, s.room.out),
-		Refused: s.room.refused.Value(),
-		Known:   s.room.known,
-		Offered: s.room.view.Offered(),
+		Rate:            s.learner.Rate(now),
+		ConfiguredRate:  s.learner.ConfiguredRate(),
+		QueuedBytes:     float64(s.scheduler.Bytes()),
+		HeldUploads:     s.held.Len(),
+		Utilization:     max(s.room.in, s.room.out),
+		RefusalFraction: s.room.refused.Value(),
+		PeersKnown:      s.room.known,
+		RetryWait:       s.room.view.RetryWait(),
 	}
 }
 
 // admit decides on a new flow, and holds its opening packet where that is decided.
 func (s *sender) admit(now kernel.Instant, packet steer.Packet, datagram []byte) egress.Decision {
 	route := s.process.core.Route(packet.Flow)
-	if route == nil || s.learner.Stated() <= 0 {
+	if route == nil || s.learner.ConfiguredRate() <= 0 {
 		return egress.Decision{}
 	}
 	decision := s.admission.Decide(now, packet.Flow, *route, s.load(now))
@@ -237,10 +237,10 @@
 	case decision.Action == egress.ActionRefuse:
 		s.room.refusedAt = now
 	case decision.Action == egress.ActionHold && !s.held.IsFull():
-		s.held.Add(now, packet, datagram, route.Urgency, decision.Bound)
+		s.held.Add(now, packet, datagram, route.Urgency, decision.MaxHold)
 		s.wake(now, holdPause)
 	case decision.Action == egress.ActionHold:
-		s.admission.Take(now, packet.Flow, *route)
+		s.admission.RecordAccepted(now, packet.Flow, *route)
 		return egress.Decision{}
 	}
 	return decision
@@ -252,7 +252,7 @@
 		return
 	}
 	for {
-		held, due := s.held.Take(now, s.admission.Fits(now, s.load(now)))
+		held, due := s.held.Pop(now, s.admission.CanStartUpload(now, s.load(now)))
 		if !due {
 			break
 		}
@@ -266,12 +266,12 @@
 // begin begins a held flow.
 func (s *sender) begin(now kernel.Instant, held *egress.HeldOpening) {
 	if route := s.process.core.Route(held.Packet.Flow); route != nil {
-		s.admission.Take(now, held.Packet.Flow, *route)
+		s.admission.RecordAccepted(now, held.Packet.Flow, *route)
 	}
-	waited := now.Sub(held.Since)
+	waited := now.Sub(held.HeldAt)
 	s.process.metrics.openingsHeld.Observe(waited.Seconds())
 	s.process.logger.Sampled(eventlog.OpeningHeld, "caller", held.Packet.Flow.Caller, "virtual", held.Packet.Flow.Virtual,
 		"wait", waited, "urgency", held.Urgency)
 	s.process.begin(now, held.Packet, held.Datagram)
-	s.held.Give(held)
+	s.held.Recycle(held)
 }
--- a/internal/edge/sender_bench_test.go
+++ b/internal/edge/sender_bench_test.go
@@ -31,7 +31,7 @@
 
 func newLoadedNode(link egress.Link, queued int) *loadedNode {
 	process := NewProcess(Settings{
-		Name: "edge-1", Zone: "north", Link: link, Strength: strength.Strength{Memory: 1 << 30}, Format: plainFormat{}, Core: steer.DefaultSettings(),
+		Name: "edge-1", Zone: "north", Link: link, Strength: strength.Resources{Memory: 1 << 30}, Format: plainFormat{}, Core: steer.DefaultSettings(),
 	}, eventlog.Discard())
 	process.sender.transmit = func([]byte, netip.AddrPort) error { return nil }
 	n := &loadedNode{process: process, now: process.now()}
--- a/internal/edge/speeds.go
+++ b/internal/edge/speeds.go
@@ -16,14 +16,14 @@
 
 // tellSpeeds tells the member how long targets take. Without one it is dropped: the
 // targets are told again later.
-func (s *subscriber) tellSpeeds(words []speed.Word) {
+func (s *subscriber) tellSpeeds(words []speed.Report) {
 	if len(words) == 0 {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.reports != nil {
-		s.reports.TryPush(speed.Frame("", words))
+		s.reports.TryPush(speed.ReportFrame("", words))
 	}
 }
 
@@ -31,12 +31,12 @@
 func (s *subscriber) receiveSpeeds(payload []byte) error {
 	message, err := speed.Decode(payload)
 	if err == nil {
-		s.process.inputs.Push(speedsInput{told: message.Told})
+		s.process.inputs.Push(speedsInput{told: message.Steps})
 	}
 	return err
 }
 
-type speedsInput struct{ told []speed.Told }
+type speedsInput struct{ told []speed.TargetStep }
 
 func (i speedsInput) handle(p *Process, now kernel.Instant) {
 	p.core.SetSpeeds(now, i.told)
--- a/internal/edge/subscriber.go
+++ b/internal/edge/subscriber.go
@@ -54,7 +54,7 @@
 	seeds []string
 	// strength is what is stated of the machine, and untold is set until the member that
 	// is followed has heard of a change.
-	strength strength.Strength
+	strength strength.Resources
 	untold   bool
 	// reports is the queue to the member that is followed, or nil.
 	reports *ring.Ring[wire.Frame]
@@ -84,7 +84,7 @@
 }
 
 // setStrength replaces what is stated of the machine; the next report tells it.
-func (s *subscriber) setStrength(stated strength.Strength) {
+func (s *subscriber) setStrength(stated strength.Resources) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.untold = s.untold || stated != s.strength
@@ -92,7 +92,7 @@
 }
 
 // takeStrength returns what is stated of the machine for a subscription, which tells it.
-func (s *subscriber) takeStrength() strength.Strength {
+func (s *subscriber) takeStrength() strength.Resources {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.untold = false
--- a/internal/egress/admission.go
+++ b/internal/egress/admission.go
@@ -76,13 +76,13 @@
 	last  kernel.Instant
 }
 
-// Admission tells whether a new flow is taken, held or refused. It answers two patterns:
+// AdmissionController tells whether a new flow is taken, held or refused. It answers two patterns:
 // nodes of unequal strengths among which routers spread flows evenly, and nodes of equal
 // strengths among which an even hash leaves some with more than others. A refused caller
 // comes back at once, mostly by another node: refusals turn the even hash into one by
 // strength (rejection sampling). A refusal before the flow opens says truly that nothing
 // ran; an open flow is never refused.
-type Admission struct {
+type AdmissionController struct {
 	// sizes are the usual sizes of uploads by the address of the route.
 	sizes    map[netip.AddrPort]*usualSize
 	promises map[steer.FlowKey]*promise
@@ -90,9 +90,9 @@
 	refused map[netip.Addr]kernel.Instant
 }
 
-// NewAdmission returns an admission that has promised nothing.
-func NewAdmission() *Admission {
-	return &Admission{
+// NewAdmissionController returns an admission that has promised nothing.
+func NewAdmissionController() *AdmissionController {
+	return &AdmissionController{
 		sizes:    map[netip.AddrPort]*usualSize{},
 		promises: map[steer.FlowKey]*promise{},
 		refused:  map[netip.Addr]kernel.Instant{},
@@ -106,7 +106,7 @@
 // case, where the others are known: taken, it would be late and make others late. Flows of other
 // routes are refused for room elsewhere only where the node's wait makes them late: each
 // try that they lose is one less for a target that is full.
-func (a *Admission) Decide(now kernel.Instant, flow steer.FlowKey, route directory.Route, load LinkLoad) Decision {
+func (a *AdmissionController) Decide(now kernel.Instant, flow steer.FlowKey, route directory.Route, load LinkLoad) Decision {
 	if load.Rate <= 0 {
 		return Decision{}
 	}
@@ -116,11 +116,11 @@
 	var wait, pace time.Duration
 	if route.Kind == directory.RouteUpload {
 		wait, pace = a.uploadWaits(now, route, load)
-		if load.Known && route.Objective > 0 && max(wait, load.Wait()) > lateBound(flow, route, load) {
+		if load.PeersKnown && route.Objective > 0 && max(wait, load.ExpectedWait()) > lateBound(flow, route, load) {
 			return Decision{Action: ActionRefuse, Reason: ReasonLate}
 		}
 	}
-	if route.Kind != directory.RouteUpload && load.Wait() <= route.Objective {
+	if route.Kind != directory.RouteUpload && load.ExpectedWait() <= route.Objective {
 		return Decision{}
 	}
 	if reason := load.excess(flow, wait); reason != ReasonNone && isRefusable(flow, route) && a.refuse(now, flow) {
@@ -130,9 +130,9 @@
 		return Decision{}
 	}
 	if route.Objective > 0 && pace > pacedWait {
-		return Decision{Action: ActionHold, Reason: ReasonPaced, Bound: holdBound(route)}
+		return Decision{Action: ActionHold, Reason: ReasonPaced, MaxHold: holdBound(route)}
 	}
-	a.Take(now, flow, route)
+	a.RecordAccepted(now, flow, route)
 	return Decision{}
 }
 
@@ -158,7 +158,7 @@
 // lateBound returns the wait beyond which an upload is refused in any case. At the port
 // that is taken otherwise, which may be a caller's last try, it is longer.
 func lateBound(flow steer.FlowKey, route directory.Route, load LinkLoad) time.Duration {
-	if load.Offered > fullOffer {
+	if load.RetryWait > fullOffer {
 		return partOf(route, fullShare)
 	}
 	if isRefusable(flow, route) {
@@ -167,22 +167,22 @@
 	return partOf(route, lateShare)
 }
 
-// Fits reports whether an upload that begins now has its data sent without a long wait.
-func (a *Admission) Fits(now kernel.Instant, load LinkLoad) bool {
+// CanStartUpload reports whether an upload that begins now has its data sent without a long wait.
+func (a *AdmissionController) CanStartUpload(now kernel.Instant, load LinkLoad) bool {
 	_, active := a.promised(now)
-	return load.timeOf(load.Queued+active) <= pacedWait
+	return load.timeOf(load.QueuedBytes+active) <= pacedWait
 }
 
 // uploadWaits returns the time that the link needs for what waits, is promised or held,
 // and that for what waits and is on its way here.
-func (a *Admission) uploadWaits(now kernel.Instant, route directory.Route, load LinkLoad) (wait, pace time.Duration) {
-	held := float64(load.Held) * a.sizeOf(route.Address)
+func (a *AdmissionController) uploadWaits(now kernel.Instant, route directory.Route, load LinkLoad) (wait, pace time.Duration) {
+	held := float64(load.HeldUploads) * a.sizeOf(route.Address)
 	all, active := a.promised(now)
-	return load.timeOf(load.Queued + all + held), load.timeOf(load.Queued + active)
+	return load.timeOf(load.QueuedBytes + all + held), load.timeOf(load.QueuedBytes + active)
 }
 
-// Take notes a flow that is taken.
-func (a *Admission) Take(now kernel.Instant, flow steer.FlowKey, route directory.Route) {
+// RecordAccepted notes a flow that is taken.
+func (a *AdmissionController) RecordAccepted(now kernel.Instant, flow steer.FlowKey, route directory.Route) {
 	if route.Kind != directory.RouteUpload {
 		return
 	}
@@ -196,7 +196,7 @@
 
 // refuse notes that a caller is refused. It returns false when the caller was refused
 // just before, or cannot be remembered.
-func (a *Admission) refuse(now kernel.Instant, flow steer.FlowKey) bool {
+func (a *AdmissionController) refuse(now kernel.Instant, flow steer.FlowKey) bool {
 	caller := flow.Caller.Addr()
 	if at, known := a.refused[caller]; known && now.Sub(at) < comebackTime {
 		return false
@@ -211,7 +211,7 @@
 	return true
 }
 
-func (a *Admission) forgetRefused(now kernel.Instant) {
+func (a *AdmissionController) forgetRefused(now kernel.Instant) {
 	for caller, at := range a.refused {
 		if now.Sub(at) >= comebackTime {
 			delete(a.refused, caller)
@@ -219,8 +219,8 @@
 	}
 }
 
-// NoteData notes data of a flow that has come.
-func (a *Admission) NoteData(now kernel.Instant, flow steer.FlowKey, sequence uint32, data int) {
+// RecordData notes data of a flow that has come.
+func (a *AdmissionController) RecordData(now kernel.Instant, flow steer.FlowKey, sequence uint32, data int) {
 	p, known := a.promises[flow]
 	if !known || data == 0 {
 		return
@@ -232,8 +232,8 @@
 	p.sent = max(p.sent, int(int32(sequence-p.first))+data)
 }
 
-// NoteEnd notes that a flow has ended; whole tells that its caller has sent all.
-func (a *Admission) NoteEnd(flow steer.FlowKey, whole bool) {
+// RecordEnd notes that a flow has ended; whole tells that its caller has sent all.
+func (a *AdmissionController) RecordEnd(flow steer.FlowKey, whole bool) {
 	p, known := a.promises[flow]
 	if !known {
 		return
@@ -246,7 +246,7 @@
 }
 
 // sizeOf returns the usual size of a route's uploads.
-func (a *Admission) sizeOf(route netip.AddrPort) float64 {
+func (a *AdmissionController) sizeOf(route netip.AddrPort) float64 {
 	if usual, known := a.sizes[route]; known {
 		return usual.bytes
 	}
@@ -254,7 +254,7 @@
 }
 
 // usualOf returns what is learned of a route.
-func (a *Admission) usualOf(route netip.AddrPort) *usualSize {
+func (a *AdmissionController) usualOf(route netip.AddrPort) *usualSize {
 	if usual, known := a.sizes[route]; known {
 		return usual
 	}
@@ -268,7 +268,7 @@
 
 // promised returns the bytes that uploads under way have yet to send, and how many of
 // these are of uploads that have sent something within activeTime.
-func (a *Admission) promised(now kernel.Instant) (all, active float64) {
+func (a *AdmissionController) promised(now kernel.Instant) (all, active float64) {
 	for flow, p := range a.promises {
 		silent := now.Sub(p.last)
 		if silent > promiseLifetime {
@@ -285,7 +285,7 @@
 }
 
 // clean forgets the uploads that have sent nothing for long.
-func (a *Admission) clean(now kernel.Instant) {
+func (a *AdmissionController) clean(now kernel.Instant) {
 	for flow, p := range a.promises {
 		if now.Sub(p.last) > promiseLifetime {
 			delete(a.promises, flow)
--- a/internal/egress/admission_test.go
+++ b/internal/egress/admission_test.go
@@ -19,24 +19,24 @@
 		Kind:      directory.RouteUpload,
 		Objective: time.Second,
 	}
-	wideLink   = LinkLoad{Rate: modelStated, Stated: modelStated}
-	narrowLink = LinkLoad{Rate: modelStated / 4, Stated: modelStated}
+	wideLink   = LinkLoad{Rate: modelStated, ConfiguredRate: modelStated}
+	narrowLink = LinkLoad{Rate: modelStated / 4, ConfiguredRate: modelStated}
 	// fullNode is a node that is full while others are idle.
-	fullNode = LinkLoad{Rate: modelStated, Stated: modelStated, Use: 0.75, Known: true, Offered: time.Millisecond, Refused: 1}
+	fullNode = LinkLoad{Rate: modelStated, ConfiguredRate: modelStated, Utilization: 0.75, PeersKnown: true, RetryWait: time.Millisecond, RefusalFraction: 1}
 	// refusablePort and takenPort are ports of openings that may be refused and that
 	// are always taken.
 	refusablePort, takenPort = uint16(1), uint16(callerTries)
 )
 
 // loaded returns an admission that has promised uploads of a known size.
-func loaded(uploads int) *Admission {
-	a := NewAdmission()
+func loaded(uploads int) *AdmissionController {
+	a := NewAdmissionController()
 	first := modelFlow(60000)
-	a.Take(modelStart, first, uploadRoute)
-	a.NoteData(modelStart, first, 1, 40_000)
-	a.NoteEnd(first, true)
+	a.RecordAccepted(modelStart, first, uploadRoute)
+	a.RecordData(modelStart, first, 1, 40_000)
+	a.RecordEnd(first, true)
 	for port := range uploads {
-		a.Take(modelStart, modelFlow(uint16(50000+port)), uploadRoute)
+		a.RecordAccepted(modelStart, modelFlow(uint16(50000+port)), uploadRoute)
 	}
 	return a
 }
@@ -47,8 +47,8 @@
 func TestAnOpeningIsHeldForNoLongerThanItsCallerWaits(t *testing.T) {
 	patient := uploadRoute
 	patient.Objective = time.Hour
-	assert.Equal(t, longestHold, loaded(1).Decide(modelStart, modelFlow(takenPort), patient, wideLink).Bound)
-	assert.Equal(t, time.Second/2, loaded(1).Decide(modelStart, modelFlow(takenPort), uploadRoute, wideLink).Bound)
+	assert.Equal(t, longestHold, loaded(1).Decide(modelStart, modelFlow(takenPort), patient, wideLink).MaxHold)
+	assert.Equal(t, time.Second/2, loaded(1).Decide(modelStart, modelFlow(takenPort), uploadRoute, wideLink).MaxHold)
 }
 
 func TestOpeningsAreDecidedByTheLinkAndTheOthers(t *testing.T) {
@@ -57,15 +57,15 @@
 	without := uploadRoute
 	without.Objective = 0
 	fullest := fullNode
-	fullest.Use = 0.95
+	fullest.Utilization = 0.95
 	alike := fullest
-	alike.Refused = 0
+	alike.RefusalFraction = 0
 	crowded := fullNode
-	crowded.Queued = modelStated / 4
+	crowded.QueuedBytes = modelStated / 4
 	fullSite := crowded
-	fullSite.Offered = 2 * fullOffer
+	fullSite.RetryWait = 2 * fullOffer
 	late := fullNode
-	late.Queued = modelStated
+	late.QueuedBytes = modelStated
 	cases := []struct {
 		name    string
 		route   directory.Route
@@ -73,25 +73,25 @@
 		uploads int
 		port    uint16
 		action  Action
-		reason  Reason
+		reason  DecisionReason
 	}{
-		{"a narrow link with nothing promised", uploadRoute, narrowLink, 0, refusablePort, ActionTake, ReasonNone},
+		{"a narrow link with nothing promised", uploadRoute, narrowLink, 0, refusablePort, ActionAccept, ReasonNone},
 		{"a narrow link with one upload promised", uploadRoute, narrowLink, 1, refusablePort, ActionRefuse, ReasonNarrowLink},
 		{"the third try of a caller", uploadRoute, narrowLink, 1, takenPort, ActionHold, ReasonPaced},
 		{"a link as wide as stated, of which others are not known", uploadRoute, wideLink, 1, refusablePort, ActionHold, ReasonPaced},
-		{"a request without a long body", urgent, narrowLink, 20, refusablePort, ActionTake, ReasonNone},
-		{"a route without an objective", without, narrowLink, 20, refusablePort, ActionTake, ReasonNone},
-		{"an upload at a full node while others are idle", uploadRoute, fullNode, 0, refusablePort, ActionRefuse, ReasonRoomElsewhere},
-		{"the third try at a full node", uploadRoute, fullNode, 0, takenPort, ActionTake, ReasonNone},
-		{"a small request at a full node that makes it late", urgent, fullest, 0, refusablePort, ActionRefuse, ReasonRoomElsewhere},
-		{"the third try of that", urgent, fullest, 0, takenPort, ActionTake, ReasonNone},
-		{"a small request that is in time all the same", urgent, fullNode, 0, refusablePort, ActionTake, ReasonNone},
-		{"a node that is as full as others", urgent, alike, 0, refusablePort, ActionTake, ReasonNone},
+		{"a request without a long body", urgent, narrowLink, 20, refusablePort, ActionAccept, ReasonNone},
+		{"a route without an objective", without, narrowLink, 20, refusablePort, ActionAccept, ReasonNone},
+		{"an upload at a full node while others are idle", uploadRoute, fullNode, 0, refusablePort, ActionRefuse, ReasonCapacityElsewhere},
+		{"the third try at a full node", uploadRoute, fullNode, 0, takenPort, ActionAccept, ReasonNone},
+		{"a small request at a full node that makes it late", urgent, fullest, 0, refusablePort, ActionRefuse, ReasonCapacityElsewhere},
+		{"the third try of that", urgent, fullest, 0, takenPort, ActionAccept, ReasonNone},
+		{"a small request that is in time all the same", urgent, fullNode, 0, refusablePort, ActionAccept, ReasonNone},
+		{"a node that is as full as others", urgent, alike, 0, refusablePort, ActionAccept, ReasonNone},
 		{"an upload that would be late", uploadRoute, late, 0, takenPort, ActionRefuse, ReasonLate},
 		{"the last try of an upload that can be in time", uploadRoute, crowded, 0, takenPort, ActionHold, ReasonPaced},
 		{"the same where all nodes are full", uploadRoute, fullSite, 0, takenPort, ActionRefuse, ReasonLate},
-		{"a small request where all nodes are full", urgent, fullSite, 0, takenPort, ActionTake, ReasonNone},
-		{"an unstated link", uploadRoute, LinkLoad{Use: 1, Known: true}, 20, refusablePort, ActionTake, ReasonNone},
+		{"a small request where all nodes are full", urgent, fullSite, 0, takenPort, ActionAccept, ReasonNone},
+		{"an unstated link", uploadRoute, LinkLoad{Utilization: 1, PeersKnown: true}, 20, refusablePort, ActionAccept, ReasonNone},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,8 +109,8 @@
 		a := loaded(100)
 		step := rapid.Uint16Range(1, 2).Draw(t, "step")
 		first := rapid.Uint16Range(1024, 49_000).Draw(t, "first")
-		load := rapid.SampledFrom([]LinkLoad{narrowLink, fullNode, {Rate: modelStated, Stated: modelStated, Use: 0.95, Known: true}}).Draw(t, "load")
-		load.Refused = rapid.Float64Range(0, 1).Draw(t, "refused")
+		load := rapid.SampledFrom([]LinkLoad{narrowLink, fullNode, {Rate: modelStated, ConfiguredRate: modelStated, Utilization: 0.95, PeersKnown: true}}).Draw(t, "load")
+		load.RefusalFraction = rapid.Float64Range(0, 1).Draw(t, "refused")
 		route := uploadRoute
 		route.Kind = rapid.SampledFrom([]directory.RouteKind{directory.RouteRepeatable, directory.RouteOnce, directory.RouteUpload}).Draw(t, "kind")
 		refused := 0
@@ -167,21 +167,21 @@
 func TestAFlowThatWasTakenIsNotRefusedLater(t *testing.T) {
 	a := loaded(0)
 	flow := modelFlow(refusablePort)
-	assert.Equal(t, ActionTake, a.Decide(modelStart, flow, uploadRoute, wideLink).Action)
+	assert.Equal(t, ActionAccept, a.Decide(modelStart, flow, uploadRoute, wideLink).Action)
 	for port := range uint16(20) {
-		a.Take(modelStart, modelFlow(50000+port), uploadRoute)
+		a.RecordAccepted(modelStart, modelFlow(50000+port), uploadRoute)
 	}
-	assert.Equal(t, ActionTake, a.Decide(modelStart, flow, uploadRoute, narrowLink).Action)
+	assert.Equal(t, ActionAccept, a.Decide(modelStart, flow, uploadRoute, narrowLink).Action)
 }
 
 func TestSizesAreBounded(t *testing.T) {
-	a := NewAdmission()
+	a := NewAdmissionController()
 	for number := range 3 * sizeLimit {
 		route := uploadRoute
 		route.Address = netip.AddrPortFrom(route.Address.Addr(), uint16(number+1))
-		a.Take(modelStart, modelFlow(1), route)
-		a.NoteData(modelStart, modelFlow(1), 1, 1200)
-		a.NoteEnd(modelFlow(1), true)
+		a.RecordAccepted(modelStart, modelFlow(1), route)
+		a.RecordData(modelStart, modelFlow(1), 1, 1200)
+		a.RecordEnd(modelFlow(1), true)
 		assert.InDelta(t, 1200, a.sizeOf(route.Address), 0)
 	}
 	assert.LessOrEqual(t, len(a.sizes), sizeLimit)
@@ -190,11 +190,11 @@
 func TestWhatWasSentIsPromisedNoMore(t *testing.T) {
 	a := loaded(1)
 	assert.InDelta(t, 40_000, all(a.promised(modelStart)), 0)
-	a.NoteData(modelStart, modelFlow(50000), 1, 1200)
-	a.NoteData(modelStart, modelFlow(50000), 12_001, 1200)
-	a.NoteData(modelStart, modelFlow(50000), 1, 1200)
+	a.RecordData(modelStart, modelFlow(50000), 1, 1200)
+	a.RecordData(modelStart, modelFlow(50000), 12_001, 1200)
+	a.RecordData(modelStart, modelFlow(50000), 1, 1200)
 	assert.InDelta(t, 40_000-13_200, all(a.promised(modelStart)), 0)
-	a.NoteEnd(modelFlow(50000), false)
+	a.RecordEnd(modelFlow(50000), false)
 	assert.Zero(t, all(a.promised(modelStart)))
 	assert.InDelta(t, 40_000, a.sizeOf(uploadRoute.Address), 0, "a broken upload tells no size")
 }
@@ -205,22 +205,22 @@
 }
 
 func TestPromisesAreBounded(t *testing.T) {
-	a := NewAdmission()
+	a := NewAdmissionController()
 	for port := range uint16(5000) {
-		a.Take(modelStart, modelFlow(port), uploadRoute)
+		a.RecordAccepted(modelStart, modelFlow(port), uploadRoute)
 	}
 	assert.Len(t, a.promises, promiseLimit)
 	later := modelStart.Add(promiseLifetime + 1)
-	a.Take(later, modelFlow(6000), uploadRoute)
+	a.RecordAccepted(later, modelFlow(6000), uploadRoute)
 	assert.Len(t, a.promises, 1, "what is silent makes room")
 }
 
 func TestSizesAreLearnedByRoute(t *testing.T) {
 	a := loaded(0)
 	flow := modelFlow(1)
-	a.Take(modelStart, flow, uploadRoute)
-	a.NoteData(modelStart, flow, 1, 8_000)
-	a.NoteEnd(flow, true)
+	a.RecordAccepted(modelStart, flow, uploadRoute)
+	a.RecordData(modelStart, flow, 1, 8_000)
+	a.RecordEnd(flow, true)
 	assert.InDelta(t, 36_000, a.sizeOf(uploadRoute.Address), 0)
 	assert.InDelta(t, windowData, a.sizeOf(netip.MustParseAddrPort("198.18.0.2:80")), 0)
 }
--- a/internal/egress/bench_test.go
+++ b/internal/egress/bench_test.go
@@ -16,7 +16,7 @@
 // crowd returns a scheduler in which many flows wait, and the link takes what it has
 // carried within a step.
 func crowd(t *testing.T) *lab {
-	l := newLab(t, WithMemory(1<<30))
+	l := newLab(t, WithMemoryLimit(1<<30))
 	for number := range queuedFlows {
 		l.offer(bulk(flowKey(number%100, number), 0))
 	}
@@ -29,7 +29,7 @@
 	l.Offer(l.now, item)
 	l.now = l.now.Add(packetTime)
 	l.Next(l.now)
-	l.Wait(l.now)
+	l.TimeUntilNext(l.now)
 }
 
 func TestAQueuedPacketAllocatesNothing(t *testing.T) {
@@ -49,7 +49,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		s.Pass(now, flow, fullSize)
+		s.Allow(now, flow, fullSize)
 	}
 }
 
--- a/internal/egress/classes.go
+++ b/internal/egress/classes.go
@@ -2,9 +2,9 @@
 
 import "math/bits"
 
-// Urgencies is the number of urgencies that are told apart, from 0 on; what is beyond
+// UrgencyCount is the number of urgencies that are told apart, from 0 on; what is beyond
 // counts as the last one.
-const Urgencies = 8
+const UrgencyCount = 8
 
 // The levels of flows of one urgency, in the order in which they go.
 const (
@@ -21,9 +21,9 @@
 
 // classes hold the flows that wait, by urgency and level; the lowest class goes first.
 type classes struct {
-	little [Urgencies]turns
+	little [UrgencyCount]turns
 	// bulk holds two heaps for each urgency.
-	bulk [Urgencies * levelCount]dueHeap
+	bulk [UrgencyCount * levelCount]dueHeap
 	// busy has a bit for each class in which something waits.
 	busy  uint32
 	turns pool[turn]
--- a/internal/egress/congestion.go
+++ b/internal/egress/congestion.go
@@ -15,17 +15,17 @@
 	relievedAfter = time.Second
 )
 
-// CongestionWatch tells when a link becomes congested and when it is relieved. The zero
+// CongestionDetector tells when a link becomes congested and when it is relieved. The zero
 // value is one that is not congested.
-type CongestionWatch struct {
+type CongestionDetector struct {
 	congested bool
 	since     kernel.Instant
 	// lastLong is when the wait was last long.
 	lastLong kernel.Instant
 }
 
-// Note takes the longest wait of late, and tells what changed.
-func (w *CongestionWatch) Note(now kernel.Instant, delay time.Duration) (began, ended bool) {
+// Update takes the longest wait of late, and tells what changed.
+func (w *CongestionDetector) Update(now kernel.Instant, delay time.Duration) (began, ended bool) {
 	if delay >= congestedAfter {
 		w.lastLong = now
 		began = !w.congested
@@ -43,7 +43,7 @@
 }
 
 // IsCongested reports whether the link is congested.
-func (w *CongestionWatch) IsCongested() bool { return w.congested }
+func (w *CongestionDetector) IsCongested() bool { return w.congested }
 
-// Lasted returns how long the congestion has lasted until its last long wait.
-func (w *CongestionWatch) Lasted() time.Duration { return w.lastLong.Sub(w.since) }
+// Duration returns how long the congestion has lasted until its last long wait.
+func (w *CongestionDetector) Duration() time.Duration { return w.lastLong.Sub(w.since) }
--- a/internal/egress/fleet_test.go
+++ b/internal/egress/fleet_test.go
@@ -31,14 +31,14 @@
 type fleetNode struct {
 	share   float64
 	load    LinkLoad
-	refused RefusedShare
+	refused RefusalFraction
 }
 
 // fleet is a zone of nodes that know each other's waits of some seconds ago.
 type fleet struct {
 	nodes []*fleetNode
 	lag   int
-	sums  []room.ZoneSum
+	sums  []room.ZoneSummary
 }
 
 func drawFleet(t *rapid.T) *fleet {
@@ -54,7 +54,7 @@
 			strength = 1 + (strongest-1)*random.Float64()
 		}
 		node := &fleetNode{share: 1 + uneven*(2*random.Float64()-1)}
-		node.load = LinkLoad{Rate: strength * 180_000, Stated: strength * 180_000}
+		node.load = LinkLoad{Rate: strength * 180_000, ConfiguredRate: strength * 180_000}
 		f.nodes = append(f.nodes, node)
 		total += node.share
 	}
@@ -71,7 +71,7 @@
 	refused := 0.0
 	for number, node := range f.nodes {
 		if admits {
-			node.refused.Follow(node.load, time.Second)
+			node.refused.Update(node.load, time.Second)
 			parts[number] = node.refused.Value()
 		}
 		refused += node.share * parts[number]
@@ -79,7 +79,7 @@
 	for number, node := range f.nodes {
 		taken := 1 - parts[number]
 		tries := 1 + (taken + refused*taken + refused*refused) + (taken + refused)
-		node.load.Use = bytes * node.share * tries / callerTries / node.load.Rate
+		node.load.Utilization = bytes * node.share * tries / callerTries / node.load.Rate
 	}
 	f.learn()
 }
@@ -88,16 +88,16 @@
 func (f *fleet) learn() {
 	table := room.NewTable[*fleetNode]()
 	for _, node := range f.nodes {
-		table.NoteWord(0, node, "north", room.Word{Wait: room.StepOf(node.load.Wait())})
+		table.RecordReport(0, node, "north", room.LinkReport{WaitStep: room.WaitToStep(node.load.ExpectedWait())})
 	}
-	f.sums = append(f.sums, table.Sum(0)...)
+	f.sums = append(f.sums, table.Summaries(0)...)
 	if len(f.sums) <= f.lag {
 		return
 	}
-	var view room.View
-	view.Note(0, "north", room.Message{Zones: f.sums[len(f.sums)-1-f.lag:][:1]})
+	var view room.ZoneView
+	view.Update(0, "north", room.Message{Zones: f.sums[len(f.sums)-1-f.lag:][:1]})
 	for _, node := range f.nodes {
-		node.load.Known, node.load.Offered = view.IsKnown(0), view.Offered()
+		node.load.PeersKnown, node.load.RetryWait = view.IsCurrent(0), view.RetryWait()
 	}
 }
 
@@ -118,8 +118,8 @@
 			continue
 		}
 		for _, node := range f.nodes {
-			use := node.load.Use
-			o.wait += use * node.load.Rate / bytes * node.load.Wait().Seconds() / (fleetSeconds - fleetSettled)
+			use := node.load.Utilization
+			o.wait += use * node.load.Rate / bytes * node.load.ExpectedWait().Seconds() / (fleetSeconds - fleetSettled)
 			if second == fleetSettled {
 				lowest[node], highest[node] = use, use
 			}
--- a/internal/egress/flow.go
+++ b/internal/egress/flow.go
@@ -31,7 +31,9 @@
 func lineOf(p *packet) *links[packet] { return &p.line }
 func ageOf(p *packet) *links[packet]  { return &p.age }
 
-func (p *packet) isExpired(now kernel.Instant) bool { return p.Expires > 0 && !now.Before(p.Expires) }
+func (p *packet) isExpired(now kernel.Instant) bool {
+	return p.ExpiresAt > 0 && !now.Before(p.ExpiresAt)
+}
 
 // flow is a flow that has waited for the link lately.
 type flow struct {
--- a/internal/egress/fuzz_test.go
+++ b/internal/egress/fuzz_test.go
@@ -30,7 +30,7 @@
 		T: t, now: start,
 		scheduler: New(WithLink(narrow), func(s *settings) { s.maxPackets = fuzzPackets }),
 	}
-	o.scheduler.Dropped = o.dropOne
+	o.scheduler.OnDrop = o.dropOne
 	return o
 }
 
@@ -38,7 +38,7 @@
 func (o *oracle) find(item *Item) int {
 	return slices.IndexFunc(o.waiting, func(other Item) bool {
 		return other.Flow == item.Flow && other.Kind == item.Kind && other.Sequence == item.Sequence &&
-			other.Data == item.Data && other.Since == item.Since && other.Size == item.Size
+			other.Data == item.Data && other.OfferedAt == item.OfferedAt && other.Size == item.Size
 	})
 }
 
@@ -65,7 +65,7 @@
 		item.Size = smallSize + item.Data
 	}
 	if rapid.IntRange(0, 4).Draw(o.T, "expires") == 0 {
-		item.Expires = o.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(o.T, "lifetime")) * time.Millisecond)
+		item.ExpiresAt = o.now.Add(time.Duration(rapid.IntRange(1, 300).Draw(o.T, "lifetime")) * time.Millisecond)
 	}
 	return item
 }
@@ -80,11 +80,11 @@
 	before := len(o.waiting)
 	dropped := o.dropped
 	outcome := o.scheduler.Offer(o.now, item)
-	if item.Kind != KindClosing && (outcome == OutcomeDuplicate) != (repeated && outcome != OutcomeThrough) {
+	if item.Kind != KindClosing && (outcome == OutcomeDuplicate) != (repeated && outcome != OutcomeSendNow) {
 		o.Fatalf("outcome %d, repeated %v", outcome, repeated)
 	}
 	switch outcome {
-	case OutcomeThrough:
+	case OutcomeSendNow:
 		if before > 0 {
 			o.Fatalf("%+v went past what waits", *item)
 		}
@@ -99,12 +99,12 @@
 		}
 		o.refused += item.Size
 	}
-	if item.Kind == KindBreak && outcome == OutcomeQueued && slices.ContainsFunc(o.waiting, func(other Item) bool {
+	if item.Kind == KindAbort && outcome == OutcomeQueued && slices.ContainsFunc(o.waiting, func(other Item) bool {
 		return other.Flow == item.Flow && other.Kind == KindData
 	}) {
 		o.Fatalf("data of a broken flow waits")
 	}
-	if o.dropped > dropped && item.Kind != KindBreak && before < fuzzPackets {
+	if o.dropped > dropped && item.Kind != KindAbort && before < fuzzPackets {
 		o.Fatalf("dropped with %d waiting", before)
 	}
 }
@@ -145,7 +145,7 @@
 	o.sent += item.Size
 }
 
-func (i *Item) isPast(now kernel.Instant) bool { return i.Expires > 0 && now >= i.Expires }
+func (i *Item) isPast(now kernel.Instant) bool { return i.ExpiresAt > 0 && now >= i.ExpiresAt }
 
 // checkOrder checks the order within a flow, and that what is more urgent or goes before
 // all flows was not left behind, but for what was overdue and the oldest.
@@ -155,7 +155,7 @@
 			o.Fatalf("%+v before %+v of its flow", item, other)
 		}
 	}
-	if position == 0 && o.now.Sub(item.Since) > overdueAfter {
+	if position == 0 && o.now.Sub(item.OfferedAt) > overdueAfter {
 		return
 	}
 	for _, other := range o.waiting {
@@ -181,7 +181,7 @@
 // sendAll sends as a process does: it wakes when the scheduler says so.
 func (o *oracle) sendAll(*rapid.T) {
 	for range fuzzPackets {
-		wait, waits := o.scheduler.Wait(o.now)
+		wait, waits := o.scheduler.TimeUntilNext(o.now)
 		if !waits {
 			return
 		}
@@ -196,7 +196,7 @@
 
 func (o *oracle) cancel(*rapid.T) {
 	flow := flowKey(rapid.IntRange(1, 4).Draw(o.T, "caller"), rapid.IntRange(1, 3).Draw(o.T, "port"))
-	o.scheduler.Cancel(flow)
+	o.scheduler.CancelFlow(flow)
 	for _, other := range o.waiting {
 		if other.Flow == flow && other.Kind == KindData {
 			o.Fatalf("data of a cancelled flow waits: %+v", other)
@@ -225,8 +225,8 @@
 	if most := minBurst + rate*o.now.Sub(start).Seconds(); float64(o.through+o.sent) > most+1 {
 		o.Fatalf("%d bytes sent, the link carries %v", o.through+o.sent, most)
 	}
-	if len(o.waiting) > 0 && o.scheduler.Delay(o.now) != o.now.Sub(o.waiting[0].Since) {
-		o.Fatalf("delay is %v", o.scheduler.Delay(o.now))
+	if len(o.waiting) > 0 && o.scheduler.QueueDelay(o.now) != o.now.Sub(o.waiting[0].OfferedAt) {
+		o.Fatalf("delay is %v", o.scheduler.QueueDelay(o.now))
 	}
 }
 
@@ -264,7 +264,7 @@
 			o.now = o.now.Add(5 * time.Millisecond)
 			for item, ready := o.scheduler.Next(o.now); ready; item, ready = o.scheduler.Next(o.now) {
 				if o.now > due[item.Flow] {
-					t.Fatalf("%+v waited %v", item, o.now.Sub(item.Since))
+					t.Fatalf("%+v waited %v", item, o.now.Sub(item.OfferedAt))
 				}
 			}
 		}
--- a/internal/egress/held.go
+++ b/internal/egress/held.go
@@ -17,9 +17,9 @@
 	Packet   steer.Packet
 	Datagram []byte
 	Urgency  uint8
-	Since    kernel.Instant
-	// Until is when the flow begins in any case.
-	Until kernel.Instant
+	HeldAt   kernel.Instant
+	// Deadline is when the flow begins in any case.
+	Deadline kernel.Instant
 }
 
 // HeldOpenings holds opening packets, the most urgent and oldest first. A flow that has
@@ -36,8 +36,8 @@
 // IsFull reports whether no more can be held.
 func (h *HeldOpenings) IsFull() bool { return len(h.order) >= heldLimit }
 
-// Holds reports whether the opening packet of a flow is held.
-func (h *HeldOpenings) Holds(flow steer.FlowKey) bool {
+// Contains reports whether the opening packet of a flow is held.
+func (h *HeldOpenings) Contains(flow steer.FlowKey) bool {
 	return slices.ContainsFunc(h.order, func(held *HeldOpening) bool { return held.Packet.Flow == flow })
 }
 
@@ -47,8 +47,8 @@
 	held.Packet = packet
 	held.Datagram = append(held.Datagram[:0], datagram...)
 	held.Urgency = urgency
-	held.Since = now
-	held.Until = now.Add(bound)
+	held.HeldAt = now
+	held.Deadline = now.Add(bound)
 	position, _ := slices.BinarySearchFunc(h.order, held, func(other, held *HeldOpening) int {
 		if other.Urgency > held.Urgency {
 			return 1
@@ -58,10 +58,10 @@
 	h.order = slices.Insert(h.order, position, held)
 }
 
-// Take returns the first opening that begins now: one whose time is up, or the first one
+// Pop returns the first opening that begins now: one whose time is up, or the first one
 // when it fits. The caller hands it back by Give.
-func (h *HeldOpenings) Take(now kernel.Instant, fits bool) (*HeldOpening, bool) {
-	position := slices.IndexFunc(h.order, func(held *HeldOpening) bool { return !now.Before(held.Until) })
+func (h *HeldOpenings) Pop(now kernel.Instant, fits bool) (*HeldOpening, bool) {
+	position := slices.IndexFunc(h.order, func(held *HeldOpening) bool { return !now.Before(held.Deadline) })
 	if position < 0 {
 		if !fits || len(h.order) == 0 {
 			return nil, false
@@ -73,8 +73,8 @@
 	return held, true
 }
 
-// Give hands an opening back whose datagram is needed no more.
-func (h *HeldOpenings) Give(held *HeldOpening) { h.spare = append(h.spare, held) }
+// Recycle hands an opening back whose datagram is needed no more.
+func (h *HeldOpenings) Recycle(held *HeldOpening) { h.spare = append(h.spare, held) }
 
 func (h *HeldOpenings) takeSpare() *HeldOpening {
 	last := len(h.spare) - 1
--- a/internal/egress/held_test.go
+++ b/internal/egress/held_test.go
@@ -20,16 +20,16 @@
 	hold(&h, 1, 2, 1)
 	hold(&h, 2, 3, 2)
 	hold(&h, 3, 4, 1)
-	assert.True(t, h.Holds(modelFlow(3)))
-	_, due := h.Take(modelStart.Add(4), false)
+	assert.True(t, h.Contains(modelFlow(3)))
+	_, due := h.Pop(modelStart.Add(4), false)
 	assert.False(t, due, "nothing fits")
 	var ports []uint16
 	for h.Len() > 0 {
-		held, due := h.Take(modelStart.Add(4), true)
+		held, due := h.Pop(modelStart.Add(4), true)
 		require.True(t, due)
 		require.Equal(t, []byte{byte(held.Packet.Flow.Caller.Port())}, held.Datagram)
 		ports = append(ports, held.Packet.Flow.Caller.Port())
-		h.Give(held)
+		h.Recycle(held)
 	}
 	assert.Equal(t, []uint16{2, 4, 1, 3}, ports)
 }
@@ -38,9 +38,9 @@
 	var h HeldOpenings
 	hold(&h, 0, 1, 2)
 	hold(&h, time.Millisecond, 2, 1)
-	_, due := h.Take(modelStart.Add(time.Second-1), false)
+	_, due := h.Pop(modelStart.Add(time.Second-1), false)
 	assert.False(t, due)
-	held, due := h.Take(modelStart.Add(time.Second), false)
+	held, due := h.Pop(modelStart.Add(time.Second), false)
 	require.True(t, due)
 	assert.Equal(t, modelFlow(1), held.Packet.Flow)
 }
--- a/internal/egress/item.go
+++ b/internal/egress/item.go
@@ -22,8 +22,8 @@
 	// KindClosing ends the caller's side without data. It stays behind the data of
 	// its flow.
 	KindClosing
-	// KindBreak is the caller's reset: what waits of its flow is wanted no more.
-	KindBreak
+	// KindAbort is the caller's reset: what waits of its flow is wanted no more.
+	KindAbort
 	// KindReset is the node's own reset to a caller.
 	KindReset
 )
@@ -47,13 +47,13 @@
 	// Payload is owned by the scheduler from Offer, when it is queued, until Next or
 	// Dropped hands it back.
 	Payload []byte
-	// Since is when the item was offered.
-	Since kernel.Instant
+	// OfferedAt is when the item was offered.
+	OfferedAt kernel.Instant
 	// WaitedLong is set by Next on the first item of a flow, since the flow last rested,
 	// that waited so long that its caller has sent its data again.
 	WaitedLong bool
-	// Expires is when the caller has surely given up; 0 tells nothing.
-	Expires kernel.Instant
+	// ExpiresAt is when the caller has surely given up; 0 tells nothing.
+	ExpiresAt kernel.Instant
 }
 
 // covers reports whether the item holds all data of another one.
@@ -67,9 +67,9 @@
 
 // The outcomes of an offer.
 const (
-	// OutcomeThrough is an item that the caller of Offer sends now: nothing waits and
+	// OutcomeSendNow is an item that the caller of Offer sends now: nothing waits and
 	// the link takes it.
-	OutcomeThrough Outcome = iota
+	OutcomeSendNow Outcome = iota
 	// OutcomeQueued is an item that waits; Next returns it later.
 	OutcomeQueued
 	// OutcomeDuplicate is an item whose data waits already.
@@ -87,10 +87,10 @@
 	DropFull DropReason = iota
 	// DropExpired belongs to a caller that has given up.
 	DropExpired
-	// DropLost belongs to a flow whose target is lost or has ended.
-	DropLost
-	// DropBroken belongs to a flow that its caller has broken off.
-	DropBroken
+	// DropTargetLost belongs to a flow whose target is lost or has ended.
+	DropTargetLost
+	// DropAborted belongs to a flow that its caller has broken off.
+	DropAborted
 	dropReasonCount
 )
 
--- a/internal/egress/link_test.go
+++ b/internal/egress/link_test.go
@@ -31,7 +31,7 @@
 		s.Offer(modelStart, &item)
 		item.Sequence += 4000
 	}
-	wait, waits := s.Wait(modelStart)
+	wait, waits := s.TimeUntilNext(modelStart)
 	assert.True(t, waits)
 	assert.Greater(t, wait, time.Duration(0))
 	assert.Less(t, wait, time.Minute)
--- a/internal/egress/linkmodel_test.go
+++ b/internal/egress/linkmodel_test.go
@@ -59,7 +59,7 @@
 // linkModel is a node whose link is paced by a learner, with uploads over it.
 type linkModel struct {
 	random  *rand.Rand
-	learner *RateLearner
+	learner *RateEstimator
 	now     kernel.Instant
 	// link is the rate of the link, and lossShare what is lost on it by chance.
 	link      float64
@@ -79,7 +79,7 @@
 	delivered  int
 }
 
-func newLinkModel(seed uint64, learner *RateLearner) *linkModel {
+func newLinkModel(seed uint64, learner *RateEstimator) *linkModel {
 	m := &linkModel{random: rand.New(rand.NewPCG(seed, 1)), learner: learner, now: modelStart, link: modelStated, uploads: 4}
 	return m
 }
@@ -191,7 +191,7 @@
 	u.ended = u.acked == len(u.packets) || (u.dead && m.now.Sub(u.packets[0].sentAt) > 2*time.Second)
 	if u.ended && !u.dead {
 		u.answers++
-		m.learner.NoteArrived(m.now, Arrived{Flow: u.flow, Acknowledged: u.answers})
+		m.learner.RecordPacket(m.now, ReceivedPacket{Flow: u.flow, Acknowledged: u.answers})
 	}
 }
 
@@ -226,7 +226,7 @@
 	for _, waiting := range m.queue {
 		duplicate = duplicate || waiting.upload == u && waiting.number == number
 	}
-	m.learner.NoteArrived(m.now, Arrived{
+	m.learner.RecordPacket(m.now, ReceivedPacket{
 		Flow:         u.flow,
 		Sequence:     uint32(number * modelPacket),
 		Acknowledged: u.answers,
@@ -244,7 +244,7 @@
 		next := m.queue[0]
 		m.queue = m.queue[1:]
 		m.tokens -= modelSize
-		m.learner.NoteSent(m.now, Sent{Flow: next.upload.flow, Sequence: uint32(next.number * modelPacket), Data: modelPacket, Size: modelSize})
+		m.learner.RecordSent(m.now, SentDatagram{Flow: next.upload.flow, Sequence: uint32(next.number * modelPacket), Data: modelPacket, Size: modelSize})
 		m.carry(next)
 	}
 }
--- a/internal/egress/load.go
+++ b/internal/egress/load.go
@@ -30,25 +30,25 @@
 
 // What is done with a new flow.
 const (
-	// ActionTake forwards its opening packet.
-	ActionTake Action = iota
+	// ActionAccept forwards its opening packet.
+	ActionAccept Action = iota
 	// ActionHold lets its opening packet wait until its data has room.
 	ActionHold
 	// ActionRefuse resets it: its caller comes back by another node.
 	ActionRefuse
 )
 
-// Reason tells why a new flow is not taken at once.
-type Reason uint8
+// DecisionReason tells why a new flow is not taken at once.
+type DecisionReason uint8
 
 // The reasons why a new flow is not taken at once.
 const (
 	// ReasonNone is a flow that is taken.
-	ReasonNone Reason = iota
+	ReasonNone DecisionReason = iota
 	// ReasonNarrowLink is a link narrower than stated, where nothing is known of others.
 	ReasonNarrowLink
-	// ReasonRoomElsewhere is a longer wait than other nodes of the zone have.
-	ReasonRoomElsewhere
+	// ReasonCapacityElsewhere is a longer wait than other nodes of the zone have.
+	ReasonCapacityElsewhere
 	// ReasonPaced is an upload that begins once those before it have sent their data.
 	ReasonPaced
 	// ReasonLate is an upload whose data would wait for most of its objective.
@@ -56,9 +56,9 @@
 	reasonCount
 )
 
-// Reasons returns all reasons, for counters.
-func Reasons() []Reason {
-	list := make([]Reason, 0, reasonCount)
+// DecisionReasons returns all reasons, for counters.
+func DecisionReasons() []DecisionReason {
+	list := make([]DecisionReason, 0, reasonCount)
 	for reason := range reasonCount {
 		list = append(list, reason)
 	}
@@ -66,34 +66,34 @@
 }
 
 // String returns the reason as a word for logs and counters.
-func (r Reason) String() string {
+func (r DecisionReason) String() string {
 	return [...]string{"taken", "narrow_link", "room_elsewhere", "paced", "late"}[r]
 }
 
 // Decision tells what is done with a new flow.
 type Decision struct {
 	Action Action
-	Reason Reason
-	// Bound is how long an opening is held at most.
-	Bound time.Duration
+	Reason DecisionReason
+	// MaxHold is how long an opening is held at most.
+	MaxHold time.Duration
 }
 
 // LinkLoad is how a node's own link stands, and what is known of others.
 type LinkLoad struct {
-	// Rate and Stated are the learned and the stated rate in bytes a second; 0 bounds
+	// Rate and ConfiguredRate are the learned and the stated rate in bytes a second; 0 bounds
 	// nothing.
-	Rate, Stated float64
-	// Queued are the bytes that wait, and Held the openings of uploads that are held.
-	Queued float64
-	Held   int
-	// Use is the used share of the busier direction.
-	Use float64
-	// Refused is the share of new flows that are better off elsewhere (RefusedShare).
-	Refused float64
-	// Known is set while the waits at other nodes of the zone are known. Offered is the
+	Rate, ConfiguredRate float64
+	// QueuedBytes are the bytes that wait, and Held the openings of uploads that are held.
+	QueuedBytes float64
+	HeldUploads int
+	// Utilization is the used share of the busier direction.
+	Utilization float64
+	// RefusalFraction is the share of new flows that are better off elsewhere (RefusedShare).
+	RefusalFraction float64
+	// PeersKnown is set while the waits at other nodes of the zone are known. Offered is the
 	// wait at those that a refused caller may well find.
-	Known   bool
-	Offered time.Duration
+	PeersKnown bool
+	RetryWait  time.Duration
 }
 
 // timeOf returns the time in which the link carries so many bytes.
@@ -104,48 +104,48 @@
 	return time.Duration(bytes / l.Rate * float64(time.Second))
 }
 
-// Wait returns the wait that a window of data meets on average at the link's use, as in a
+// ExpectedWait returns the wait that a window of data meets on average at the link's use, as in a
 // queue with random arrivals.
-func (l LinkLoad) Wait() time.Duration {
-	use := min(l.Use, fullestUse)
+func (l LinkLoad) ExpectedWait() time.Duration {
+	use := min(l.Utilization, fullestUse)
 	return l.timeOf(use / (1 - use) * windowBytes)
 }
 
 // excess tells why a flow whose data waits so long is better off elsewhere, or ReasonNone.
-func (l LinkLoad) excess(flow steer.FlowKey, wait time.Duration) Reason {
-	if !l.Known {
-		if l.Rate < alikeShare*l.Stated && wait > pacedWait {
+func (l LinkLoad) excess(flow steer.FlowKey, wait time.Duration) DecisionReason {
+	if !l.PeersKnown {
+		if l.Rate < alikeShare*l.ConfiguredRate && wait > pacedWait {
 			return ReasonNarrowLink
 		}
 		return ReasonNone
 	}
-	if drawOf(flow) < max(l.Refused, l.refusedShare(wait)) {
-		return ReasonRoomElsewhere
+	if drawOf(flow) < max(l.RefusalFraction, l.refusedShare(wait)) {
+		return ReasonCapacityElsewhere
 	}
 	return ReasonNone
 }
 
-// RefusedShare is the share of new flows that a node refuses for the wait at its use. The
+// RefusalFraction is the share of new flows that a node refuses for the wait at its use. The
 // zero value refuses none.
-type RefusedShare struct{ share float64 }
+type RefusalFraction struct{ share float64 }
 
 // Value returns the share.
-func (r *RefusedShare) Value() float64 { return r.share }
+func (r *RefusalFraction) Value() float64 { return r.share }
 
-// Follow lets the share follow how the link stands for a time. Where the others are not
+// Update lets the share follow how the link stands for a time. Where the others are not
 // known there is none.
-func (r *RefusedShare) Follow(load LinkLoad, elapsed time.Duration) {
-	if !load.Known {
+func (r *RefusalFraction) Update(load LinkLoad, elapsed time.Duration) {
+	if !load.PeersKnown {
 		r.share = 0
 		return
 	}
 	way := 1 - math.Pow(1-followShare, elapsed.Seconds())
-	r.share += way * (load.refusedShare(load.Wait()) - r.share)
+	r.share += way * (load.refusedShare(load.ExpectedWait()) - r.share)
 }
 
 // refusedShare returns the share of flows that are better off elsewhere for a wait.
 func (l LinkLoad) refusedShare(wait time.Duration) float64 {
-	ratio := float64(wait) / float64(max(l.Offered, leastWait))
+	ratio := float64(wait) / float64(max(l.RetryWait, leastWait))
 	return min(max((ratio-1)/(fullExcess-1), 0), 1)
 }
 
--- a/internal/egress/losses.go
+++ b/internal/egress/losses.go
@@ -32,8 +32,8 @@
 	flowMarks = 1024
 )
 
-// Sent is a datagram with data that has left the node.
-type Sent struct {
+// SentDatagram is a datagram with data that has left the node.
+type SentDatagram struct {
 	Flow steer.FlowKey
 	// Sequence is the position of the data in the caller's stream.
 	Sequence uint32
@@ -41,8 +41,8 @@
 	Data, Size int
 }
 
-// Arrived is a packet that has come from a caller.
-type Arrived struct {
+// ReceivedPacket is a packet that has come from a caller.
+type ReceivedPacket struct {
 	Flow         steer.FlowKey
 	Sequence     uint32
 	Acknowledged uint32
@@ -102,7 +102,7 @@
 
 // noteSent remembers when data left. It reports whether the flow's target is known to
 // have lived: it had acknowledged data of the flow before.
-func (w *lossWatch) noteSent(now kernel.Instant, sent Sent) (lived bool) {
+func (w *lossWatch) noteSent(now kernel.Instant, sent SentDatagram) (lived bool) {
 	if sent.Data == 0 {
 		return false
 	}
@@ -114,7 +114,7 @@
 }
 
 // noteArrived looks at a packet of an open flow.
-func (w *lossWatch) noteArrived(now kernel.Instant, packet Arrived) {
+func (w *lossWatch) noteArrived(now kernel.Instant, packet ReceivedPacket) {
 	key := flowHash(packet.Flow)
 	flow := &w.flows[key%flowMarks]
 	if flow.key != key {
@@ -149,7 +149,7 @@
 // follow returns up to where a packet shows that data was delivered, if further than
 // before: all before it when the caller has got an answer since, else what lies a window
 // back.
-func (f *flowMark) follow(packet Arrived) (position uint32, moved bool) {
+func (f *flowMark) follow(packet ReceivedPacket) (position uint32, moved bool) {
 	if packet.Data > 0 {
 		f.extend(packet)
 	}
@@ -175,7 +175,7 @@
 }
 
 // extend notes where a flow's data begins and ends.
-func (f *flowMark) extend(packet Arrived) {
+func (f *flowMark) extend(packet ReceivedPacket) {
 	end := packet.Sequence + uint32(packet.Data)
 	if !f.known {
 		f.known, f.delivered, f.end = true, packet.Sequence, end
--- a/internal/egress/order.go
+++ b/internal/egress/order.go
@@ -5,7 +5,7 @@
 // pick returns the packet that leaves next, or nil when none waits. What has waited
 // too long goes before all others as far as its credit reaches.
 func (s *Scheduler) pick(now kernel.Instant) (next *packet, overdue bool) {
-	if oldest := s.age.first; oldest != nil && now.Sub(oldest.Since) > overdueAfter && s.overdueCredit >= min(oldest.Size, maxOverdueCredit) {
+	if oldest := s.age.first; oldest != nil && now.Sub(oldest.OfferedAt) > overdueAfter && s.overdueCredit >= min(oldest.Size, maxOverdueCredit) {
 		return oldest, true
 	}
 	if !s.control.isEmpty() {
--- a/internal/egress/rate.go
+++ b/internal/egress/rate.go
@@ -45,18 +45,18 @@
 const fastestRate = dataMarks * errorSize / 0.25
 
 // RateOption changes how a rate is learned.
-type RateOption func(r *RateLearner)
+type RateOption func(r *RateEstimator)
 
 // WithPolicy sets how the rate follows losses; DeliveredRate when not given.
 func WithPolicy(policy RatePolicy) RateOption {
-	return func(r *RateLearner) { r.policy = policy }
+	return func(r *RateEstimator) { r.policy = policy }
 }
 
-// RateLearner learns the rate that a node's own link carries now. It answers links
+// RateEstimator learns the rate that a node's own link carries now. It answers links
 // that are narrower than stated, for a while or since others share them: it lowers the
 // rate when callers send again what has left the node, and raises it up to the stated
 // one. It has no clock. One goroutine owns it.
-type RateLearner struct {
+type RateEstimator struct {
 	stated float64
 	// idle is set where nothing is learned.
 	idle   bool
@@ -80,10 +80,10 @@
 	reductions uint64
 }
 
-// NewRateLearner returns a learner for a link of a stated rate in bytes a second. One
+// NewRateEstimator returns a learner for a link of a stated rate in bytes a second. One
 // of 0 bounds nothing and learns nothing; one beyond fastestRate keeps its rate.
-func NewRateLearner(stated float64, opts ...RateOption) *RateLearner {
-	r := &RateLearner{stated: stated, idle: stated <= 0 || stated > fastestRate, policy: DeliveredRate()}
+func NewRateEstimator(stated float64, opts ...RateOption) *RateEstimator {
+	r := &RateEstimator{stated: stated, idle: stated <= 0 || stated > fastestRate, policy: DeliveredRate()}
 	r.watch = newLossWatch(observer{lost: r.noteLoss, delivered: r.noteDelivered})
 	for _, opt := range opts {
 		opt(r)
@@ -91,14 +91,14 @@
 	return r
 }
 
-// Stated returns the stated rate in bytes a second.
-func (r *RateLearner) Stated() float64 { return r.stated }
+// ConfiguredRate returns the stated rate in bytes a second.
+func (r *RateEstimator) ConfiguredRate() float64 { return r.stated }
 
 // Reductions returns how often the rate was lowered.
-func (r *RateLearner) Reductions() uint64 { return r.reductions }
+func (r *RateEstimator) Reductions() uint64 { return r.reductions }
 
 // Rate returns the rate in bytes a second.
-func (r *RateLearner) Rate(now kernel.Instant) float64 {
+func (r *RateEstimator) Rate(now kernel.Instant) float64 {
 	if r.idle {
 		return r.stated
 	}
@@ -107,15 +107,15 @@
 }
 
 // current returns the rate at the time of the last look.
-func (r *RateLearner) current() float64 {
+func (r *RateEstimator) current() float64 {
 	if r.reduced == 0 {
 		return r.stated
 	}
 	return min(r.policy.Grown(r.reduced, r.stated, r.borne), r.stated)
 }
 
-// NoteSent notes a datagram that has left the node.
-func (r *RateLearner) NoteSent(now kernel.Instant, sent Sent) {
+// RecordSent notes a datagram that has left the node.
+func (r *RateEstimator) RecordSent(now kernel.Instant, sent SentDatagram) {
 	if r.idle {
 		return
 	}
@@ -127,8 +127,8 @@
 	}
 }
 
-// NoteArrived notes a packet of an open flow that has come from a caller.
-func (r *RateLearner) NoteArrived(now kernel.Instant, packet Arrived) {
+// RecordPacket notes a packet of an open flow that has come from a caller.
+func (r *RateEstimator) RecordPacket(now kernel.Instant, packet ReceivedPacket) {
 	if r.idle {
 		return
 	}
@@ -136,8 +136,8 @@
 	r.watch.noteArrived(now, packet)
 }
 
-// NoteReceived notes a datagram that has come to the node.
-func (r *RateLearner) NoteReceived(now kernel.Instant, bytes int) {
+// RecordReceived notes a datagram that has come to the node.
+func (r *RateEstimator) RecordReceived(now kernel.Instant, bytes int) {
 	if r.idle {
 		return
 	}
@@ -147,7 +147,7 @@
 
 // isFlooded reports whether the incoming link was busy lately. What waits there is not
 // seen here, and its callers send it again though nothing was lost.
-func (r *RateLearner) isFlooded() bool {
+func (r *RateEstimator) isFlooded() bool {
 	received := 0
 	first := max(r.newest-int64(floodTime/slotTime), 0)
 	for number := first; number < r.newest; number++ {
@@ -156,9 +156,9 @@
 	return float64(received) >= floodShare*r.stated*floodTime.Seconds()
 }
 
-// NoteWriteError notes a datagram that the system did not take since its own queue for
+// RecordWriteError notes a datagram that the system did not take since its own queue for
 // the link is full.
-func (r *RateLearner) NoteWriteError(now kernel.Instant) {
+func (r *RateEstimator) RecordWriteError(now kernel.Instant) {
 	if r.idle {
 		return
 	}
@@ -168,17 +168,19 @@
 
 func slotNumber(at kernel.Instant) int64 { return int64(at) / int64(slotTime) }
 
-func (r *RateLearner) slotAt(at kernel.Instant) *rateSlot { return &r.slots[slotNumber(at)%slotCount] }
+func (r *RateEstimator) slotAt(at kernel.Instant) *rateSlot {
+	return &r.slots[slotNumber(at)%slotCount]
+}
 
 // noteLoss counts a loss that callers show. What was sent before the last verdict says nothing of the
 // rate since.
-func (r *RateLearner) noteLoss(now kernel.Instant, lost loss) {
+func (r *RateEstimator) noteLoss(now kernel.Instant, lost loss) {
 	if !r.isFlooded() {
 		r.countLoss(now, lost)
 	}
 }
 
-func (r *RateLearner) countLoss(now kernel.Instant, lost loss) {
+func (r *RateEstimator) countLoss(now kernel.Instant, lost loss) {
 	if lost.sentAt.Before(r.reducedAt) {
 		return
 	}
@@ -191,11 +193,13 @@
 	}
 }
 
-func (r *RateLearner) noteDelivered(now kernel.Instant, bytes int) { r.slotAt(now).delivered += bytes }
+func (r *RateEstimator) noteDelivered(now kernel.Instant, bytes int) {
+	r.slotAt(now).delivered += bytes
+}
 
 // advance begins the slots up to now, learns from those whose losses have been seen
 // and gives a verdict when one is due.
-func (r *RateLearner) advance(now kernel.Instant) {
+func (r *RateEstimator) advance(now kernel.Instant) {
 	if number := slotNumber(now); number > r.newest {
 		r.learnBackground(number - int64(matureTime/slotTime))
 		r.begin(number)
@@ -208,7 +212,7 @@
 }
 
 // begin begins the slots up to a number.
-func (r *RateLearner) begin(number int64) {
+func (r *RateEstimator) begin(number int64) {
 	if passed := number - r.newest - slotCount; passed > 0 {
 		r.borne += time.Duration(idleWeight * float64(passed) * float64(slotTime))
 	}
@@ -221,7 +225,7 @@
 
 // countBorne counts the time of a slot that is over, unless more than usual was lost
 // lately.
-func (r *RateLearner) countBorne(slot *rateSlot) {
+func (r *RateEstimator) countBorne(slot *rateSlot) {
 	recent := r.sum()
 	if recent.lostShare() > dueShare+r.background || recent.sent >= outageBytes/2 && recent.isOutage() {
 		return
@@ -234,7 +238,7 @@
 }
 
 // judge lowers the rate when more was lost than is due.
-func (r *RateLearner) judge(now kernel.Instant) {
+func (r *RateEstimator) judge(now kernel.Instant) {
 	sum := r.sum()
 	if !sum.isUndue(r.background) {
 		return
@@ -243,7 +247,7 @@
 }
 
 // reduce lowers the rate after a share was lost at a rate.
-func (r *RateLearner) reduce(now kernel.Instant, rate, share float64) {
+func (r *RateEstimator) reduce(now kernel.Instant, rate, share float64) {
 	r.reduced = max(r.policy.Reduced(rate, r.stated, share), min(leastRate, r.stated))
 	r.reducedAt = now
 	r.borne = 0
@@ -251,7 +255,7 @@
 }
 
 // sum counts what was lately learned since the last verdict.
-func (r *RateLearner) sum() rateSlot {
+func (r *RateEstimator) sum() rateSlot {
 	var sum rateSlot
 	first := max(r.newest-int64(spanTime/slotTime), slotNumber(r.reducedAt), 0)
 	for number := first; number <= r.newest; number++ {
--- a/internal/egress/rate_test.go
+++ b/internal/egress/rate_test.go
@@ -24,7 +24,7 @@
 func (l modelLoad) String() string { return fmt.Sprintf("%d uploads, pause %v", l.uploads, l.pause) }
 
 func (l modelLoad) model(seed uint64, opts ...RateOption) *linkModel {
-	m := newLinkModel(seed, NewRateLearner(modelStated, opts...))
+	m := newLinkModel(seed, NewRateEstimator(modelStated, opts...))
 	m.uploads, m.pause = l.uploads, l.pause
 	return m
 }
@@ -152,46 +152,46 @@
 }
 
 func TestADeadLinkLeavesTheFloor(t *testing.T) {
-	r := NewRateLearner(modelStated)
+	r := NewRateEstimator(modelStated)
 	now := modelStart
 	for range 2000 {
 		now = now.Add(5 * time.Millisecond)
-		r.NoteWriteError(now)
+		r.RecordWriteError(now)
 		require.GreaterOrEqual(t, r.Rate(now), float64(leastRate))
 	}
 	assert.InDelta(t, leastRate, r.Rate(now), 0.6*leastRate)
 }
 
 func TestWriteErrorsLowerTheRate(t *testing.T) {
-	r := NewRateLearner(modelStated)
+	r := NewRateEstimator(modelStated)
 	for range leastLost {
-		r.NoteWriteError(modelStart)
+		r.RecordWriteError(modelStart)
 	}
 	assert.InDelta(t, modelStated, r.Rate(modelStart), 0)
 	assert.Less(t, r.Rate(modelStart.Add(settleTime)), modelStated)
 }
 
 func TestALinkWithoutARateLearnsNothing(t *testing.T) {
-	r := NewRateLearner(0)
+	r := NewRateEstimator(0)
 	flow := modelFlow(1)
-	r.NoteSent(modelStart, Sent{Flow: flow, Data: 1, Size: 1})
-	r.NoteArrived(modelStart, Arrived{Flow: flow, Data: 1})
-	r.NoteWriteError(modelStart)
+	r.RecordSent(modelStart, SentDatagram{Flow: flow, Data: 1, Size: 1})
+	r.RecordPacket(modelStart, ReceivedPacket{Flow: flow, Data: 1})
+	r.RecordWriteError(modelStart)
 	assert.Zero(t, r.Rate(modelStart.Add(time.Second)))
 }
 
 func TestALinkTooFastToLearnOfKeepsItsRate(t *testing.T) {
-	r := NewRateLearner(fastestRate + 1)
+	r := NewRateEstimator(fastestRate + 1)
 	for range leastLost {
-		r.NoteWriteError(modelStart)
+		r.RecordWriteError(modelStart)
 	}
 	assert.InDelta(t, fastestRate+1, r.Rate(modelStart.Add(settleTime)), 0)
 }
 
 func TestALinkBelowTheFloorIsNotRaised(t *testing.T) {
-	r := NewRateLearner(leastRate / 2)
+	r := NewRateEstimator(leastRate / 2)
 	for range leastLost {
-		r.NoteWriteError(modelStart)
+		r.RecordWriteError(modelStart)
 	}
 	assert.InDelta(t, leastRate/2, r.Rate(modelStart.Add(settleTime)), 0)
 }
@@ -205,7 +205,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		stated := rapid.Float64Range(1, 1e9).Draw(t, "stated")
 		policies := []RatePolicy{AdditiveIncrease(), DeliveredRate()}
-		r := NewRateLearner(stated, WithPolicy(rapid.SampledFrom(policies).Draw(t, "policy")))
+		r := NewRateEstimator(stated, WithPolicy(rapid.SampledFrom(policies).Draw(t, "policy")))
 		now := modelStart
 		step := func(t *rapid.T) {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "pause")))
@@ -213,17 +213,17 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"sent": func(t *rapid.T) {
 				data := rapid.IntRange(0, modelPacket).Draw(t, "data")
-				r.NoteSent(now, Sent{Flow: anyFlow(t), Sequence: anyPosition(t), Data: data, Size: data + 68})
+				r.RecordSent(now, SentDatagram{Flow: anyFlow(t), Sequence: anyPosition(t), Data: data, Size: data + 68})
 			},
 			"arrived": func(t *rapid.T) {
-				r.NoteArrived(now, Arrived{
+				r.RecordPacket(now, ReceivedPacket{
 					Flow:         anyFlow(t),
 					Sequence:     anyPosition(t),
 					Acknowledged: rapid.Uint32().Draw(t, "acknowledged"),
 					Data:         rapid.IntRange(0, modelPacket).Draw(t, "data"),
 				})
 			},
-			"error": func(*rapid.T) { r.NoteWriteError(now) },
+			"error": func(*rapid.T) { r.RecordWriteError(now) },
 			"time":  step,
 			"": func(t *rapid.T) {
 				rate := r.Rate(now)
@@ -247,7 +247,7 @@
 }
 
 func TestLearningAllocatesNothing(t *testing.T) {
-	r := NewRateLearner(modelStated)
+	r := NewRateEstimator(modelStated)
 	now := modelStart
 	flow := modelFlow(1)
 	position := uint32(0)
@@ -259,14 +259,14 @@
 	assert.Zero(t, allocations)
 }
 
-func learnPacket(r *RateLearner, now kernel.Instant, flow steer.FlowKey, position uint32) {
-	r.NoteArrived(now, Arrived{Flow: flow, Sequence: position, Acknowledged: 1, Data: modelPacket})
-	r.NoteSent(now, Sent{Flow: flow, Sequence: position, Data: modelPacket, Size: modelSize})
+func learnPacket(r *RateEstimator, now kernel.Instant, flow steer.FlowKey, position uint32) {
+	r.RecordPacket(now, ReceivedPacket{Flow: flow, Sequence: position, Acknowledged: 1, Data: modelPacket})
+	r.RecordSent(now, SentDatagram{Flow: flow, Sequence: position, Data: modelPacket, Size: modelSize})
 	r.Rate(now)
 }
 
 func BenchmarkLearnedRate(b *testing.B) {
-	r := NewRateLearner(modelStated)
+	r := NewRateEstimator(modelStated)
 	now := modelStart
 	flow := modelFlow(1)
 	position := uint32(0)
--- a/internal/egress/ratesigns.go
+++ b/internal/egress/ratesigns.go
@@ -4,7 +4,7 @@
 
 // lookForOutage lowers the rate when next to nothing gets through of much that was sent:
 // when most is lost, so are the copies that would tell.
-func (r *RateLearner) lookForOutage(now kernel.Instant) {
+func (r *RateEstimator) lookForOutage(now kernel.Instant) {
 	seen := slotNumber(now.Add(-outageAge))
 	first := max(slotNumber(now.Add(-outageAge-outageTime)), slotNumber(r.reducedAt)+1, 0)
 	var before, since rateSlot
@@ -24,14 +24,14 @@
 // learnBackground learns the share that is lost without congestion from the slots up to
 // a number: those sent at the stated rate, or soon after it was lowered to what gets
 // through.
-func (r *RateLearner) learnBackground(last int64) {
+func (r *RateEstimator) learnBackground(last int64) {
 	for number := max(r.matured+1, r.newest-slotCount+1, 0); number <= min(last, r.newest); number++ {
 		r.learnFrom(number)
 	}
 	r.matured = max(r.matured, last)
 }
 
-func (r *RateLearner) learnFrom(number int64) {
+func (r *RateEstimator) learnFrom(number int64) {
 	slot := &r.slots[number%slotCount]
 	begin := kernel.Instant(number * int64(slotTime))
 	learned := slot.lost + slot.delivered
--- a/internal/egress/records.go
+++ b/internal/egress/records.go
@@ -42,7 +42,7 @@
 	f := s.records.take()
 	f.key = item.Flow
 	f.caller = s.callerOf(item.Flow.Caller.Addr())
-	f.urgency = min(item.Urgency, Urgencies-1)
+	f.urgency = min(item.Urgency, UrgencyCount-1)
 	f.line.linksOf = lineOf
 	f.objective = item.Objective
 	f.seen = now
--- a/internal/egress/room.go
+++ b/internal/egress/room.go
@@ -3,7 +3,7 @@
 // drop removes a packet that is not sent.
 func (s *Scheduler) drop(p *packet, reason DropReason) {
 	item := s.take(p)
-	s.Dropped(&item, reason)
+	s.OnDrop(&item, reason)
 }
 
 // cancel drops all data of a flow, and its opening packet.
--- a/internal/egress/room_test.go
+++ b/internal/egress/room_test.go
@@ -17,14 +17,14 @@
 	}
 	t.Run("its target is lost", func(t *testing.T) {
 		l := fill(t)
-		l.Cancel(flow)
-		assert.Len(t, l.dropped[DropLost], 2)
+		l.CancelFlow(flow)
+		assert.Len(t, l.dropped[DropTargetLost], 2)
 		assert.Equal(t, []string{"2:0"}, describe(l.drain(time.Second)))
 	})
 	t.Run("its caller has broken it off", func(t *testing.T) {
 		l := fill(t)
-		l.offer(short(flow, KindBreak))
-		assert.Len(t, l.dropped[DropBroken], 2)
+		l.offer(short(flow, KindAbort))
+		assert.Len(t, l.dropped[DropAborted], 2)
 		assert.Equal(t, []string{"1:0", "2:0"}, describe(l.drain(time.Second)))
 	})
 	t.Run("its caller has ended its side", func(t *testing.T) {
@@ -35,9 +35,9 @@
 	t.Run("its caller has given up", func(t *testing.T) {
 		l := newLab(t)
 		late := bulk(flow, 0)
-		late.Expires = l.now.Add(50 * time.Millisecond)
+		late.ExpiresAt = l.now.Add(50 * time.Millisecond)
 		l.offer(late, bulk(flow, 1))
-		l.now = late.Expires
+		l.now = late.ExpiresAt
 		l.use()
 		l.Tick(l.now)
 		assert.Len(t, l.dropped[DropExpired], 1)
@@ -47,7 +47,7 @@
 
 func TestWhatHelpsLeastIsDroppedWhenFull(t *testing.T) {
 	full := func(t *testing.T) *lab {
-		l := newLab(t, WithMemory(1))
+		l := newLab(t, WithMemoryLimit(1))
 		for number := range minPackets {
 			l.offer(bulk(flowKey(1, 1), number))
 		}
@@ -76,7 +76,7 @@
 		assert.Equal(t, OutcomeFull, l.Offer(l.now, item))
 	})
 	t.Run("control that would crowd out data", func(t *testing.T) {
-		l := newLab(t, WithMemory(1))
+		l := newLab(t, WithMemoryLimit(1))
 		for number := range minPackets / controlPart {
 			l.offer(short(flowKey(1, number), KindOpening))
 		}
--- a/internal/egress/scheduler.go
+++ b/internal/egress/scheduler.go
@@ -16,9 +16,9 @@
 type Scheduler struct {
 	// Rate returns the bytes a second that the link carries; 0 bounds nothing.
 	Rate func(now kernel.Instant) float64
-	// Dropped is told of each item that waited and is not sent, and takes its payload
+	// OnDrop is told of each item that waited and is not sent, and takes its payload
 	// back.
-	Dropped func(item *Item, reason DropReason)
+	OnDrop func(item *Item, reason DropReason)
 
 	settings settings
 	bucket   bucket
@@ -49,7 +49,7 @@
 		flows:    map[steer.FlowKey]*flow{},
 		callers:  map[netip.Addr]*caller{},
 		resting:  list[flow]{linksOf: restOf},
-		Dropped:  func(*Item, DropReason) {},
+		OnDrop:   func(*Item, DropReason) {},
 	}
 	for _, opt := range opts {
 		opt(&s.settings)
@@ -67,17 +67,17 @@
 // Bytes returns the bytes that wait.
 func (s *Scheduler) Bytes() int { return s.bytes }
 
-// Delay returns how long the oldest item has waited; 0 while none waits.
-func (s *Scheduler) Delay(now kernel.Instant) time.Duration {
+// QueueDelay returns how long the oldest item has waited; 0 while none waits.
+func (s *Scheduler) QueueDelay(now kernel.Instant) time.Duration {
 	if s.age.isEmpty() {
 		return 0
 	}
-	return now.Sub(s.age.first.Since)
+	return now.Sub(s.age.first.OfferedAt)
 }
 
-// Pass reports whether an item can leave at once, since nothing waits and the link
+// Allow reports whether an item can leave at once, since nothing waits and the link
 // takes it. Its size is then spent.
-func (s *Scheduler) Pass(now kernel.Instant, key steer.FlowKey, size int) bool {
+func (s *Scheduler) Allow(now kernel.Instant, key steer.FlowKey, size int) bool {
 	s.bucket.fill(now, s.Rate(now))
 	if s.length > 0 || !s.bucket.has(size) {
 		return false
@@ -95,16 +95,16 @@
 // Offer takes an item that is to leave. Its payload is the scheduler's own once it
 // is queued.
 func (s *Scheduler) Offer(now kernel.Instant, item *Item) Outcome {
-	if s.Pass(now, item.Flow, item.Size) {
-		return OutcomeThrough
+	if s.Allow(now, item.Flow, item.Size) {
+		return OutcomeSendNow
 	}
-	item.Since = now
+	item.OfferedAt = now
 	f := s.flowOf(now, item)
 	if f.holds(item) != nil {
 		return OutcomeDuplicate
 	}
-	if item.Kind == KindBreak {
-		s.cancel(f, DropBroken)
+	if item.Kind == KindAbort {
+		s.cancel(f, DropAborted)
 	}
 	s.noteOffered(now, f, item.Size)
 	if !s.makeRoom(f, item) {
@@ -136,14 +136,14 @@
 			f.turn.spend(f, next.Size)
 		}
 		item := s.take(next)
-		item.WaitedLong = f.noteWait(now.Sub(item.Since))
+		item.WaitedLong = f.noteWait(now.Sub(item.OfferedAt))
 		return item, true
 	}
 }
 
-// Wait returns the time until something can leave; false while nothing waits. Bulk
+// TimeUntilNext returns the time until something can leave; false while nothing waits. Bulk
 // waits until several packets can leave at once.
-func (s *Scheduler) Wait(now kernel.Instant) (time.Duration, bool) {
+func (s *Scheduler) TimeUntilNext(now kernel.Instant) (time.Duration, bool) {
 	next, _ := s.pick(now)
 	if next == nil {
 		return 0, false
@@ -156,16 +156,16 @@
 	return s.bucket.until(bytes), true
 }
 
-// HoldsOpening reports whether the opening packet of a flow waits.
-func (s *Scheduler) HoldsOpening(key steer.FlowKey) bool {
+// HasQueuedOpening reports whether the opening packet of a flow waits.
+func (s *Scheduler) HasQueuedOpening(key steer.FlowKey) bool {
 	f, known := s.flows[key]
 	return known && f.opening != nil
 }
 
-// Cancel drops what waits of a flow whose target is lost or has ended.
-func (s *Scheduler) Cancel(key steer.FlowKey) {
+// CancelFlow drops what waits of a flow whose target is lost or has ended.
+func (s *Scheduler) CancelFlow(key steer.FlowKey) {
 	if f, known := s.flows[key]; known {
-		s.cancel(f, DropLost)
+		s.cancel(f, DropTargetLost)
 	}
 }
 
--- a/internal/egress/scheduler_test.go
+++ b/internal/egress/scheduler_test.go
@@ -55,7 +55,7 @@
 		T: t, now: start, dropped: map[DropReason][]Item{},
 		Scheduler: New(append([]Option{WithLink(narrow)}, opts...)...),
 	}
-	l.Dropped = func(item *Item, reason DropReason) { l.dropped[reason] = append(l.dropped[reason], *item) }
+	l.OnDrop = func(item *Item, reason DropReason) { l.dropped[reason] = append(l.dropped[reason], *item) }
 	l.use()
 	return l
 }
@@ -81,7 +81,7 @@
 		for item, ready := l.Next(l.now); ready; item, ready = l.Next(l.now) {
 			sent = append(sent, item)
 		}
-		wait, waits := l.Wait(l.now)
+		wait, waits := l.TimeUntilNext(l.now)
 		if !waits || end.Before(l.now.Add(wait)) {
 			l.now = end
 			return sent
@@ -101,7 +101,7 @@
 func TestAnIdleLinkTakesADatagramAtOnce(t *testing.T) {
 	s := New(WithLink(narrow))
 	for range 2 {
-		assert.Equal(t, OutcomeThrough, s.Offer(start, bulk(flowKey(1, 1), 0)))
+		assert.Equal(t, OutcomeSendNow, s.Offer(start, bulk(flowKey(1, 1), 0)))
 	}
 	assert.Equal(t, OutcomeQueued, s.Offer(start, bulk(flowKey(1, 1), 2)), "the burst is spent")
 	assert.Equal(t, 1, s.Len())
@@ -111,7 +111,7 @@
 func TestALinkWithoutAStatedRateIsNeverScheduled(t *testing.T) {
 	s := New()
 	for number := range 1000 {
-		require.True(t, s.Pass(start, flowKey(1, 1), fullSize), number)
+		require.True(t, s.Allow(start, flowKey(1, 1), fullSize), number)
 	}
 	assert.Zero(t, s.Len())
 }
@@ -125,7 +125,7 @@
 	require.Len(t, sent, 16)
 	assert.Zero(t, l.Len())
 	assert.Zero(t, l.Bytes())
-	_, waits := l.Wait(l.now)
+	_, waits := l.TimeUntilNext(l.now)
 	assert.False(t, waits)
 }
 
@@ -163,7 +163,7 @@
 		l.offer(bulk(flowKey(1, 1), number))
 	}
 	for l.Len() > 1 {
-		wait, waits := l.Wait(l.now)
+		wait, waits := l.TimeUntilNext(l.now)
 		require.True(t, waits)
 		l.now = l.now.Add(wait + 2*time.Millisecond)
 		count := 0
@@ -214,7 +214,7 @@
 }
 
 func TestRecordsOfFlowsAreBounded(t *testing.T) {
-	l := newLab(t, WithMemory(1))
+	l := newLab(t, WithMemoryLimit(1))
 	for number := range 10 * minPackets * flowsPerPacket {
 		l.Offer(l.now, bulk(flowKey(number>>8, number&0xff), 0))
 		l.now = l.now.Add(10 * time.Millisecond)
--- a/internal/egress/settings.go
+++ b/internal/egress/settings.go
@@ -60,9 +60,9 @@
 // WithLink sets the link whose share the default rate is.
 func WithLink(link Link) Option { return func(s *settings) { s.link = link } }
 
-// WithMemory sets the memory limit of the process in bytes, of which the queue takes a
+// WithMemoryLimit sets the memory limit of the process in bytes, of which the queue takes a
 // fixed part; 0 states none.
-func WithMemory(bytes int64) Option {
+func WithMemoryLimit(bytes int64) Option {
 	return func(s *settings) {
 		if bytes > 0 {
 			s.maxPackets = max(minPackets, int(bytes/memoryPart/bufferBytes))
--- a/internal/egress/usage.go
+++ b/internal/egress/usage.go
@@ -22,11 +22,11 @@
 	sum    traffic
 }
 
-// NoteReceived notes a datagram that has come, with all headers.
-func (u *LinkUsage) NoteReceived(bytes int) { u.slots[u.current].in += bytes }
+// RecordReceived notes a datagram that has come, with all headers.
+func (u *LinkUsage) RecordReceived(bytes int) { u.slots[u.current].in += bytes }
 
-// NoteSent notes a datagram that has left, with all headers.
-func (u *LinkUsage) NoteSent(bytes int) { u.slots[u.current].out += bytes }
+// RecordSent notes a datagram that has left, with all headers.
+func (u *LinkUsage) RecordSent(bytes int) { u.slots[u.current].out += bytes }
 
 // Tick ends a slot. It is called ticksPerSecond times a second.
 func (u *LinkUsage) Tick() {
@@ -39,9 +39,9 @@
 	u.slots[u.current] = traffic{}
 }
 
-// Shares returns the used shares of a rate in bytes a second in both directions, 0 where
+// Utilization returns the used shares of a rate in bytes a second in both directions, 0 where
 // none is stated.
-func (u *LinkUsage) Shares(rate float64) (in, out float64) {
+func (u *LinkUsage) Utilization(rate float64) (in, out float64) {
 	if rate <= 0 || u.filled == 0 {
 		return 0, 0
 	}
--- a/internal/heartbeat/distributor.go
+++ b/internal/heartbeat/distributor.go
@@ -57,7 +57,7 @@
 
 type node struct {
 	zone, address string
-	stated        strength.Strength
+	stated        strength.Resources
 }
 
 // places are addresses among which targets are shared out, each with its draw.
@@ -132,7 +132,7 @@
 
 // SetStrength notes what a node states of its machine. It changes nothing for a node that
 // takes no heartbeats.
-func (s *Distributor) SetStrength(key uint64, stated strength.Strength) {
+func (s *Distributor) SetStrength(key uint64, stated strength.Resources) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known, takes := s.nodes[key]
@@ -161,7 +161,7 @@
 	}
 	s.zones = map[string]places{}
 	var nodes []node
-	var stated []strength.Strength
+	var stated []strength.Resources
 	for _, node := range s.nodes {
 		nodes = append(nodes, node)
 		stated = append(stated, node.stated)
--- a/internal/heartbeat/weights_test.go
+++ b/internal/heartbeat/weights_test.go
@@ -35,14 +35,14 @@
 		nodes := rapid.IntRange(3, 30).Draw(t, "nodes")
 		for key := range uint64(nodes) {
 			s.AddNode(key, "north", fmt.Sprint("n-", key))
-			s.SetStrength(key, strength.Strength{Share: 0.2})
+			s.SetStrength(key, strength.Resources{CPUShare: 0.2})
 		}
 		before := shares(s, now, "north")
 		moved := uint64(rapid.IntRange(0, nodes-1).Draw(t, "moved"))
 		if rapid.Bool().Draw(t, "leaves") {
 			s.RemoveNode(moved)
 		} else {
-			s.SetStrength(moved, strength.Strength{Share: share.Draw(t, "share")})
+			s.SetStrength(moved, strength.Resources{CPUShare: share.Draw(t, "share")})
 		}
 		after := shares(s, now, "north")
 		address := fmt.Sprint("n-", moved)
@@ -62,7 +62,7 @@
 	for address, share := range stated {
 		key := rendezvous.Hash(address)
 		s.AddNode(key, "north", address)
-		s.SetStrength(key, strength.Strength{Share: share})
+		s.SetStrength(key, strength.Resources{CPUShare: share})
 	}
 	const targets = 20_000
 	counts := map[string]float64{}
@@ -146,7 +146,7 @@
 				s.RemoveNode(key)
 				delete(there, address)
 			case 2:
-				s.SetStrength(key, strength.Strength{Share: rapid.Float64Range(0, 4000).Draw(t, "share")})
+				s.SetStrength(key, strength.Resources{CPUShare: rapid.Float64Range(0, 4000).Draw(t, "share")})
 			case 3:
 				*now = now.Add(time.Second)
 			}
@@ -160,7 +160,7 @@
 	s := NewDistributor(WithLocalRate(0))
 	for key := range uint64(1000) {
 		s.AddNode(key, "north", fmt.Sprint("10.0.0.1:", key))
-		s.SetStrength(key, strength.Strength{Share: 0.045 * float64(1+key%4)})
+		s.SetStrength(key, strength.Resources{CPUShare: 0.045 * float64(1+key%4)})
 	}
 	b.Run("each once", func(b *testing.B) {
 		number := 0
--- a/internal/hosting/hosting.go
+++ b/internal/hosting/hosting.go
@@ -81,7 +81,7 @@
 type Changeable struct {
 	// Seeds are addresses of control members.
 	Seeds    []string
-	Strength strength.Strength
+	Strength strength.Resources
 }
 
 func (c Changeable) equal(other Changeable) bool {
--- a/internal/hosting/hosting_test.go
+++ b/internal/hosting/hosting_test.go
@@ -67,7 +67,7 @@
 	defer cancel()
 	var mutex sync.Mutex
 	var reads atomic.Int64
-	known := Changeable{Seeds: []string{"10.0.0.1:1"}, Strength: strength.Strength{Share: 0.1}}
+	known := Changeable{Seeds: []string{"10.0.0.1:1"}, Strength: strength.Resources{CPUShare: 0.1}}
 	var failure error
 	passed := make(chan Changeable, 10)
 	go WatchChangeable(ctx, eventlog.Discard(), Changeable{Seeds: known.Seeds}, func() (Changeable, error) {
@@ -78,7 +78,7 @@
 	}, func(next Changeable) { passed <- next })
 	change := func(share float64, err error) {
 		mutex.Lock()
-		known.Strength.Share, failure = share, err
+		known.Strength.CPUShare, failure = share, err
 		mutex.Unlock()
 		// The second of these reads begins after what the first one led to.
 		enough := reads.Load() + 2
@@ -96,7 +96,7 @@
 	change(0.5, nil)
 	require.Len(t, passed, 1)
 	next := <-passed
-	assert.Equal(t, 0.5, next.Strength.Share)
+	assert.Equal(t, 0.5, next.Strength.CPUShare)
 	assert.Equal(t, known.Seeds, next.Seeds)
 	change(0.5, nil)
 	assert.Empty(t, passed, "nothing has changed")
--- a/internal/lab/fleetsim/edge.go
+++ b/internal/lab/fleetsim/edge.go
@@ -48,17 +48,17 @@
 	startedAt  kernel.Instant
 	version    uint64
 	// told is the strength that the member knows.
-	told strength.Strength
+	told strength.Resources
 }
 
 // strengthInterval is the time after which a node states another strength.
 const strengthInterval = 5 * time.Second
 
 // stated are what nodes state in turn: nothing, machines of two strengths, and a mistake.
-var stated = []strength.Strength{{}, {Share: 0.045, Cores: 1}, {Share: 0.153, Cores: 1}, {Share: 1000}}
+var stated = []strength.Resources{{}, {CPUShare: 0.045, CPUCores: 1}, {CPUShare: 0.153, CPUCores: 1}, {CPUShare: 1000}}
 
 // strength returns what the node states by now.
-func (e *edge) strength() strength.Strength {
+func (e *edge) strength() strength.Resources {
 	turn := uint64(directory.NodeKey(e.name)) + uint64(e.world.now/kernel.Instant(strengthInterval))
 	return stated[turn%uint64(len(stated))]
 }
--- a/internal/registry/bounds.go
+++ b/internal/registry/bounds.go
@@ -11,7 +11,7 @@
 
 // Change takes over what has changed in the settings.
 func (p *Process) Change(next hosting.Changeable) {
-	p.connections.SetLimit(next.Strength.Connections())
+	p.connections.SetLimit(next.Strength.MaxConnections())
 	p.inputs.Push(changeInput{next: next})
 }
 
@@ -30,7 +30,7 @@
 func (p *Process) watchDisk() {
 	held := p.disk.Held()
 	p.metrics.diskHeldBytes.Set(float64(held))
-	fills := p.settings.Strength.IsFilling(held, p.diskNearlyFull)
+	fills := p.settings.Strength.IsDiskNearlyFull(held, p.diskNearlyFull)
 	if fills == p.diskNearlyFull {
 		return
 	}
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -131,7 +131,7 @@
 	CachesVerdicts bool
 	// Strength is what is stated of the node's machine. A node whose machine has changed
 	// sends the whole message again over the open connection.
-	Strength strength.Strength
+	Strength strength.Resources
 }
 
 // Frame returns the frame of a subscription.
--- a/internal/registry/nodes.go
+++ b/internal/registry/nodes.go
@@ -43,7 +43,7 @@
 	// silent is the newest report of silent targets.
 	silent   []SilentTarget
 	silentAt kernel.Instant
-	strength strength.Strength
+	strength strength.Resources
 	// stepsSent is the number of relative times that the node was told since it came, and
 	// hasSteps is set once these were all.
 	stepsSent   int
@@ -68,7 +68,7 @@
 func (c *Core) Unsubscribe(connection ConnectionID) {
 	delete(c.nodes, connection)
 	c.strengths.isStale = true
-	c.room.nodes.Forget(connection)
+	c.room.nodes.Remove(connection)
 }
 
 // sendUpdates sends what has changed to all subscribed nodes. Nodes that are at the
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -43,7 +43,7 @@
 	// Zones are the zones that are known from the settings.
 	Zones []string
 	// Strength is what is stated of the machine.
-	Strength strength.Strength
+	Strength strength.Resources
 	// HeartbeatOptions changes how heartbeats are passed on to nodes.
 	HeartbeatOptions []heartbeat.DistributorOption
 	// APIAddress returns where targets call a member that other members reach at
@@ -107,7 +107,7 @@
 	}
 	process.links = peerlink.New(process.logLink, peerlink.WithEchoes())
 	process.announcer = newAnnouncer(process)
-	process.connections = hosting.NewConnections(settings.Strength.Connections(), eventlog.MemberConnectionsFull, process.metrics.set, logger)
+	process.connections = hosting.NewConnections(settings.Strength.MaxConnections(), eventlog.MemberConnectionsFull, process.metrics.set, logger)
 	return process
 }
 
--- a/internal/registry/room.go
+++ b/internal/registry/room.go
@@ -15,17 +15,17 @@
 
 // teller tells the same again only now and then.
 type teller struct {
-	last  []room.ZoneSum
+	last  []room.ZoneSummary
 	again kernel.Instant
 }
 
 // isDue reports whether sums are to be told: they are others, or the last ones age out.
-func (t *teller) isDue(now kernel.Instant, zones []room.ZoneSum) bool {
+func (t *teller) isDue(now kernel.Instant, zones []room.ZoneSummary) bool {
 	if now.Before(t.again) && slices.Equal(zones, t.last) {
 		return false
 	}
 	t.last = zones
-	t.again = now.Add(room.Repeat)
+	t.again = now.Add(room.RepeatInterval)
 	return true
 }
 
@@ -50,9 +50,9 @@
 }
 
 // NoteRoom notes what a subscribed node tells of its link.
-func (c *Core) NoteRoom(now kernel.Instant, connection ConnectionID, word room.Word) {
+func (c *Core) NoteRoom(now kernel.Instant, connection ConnectionID, word room.LinkReport) {
 	if node, connected := c.nodes[connection]; connected {
-		c.room.nodes.NoteWord(now, connection, node.zone, word)
+		c.room.nodes.RecordReport(now, connection, node.zone, word)
 	}
 }
 
@@ -62,20 +62,20 @@
 	if now.Before(c.room.next) {
 		return
 	}
-	c.room.next = now.Add(room.Interval)
-	own := c.room.nodes.Sum(now)
+	c.room.next = now.Add(room.ReportInterval)
+	own := c.room.nodes.Summaries(now)
 	if c.IsLeader() {
 		c.sumRoom(now, own)
 	} else if len(own) > 0 && c.room.toLeader.isDue(now, own) {
-		c.sendToMember(c.address(c.replica.Node.Leader()), room.Message{From: c.settings.Address, Zones: own}.Frame())
+		c.sendToMember(c.address(c.replica.Node.Leader()), room.Message{Member: c.settings.Address, Zones: own}.Frame())
 	}
 	c.tellRoom(now)
 }
 
 // sumRoom sums up what all members told and tells them.
-func (c *Core) sumRoom(now kernel.Instant, own []room.ZoneSum) {
-	c.room.members.Note(now, c.settings.Address, own)
-	zones := c.room.members.Sum(now)
+func (c *Core) sumRoom(now kernel.Instant, own []room.ZoneSummary) {
+	c.room.members.RecordSummaries(now, c.settings.Address, own)
+	zones := c.room.members.Summaries(now)
 	if len(zones) == 0 || !c.room.toLeader.isDue(now, zones) {
 		return
 	}
@@ -88,11 +88,11 @@
 // receiveRoom takes the sums of a member, or the leader's of all.
 func (c *Core) receiveRoom(now kernel.Instant, payload []byte) error {
 	message, err := room.Decode(payload)
-	if err != nil || message.Word != nil {
+	if err != nil || message.Report != nil {
 		return err
 	}
-	if message.From != "" {
-		c.room.members.Note(now, message.From, message.Zones)
+	if message.Member != "" {
+		c.room.members.RecordSummaries(now, message.Member, message.Zones)
 		return nil
 	}
 	c.takeFleet(now, message)
@@ -101,7 +101,7 @@
 
 // takeFleet takes the fleet's sums. Those of a leader that has been replaced are left out.
 func (c *Core) takeFleet(now kernel.Instant, message room.Message) {
-	if message.Term < c.room.fleet.Term && now.Sub(c.room.fleetAt) < room.Lifetime {
+	if message.Term < c.room.fleet.Term && now.Sub(c.room.fleetAt) < room.ReportLifetime {
 		return
 	}
 	c.room.fleet = message
@@ -111,12 +111,12 @@
 
 // noteFull writes an event when most nodes of a zone begin to refuse new flows, and when
 // none of the zones has that any more.
-func (c *Core) noteFull(zones []room.ZoneSum) {
-	fullest := slices.IndexFunc(zones, func(zone room.ZoneSum) bool { return 2*int(zone.Refusing) > zone.Nodes() })
+func (c *Core) noteFull(zones []room.ZoneSummary) {
+	fullest := slices.IndexFunc(zones, func(zone room.ZoneSummary) bool { return 2*int(zone.RefusingNodes) > zone.Nodes() })
 	switch {
 	case fullest >= 0 && !c.room.full:
 		zone := zones[fullest]
-		c.logEvent(eventlog.ZoneShortOfRoom, "zone", zone.Zone, "nodes", zone.Nodes(), "refusing", zone.Refusing, "rate", zone.Rate, "used", zone.Used)
+		c.logEvent(eventlog.ZoneShortOfRoom, "zone", zone.Zone, "nodes", zone.Nodes(), "refusing", zone.RefusingNodes, "rate", zone.Rate, "used", zone.UsedRate)
 	case fullest < 0 && c.room.full:
 		c.logEvent(eventlog.ZonesHaveRoom, "zones", len(zones))
 	}
@@ -125,12 +125,12 @@
 
 // tellRoom tells each node the sums of its zone.
 func (c *Core) tellRoom(now kernel.Instant) {
-	if len(c.room.fleet.Zones) == 0 || now.Sub(c.room.fleetAt) >= room.Lifetime || !c.room.toNodes.isDue(now, c.room.fleet.Zones) {
+	if len(c.room.fleet.Zones) == 0 || now.Sub(c.room.fleetAt) >= room.ReportLifetime || !c.room.toNodes.isDue(now, c.room.fleet.Zones) {
 		return
 	}
 	frames := map[string]wire.Frame{}
 	for _, zone := range c.room.fleet.Zones {
-		frames[zone.Zone] = room.Message{Term: c.room.fleet.Term, Zones: []room.ZoneSum{zone}}.Frame()
+		frames[zone.Zone] = room.Message{Term: c.room.fleet.Term, Zones: []room.ZoneSummary{zone}}.Frame()
 	}
 	for _, connection := range c.sortedConnections() {
 		if frame, known := frames[c.nodes[connection].zone]; known {
@@ -140,13 +140,13 @@
 }
 
 // Room returns the fleet's sums by zone and their age.
-func (c *Core) Room(now kernel.Instant) ([]room.ZoneSum, time.Duration) {
+func (c *Core) Room(now kernel.Instant) ([]room.ZoneSummary, time.Duration) {
 	return c.room.fleet.Zones, now.Sub(c.room.fleetAt)
 }
 
 type roomInput struct {
 	connection ConnectionID
-	word       room.Word
+	word       room.LinkReport
 }
 
 func (i roomInput) handle(p *Process, now kernel.Instant) Output {
@@ -164,7 +164,7 @@
 		p.logger.Event(eventlog.BadFrame, "connection", connection, "kind", frame.Kind, "err", err)
 		return
 	}
-	if message.Word != nil {
-		p.inputs.TryPush(roomInput{connection: connection, word: *message.Word})
+	if message.Report != nil {
+		p.inputs.TryPush(roomInput{connection: connection, word: *message.Report})
 	}
 }
--- a/internal/registry/room_test.go
+++ b/internal/registry/room_test.go
@@ -33,8 +33,8 @@
 }
 
 // tell lets the nodes of all members that are up say the same for a time.
-func (b *roomBench) tell(duration time.Duration, word room.Word) {
-	for end := b.now.Add(duration); b.now < end; b.run(room.Interval) {
+func (b *roomBench) tell(duration time.Duration, word room.LinkReport) {
+	for end := b.now.Add(duration); b.now < end; b.run(room.ReportInterval) {
 		for _, name := range b.names() {
 			if m := b.machines[name]; m.up {
 				m.core.NoteRoom(b.now, 1, word)
@@ -46,7 +46,7 @@
 
 func (b *roomBench) nodes(m *machine) int {
 	zones, age := m.core.Room(b.now)
-	if len(zones) == 0 || age >= room.Lifetime {
+	if len(zones) == 0 || age >= room.ReportLifetime {
 		return 0
 	}
 	return zones[0].Nodes()
@@ -54,34 +54,34 @@
 
 func TestEachMemberLearnsTheRoomOfAllNodes(t *testing.T) {
 	b := newRoomBench(t)
-	b.tell(4*time.Second, room.Word{Rate: 100, In: 50})
+	b.tell(4*time.Second, room.LinkReport{Rate: 100, InPercent: 50})
 	for _, name := range b.names() {
 		zones, _ := b.machines[name].core.Room(b.now)
 		require.Len(t, zones, 1)
 		assert.Equal(t, 6, zones[0].Nodes())
-		assert.Equal(t, uint64(300), zones[0].Used)
+		assert.Equal(t, uint64(300), zones[0].UsedRate)
 	}
 }
 
 func TestAMemberThatIsCutOffAgesOutOnBothSides(t *testing.T) {
 	b := newRoomBench(t)
-	b.tell(4*time.Second, room.Word{Rate: 100})
+	b.tell(4*time.Second, room.LinkReport{Rate: 100})
 	b.cut = func(from, to string) bool { return from == b.follower.address || to == b.follower.address }
-	b.tell(2*room.Lifetime, room.Word{Rate: 100, In: 10})
+	b.tell(2*room.ReportLifetime, room.LinkReport{Rate: 100, InPercent: 10})
 	assert.Equal(t, 4, b.nodes(b.leader))
 	assert.Zero(t, b.nodes(b.follower), "its view is old")
 	b.cut = func(string, string) bool { return false }
-	b.tell(6*time.Second, room.Word{Rate: 100, In: 20})
+	b.tell(6*time.Second, room.LinkReport{Rate: 100, InPercent: 20})
 	assert.Equal(t, 6, b.nodes(b.follower))
 }
 
 func TestANewLeaderSumsUpAnew(t *testing.T) {
 	b := newRoomBench(t)
-	b.tell(4*time.Second, room.Word{Rate: 100})
+	b.tell(4*time.Second, room.LinkReport{Rate: 100})
 	b.kill(b.leader.address, false)
 	b.run(2 * time.Second)
 	b.leader = b.waitForLeader()
-	b.tell(2*room.Lifetime, room.Word{Rate: 100, In: 30})
+	b.tell(2*room.ReportLifetime, room.LinkReport{Rate: 100, InPercent: 30})
 	assert.Equal(t, 4, b.nodes(b.leader))
 	assert.Equal(t, 4, b.nodes(b.follower))
 }
@@ -89,22 +89,22 @@
 // Sums that come late or twice replace each other; one of an earlier leader is left out.
 func TestSumsThatComeLateOrTwice(t *testing.T) {
 	b := newRoomBench(t)
-	b.tell(4*time.Second, room.Word{Rate: 100})
-	old := room.Message{Term: 0, Zones: []room.ZoneSum{{Zone: "south"}}}
+	b.tell(4*time.Second, room.LinkReport{Rate: 100})
+	old := room.Message{Term: 0, Zones: []room.ZoneSummary{{Zone: "south"}}}
 	b.apply(b.follower, b.follower.core.HandleFrame(b.now, old.Frame()))
 	assert.Equal(t, 6, b.nodes(b.follower))
-	own := room.Message{From: b.follower.address, Zones: b.follower.core.room.nodes.Sum(b.now)}
+	own := room.Message{Member: b.follower.address, Zones: b.follower.core.room.nodes.Summaries(b.now)}
 	for range 3 {
 		b.apply(b.leader, b.leader.core.HandleFrame(b.now, own.Frame()))
 	}
-	b.tell(3*time.Second, room.Word{Rate: 100, In: 1})
+	b.tell(3*time.Second, room.LinkReport{Rate: 100, InPercent: 1})
 	assert.Equal(t, 6, b.nodes(b.leader))
 }
 
 func TestAZoneWhoseNodesRefuseIsAnEvent(t *testing.T) {
 	b := newRoomBench(t)
-	b.tell(4*time.Second, room.Word{Rate: 100, Refuses: true})
+	b.tell(4*time.Second, room.LinkReport{Rate: 100, Refusing: true})
 	assert.Equal(t, 3, b.events[eventlog.ZoneShortOfRoom], "once a member")
-	b.tell(4*time.Second, room.Word{Rate: 100})
+	b.tell(4*time.Second, room.LinkReport{Rate: 100})
 	assert.Equal(t, 3, b.events[eventlog.ZonesHaveRoom])
 }
--- a/internal/registry/speeds.go
+++ b/internal/registry/speeds.go
@@ -118,7 +118,7 @@
 }
 
 // ObserveSpeeds notes what a subscribed node tells of how long targets take.
-func (c *Core) ObserveSpeeds(now kernel.Instant, connection ConnectionID, words []speed.Word) {
+func (c *Core) ObserveSpeeds(now kernel.Instant, connection ConnectionID, words []speed.Report) {
 	if _, connected := c.nodes[connection]; !connected {
 		return
 	}
@@ -126,7 +126,7 @@
 		if _, known := c.state.TargetByToken(word.Token); !known {
 			continue
 		}
-		c.speeds.nodes.Note(now, connection, word.Token, word.Bounded(countOfNode))
+		c.speeds.nodes.Record(now, connection, word.Token, word.Capped(countOfNode))
 		c.speeds.unsent.push(word.Token)
 	}
 }
@@ -165,9 +165,9 @@
 	if c.speeds.leader == "" {
 		return
 	}
-	var words []speed.Word
+	var words []speed.Report
 	for _, token := range c.speeds.unsent.pop(summedAtOnce) {
-		words = append(words, speed.Word{Token: token, Sums: c.speeds.nodes.Total(now, token)})
+		words = append(words, speed.Report{Token: token, Sums: c.speeds.nodes.Total(now, token)})
 	}
 	if len(words) == 0 {
 		return
@@ -176,12 +176,12 @@
 		c.noteSums(now, c.settings.Address, words)
 		return
 	}
-	c.sendToMember(c.speeds.leader, speed.Frame(c.settings.Address, words))
+	c.sendToMember(c.speeds.leader, speed.ReportFrame(c.settings.Address, words))
 }
 
-func (c *Core) noteSums(now kernel.Instant, member string, words []speed.Word) {
+func (c *Core) noteSums(now kernel.Instant, member string, words []speed.Report) {
 	for _, word := range words {
-		c.speeds.members.Note(now, member, word.Token, word.Sums)
+		c.speeds.members.Record(now, member, word.Token, word.Sums)
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 	if !message.FromLeader {
 		if c.IsLeader() {
-			c.noteSums(now, message.Source, message.Words)
+			c.noteSums(now, message.Source, message.Reports)
 		}
 		return nil
 	}
@@ -201,7 +201,7 @@
 		return nil
 	}
 	c.speeds.term = message.Term
-	c.setSteps(now, message.Told)
+	c.setSteps(now, message.Steps)
 	return nil
 }
 
@@ -214,7 +214,7 @@
 	if len(list) == 0 {
 		return
 	}
-	frame := speed.ToldFrame(c.speeds.term, list)
+	frame := speed.StepFrame(c.speeds.term, list)
 	for _, member := range c.state.Members() {
 		c.sendToMember(member.Address, frame)
 	}
@@ -222,7 +222,7 @@
 
 // estimateSpeeds works out how long targets take, and returns those whose step changes,
 // the farthest first.
-func (c *Core) estimateSpeeds(now kernel.Instant) []speed.Told {
+func (c *Core) estimateSpeeds(now kernel.Instant) []speed.TargetStep {
 	if now.Before(c.speeds.estimateAt) {
 		return nil
 	}
@@ -236,40 +236,40 @@
 	})
 	maps.DeleteFunc(c.speeds.uneven, func(service string, _ bool) bool { return services[service] == nil })
 	c.speeds.estimateAt = now.Add(time.Duration(count) * estimatePause)
-	var changes []speed.Told
+	var changes []speed.TargetStep
 	for _, service := range slices.Sorted(maps.Keys(services)) {
 		tokens := services[service]
 		slices.Sort(tokens)
 		changes = append(changes, c.estimateService(now, service, tokens)...)
 	}
-	slices.SortStableFunc(changes, func(a, b speed.Told) int {
+	slices.SortStableFunc(changes, func(a, b speed.TargetStep) int {
 		return cmp.Compare(c.speeds.distance(b), c.speeds.distance(a))
 	})
 	return changes[:min(changedAtOnce, len(changes))]
 }
 
 // distance returns how far a step is from what was told before.
-func (s *speedTable) distance(told speed.Told) int {
+func (s *speedTable) distance(told speed.TargetStep) int {
 	distance := int(told.Step) - int(s.told[told.Token])
 	return max(distance, -distance)
 }
 
 // estimateService returns the targets of a service whose step changes.
-func (c *Core) estimateService(now kernel.Instant, service string, tokens []directory.Token) []speed.Told {
+func (c *Core) estimateService(now kernel.Instant, service string, tokens []directory.Token) []speed.TargetStep {
 	sums := make([]speed.Sums, len(tokens))
 	for position, token := range tokens {
 		sums[position] = c.speeds.members.Total(now, token)
 	}
-	var changes []speed.Told
+	var changes []speed.TargetStep
 	var slowest, fastest speed.Step
 	for position, estimate := range speed.Estimate(sums) {
 		before := c.speeds.told[tokens[position]]
 		next := before.Next(estimate)
-		if sums[position].Count < speed.LeastCount && now.Sub(c.speeds.leadsSince) < speedMemory {
+		if sums[position].Count < speed.MinCount && now.Sub(c.speeds.leadsSince) < speedMemory {
 			next = before
 		}
 		if next != before {
-			changes = append(changes, speed.Told{Token: tokens[position], Step: next})
+			changes = append(changes, speed.TargetStep{Token: tokens[position], Step: next})
 		}
 		slowest = max(slowest, next)
 		fastest = min(fastest, next)
@@ -287,19 +287,19 @@
 
 // noteUneven logs when the targets of a service turn out to differ, or not to any more.
 func (c *Core) noteUneven(service string, slowest, fastest speed.Step) {
-	ratio := slowest.Time() / fastest.Time()
+	ratio := slowest.TimeRatio() / fastest.TimeRatio()
 	switch {
 	case !c.speeds.uneven[service] && ratio >= unevenRatio:
 		c.speeds.uneven[service] = true
-		c.logEvent(eventlog.SpeedsDiffer, "service", service, "slowest", slowest.Time(), "fastest", fastest.Time())
+		c.logEvent(eventlog.SpeedsDiffer, "service", service, "slowest", slowest.TimeRatio(), "fastest", fastest.TimeRatio())
 	case c.speeds.uneven[service] && ratio < evenRatio:
 		delete(c.speeds.uneven, service)
-		c.logEvent(eventlog.SpeedsAlike, "service", service, "slowest", slowest.Time(), "fastest", fastest.Time())
+		c.logEvent(eventlog.SpeedsAlike, "service", service, "slowest", slowest.TimeRatio(), "fastest", fastest.TimeRatio())
 	}
 }
 
 // setSteps takes what the leader tells; nodes are told of it.
-func (c *Core) setSteps(now kernel.Instant, list []speed.Told) {
+func (c *Core) setSteps(now kernel.Instant, list []speed.TargetStep) {
 	for _, told := range list {
 		before := c.speeds.told[told.Token]
 		if told.Step != 0 {
@@ -335,7 +335,7 @@
 }
 
 // repeated returns the part of all that is told which is due again, from a turn on.
-func (s *speedTable) repeated(turn *int) []speed.Told {
+func (s *speedTable) repeated(turn *int) []speed.TargetStep {
 	due := min(len(s.order)*int(speedInterval)/int(speedRepeat)+1, toldAtOnce)
 	from := min(*turn, len(s.order))
 	to := min(from+due, len(s.order))
@@ -346,10 +346,10 @@
 	return s.list(s.order[from:to])
 }
 
-func (s *speedTable) list(tokens []directory.Token) []speed.Told {
-	var list []speed.Told
+func (s *speedTable) list(tokens []directory.Token) []speed.TargetStep {
+	var list []speed.TargetStep
 	for _, token := range tokens {
-		list = append(list, speed.Told{Token: token, Step: s.told[token]})
+		list = append(list, speed.TargetStep{Token: token, Step: s.told[token]})
 	}
 	return list
 }
@@ -360,10 +360,10 @@
 	c.speeds.setOrder()
 	list := c.speeds.list(c.speeds.changed.pop(toldAtOnce))
 	list = append(list, c.speeds.repeated(&c.speeds.nodeTurn)...)
-	shared := speed.ToldFrame(c.speeds.term, list)
+	shared := speed.StepFrame(c.speeds.term, list)
 	for _, connection := range c.sortedConnections() {
 		if own := c.firstSteps(c.nodes[connection]); len(own) > 0 {
-			c.sendToNode(connection, speed.ToldFrame(c.speeds.term, slices.Concat(list, own)))
+			c.sendToNode(connection, speed.StepFrame(c.speeds.term, slices.Concat(list, own)))
 		} else if len(list) > 0 {
 			c.sendToNode(connection, shared)
 		}
@@ -371,7 +371,7 @@
 }
 
 // firstSteps returns the next part of what a node that has come lately was not told yet.
-func (c *Core) firstSteps(node *subscription) []speed.Told {
+func (c *Core) firstSteps(node *subscription) []speed.TargetStep {
 	from := min(node.stepsSent, len(c.speeds.order))
 	to := min(from+toldAtOnce, len(c.speeds.order))
 	if node.hasAllSteps {
@@ -388,7 +388,7 @@
 		return
 	}
 	c.speeds.sweepAt = now.Add(speed.SweepInterval)
-	left := c.speeds.nodes.Keep(now, func(connection ConnectionID) bool { return c.nodes[connection] != nil })
+	left := c.speeds.nodes.RetainSources(now, func(connection ConnectionID) bool { return c.nodes[connection] != nil })
 	slices.Sort(left)
 	for _, token := range left {
 		c.speeds.unsent.push(token)
@@ -398,20 +398,20 @@
 	for _, member := range c.state.Members() {
 		group[member.Address] = true
 	}
-	c.speeds.members.Keep(now, func(address string) bool { return group[address] })
+	c.speeds.members.RetainSources(now, func(address string) bool { return group[address] })
 	c.speeds.members.Sweep(now)
 	c.sweepSteps(now)
 }
 
 func (c *Core) sweepSteps(now kernel.Instant) {
-	var old []speed.Told
+	var old []speed.TargetStep
 	for token := range c.speeds.told {
 		target, known := c.state.TargetByToken(token)
 		switch {
 		case !known || target.State == directory.TargetEnded:
 			c.speeds.forget(token)
 		case !c.IsLeader() && now.Sub(c.speeds.heard[token]) > stepMemory:
-			old = append(old, speed.Told{Token: token})
+			old = append(old, speed.TargetStep{Token: token})
 		}
 	}
 	c.setSteps(now, old)
--- a/internal/registry/speeds_test.go
+++ b/internal/registry/speeds_test.go
@@ -40,16 +40,16 @@
 			if b.sums[node] == nil {
 				b.sums[node] = map[directory.Token]*speed.Sums{}
 			}
-			var words []speed.Word
+			var words []speed.Report
 			for _, target := range b.targets {
 				sums := b.sums[node][target.Token]
 				if sums == nil {
 					sums = &speed.Sums{}
 					b.sums[node][target.Token] = sums
 				}
-				*sums = sums.Times(fade)
+				*sums = sums.Scaled(fade)
 				sums.Add(math.Log(b.times[target.Token]) + spread*b.random.NormFloat64())
-				words = append(words, speed.Word{Token: target.Token, Sums: *sums})
+				words = append(words, speed.Report{Token: target.Token, Sums: *sums})
 			}
 			m := b.reporters[node%len(b.reporters)]
 			if m.up {
@@ -62,9 +62,9 @@
 // assertTold compares what a member tells with what is true, relative to one target.
 func (b *speedBench) assertTold(m *machine, reference directory.Token) {
 	b.Helper()
-	usual := m.core.speeds.told[reference].Time() / b.times[reference]
+	usual := m.core.speeds.told[reference].TimeRatio() / b.times[reference]
 	for _, target := range b.targets {
-		assert.InEpsilon(b, b.times[target.Token]*usual, m.core.speeds.told[target.Token].Time(), 0.25, target.ID)
+		assert.InEpsilon(b, b.times[target.Token]*usual, m.core.speeds.told[target.Token].TimeRatio(), 0.25, target.ID)
 	}
 }
 
@@ -147,12 +147,12 @@
 	m := b.reporters[0].core
 	told := b.targets[1].Token
 	missed := b.targets[2].Token
-	b.leader.core.setSteps(b.now, []speed.Told{{Token: missed}})
+	b.leader.core.setSteps(b.now, []speed.TargetStep{{Token: missed}})
 	require.NotZero(t, m.speeds.told[missed])
 	later := b.now.Add(stepMemory + time.Second)
 	b.leader.core.sweepSteps(later)
 	assert.NotZero(t, b.leader.core.speeds.told[told], "the leader knows by itself")
-	m.setSteps(later, []speed.Told{{Token: told, Step: m.speeds.told[told]}})
+	m.setSteps(later, []speed.TargetStep{{Token: told, Step: m.speeds.told[told]}})
 	m.speeds.changed = newTokenQueue()
 	m.sweepSteps(later)
 	assert.NotZero(t, m.speeds.told[told])
@@ -182,7 +182,7 @@
 	b.learn(5 * time.Second)
 	token := b.targets[0].Token
 	core := b.leader.core
-	core.noteSums(b.now, "gone", []speed.Word{{Token: token, Sums: speed.Sums{Count: 1000, Total: 1000, Squares: 1000}}})
+	core.noteSums(b.now, "gone", []speed.Report{{Token: token, Sums: speed.Sums{Count: 1000, Total: 1000, Squares: 1000}}})
 	require.Greater(t, core.speeds.members.Total(b.now, token).Count, 1000.0)
 	b.learn(speed.SweepInterval)
 	assert.Less(t, core.speeds.members.Total(b.now, token).Count, 500.0)
@@ -208,15 +208,15 @@
 	b.learn(10 * time.Second)
 	m := b.reporters[0]
 	for range 40 {
-		var words []speed.Word
+		var words []speed.Report
 		for _, target := range b.targets[:6] {
-			words = append(words, speed.Word{Token: target.Token, Sums: speed.Sums{Count: 8000, Total: 16000, Squares: 32000}})
+			words = append(words, speed.Report{Token: target.Token, Sums: speed.Sums{Count: 8000, Total: 16000, Squares: 32000}})
 		}
 		m.core.ObserveSpeeds(b.now, b.open(m, nodesOfBench), words)
 		b.learn(speedInterval)
 	}
 	for _, target := range b.targets[:6] {
-		told := m.core.speeds.told[target.Token].Time() / m.core.speeds.told[b.targets[7].Token].Time()
+		told := m.core.speeds.told[target.Token].TimeRatio() / m.core.speeds.told[b.targets[7].Token].TimeRatio()
 		assert.InEpsilon(t, b.times[target.Token]/b.times[b.targets[7].Token], told, 0.3)
 	}
 }
@@ -226,7 +226,7 @@
 	b := newSpeedBench(t)
 	m := b.reporters[0]
 	for token := range directory.Token(10_000) {
-		m.core.ObserveSpeeds(b.now, b.open(m, 1), []speed.Word{{Token: token, Sums: speed.Sums{Count: 1}}})
+		m.core.ObserveSpeeds(b.now, b.open(m, 1), []speed.Report{{Token: token, Sums: speed.Sums{Count: 1}}})
 	}
 	assert.Empty(t, m.core.speeds.nodes.Tokens())
 }
@@ -251,10 +251,10 @@
 		}
 		bytes := map[ConnectionID]int{}
 		for half := range 2 {
-			var list []speed.Told
+			var list []speed.TargetStep
 			for number := range changedAtOnce {
 				token := directory.Token((second*2+half)*changedAtOnce + number)
-				list = append(list, speed.Told{Token: 1 + token%targets, Step: speed.Step(1 + second%20)})
+				list = append(list, speed.TargetStep{Token: 1 + token%targets, Step: speed.Step(1 + second%20)})
 			}
 			core.setSteps(c.now, list)
 			core.tellNodesSpeeds()
@@ -262,7 +262,7 @@
 				bytes[sent.Connection] += wire.FrameSize(sent.Frame)
 				message, err := speed.Decode(sent.Frame.Payload)
 				require.NoError(t, err)
-				for _, told := range message.Told {
+				for _, told := range message.Steps {
 					known[sent.Connection][told.Token] = true
 				}
 			}
--- a/internal/registry/streams.go
+++ b/internal/registry/streams.go
@@ -135,12 +135,12 @@
 		p.logger.Sampled(eventlog.BadFrame, "connection", connection, "kind", frame.Kind, "err", err)
 		return
 	}
-	p.inputs.TryPush(speedsInput{connection: connection, words: message.Words})
+	p.inputs.TryPush(speedsInput{connection: connection, words: message.Reports})
 }
 
 type speedsInput struct {
 	connection ConnectionID
-	words      []speed.Word
+	words      []speed.Report
 }
 
 func (i speedsInput) handle(p *Process, now kernel.Instant) Output {
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -29,7 +29,7 @@
 }
 
 // Restate takes another strength of a node that follows this member.
-func (c *Core) Restate(connection ConnectionID, stated strength.Strength) Output {
+func (c *Core) Restate(connection ConnectionID, stated strength.Resources) Output {
 	node, follows := c.nodes[connection]
 	if !follows || node.strength == stated {
 		return c.takeOutput()
@@ -74,7 +74,7 @@
 }
 
 func (c *Core) weigh(nodes []*subscription) {
-	stated := make([]strength.Strength, len(nodes))
+	stated := make([]strength.Resources, len(nodes))
 	for position, node := range nodes {
 		stated[position] = node.strength
 	}
@@ -84,10 +84,10 @@
 	unstated := 0
 	for position, node := range nodes {
 		draws[position] = rendezvous.Node{Seed: uint64(directory.NodeKey(node.name)), Weight: weights[position]}
-		if node.strength.Processor() == 0 {
+		if node.strength.CPU() == 0 {
 			unstated++
 		}
-		if !strength.IsBounded(node.strength, weights[position]) {
+		if !strength.IsCapped(node.strength, weights[position]) {
 			continue
 		}
 		bounded[node.name] = true
@@ -116,7 +116,7 @@
 
 type strengthInput struct {
 	connection ConnectionID
-	stated     strength.Strength
+	stated     strength.Resources
 }
 
 func (i strengthInput) handle(p *Process, _ kernel.Instant) Output {
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -23,14 +23,14 @@
 // A node of before ends its word where the strength begins, and a member of before reads
 // no further.
 func TestASubscriptionOfBeforeStatesNoStrength(t *testing.T) {
-	subscribe := Subscribe{Node: "edge-1", Zone: "north", HeartbeatAddress: "10.0.0.1:1", CachesVerdicts: true, Strength: strength.Strength{Share: 0.25, Cores: 2}}
+	subscribe := Subscribe{Node: "edge-1", Zone: "north", HeartbeatAddress: "10.0.0.1:1", CachesVerdicts: true, Strength: strength.Resources{CPUShare: 0.25, CPUCores: 2}}
 	payload := subscribe.Frame().Payload
 	known, err := DecodeSubscribe(payload)
 	require.NoError(t, err)
 	assert.Equal(t, subscribe, known)
 	before, err := DecodeSubscribe(payload[:len(payload)-strengthBytes])
 	require.NoError(t, err)
-	subscribe.Strength = strength.Strength{}
+	subscribe.Strength = strength.Resources{}
 	assert.Equal(t, subscribe, before)
 	_, err = DecodeSubscribe(payload[:len(payload)-1])
 	assert.Error(t, err, "half a strength")
@@ -40,7 +40,7 @@
 func leaderOf(c *cluster, shares ...float64) *machine {
 	leader := withNodes(c, 0)
 	for number, share := range shares {
-		subscribe := Subscribe{Node: fmt.Sprint("edge-", number), Strength: strength.Strength{Share: share}}
+		subscribe := Subscribe{Node: fmt.Sprint("edge-", number), Strength: strength.Resources{CPUShare: share}}
 		c.apply(leader, leader.core.Subscribe(c.now, ConnectionID(number+1), subscribe))
 	}
 	return leader
@@ -77,7 +77,7 @@
 	for number := range before {
 		before[number] = leader.core.stewards(fmt.Sprint("i-", number), 2, 2)
 	}
-	c.apply(leader, leader.core.Restate(6, strength.Strength{Share: 0.15}))
+	c.apply(leader, leader.core.Restate(6, strength.Resources{CPUShare: 0.15}))
 	for number := range before {
 		after := leader.core.stewards(fmt.Sprint("i-", number), 2, 2)
 		for _, steward := range before[number] {
@@ -87,8 +87,8 @@
 		}
 	}
 	assert.Equal(t, 1, c.events[eventlog.StrengthChanged])
-	c.apply(leader, leader.core.Restate(6, strength.Strength{Share: 0.15}))
-	c.apply(leader, leader.core.Restate(99, strength.Strength{Share: 0.15}))
+	c.apply(leader, leader.core.Restate(6, strength.Resources{CPUShare: 0.15}))
+	c.apply(leader, leader.core.Restate(99, strength.Resources{CPUShare: 0.15}))
 	assert.Equal(t, 1, c.events[eventlog.StrengthChanged], "the same word, and one of no node")
 }
 
@@ -115,7 +115,7 @@
 		core := &Core{nodes: map[ConnectionID]*subscription{}, state: directory.New()}
 		for range 60 {
 			connection := ConnectionID(rapid.IntRange(1, 12).Draw(t, "connection"))
-			stated := strength.Strength{Share: rapid.SampledFrom([]float64{0, 0.1, 0.3, 1000}).Draw(t, "share")}
+			stated := strength.Resources{CPUShare: rapid.SampledFrom([]float64{0, 0.1, 0.3, 1000}).Draw(t, "share")}
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
 				name := fmt.Sprint("edge-", rapid.IntRange(0, 5).Draw(t, "node"))
@@ -153,7 +153,7 @@
 		disk  int64
 		fills bool
 	}{{0, false}, {held * 2, false}, {held * 3 / 2, false}, {held + held/10, true}, {held * 3 / 2, true}, {held * 2, false}, {held * 3 / 2, false}, {held, true}, {0, false}} {
-		process.handleBatch([]input{changeInput{next: hosting.Changeable{Strength: strength.Strength{Disk: test.disk}}}})
+		process.handleBatch([]input{changeInput{next: hosting.Changeable{Strength: strength.Resources{Disk: test.disk}}}})
 		assert.Equal(t, test.fills, process.diskNearlyFull, "%d of %d", held, test.disk)
 	}
 	assert.NoError(t, disk.Close())
@@ -164,7 +164,7 @@
 	process := NewProcess(Settings{Name: "core-1", HeartbeatOptions: []heartbeat.DistributorOption{heartbeat.WithLocalRate(0)}}, eventlog.Discard())
 	for connection, address := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
 		process.heartbeatSpread.AddNode(uint64(connection), "north", address)
-		process.heartbeatSpread.SetStrength(uint64(connection), strength.Strength{Share: 0.1})
+		process.heartbeatSpread.SetStrength(uint64(connection), strength.Resources{CPUShare: 0.1})
 	}
 	second := func(call int) (count int) {
 		for number := range 400 {
@@ -175,7 +175,7 @@
 		return count
 	}
 	assert.InDelta(t, 200, second(1), 60)
-	frame := Subscribe{Node: "edge-2", Strength: strength.Strength{Share: 0.7}}.Frame()
+	frame := Subscribe{Node: "edge-2", Strength: strength.Resources{CPUShare: 0.7}}.Frame()
 	process.receiveStrength(1, wire.Frame{Kind: wire.FrameEvidence, Payload: frame.Payload})
 	process.receiveStrength(1, wire.Frame{Kind: wire.FrameSubscribe, Payload: []byte{0}})
 	process.receiveStrength(1, frame)
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// Interval is the time between two words of a node, or two sums of a member, that
+	// ReportInterval is the time between two words of a node, or two sums of a member, that
 	// differ.
-	Interval = time.Second
-	// Repeat is the time after which one is told though it is the same.
-	Repeat = 2 * time.Second
-	// Lifetime is how long one counts: two that are lost change nothing.
-	Lifetime = 5 * time.Second
+	ReportInterval = time.Second
+	// RepeatInterval is the time after which one is told though it is the same.
+	RepeatInterval = 2 * time.Second
+	// ReportLifetime is how long one counts: two that are lost change nothing.
+	ReportLifetime = 5 * time.Second
 )
 
 const (
@@ -26,8 +26,8 @@
 	leastWait = time.Millisecond
 )
 
-// StepOf returns the step of a wait.
-func StepOf(wait time.Duration) uint8 {
+// WaitToStep returns the step of a wait.
+func WaitToStep(wait time.Duration) uint8 {
 	step := uint8(0)
 	for limit := leastWait; wait > limit && step < WaitSteps-1; limit *= 2 {
 		step++
@@ -35,62 +35,62 @@
 	return step
 }
 
-// WaitOf returns the longest wait of a step.
-func WaitOf(step uint8) time.Duration { return leastWait << min(step, WaitSteps-1) }
+// StepToWait returns the longest wait of a step.
+func StepToWait(step uint8) time.Duration { return leastWait << min(step, WaitSteps-1) }
 
-// Word is what a node tells of its own link.
-type Word struct {
+// LinkReport is what a node tells of its own link.
+type LinkReport struct {
 	// Rate is in bytes a second; 0 is not stated.
 	Rate uint32
-	// In and Out are the used shares in hundredths.
-	In, Out uint8
-	// Wait is the step of the wait that a new flow meets.
-	Wait uint8
-	// Refuses is set while the node refuses new flows.
-	Refuses bool
+	// InPercent and OutPercent are the used shares in hundredths.
+	InPercent, OutPercent uint8
+	// WaitStep is the step of the wait that a new flow meets.
+	WaitStep uint8
+	// Refusing is set while the node refuses new flows.
+	Refusing bool
 }
 
 // use returns the used share of the busier direction in hundredths.
-func (w Word) use() uint8 { return max(w.In, w.Out) }
+func (w LinkReport) use() uint8 { return max(w.InPercent, w.OutPercent) }
 
-// ZoneSum sums up the words of the nodes of a zone. Routers hash within a zone and
+// ZoneSummary sums up the words of the nodes of a zone. Routers hash within a zone and
 // evenly, so that nodes are counted by their waits as they are met.
-type ZoneSum struct {
+type ZoneSummary struct {
 	Zone string
-	// Refusing is the number of nodes that refuse new flows.
-	Refusing uint32
-	// Rate and Used are in bytes a second.
-	Rate, Used uint64
-	// Waits counts nodes by the steps of their waits.
-	Waits [WaitSteps]uint32
+	// RefusingNodes is the number of nodes that refuse new flows.
+	RefusingNodes uint32
+	// Rate and UsedRate are in bytes a second.
+	Rate, UsedRate uint64
+	// NodesByWait counts nodes by the steps of their waits.
+	NodesByWait [WaitSteps]uint32
 }
 
 // Nodes returns the number of nodes.
-func (z *ZoneSum) Nodes() int {
+func (z *ZoneSummary) Nodes() int {
 	nodes := uint32(0)
-	for _, count := range z.Waits {
+	for _, count := range z.NodesByWait {
 		nodes += count
 	}
 	return int(nodes)
 }
 
 // addWord adds the word of a node. One that is out of range counts as full.
-func (z *ZoneSum) addWord(word Word) {
+func (z *ZoneSummary) addWord(word LinkReport) {
 	z.Rate += uint64(word.Rate)
-	z.Used += uint64(word.Rate) * uint64(min(word.use(), 100)) / 100
-	z.Waits[min(word.Wait, WaitSteps-1)]++
-	if word.Refuses {
-		z.Refusing++
+	z.UsedRate += uint64(word.Rate) * uint64(min(word.use(), 100)) / 100
+	z.NodesByWait[min(word.WaitStep, WaitSteps-1)]++
+	if word.Refusing {
+		z.RefusingNodes++
 	}
 }
 
 // add adds another sum of the same zone.
-func (z *ZoneSum) add(other ZoneSum) {
-	z.Refusing += other.Refusing
+func (z *ZoneSummary) add(other ZoneSummary) {
+	z.RefusingNodes += other.RefusingNodes
 	z.Rate += other.Rate
-	z.Used += other.Used
-	for step, count := range other.Waits {
-		z.Waits[step] += count
+	z.UsedRate += other.UsedRate
+	for step, count := range other.NodesByWait {
+		z.NodesByWait[step] += count
 	}
 }
 
@@ -105,25 +105,25 @@
 
 // Message is the payload of a frame: one of its parts is set.
 type Message struct {
-	// Word is a node's own.
-	Word *Word
-	// From is the address of the member whose sums these are, or "" for the fleet's.
-	From string
+	// Report is a node's own.
+	Report *LinkReport
+	// Member is the address of the member whose sums these are, or "" for the fleet's.
+	Member string
 	// Term is the term of the leader that summed the fleet up.
 	Term  uint64
-	Zones []ZoneSum
+	Zones []ZoneSummary
 }
 
 // Frame returns the frame of the message.
 func (m Message) Frame() wire.Frame {
 	var encoder wire.Encoder
 	switch {
-	case m.Word != nil:
+	case m.Report != nil:
 		encoder.Uint8(uint8(formWord))
-		m.Word.encode(&encoder)
-	case m.From != "":
+		m.Report.encode(&encoder)
+	case m.Member != "":
 		encoder.Uint8(uint8(formMember))
-		encoder.String(m.From)
+		encoder.String(m.Member)
 		encodeZones(&encoder, m.Zones)
 	default:
 		encoder.Uint8(uint8(formFleet))
@@ -140,9 +140,9 @@
 	switch form(decoder.Uint8()) {
 	case formWord:
 		word := decodeWord(decoder)
-		message.Word = &word
+		message.Report = &word
 	case formMember:
-		message.From = decoder.String()
+		message.Member = decoder.String()
 		message.Zones = decodeZones(decoder)
 	case formFleet:
 		message.Term = decoder.Uint64()
@@ -151,46 +151,46 @@
 	return message, decoder.Err("room.decode")
 }
 
-func (w Word) encode(encoder *wire.Encoder) {
+func (w LinkReport) encode(encoder *wire.Encoder) {
 	encoder.Uint32(w.Rate)
-	encoder.Uint8(w.In)
-	encoder.Uint8(w.Out)
-	encoder.Uint8(w.Wait)
-	encoder.Bool(w.Refuses)
+	encoder.Uint8(w.InPercent)
+	encoder.Uint8(w.OutPercent)
+	encoder.Uint8(w.WaitStep)
+	encoder.Bool(w.Refusing)
 }
 
-func decodeWord(decoder *wire.Decoder) Word {
-	return Word{
-		Rate:    decoder.Uint32(),
-		In:      decoder.Uint8(),
-		Out:     decoder.Uint8(),
-		Wait:    decoder.Uint8(),
-		Refuses: decoder.Bool(),
+func decodeWord(decoder *wire.Decoder) LinkReport {
+	return LinkReport{
+		Rate:       decoder.Uint32(),
+		InPercent:  decoder.Uint8(),
+		OutPercent: decoder.Uint8(),
+		WaitStep:   decoder.Uint8(),
+		Refusing:   decoder.Bool(),
 	}
 }
 
 // smallestZone is the encoded size in bytes of the sum of a zone without a name.
 const smallestZone = 24 + 4*WaitSteps
 
-func encodeZones(encoder *wire.Encoder, zones []ZoneSum) {
+func encodeZones(encoder *wire.Encoder, zones []ZoneSummary) {
 	encoder.Uint32(uint32(len(zones)))
 	for _, zone := range zones {
 		encoder.String(zone.Zone)
-		encoder.Uint32(zone.Refusing)
+		encoder.Uint32(zone.RefusingNodes)
 		encoder.Uint64(zone.Rate)
-		encoder.Uint64(zone.Used)
-		for _, count := range zone.Waits {
+		encoder.Uint64(zone.UsedRate)
+		for _, count := range zone.NodesByWait {
 			encoder.Uint32(count)
 		}
 	}
 }
 
-func decodeZones(decoder *wire.Decoder) []ZoneSum {
-	var zones []ZoneSum
+func decodeZones(decoder *wire.Decoder) []ZoneSummary {
+	var zones []ZoneSummary
 	for count := decoder.Count(smallestZone); count > 0; count-- {
-		zone := ZoneSum{Zone: decoder.String(), Refusing: decoder.Uint32(), Rate: decoder.Uint64(), Used: decoder.Uint64()}
-		for step := range zone.Waits {
-			zone.Waits[step] = decoder.Uint32()
+		zone := ZoneSummary{Zone: decoder.String(), RefusingNodes: decoder.Uint32(), Rate: decoder.Uint64(), UsedRate: decoder.Uint64()}
+		for step := range zone.NodesByWait {
+			zone.NodesByWait[step] = decoder.Uint32()
 		}
 		zones = append(zones, zone)
 	}
--- a/internal/room/room_test.go
+++ b/internal/room/room_test.go
@@ -14,15 +14,15 @@
 
 const start = kernel.Instant(time.Minute)
 
-func drawWord(t *rapid.T) Word {
-	return Word{
-		Rate: rapid.Uint32().Draw(t, "rate"), In: rapid.Uint8().Draw(t, "in"), Out: rapid.Uint8().Draw(t, "out"),
-		Wait: rapid.Uint8().Draw(t, "wait"), Refuses: rapid.Bool().Draw(t, "refuses"),
+func drawWord(t *rapid.T) LinkReport {
+	return LinkReport{
+		Rate: rapid.Uint32().Draw(t, "rate"), InPercent: rapid.Uint8().Draw(t, "in"), OutPercent: rapid.Uint8().Draw(t, "out"),
+		WaitStep: rapid.Uint8().Draw(t, "wait"), Refusing: rapid.Bool().Draw(t, "refuses"),
 	}
 }
 
-func sumOf(zone string, words ...Word) ZoneSum {
-	sum := ZoneSum{Zone: zone}
+func sumOf(zone string, words ...LinkReport) ZoneSummary {
+	sum := ZoneSummary{Zone: zone}
 	for _, word := range words {
 		sum.addWord(word)
 	}
@@ -32,8 +32,8 @@
 func TestMessagesAreReadAsWritten(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := drawWord(t)
-		zones := []ZoneSum{sumOf("north", word, drawWord(t)), sumOf("south", word)}
-		for _, message := range []Message{{Word: &word}, {From: "10.0.0.1:7000", Zones: zones}, {Term: 7, Zones: zones}} {
+		zones := []ZoneSummary{sumOf("north", word, drawWord(t)), sumOf("south", word)}
+		for _, message := range []Message{{Report: &word}, {Member: "10.0.0.1:7000", Zones: zones}, {Term: 7, Zones: zones}} {
 			read, err := Decode(message.Frame().Payload)
 			require.NoError(t, err)
 			require.Equal(t, message, read)
@@ -49,72 +49,72 @@
 			require.Equal(t, Message{}, message)
 		}
 	})
-	whole := Message{Term: 1, Zones: []ZoneSum{sumOf("north", Word{Rate: 1})}}.Frame().Payload
+	whole := Message{Term: 1, Zones: []ZoneSummary{sumOf("north", LinkReport{Rate: 1})}}.Frame().Payload
 	_, err := Decode(whole[:len(whole)-1])
 	assert.Error(t, err)
 }
 
 func TestAWordIsSmallAndAZoneToo(t *testing.T) {
-	assert.LessOrEqual(t, wire.FrameSize(Message{Word: &Word{}}.Frame()), 16)
-	assert.LessOrEqual(t, wire.FrameSize(Message{Zones: []ZoneSum{{Zone: "lv-riga-a"}}}.Frame()), 100)
+	assert.LessOrEqual(t, wire.FrameSize(Message{Report: &LinkReport{}}.Frame()), 16)
+	assert.LessOrEqual(t, wire.FrameSize(Message{Zones: []ZoneSummary{{Zone: "lv-riga-a"}}}.Frame()), 100)
 }
 
 func TestWaitsAreToldInSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		wait := time.Duration(rapid.Int64Range(0, int64(WaitOf(WaitSteps-1))).Draw(t, "wait"))
-		told := WaitOf(StepOf(wait))
+		wait := time.Duration(rapid.Int64Range(0, int64(StepToWait(WaitSteps-1))).Draw(t, "wait"))
+		told := StepToWait(WaitToStep(wait))
 		require.GreaterOrEqual(t, told, wait)
 		require.True(t, told == leastWait || told < 2*wait)
 	})
-	assert.Equal(t, uint8(WaitSteps-1), StepOf(time.Hour))
+	assert.Equal(t, uint8(WaitSteps-1), WaitToStep(time.Hour))
 }
 
 // Words that are lost, late or doubled: the newest one counts, and none beyond Lifetime.
 func TestTheNewestWordCountsUntilItAgesOut(t *testing.T) {
 	table := NewTable[int]()
-	table.NoteWord(start, 1, "north", Word{Rate: 100, In: 90})
-	table.NoteWord(start, 1, "north", Word{Rate: 100, In: 10, Out: 20})
-	table.NoteWord(start.Add(time.Second), 2, "north", Word{Rate: 300, Out: 50, Refuses: true})
-	sums := table.Sum(start.Add(time.Second))
+	table.RecordReport(start, 1, "north", LinkReport{Rate: 100, InPercent: 90})
+	table.RecordReport(start, 1, "north", LinkReport{Rate: 100, InPercent: 10, OutPercent: 20})
+	table.RecordReport(start.Add(time.Second), 2, "north", LinkReport{Rate: 300, OutPercent: 50, Refusing: true})
+	sums := table.Summaries(start.Add(time.Second))
 	require.Len(t, sums, 1)
 	assert.Equal(t, 2, sums[0].Nodes())
 	assert.Equal(t, uint64(400), sums[0].Rate)
-	assert.Equal(t, uint64(20+150), sums[0].Used)
-	assert.Equal(t, uint32(1), sums[0].Refusing)
-	assert.Equal(t, 1, table.Sum(start.Add(Lifetime))[0].Nodes())
-	table.Forget(2)
-	assert.Empty(t, table.Sum(start.Add(Lifetime)))
+	assert.Equal(t, uint64(20+150), sums[0].UsedRate)
+	assert.Equal(t, uint32(1), sums[0].RefusingNodes)
+	assert.Equal(t, 1, table.Summaries(start.Add(ReportLifetime))[0].Nodes())
+	table.Remove(2)
+	assert.Empty(t, table.Summaries(start.Add(ReportLifetime)))
 }
 
 func TestAViewAgesOutAndKeepsToTheNewerLeader(t *testing.T) {
-	idle, full := Word{}, Word{Wait: WaitSteps - 1}
-	var view View
-	assert.False(t, view.IsKnown(start))
-	view.Note(start, "north", Message{Term: 3, Zones: []ZoneSum{sumOf("south", idle, idle), sumOf("north", full, full)}})
-	assert.True(t, view.IsKnown(start))
-	assert.Equal(t, WaitOf(WaitSteps-1), view.Offered())
-	view.Note(start.Add(time.Second), "north", Message{Term: 2, Zones: []ZoneSum{sumOf("north", idle, idle)}})
-	assert.Equal(t, WaitOf(WaitSteps-1), view.Offered(), "a leader that was replaced")
-	assert.False(t, view.IsKnown(start.Add(Lifetime)), "members are gone")
-	view.Note(start.Add(Lifetime), "north", Message{Term: 2, Zones: []ZoneSum{sumOf("north", idle, idle)}})
-	assert.Equal(t, leastWait, view.Offered())
+	idle, full := LinkReport{}, LinkReport{WaitStep: WaitSteps - 1}
+	var view ZoneView
+	assert.False(t, view.IsCurrent(start))
+	view.Update(start, "north", Message{Term: 3, Zones: []ZoneSummary{sumOf("south", idle, idle), sumOf("north", full, full)}})
+	assert.True(t, view.IsCurrent(start))
+	assert.Equal(t, StepToWait(WaitSteps-1), view.RetryWait())
+	view.Update(start.Add(time.Second), "north", Message{Term: 2, Zones: []ZoneSummary{sumOf("north", idle, idle)}})
+	assert.Equal(t, StepToWait(WaitSteps-1), view.RetryWait(), "a leader that was replaced")
+	assert.False(t, view.IsCurrent(start.Add(ReportLifetime)), "members are gone")
+	view.Update(start.Add(ReportLifetime), "north", Message{Term: 2, Zones: []ZoneSummary{sumOf("north", idle, idle)}})
+	assert.Equal(t, leastWait, view.RetryWait())
 }
 
 func TestANodeAloneKnowsNothingOfOthers(t *testing.T) {
-	var view View
-	view.Note(start, "north", Message{Zones: []ZoneSum{sumOf("north", Word{})}})
-	assert.False(t, view.IsKnown(start))
+	var view ZoneView
+	view.Update(start, "north", Message{Zones: []ZoneSummary{sumOf("north", LinkReport{})}})
+	assert.False(t, view.IsCurrent(start))
 }
 
 // A node that lies about its use changes what an eighth of the nodes offer only where
 // there are fewer than two such eighths.
 func TestOneLiarDoesNotMoveTheOfferOfManyNodes(t *testing.T) {
-	words := make([]Word, 2*offeredShare)
+	words := make([]LinkReport, 2*offeredShare)
 	for number := range words {
-		words[number].Wait = 6
+		words[number].WaitStep = 6
 	}
-	words[0].Wait = 0
-	var view View
-	view.Note(start, "north", Message{Zones: []ZoneSum{sumOf("north", words...)}})
-	assert.Equal(t, WaitOf(6), view.Offered())
+	words[0].WaitStep = 0
+	var view ZoneView
+	view.Update(start, "north", Message{Zones: []ZoneSummary{sumOf("north", words...)}})
+	assert.Equal(t, StepToWait(6), view.RetryWait())
 }
--- a/internal/room/table.go
+++ b/internal/room/table.go
@@ -10,7 +10,7 @@
 
 // heard is what a node or a member told last.
 type heard struct {
-	zones []ZoneSum
+	zones []ZoneSummary
 	at    kernel.Instant
 }
 
@@ -22,39 +22,39 @@
 // NewTable returns a table that knows nothing.
 func NewTable[K comparable]() Table[K] { return Table[K]{newest: map[K]heard{}} }
 
-// NoteWord notes a node's word.
-func (t *Table[K]) NoteWord(now kernel.Instant, from K, zone string, word Word) {
-	sum := ZoneSum{Zone: zone}
+// RecordReport notes a node's word.
+func (t *Table[K]) RecordReport(now kernel.Instant, from K, zone string, word LinkReport) {
+	sum := ZoneSummary{Zone: zone}
 	sum.addWord(word)
-	t.Note(now, from, []ZoneSum{sum})
+	t.RecordSummaries(now, from, []ZoneSummary{sum})
 }
 
-// Note notes the sums of a member.
-func (t *Table[K]) Note(now kernel.Instant, from K, zones []ZoneSum) {
+// RecordSummaries notes the sums of a member.
+func (t *Table[K]) RecordSummaries(now kernel.Instant, from K, zones []ZoneSummary) {
 	t.newest[from] = heard{zones: zones, at: now}
 }
 
-// Forget forgets who is gone.
-func (t *Table[K]) Forget(from K) { delete(t.newest, from) }
+// Remove forgets who is gone.
+func (t *Table[K]) Remove(from K) { delete(t.newest, from) }
 
-// Sum returns the sums by zone of all that has not aged out, in the order of the zones.
-func (t *Table[K]) Sum(now kernel.Instant) []ZoneSum {
-	sums := map[string]*ZoneSum{}
+// Summaries returns the sums by zone of all that has not aged out, in the order of the zones.
+func (t *Table[K]) Summaries(now kernel.Instant) []ZoneSummary {
+	sums := map[string]*ZoneSummary{}
 	for from, told := range t.newest {
-		if now.Sub(told.at) >= Lifetime {
+		if now.Sub(told.at) >= ReportLifetime {
 			delete(t.newest, from)
 			continue
 		}
 		for _, zone := range told.zones {
 			sum, known := sums[zone.Zone]
 			if !known {
-				sum = &ZoneSum{Zone: zone.Zone}
+				sum = &ZoneSummary{Zone: zone.Zone}
 				sums[zone.Zone] = sum
 			}
 			sum.add(zone)
 		}
 	}
-	var zones []ZoneSum
+	var zones []ZoneSummary
 	for _, name := range slices.SortedFunc(maps.Keys(sums), strings.Compare) {
 		zones = append(zones, *sums[name])
 	}
--- a/internal/speed/estimate.go
+++ b/internal/speed/estimate.go
@@ -108,5 +108,5 @@
 	return Step(math.Round(exact))
 }
 
-// Time returns the time that a target takes as a multiple of what is usual.
-func (s Step) Time() float64 { return math.Exp(float64(s) / stepsPerUnit) }
+// TimeRatio returns the time that a target takes as a multiple of what is usual.
+func (s Step) TimeRatio() float64 { return math.Exp(float64(s) / stepsPerUnit) }
--- a/internal/speed/speed_test.go
+++ b/internal/speed/speed_test.go
@@ -100,21 +100,21 @@
 			word := Sums{Count: rapid.Float64Range(0, 30).Draw(t, "count")}
 			word.Total = word.Count * rapid.Float64Range(-MaxSample, MaxSample).Draw(t, "mean")
 			for range rapid.IntRange(1, 3).Draw(t, "times") {
-				table.Note(now, source, 7, word)
+				table.Record(now, source, 7, word)
 			}
 			newest[source] = timedSums{Sums: word, at: now}
 			if rapid.Bool().Draw(t, "sweep") {
 				table.Sweep(now)
 			}
 		}
-		table.Keep(now, func(source int) bool { return source > 0 })
+		table.RetainSources(now, func(source int) bool { return source > 0 })
 		delete(newest, 0)
 		var want Sums
 		for _, word := range newest {
-			want = want.Plus(word.Faded(now.Sub(word.at), HalfLife))
+			want = want.Plus(word.Decayed(now.Sub(word.at), HalfLife))
 		}
 		total := table.Total(now, 7)
-		slack := LeastCount*MaxSample*5 + 1e-6
+		slack := MinCount*MaxSample*5 + 1e-6
 		assert.InDelta(t, want.Count, total.Count, slack)
 		assert.InDelta(t, want.Total, total.Total, slack)
 	})
@@ -122,7 +122,7 @@
 
 func TestSilenceFades(t *testing.T) {
 	table := NewTable[string](HalfLife)
-	table.Note(0, "a", 7, Sums{Count: 8, Total: 8, Squares: 8})
+	table.Record(0, "a", 7, Sums{Count: 8, Total: 8, Squares: 8})
 	later := kernel.Instant(0).Add(HalfLife)
 	assert.InDelta(t, 4, table.Total(later, 7).Count, 1e-9)
 	assert.InDelta(t, 1, table.Total(later, 7).Mean(), 1e-9)
@@ -137,11 +137,11 @@
 			sums.Add(rapid.Float64Range(-3, 3).Draw(t, "sample"))
 		}
 		token := directory.Token(rapid.Uint32().Draw(t, "token"))
-		frame := Frame("m", []Word{{Token: token, Sums: sums}})
+		frame := ReportFrame("m", []Report{{Token: token, Sums: sums}})
 		message, err := Decode(frame.Payload)
 		require.NoError(t, err)
-		require.Len(t, message.Words, 1)
-		word := message.Words[0]
+		require.Len(t, message.Reports, 1)
+		word := message.Reports[0]
 		assert.Equal(t, token, word.Token)
 		assert.InDelta(t, sums.Count, word.Count, countUnit)
 		assert.InDelta(t, sums.Mean(), word.Mean(), meanUnit)
@@ -150,28 +150,28 @@
 }
 
 func TestWhatTheLeaderTellsKeepsItsMeaning(t *testing.T) {
-	list := []Told{{Token: 7, Step: -32}, {Token: 8, Step: 0}, {Token: 9, Step: 32}}
-	message, err := Decode(ToldFrame(5, list).Payload)
+	list := []TargetStep{{Token: 7, Step: -32}, {Token: 8, Step: 0}, {Token: 9, Step: 32}}
+	message, err := Decode(StepFrame(5, list).Payload)
 	require.NoError(t, err)
-	assert.Equal(t, Message{FromLeader: true, Term: 5, Told: list}, message)
+	assert.Equal(t, Message{FromLeader: true, Term: 5, Steps: list}, message)
 }
 
 // Whatever a node or member sends, its words stay within bounds.
 func FuzzDecode(f *testing.F) {
-	f.Add(Frame("m", []Word{{Token: 1, Sums: Sums{Count: 3, Total: 2, Squares: 2}}}).Payload)
-	f.Add(ToldFrame(1, []Told{{Token: 1, Step: 3}}).Payload)
-	f.Add(ToldFrame(1, []Told{{Token: 1, Step: math.MaxInt8}, {Token: 2, Step: math.MinInt8}}).Payload)
+	f.Add(ReportFrame("m", []Report{{Token: 1, Sums: Sums{Count: 3, Total: 2, Squares: 2}}}).Payload)
+	f.Add(StepFrame(1, []TargetStep{{Token: 1, Step: 3}}).Payload)
+	f.Add(StepFrame(1, []TargetStep{{Token: 1, Step: math.MaxInt8}, {Token: 2, Step: math.MinInt8}}).Payload)
 	f.Fuzz(func(t *testing.T, payload []byte) {
 		message, err := Decode(payload)
 		if err != nil {
 			return
 		}
-		for _, word := range message.Words {
+		for _, word := range message.Reports {
 			assert.LessOrEqual(t, math.Abs(word.Total), word.Count*(MaxSample+2*meanUnit))
 			assert.GreaterOrEqual(t, word.Count, 0.0)
 		}
-		for _, told := range message.Told {
-			assert.LessOrEqual(t, math.Abs(math.Log(told.Step.Time())), MaxSample+1e-9)
+		for _, told := range message.Steps {
+			assert.LessOrEqual(t, math.Abs(math.Log(told.Step.TimeRatio())), MaxSample+1e-9)
 		}
 	})
 }
@@ -181,6 +181,6 @@
 	assert.Equal(t, Step(8), Step(0).Next(0.5))
 	assert.Equal(t, Step(8), Step(8).Next(0.45))
 	assert.Equal(t, Step(maxStep), Step(0).Next(9))
-	assert.InDelta(t, 1.65, Step(8).Time(), 0.01)
-	assert.Equal(t, wire.FrameSpeeds, ToldFrame(1, nil).Kind)
+	assert.InDelta(t, 1.65, Step(8).TimeRatio(), 0.01)
+	assert.Equal(t, wire.FrameSpeeds, StepFrame(1, nil).Kind)
 }
--- a/internal/speed/sums.go
+++ b/internal/speed/sums.go
@@ -21,8 +21,8 @@
 	// MaxSample bounds a sample to either side: a time of a seventh or seven times the
 	// usual one. One request that rested or was lost says no more than that.
 	MaxSample = 2.0
-	// LeastCount is the decayed number of samples below which sums are forgotten.
-	LeastCount = 0.1
+	// MinCount is the decayed number of samples below which sums are forgotten.
+	MinCount = 0.1
 )
 
 // Sums are the samples of a target, older ones counting less.
@@ -45,25 +45,25 @@
 	return Sums{Count: s.Count + other.Count, Total: s.Total + other.Total, Squares: s.Squares + other.Squares}
 }
 
-// Times returns the sums with all samples counting as many times as much.
-func (s Sums) Times(factor float64) Sums {
+// Scaled returns the sums with all samples counting as many times as much.
+func (s Sums) Scaled(factor float64) Sums {
 	return Sums{Count: s.Count * factor, Total: s.Total * factor, Squares: s.Squares * factor}
 }
 
-// Faded returns what the sums count after some time.
-func (s Sums) Faded(age, halfLife time.Duration) Sums {
+// Decayed returns what the sums count after some time.
+func (s Sums) Decayed(age, halfLife time.Duration) Sums {
 	if age <= 0 {
 		return s
 	}
-	return s.Times(math.Exp2(-float64(age) / float64(halfLife)))
+	return s.Scaled(math.Exp2(-float64(age) / float64(halfLife)))
 }
 
-// Bounded returns the sums with a count of no more than a limit.
-func (s Sums) Bounded(limit float64) Sums {
+// Capped returns the sums with a count of no more than a limit.
+func (s Sums) Capped(limit float64) Sums {
 	if s.Count <= limit {
 		return s
 	}
-	return s.Times(limit / s.Count)
+	return s.Scaled(limit / s.Count)
 }
 
 // Mean returns the mean of the samples, or 0 without any.
--- a/internal/speed/table.go
+++ b/internal/speed/table.go
@@ -28,11 +28,11 @@
 }
 
 func (t *Table[Source]) faded(now kernel.Instant, sums timedSums) Sums {
-	return sums.Faded(now.Sub(sums.at), t.halfLife)
+	return sums.Decayed(now.Sub(sums.at), t.halfLife)
 }
 
-// Note replaces a source's last word on a target.
-func (t *Table[Source]) Note(now kernel.Instant, source Source, token directory.Token, sums Sums) {
+// Record replaces a source's last word on a target.
+func (t *Table[Source]) Record(now kernel.Instant, source Source, token directory.Token, sums Sums) {
 	words, known := t.words[source]
 	if !known {
 		words = map[directory.Token]timedSums{}
@@ -40,22 +40,22 @@
 	}
 	replaced := t.faded(now, words[token])
 	words[token] = timedSums{Sums: sums, at: now}
-	t.add(now, token, sums.Plus(replaced.Times(-1)))
+	t.add(now, token, sums.Plus(replaced.Scaled(-1)))
 }
 
 func (t *Table[Source]) add(now kernel.Instant, token directory.Token, sums Sums) {
 	t.totals[token] = timedSums{Sums: t.faded(now, t.totals[token]).Plus(sums), at: now}
 }
 
-// Keep forgets all words of the sources that are not kept, and returns their targets.
-func (t *Table[Source]) Keep(now kernel.Instant, isKept func(source Source) bool) []directory.Token {
+// RetainSources forgets all words of the sources that are not kept, and returns their targets.
+func (t *Table[Source]) RetainSources(now kernel.Instant, isKept func(source Source) bool) []directory.Token {
 	var changed []directory.Token
 	for source, words := range t.words {
 		if isKept(source) {
 			continue
 		}
 		for token, word := range words {
-			t.add(now, token, t.faded(now, word).Times(-1))
+			t.add(now, token, t.faded(now, word).Scaled(-1))
 			changed = append(changed, token)
 		}
 		delete(t.words, source)
@@ -83,7 +83,7 @@
 	clear(t.totals)
 	for source, words := range t.words {
 		for token, word := range words {
-			if sums := t.faded(now, word); sums.Count >= LeastCount {
+			if sums := t.faded(now, word); sums.Count >= MinCount {
 				t.add(now, token, sums)
 			} else {
 				delete(words, token)
--- a/internal/speed/word.go
+++ b/internal/speed/word.go
@@ -7,14 +7,14 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Word is what a source tells of a target.
-type Word struct {
+// Report is what a source tells of a target.
+type Report struct {
 	Token directory.Token
 	Sums
 }
 
-// Told is what the leader tells of a target.
-type Told struct {
+// TargetStep is what the leader tells of a target.
+type TargetStep struct {
 	Token directory.Token
 	Step  Step
 }
@@ -24,13 +24,13 @@
 	countUnit  = 1.0 / 8
 	meanUnit   = MaxSample / math.MaxInt8
 	squareUnit = MaxSample * MaxSample / math.MaxUint8
-	// WordSize and ToldSize are the encoded sizes in bytes.
-	WordSize = 8
-	ToldSize = 5
+	// ReportSize and ToldSize are the encoded sizes in bytes.
+	ReportSize     = 8
+	TargetStepSize = 5
 )
 
-// EncodeWords appends words.
-func EncodeWords(encoder *wire.Encoder, words []Word) {
+// EncodeReports appends words.
+func EncodeReports(encoder *wire.Encoder, words []Report) {
 	encoder.Uint32(uint32(len(words)))
 	for _, word := range words {
 		count := max(word.Count, countUnit)
@@ -43,11 +43,11 @@
 
 func clamp(value, limit float64) float64 { return min(max(value, -limit), limit) }
 
-// DecodeWords reads words.
-func DecodeWords(decoder *wire.Decoder) []Word {
-	var words []Word
-	for count := decoder.Count(WordSize); count > 0; count-- {
-		word := Word{Token: directory.Token(decoder.Uint32())}
+// DecodeReports reads words.
+func DecodeReports(decoder *wire.Decoder) []Report {
+	var words []Report
+	for count := decoder.Count(ReportSize); count > 0; count-- {
+		word := Report{Token: directory.Token(decoder.Uint32())}
 		word.Count = float64(decoder.Uint16()) * countUnit
 		word.Total = float64(int8(decoder.Uint8())) * meanUnit * word.Count
 		word.Squares = float64(decoder.Uint8()) * squareUnit * word.Count
@@ -56,8 +56,8 @@
 	return words
 }
 
-// EncodeTold appends what the leader tells.
-func EncodeTold(encoder *wire.Encoder, list []Told) {
+// EncodeSteps appends what the leader tells.
+func EncodeSteps(encoder *wire.Encoder, list []TargetStep) {
 	encoder.Uint32(uint32(len(list)))
 	for _, told := range list {
 		encoder.Uint32(uint32(told.Token))
@@ -65,32 +65,32 @@
 	}
 }
 
-// DecodeTold reads what the leader tells.
-func DecodeTold(decoder *wire.Decoder) []Told {
-	var list []Told
-	for count := decoder.Count(ToldSize); count > 0; count-- {
-		told := Told{Token: directory.Token(decoder.Uint32()), Step: Step(decoder.Uint8())}
+// DecodeSteps reads what the leader tells.
+func DecodeSteps(decoder *wire.Decoder) []TargetStep {
+	var list []TargetStep
+	for count := decoder.Count(TargetStepSize); count > 0; count-- {
+		told := TargetStep{Token: directory.Token(decoder.Uint32()), Step: Step(decoder.Uint8())}
 		told.Step = min(max(told.Step, -maxStep), maxStep)
 		list = append(list, told)
 	}
 	return list
 }
 
-// Frame returns the frame of words from a source: a node, or the address of a member.
-func Frame(source string, words []Word) wire.Frame {
+// ReportFrame returns the frame of words from a source: a node, or the address of a member.
+func ReportFrame(source string, words []Report) wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(false)
 	encoder.String(source)
-	EncodeWords(&encoder, words)
+	EncodeReports(&encoder, words)
 	return wire.Frame{Kind: wire.FrameSpeeds, Payload: encoder.Buffer}
 }
 
-// ToldFrame returns the frame of what the leader of a term tells.
-func ToldFrame(term uint64, list []Told) wire.Frame {
+// StepFrame returns the frame of what the leader of a term tells.
+func StepFrame(term uint64, list []TargetStep) wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(true)
 	encoder.Uint64(term)
-	EncodeTold(&encoder, list)
+	EncodeSteps(&encoder, list)
 	return wire.Frame{Kind: wire.FrameSpeeds, Payload: encoder.Buffer}
 }
 
@@ -98,9 +98,9 @@
 type Message struct {
 	FromLeader bool
 	Source     string
-	Words      []Word
+	Reports    []Report
 	Term       uint64
-	Told       []Told
+	Steps      []TargetStep
 }
 
 // Decode reads the payload of a frame.
@@ -109,10 +109,10 @@
 	message := Message{FromLeader: decoder.Bool()}
 	if message.FromLeader {
 		message.Term = decoder.Uint64()
-		message.Told = DecodeTold(decoder)
+		message.Steps = DecodeSteps(decoder)
 	} else {
 		message.Source = decoder.String()
-		message.Words = DecodeWords(decoder)
+		message.Reports = DecodeReports(decoder)
 	}
 	return message, decoder.Err("speed.decode")
 }
--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -59,9 +59,9 @@
 func BenchmarkNewFlow(b *testing.B) {
 	bench, targets := manyTargets(&testing.T{})
 	bench.core.settings.Chooser = DefaultSettings().Chooser
-	var told []speed.Told
+	var told []speed.TargetStep
 	for number, target := range targets {
-		told = append(told, speed.Told{Token: target.Token, Step: speed.Step(number%3 - 1)})
+		told = append(told, speed.TargetStep{Token: target.Token, Step: speed.Step(number%3 - 1)})
 	}
 	bench.core.SetSpeeds(start, told)
 	now := start
--- a/internal/steer/speeds.go
+++ b/internal/steer/speeds.go
@@ -108,7 +108,7 @@
 
 func (c *Core) addSample(now kernel.Instant, target *targetEntry, sample float64) {
 	learned := &target.speed
-	learned.sums = learned.sums.Faded(now.Sub(learned.summedAt), speed.HalfLife)
+	learned.sums = learned.sums.Decayed(now.Sub(learned.summedAt), speed.HalfLife)
 	learned.sums.Add(sample)
 	learned.summedAt = now
 	learned.isNew = true
@@ -120,18 +120,18 @@
 
 // TakeSpeeds returns what the member is told of how long targets take, at most once in
 // speedInterval.
-func (c *Core) TakeSpeeds(now kernel.Instant) []speed.Word {
+func (c *Core) TakeSpeeds(now kernel.Instant) []speed.Report {
 	if now.Before(c.speeds.nextAt) {
 		return nil
 	}
 	c.speeds.nextAt = now.Add(speedInterval)
-	var words []speed.Word
+	var words []speed.Report
 	kept := c.speeds.learned[:0]
 	var told []*targetEntry
 	for _, entry := range c.speeds.learned {
 		learned := &entry.speed
-		sums := learned.sums.Faded(now.Sub(learned.summedAt), speed.HalfLife)
-		if sums.Count < speed.LeastCount || entry.target.State == directory.TargetEnded {
+		sums := learned.sums.Decayed(now.Sub(learned.summedAt), speed.HalfLife)
+		if sums.Count < speed.MinCount || entry.target.State == directory.TargetEnded {
 			learned.listed = false
 			continue
 		}
@@ -142,7 +142,7 @@
 		learned.toldAt = now
 		learned.isNew = false
 		told = append(told, entry)
-		words = append(words, speed.Word{Token: entry.target.Token, Sums: sums})
+		words = append(words, speed.Report{Token: entry.target.Token, Sums: sums})
 	}
 	clear(c.speeds.learned[len(kept):])
 	c.speeds.learned = append(kept, told...)
@@ -154,10 +154,10 @@
 }
 
 // SetSpeeds takes what the leader tells of how long targets take.
-func (c *Core) SetSpeeds(now kernel.Instant, list []speed.Told) {
+func (c *Core) SetSpeeds(now kernel.Instant, list []speed.TargetStep) {
 	for _, told := range list {
 		if entry, known := c.targets[told.Token]; known {
-			entry.speed.relative = told.Step.Time()
+			entry.speed.relative = told.Step.TimeRatio()
 			entry.speed.heardAt = now
 		}
 	}
--- a/internal/steer/speeds_test.go
+++ b/internal/steer/speeds_test.go
@@ -155,7 +155,7 @@
 	b.now = b.now.Add(6 * speed.HalfLife)
 	b.requests(usualMemory/8, b.tokens[0], 3*usualWorkTime)
 	assert.Greater(t, b.words()[b.tokens[0]].Mean(), math.Log(3)/2)
-	b.core.SetSpeeds(b.now, []speed.Told{{Token: b.tokens[0], Step: speed.Step(0).Next(math.Log(3))}})
+	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: b.tokens[0], Step: speed.Step(0).Next(math.Log(3))}})
 	b.requests(4*usualMemory, b.tokens[0], 3*usualWorkTime)
 	assert.Greater(t, b.words()[b.tokens[0]].Mean(), math.Log(3)/2, "what is told is no part of what is usual")
 }
@@ -197,7 +197,7 @@
 func TestWhatTheLeaderToldHoldsForAWhile(t *testing.T) {
 	b := newTimed(t)
 	slow := b.tokens[1]
-	b.core.SetSpeeds(b.now, []speed.Told{{Token: slow, Step: 8}, {Token: 12345, Step: 8}})
+	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: slow, Step: 8}, {Token: 12345, Step: 8}})
 	entry := b.core.targets[slow]
 	assert.InDelta(t, 1.65, entry.relativeTime(b.now), 0.01)
 	assert.InDelta(t, 1.65, entry.relativeTime(b.now.Add(relativeLifetime)), 0.01)
@@ -216,7 +216,7 @@
 func TestFlowsGoByRate(t *testing.T) {
 	b := newTimed(t)
 	b.core.settings.Chooser = &rateChoice{}
-	b.core.SetSpeeds(b.now, []speed.Told{{Token: b.tokens[0], Step: 11}, {Token: b.tokens[1], Step: -11}})
+	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: b.tokens[0], Step: 11}, {Token: b.tokens[1], Step: -11}})
 	counts := map[directory.Token]int{}
 	for range 3000 {
 		b.port++
--- a/internal/strength/bounds.go
+++ b/internal/strength/bounds.go
@@ -8,17 +8,19 @@
 	waitingPart = 32
 )
 
-// Flows returns the number of flows of so many bytes that a node keeps, and usual at
+// MaxFlows returns the number of flows of so many bytes that a node keeps, and usual at
 // most.
-func (s Strength) Flows(usual int, size int64) int { return s.fitting(usual, flowsPart, size) }
+func (s Resources) MaxFlows(usual int, size int64) int { return s.fitting(usual, flowsPart, size) }
 
-// Waiting returns the number of packets of so many bytes that wait before a node is
+// MaxQueuedPackets returns the number of packets of so many bytes that wait before a node is
 // ready, and usual at most.
-func (s Strength) Waiting(usual int, size int64) int { return s.fitting(usual, waitingPart, size) }
+func (s Resources) MaxQueuedPackets(usual int, size int64) int {
+	return s.fitting(usual, waitingPart, size)
+}
 
 // fitting returns how many things of a size fit into a part of the memory. One always
 // does: a bound of none would stop the node.
-func (s Strength) fitting(usual int, part, size int64) int {
+func (s Resources) fitting(usual int, part, size int64) int {
 	if s.Memory <= 0 {
 		return usual
 	}
@@ -32,13 +34,13 @@
 	percent    = 100
 )
 
-// Connections returns the number of connections that callers of HTTP may hold at once;
+// MaxConnections returns the number of connections that callers of HTTP may hold at once;
 // 0 means any number.
-func (s Strength) Connections() int {
+func (s Resources) MaxConnections() int {
 	if s.Descriptors <= 0 {
 		return 0
 	}
-	return int(max(1, (s.Descriptors-FileDescriptors)*callsShare/percent))
+	return int(max(1, (s.Descriptors-ReservedDescriptors)*callsShare/percent))
 }
 
 // Parts in percent of the disk: it counts as filling from filledShare on until less than
@@ -49,9 +51,9 @@
 	relievedShare = 52
 )
 
-// IsFilling reports whether so many bytes nearly fill the disk, which they did before or
+// IsDiskNearlyFull reports whether so many bytes nearly fill the disk, which they did before or
 // not.
-func (s Strength) IsFilling(held int64, before bool) bool {
+func (s Resources) IsDiskNearlyFull(held int64, before bool) bool {
 	share := float64(filledShare)
 	if before {
 		share = relievedShare
--- a/internal/strength/strength.go
+++ b/internal/strength/strength.go
@@ -12,11 +12,11 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Strength is what is stated of a machine. A field that is 0 is not stated.
-type Strength struct {
-	// Share is the share of a core that the process gets, and Cores how many times as
+// Resources is what is stated of a machine. A field that is 0 is not stated.
+type Resources struct {
+	// CPUShare is the share of a core that the process gets, and CPUCores how many times as
 	// fast as one core it is.
-	Share, Cores float64
+	CPUShare, CPUCores float64
 	// Memory and Disk are in bytes.
 	Memory, Disk int64
 	// Descriptors is the number of files and sockets that the process may have open.
@@ -25,35 +25,35 @@
 	LinkMbps float64
 }
 
-// Processor returns the strength of the processor in cores, or 0 when it is not stated.
-func (s Strength) Processor() float64 {
-	if s.Cores == 0 {
-		return s.Share
+// CPU returns the strength of the processor in cores, or 0 when it is not stated.
+func (s Resources) CPU() float64 {
+	if s.CPUCores == 0 {
+		return s.CPUShare
 	}
-	return s.Share * s.Cores
+	return s.CPUShare * s.CPUCores
 }
 
 // String returns the fields as the log shows them.
-func (s Strength) String() string {
-	return fmt.Sprintf("processor=%g memory=%d descriptors=%d link_mbps=%g disk=%d", s.Processor(), s.Memory, s.Descriptors, s.LinkMbps, s.Disk)
+func (s Resources) String() string {
+	return fmt.Sprintf("processor=%g memory=%d descriptors=%d link_mbps=%g disk=%d", s.CPU(), s.Memory, s.Descriptors, s.LinkMbps, s.Disk)
 }
 
 // Range bounds what a quantity can be meant to be; 0 stands for one that is not stated.
 type Range struct{ least, most float64 }
 
-// FileDescriptors is the number of descriptors that are kept for files.
-const FileDescriptors = 200
+// ReservedDescriptors is the number of descriptors that are kept for files.
+const ReservedDescriptors = 200
 
 // leastDescriptors leaves a process the sockets without which it cannot work: for
 // packets, peers, probes and a caller.
-const leastDescriptors = FileDescriptors + 16
+const leastDescriptors = ReservedDescriptors + 16
 
 // The ranges of the quantities, in the units of the settings. More processor than
 // machines have is a mistake in its unit. Of the others any number is taken, since
 // systems state the largest one where there is no limit.
 var (
-	ShareRange       = Range{0.001, 1024}
-	CoresRange       = Range{0.01, 1024}
+	CPUShareRange    = Range{0.001, 1024}
+	CPUCoresRange    = Range{0.01, 1024}
 	MegabytesRange   = Range{1, math.MaxInt64}
 	DescriptorsRange = Range{leastDescriptors, math.MaxInt64}
 )
@@ -66,14 +66,14 @@
 	megabyte        = 1 << 20
 )
 
-// Megabytes returns a stated size in bytes.
-func Megabytes(stated int64) int64 { return min(stated, mostMegabytes) * megabyte }
+// MegabytesToBytes returns a stated size in bytes.
+func MegabytesToBytes(stated int64) int64 { return min(stated, mostMegabytes) * megabyte }
 
-// Descriptors returns the number of descriptors that a stated one counts for.
-func Descriptors(stated int64) int64 { return min(stated, mostDescriptors) }
+// ClampDescriptors returns the number of descriptors that a stated one counts for.
+func ClampDescriptors(stated int64) int64 { return min(stated, mostDescriptors) }
 
-// Check returns a directory.Problem when a value cannot be meant.
-func (r Range) Check(field string, value float64) error {
+// Validate returns a directory.Problem when a value cannot be meant.
+func (r Range) Validate(field string, value float64) error {
 	if value == 0 || value >= r.least && value <= r.most {
 		return nil
 	}
@@ -93,9 +93,9 @@
 )
 
 // Encode appends the strength to a message: 32 bytes.
-func (s Strength) Encode(encoder *wire.Encoder) {
-	encoder.Uint32(rounded(s.Share * millionths))
-	encoder.Uint32(rounded(s.Cores * thousandths))
+func (s Resources) Encode(encoder *wire.Encoder) {
+	encoder.Uint32(rounded(s.CPUShare * millionths))
+	encoder.Uint32(rounded(s.CPUCores * thousandths))
 	encoder.Uint64(uint64(s.Memory / kilobyte))
 	encoder.Uint32(rounded(float64(s.Descriptors)))
 	encoder.Uint32(rounded(s.LinkMbps * thousandths))
@@ -106,8 +106,8 @@
 func rounded(value float64) uint32 { return uint32(min(math.Round(value), math.MaxUint32)) }
 
 // Decode reads a strength.
-func Decode(decoder *wire.Decoder) Strength {
-	s := Strength{Share: float64(decoder.Uint32()) / millionths, Cores: float64(decoder.Uint32()) / thousandths}
+func Decode(decoder *wire.Decoder) Resources {
+	s := Resources{CPUShare: float64(decoder.Uint32()) / millionths, CPUCores: float64(decoder.Uint32()) / thousandths}
 	s.Memory = bytesOf(decoder.Uint64())
 	s.Descriptors = int64(decoder.Uint32())
 	s.LinkMbps = float64(decoder.Uint32()) / thousandths
@@ -126,17 +126,17 @@
 
 // Weights returns the parts of nodes by the strength of their processors. A node that
 // states none counts as the median of those that do.
-func Weights(nodes []Strength) []float64 {
+func Weights(nodes []Resources) []float64 {
 	reference := median(nodes)
 	weights := make([]float64, len(nodes))
 	for position, node := range nodes {
-		weights[position] = weight(node.Processor(), reference)
+		weights[position] = weight(node.CPU(), reference)
 	}
 	return weights
 }
 
-// IsBounded reports whether a weight is less than a node's word asks for.
-func IsBounded(stated Strength, weight float64) bool { return stated.Processor() > weight }
+// IsCapped reports whether a weight is less than a node's word asks for.
+func IsCapped(stated Resources, weight float64) bool { return stated.CPU() > weight }
 
 func weight(stated, reference float64) float64 {
 	if stated == 0 {
@@ -148,10 +148,10 @@
 // median returns the processor of the node in the middle of those that state one, the
 // lower one of two, and 1 where none does. It is one that a node has, so that it stays
 // the same while another one changes by little.
-func median(nodes []Strength) float64 {
+func median(nodes []Resources) float64 {
 	var stated []float64
 	for _, node := range nodes {
-		if processor := node.Processor(); processor > 0 {
+		if processor := node.CPU(); processor > 0 {
 			stated = append(stated, processor)
 		}
 	}
--- a/internal/strength/strength_test.go
+++ b/internal/strength/strength_test.go
@@ -13,10 +13,10 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-func processors(shares ...float64) []Strength {
-	var nodes []Strength
+func processors(shares ...float64) []Resources {
+	var nodes []Resources
 	for _, share := range shares {
-		nodes = append(nodes, Strength{Share: share})
+		nodes = append(nodes, Resources{CPUShare: share})
 	}
 	return nodes
 }
@@ -40,16 +40,16 @@
 		assert.Equal(t, test.weights, weights, test.shares)
 		bounded := 0
 		for position, weight := range weights {
-			if IsBounded(nodes[position], weight) {
+			if IsCapped(nodes[position], weight) {
 				bounded++
 			}
 		}
 		assert.Equal(t, test.bounded, bounded, test.shares)
 	}
-	assert.Equal(t, 0.5, Strength{Share: 0.25, Cores: 2}.Processor())
+	assert.Equal(t, 0.5, Resources{CPUShare: 0.25, CPUCores: 2}.CPU())
 }
 
-func owners(nodes []Strength) []int {
+func owners(nodes []Resources) []int {
 	weights := Weights(nodes)
 	drawn := make([]rendezvous.Node, len(nodes))
 	for position, weight := range weights {
@@ -71,8 +71,8 @@
 		shares := rapid.OneOf(classes, rapid.Float64Range(0.01, 4000))
 		before := processors(rapid.SliceOfN(shares, 2, 50).Draw(t, "shares")...)
 		changed := rapid.IntRange(0, len(before)-1).Draw(t, "changed")
-		after := append([]Strength{}, before...)
-		after[changed] = Strength{Share: shares.Draw(t, "other share"), Cores: rapid.SampledFrom([]float64{0, 1, 1000}).Draw(t, "cores")}
+		after := append([]Resources{}, before...)
+		after[changed] = Resources{CPUShare: shares.Draw(t, "other share"), CPUCores: rapid.SampledFrom([]float64{0, 1, 1000}).Draw(t, "cores")}
 		heavier := Weights(before)
 		later := Weights(after)
 		for _, weight := range later {
@@ -96,9 +96,9 @@
 
 func TestAStrengthTravels(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		stated := Strength{
-			Share:       float64(rapid.IntRange(0, 1_000_000_000).Draw(t, "share")) / millionths,
-			Cores:       float64(rapid.IntRange(0, 1_000_000).Draw(t, "cores")) / thousandths,
+		stated := Resources{
+			CPUShare:    float64(rapid.IntRange(0, 1_000_000_000).Draw(t, "share")) / millionths,
+			CPUCores:    float64(rapid.IntRange(0, 1_000_000).Draw(t, "cores")) / thousandths,
 			Memory:      rapid.Int64Range(0, 1<<40).Draw(t, "memory") * kilobyte,
 			Descriptors: rapid.Int64Range(0, 100_000_000).Draw(t, "descriptors"),
 			LinkMbps:    float64(rapid.IntRange(0, 1_000_000_000).Draw(t, "link")) / thousandths,
@@ -116,43 +116,43 @@
 func TestWhateverTravelsIsAStrength(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Decode(wire.NewDecoder(rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes")))
-		assert.GreaterOrEqual(t, s.Processor(), 0.0)
+		assert.GreaterOrEqual(t, s.CPU(), 0.0)
 		assert.GreaterOrEqual(t, s.Memory, int64(0))
 		assert.GreaterOrEqual(t, s.Disk, int64(0))
-		assert.Positive(t, s.Flows(10, 1))
-		assert.GreaterOrEqual(t, s.Connections(), 0)
+		assert.Positive(t, s.MaxFlows(10, 1))
+		assert.GreaterOrEqual(t, s.MaxConnections(), 0)
 	})
 	var encoder wire.Encoder
-	Strength{Share: 1e12, LinkMbps: 1e12}.Encode(&encoder)
-	assert.InDelta(t, math.MaxUint32/millionths, Decode(wire.NewDecoder(encoder.Buffer)).Share, 1)
+	Resources{CPUShare: 1e12, LinkMbps: 1e12}.Encode(&encoder)
+	assert.InDelta(t, math.MaxUint32/millionths, Decode(wire.NewDecoder(encoder.Buffer)).CPUShare, 1)
 }
 
 func TestWhatCannotBeMeantNamesFieldAndReason(t *testing.T) {
-	assert.EqualError(t, ShareRange.Check("share", -1), "share: -1: must be 0 (not stated) or from 0.001 to 1024")
-	assert.EqualError(t, DescriptorsRange.Check("fds", 215), "fds: 215: must be 0 (not stated) or at least 216")
-	assert.Error(t, CoresRange.Check("cores", math.NaN()))
-	assert.Error(t, MegabytesRange.Check("memory", math.Inf(1)))
-	assert.Error(t, MegabytesRange.Check("memory", -1))
-	assert.NoError(t, MegabytesRange.Check("disk", 0))
-	assert.NoError(t, ShareRange.Check("share", 0.045))
+	assert.EqualError(t, CPUShareRange.Validate("share", -1), "share: -1: must be 0 (not stated) or from 0.001 to 1024")
+	assert.EqualError(t, DescriptorsRange.Validate("fds", 215), "fds: 215: must be 0 (not stated) or at least 216")
+	assert.Error(t, CPUCoresRange.Validate("cores", math.NaN()))
+	assert.Error(t, MegabytesRange.Validate("memory", math.Inf(1)))
+	assert.Error(t, MegabytesRange.Validate("memory", -1))
+	assert.NoError(t, MegabytesRange.Validate("disk", 0))
+	assert.NoError(t, CPUShareRange.Validate("share", 0.045))
 }
 
 func TestBoundsFollowTheMachine(t *testing.T) {
-	small := Strength{Memory: 144 * megabyte, Descriptors: 3075, Disk: 100}
-	assert.Equal(t, 94371, small.Flows(200_000, 400))
-	assert.Equal(t, 1024, small.Waiting(1024, 2048))
-	assert.Equal(t, 2156, small.Connections())
-	assert.False(t, small.IsFilling(79, false))
-	assert.True(t, small.IsFilling(80, false))
-	assert.True(t, small.IsFilling(52, true), "a log that was rewritten is full again soon")
-	assert.False(t, small.IsFilling(51, true))
-	endless := Strength{Memory: Megabytes(math.MaxInt64), Descriptors: Descriptors(math.MaxInt64), Disk: Megabytes(math.MaxInt64)}
-	assert.Equal(t, 200_000, endless.Flows(200_000, 400))
-	assert.Greater(t, endless.Connections(), 1_000_000_000)
-	assert.False(t, endless.IsFilling(1<<40, false))
-	var unstated Strength
-	assert.Equal(t, 200_000, unstated.Flows(200_000, 400))
-	assert.Zero(t, unstated.Connections())
-	assert.False(t, unstated.IsFilling(math.MaxInt64, true))
-	assert.Equal(t, 1, Strength{Memory: 1}.Waiting(1024, 2048))
+	small := Resources{Memory: 144 * megabyte, Descriptors: 3075, Disk: 100}
+	assert.Equal(t, 94371, small.MaxFlows(200_000, 400))
+	assert.Equal(t, 1024, small.MaxQueuedPackets(1024, 2048))
+	assert.Equal(t, 2156, small.MaxConnections())
+	assert.False(t, small.IsDiskNearlyFull(79, false))
+	assert.True(t, small.IsDiskNearlyFull(80, false))
+	assert.True(t, small.IsDiskNearlyFull(52, true), "a log that was rewritten is full again soon")
+	assert.False(t, small.IsDiskNearlyFull(51, true))
+	endless := Resources{Memory: MegabytesToBytes(math.MaxInt64), Descriptors: ClampDescriptors(math.MaxInt64), Disk: MegabytesToBytes(math.MaxInt64)}
+	assert.Equal(t, 200_000, endless.MaxFlows(200_000, 400))
+	assert.Greater(t, endless.MaxConnections(), 1_000_000_000)
+	assert.False(t, endless.IsDiskNearlyFull(1<<40, false))
+	var unstated Resources
+	assert.Equal(t, 200_000, unstated.MaxFlows(200_000, 400))
+	assert.Zero(t, unstated.MaxConnections())
+	assert.False(t, unstated.IsDiskNearlyFull(math.MaxInt64, true))
+	assert.Equal(t, 1, Resources{Memory: 1}.MaxQueuedPackets(1024, 2048))
 }
