--- a/cmd/beamdoor-node/evacuation.go
+++ b/cmd/beamdoor-node/evacuation.go
@@ -19,9 +19,9 @@
 		Example: "  beamdoor-node evacuation start north --dry-run\n  beamdoor-node evacuation list",
 	}
 	sendOrder := orderSender(command, seeds)
-	send := func(cmd *cobra.Command, order registry.Order) ([]registry.ZoneShare, error) {
+	send := func(cmd *cobra.Command, order registry.OperatorRequest) ([]registry.ZoneStatus, error) {
 		reply, err := sendOrder(cmd, order)
-		return reply.Shares, err
+		return reply.Zones, err
 	}
 	command.AddCommand(startCommand(send), finishCommand(send), listCommand(send))
 	return command
@@ -29,26 +29,26 @@
 
 // orderSender returns a function that gives orders to the members of the command's
 // flag or, without it, to the seeds of the settings.
-func orderSender(command *cobra.Command, seeds func() ([]string, error)) func(cmd *cobra.Command, order registry.Order) (registry.OrderReply, error) {
+func orderSender(command *cobra.Command, seeds func() ([]string, error)) func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error) {
 	var members []string
 	command.PersistentFlags().StringSliceVar(&members, "member", nil, "control members as IP:PORT of their own protocol (default: the seeds of the settings)")
-	return func(cmd *cobra.Command, order registry.Order) (registry.OrderReply, error) {
+	return func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error) {
 		if len(members) == 0 {
 			var err error
 			if members, err = seeds(); err != nil {
-				return registry.OrderReply{}, err
+				return registry.OperatorResponse{}, err
 			}
 		}
-		reply, err := registry.SendOrder(cmd.Context(), members, order)
-		if err == nil && reply.Problem != "" {
-			err = errors.New(reply.Problem)
+		reply, err := registry.SendOperatorRequest(cmd.Context(), members, order)
+		if err == nil && reply.Error != "" {
+			err = errors.New(reply.Error)
 		}
 		return reply, err
 	}
 }
 
 // sendFunc gives an order to a member and returns what each zone bears after it.
-type sendFunc func(cmd *cobra.Command, order registry.Order) ([]registry.ZoneShare, error)
+type sendFunc func(cmd *cobra.Command, order registry.OperatorRequest) ([]registry.ZoneStatus, error)
 
 func startCommand(send sendFunc) *cobra.Command {
 	var dryRun bool
@@ -60,13 +60,13 @@
 		RunE: func(cmd *cobra.Command, arguments []string) error {
 			zone := arguments[0]
 			if dryRun {
-				shares, err := send(cmd, registry.Order{Kind: registry.OrderList})
+				shares, err := send(cmd, registry.OperatorRequest{Action: registry.ActionList})
 				if err != nil {
 					return err
 				}
 				return printDryRun(cmd.OutOrStdout(), shares, zone)
 			}
-			shares, err := send(cmd, registry.Order{Kind: registry.OrderEvacuate, Zone: zone})
+			shares, err := send(cmd, registry.OperatorRequest{Action: registry.ActionEvacuateZone, Zone: zone})
 			if err != nil {
 				return err
 			}
@@ -84,7 +84,7 @@
 		Example: "  beamdoor-node evacuation finish north",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, arguments []string) error {
-			shares, err := send(cmd, registry.Order{Kind: registry.OrderTakeBack, Zone: arguments[0]})
+			shares, err := send(cmd, registry.OperatorRequest{Action: registry.ActionEndEvacuation, Zone: arguments[0]})
 			if err != nil {
 				return err
 			}
@@ -100,7 +100,7 @@
 		Example: "  beamdoor-node evacuation list\n  beamdoor-node evacuation list --member 10.1.0.13:7720",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			shares, err := send(cmd, registry.Order{Kind: registry.OrderList})
+			shares, err := send(cmd, registry.OperatorRequest{Action: registry.ActionList})
 			if err != nil {
 				return err
 			}
@@ -112,7 +112,7 @@
 // columnGap is the number of blanks between the columns of a table.
 const columnGap = 2
 
-func printShares(out io.Writer, shares []registry.ZoneShare) error {
+func printShares(out io.Writer, shares []registry.ZoneStatus) error {
 	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(table, "SERVICE\tZONE\tTARGETS\tSLOTS\tEVACUATED")
 	for _, share := range shares {
@@ -121,8 +121,8 @@
 	return table.Flush()
 }
 
-func printDryRun(out io.Writer, shares []registry.ZoneShare, zone string) error {
-	effects, warnings := registry.DryRun(shares, zone)
+func printDryRun(out io.Writer, shares []registry.ZoneStatus, zone string) error {
+	effects, warnings := registry.DryRunEvacuation(shares, zone)
 	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(table, "SERVICE\tZONE\tPART NOW\tPART THEN")
 	for _, effect := range effects {
--- a/cmd/beamdoor-node/target.go
+++ b/cmd/beamdoor-node/target.go
@@ -21,19 +21,19 @@
 	send := orderSender(command, seeds)
 	command.AddCommand(
 		ejectCommand(send),
-		targetOrderCommand(send, "readmit ID", "Send new flows to a target again, and judge it as the others", registry.OrderReadmitTarget),
-		targetOrderCommand(send, "exempt ID", "Send new flows to a target whatever is seen of it", registry.OrderExemptTarget),
+		targetOrderCommand(send, "readmit ID", "Send new flows to a target again, and judge it as the others", registry.ActionReadmitTarget),
+		targetOrderCommand(send, "exempt ID", "Send new flows to a target whatever is seen of it", registry.ActionExemptTarget),
 		targetListCommand(send),
 	)
 	return command
 }
 
 // replyFunc gives an order to a member and returns its whole answer.
-type replyFunc func(cmd *cobra.Command, order registry.Order) (registry.OrderReply, error)
+type replyFunc func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error)
 
 func ejectCommand(send replyFunc) *cobra.Command {
 	var dryRun bool
-	command := targetOrderCommand(send, "eject ID", "Send no new flows to a target; open flows stay", registry.OrderEjectTarget)
+	command := targetOrderCommand(send, "eject ID", "Send no new flows to a target; open flows stay", registry.ActionEjectTarget)
 	command.Example = "  beamdoor-node target eject i-4f21 --dry-run\n  beamdoor-node target eject i-4f21 --member 10.1.0.13:7720"
 	command.Flags().BoolVar(&dryRun, "dry-run", false, "show what the other targets would bear, and change nothing")
 	give := command.RunE
@@ -41,7 +41,7 @@
 		if !dryRun {
 			return give(cmd, arguments)
 		}
-		reply, err := send(cmd, registry.Order{Kind: registry.OrderList, Target: arguments[0]})
+		reply, err := send(cmd, registry.OperatorRequest{Action: registry.ActionList, Target: arguments[0]})
 		if err != nil {
 			return err
 		}
@@ -50,14 +50,14 @@
 	return command
 }
 
-func targetOrderCommand(send replyFunc, use, short string, kind registry.OrderKind) *cobra.Command {
+func targetOrderCommand(send replyFunc, use, short string, kind registry.OperatorAction) *cobra.Command {
 	return &cobra.Command{
 		Use:     use,
 		Short:   short,
 		Example: "  beamdoor-node target " + strings.Replace(use, "ID", "i-4f21", 1),
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, arguments []string) error {
-			reply, err := send(cmd, registry.Order{Kind: kind, Target: arguments[0]})
+			reply, err := send(cmd, registry.OperatorRequest{Action: kind, Target: arguments[0]})
 			if err != nil {
 				return err
 			}
@@ -73,7 +73,7 @@
 		Example: "  beamdoor-node target list\n  beamdoor-node target list --member 10.1.0.13:7720",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			reply, err := send(cmd, registry.Order{Kind: registry.OrderList})
+			reply, err := send(cmd, registry.OperatorRequest{Action: registry.ActionList})
 			if err != nil {
 				return err
 			}
@@ -82,7 +82,7 @@
 	}
 }
 
-func printTargets(out io.Writer, targets []registry.TargetShare) error {
+func printTargets(out io.Writer, targets []registry.TargetStatus) error {
 	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(table, "SERVICE\tZONE\tTARGET\tORDERED\tNEW FLOWS")
 	for _, target := range targets {
@@ -92,7 +92,7 @@
 }
 
 // flowsOf says which new flows a target gets.
-func flowsOf(target registry.TargetShare) string {
+func flowsOf(target registry.TargetStatus) string {
 	switch {
 	case target.Ejected:
 		return "none"
@@ -103,7 +103,7 @@
 	}
 }
 
-func printTargetDryRun(out io.Writer, reply registry.OrderReply, id string) error {
+func printTargetDryRun(out io.Writer, reply registry.OperatorResponse, id string) error {
 	effect, warnings, known := registry.DryRunTarget(reply, id)
 	if !known {
 		return fmt.Errorf("target %s takes no new flows or is not known", id)
@@ -112,7 +112,7 @@
 }
 
 // printEffect prints what the targets that are left to a service would bear.
-func printEffect(out io.Writer, effect registry.Effect, warnings []string) error {
+func printEffect(out io.Writer, effect registry.ShareChange, warnings []string) error {
 	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(table, "SERVICE\tSLOTS NOW\tSLOTS THEN")
 	_, _ = fmt.Fprintf(table, "%s\t%.0f%%\t%.0f%%\n", effect.Service, 100*effect.Before, 100*effect.After)
--- a/cmd/beamdoor-node/version.go
+++ b/cmd/beamdoor-node/version.go
@@ -29,8 +29,8 @@
 	send := orderSender(command, seeds)
 	command.AddCommand(
 		holdCommand(send),
-		versionOrderCommand(send, "release", "Send new flows to a version whatever is seen of it", registry.OrderReleaseVersion),
-		versionOrderCommand(send, "judge", "Leave it to the members again whether a version is held", registry.OrderJudgeVersion),
+		versionOrderCommand(send, "release", "Send new flows to a version whatever is seen of it", registry.ActionReleaseVersion),
+		versionOrderCommand(send, "judge", "Leave it to the members again whether a version is held", registry.ActionJudgeVersion),
 		versionListCommand(send),
 	)
 	return command
@@ -38,7 +38,7 @@
 
 func holdCommand(send replyFunc) *cobra.Command {
 	var dryRun bool
-	command := versionOrderCommand(send, "hold", "Send no new flows to the targets of a version; open flows stay", registry.OrderHoldVersion)
+	command := versionOrderCommand(send, "hold", "Send no new flows to the targets of a version; open flows stay", registry.ActionHoldVersion)
 	command.Example = "  beamdoor-node version hold booking v8 --dry-run\n  beamdoor-node version hold booking v8 --member 10.1.0.13:7720"
 	command.Flags().BoolVar(&dryRun, "dry-run", false, "show what the other versions would bear, and change nothing")
 	give := command.RunE
@@ -46,7 +46,7 @@
 		if !dryRun {
 			return give(cmd, arguments)
 		}
-		reply, err := send(cmd, registry.Order{Kind: registry.OrderList})
+		reply, err := send(cmd, registry.OperatorRequest{Action: registry.ActionList})
 		if err != nil {
 			return err
 		}
@@ -55,7 +55,7 @@
 	return command
 }
 
-func versionOrderCommand(send replyFunc, verb, short string, kind registry.OrderKind) *cobra.Command {
+func versionOrderCommand(send replyFunc, verb, short string, kind registry.OperatorAction) *cobra.Command {
 	return &cobra.Command{
 		Use:     verb + " SERVICE VERSION",
 		Short:   short,
@@ -63,12 +63,12 @@
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, arguments []string) error {
 			version := namedVersion(arguments)
-			reply, err := send(cmd, registry.Order{Kind: kind, Version: version})
+			reply, err := send(cmd, registry.OperatorRequest{Action: kind, Version: version})
 			if err != nil {
 				return err
 			}
 			// A member that knows no such orders answers them as a list.
-			if !slices.ContainsFunc(reply.Versions, func(share registry.VersionShare) bool { return share.ServiceVersion == version }) {
+			if !slices.ContainsFunc(reply.Versions, func(share registry.VersionStatus) bool { return share.ServiceVersion == version }) {
 				return fmt.Errorf("the member did not carry out the order about version %s of service %s", version.Version, version.Service)
 			}
 			return printVersions(cmd.OutOrStdout(), reply.Versions)
@@ -87,7 +87,7 @@
 		Example: "  beamdoor-node version list\n  beamdoor-node version list --member 10.1.0.13:7720",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			reply, err := send(cmd, registry.Order{Kind: registry.OrderList})
+			reply, err := send(cmd, registry.OperatorRequest{Action: registry.ActionList})
 			if err != nil {
 				return err
 			}
@@ -96,16 +96,16 @@
 	}
 }
 
-func printVersions(out io.Writer, versions []registry.VersionShare) error {
+func printVersions(out io.Writer, versions []registry.VersionStatus) error {
 	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(table, "SERVICE\tVERSION\tORDERED\tTARGETS\tSLOTS\tNO NEW FLOWS\tA FEW")
 	for _, share := range versions {
-		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%d\n", share.Service, share.Version, share.Rule, share.Targets, share.Slots, share.Out, share.Probation)
+		_, _ = fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%d\n", share.Service, share.Version, share.Rule, share.Targets, share.Slots, share.Ejected, share.Probation)
 	}
 	return table.Flush()
 }
 
-func printVersionDryRun(out io.Writer, reply registry.OrderReply, version directory.ServiceVersion) error {
+func printVersionDryRun(out io.Writer, reply registry.OperatorResponse, version directory.ServiceVersion) error {
 	effect, warnings, known := registry.DryRunVersion(reply, version)
 	if !known {
 		return fmt.Errorf("version %s of service %s has no targets that take new flows", version.Version, version.Service)
--- a/internal/lab/fleetsim/edge.go
+++ b/internal/lab/fleetsim/edge.go
@@ -144,7 +144,7 @@
 	w, m, connection, life := e.world, e.member, e.connection, e.member.life
 	w.after(w.between(e.zone, m.zone), func() {
 		if m.up && m.life == life && !w.cuts[m.name] && !w.cuts[e.name] {
-			m.core.Observe(w.now, connection, message)
+			m.core.RecordEvidence(w.now, connection, message)
 		}
 	})
 }
@@ -159,7 +159,7 @@
 	w, m, connection, life := e.world, e.member, e.connection, e.member.life
 	w.after(w.between(e.zone, m.zone), func() {
 		if m.up && m.life == life && !w.cuts[m.name] && !w.cuts[e.name] {
-			m.take(m.core.Restate(connection, next))
+			m.take(m.core.UpdateStrength(connection, next))
 		}
 	})
 }
--- a/internal/lab/fleetsim/fault.go
+++ b/internal/lab/fleetsim/fault.go
@@ -240,7 +240,7 @@
 			return
 		}
 		if m := w.anyMember(); m.up && !w.cuts[m.name] {
-			command := directory.Command{Kind: directory.CommandEvacuate, Evacuation: m.core.OrderFor(zone, active)}
+			command := directory.Command{Kind: directory.CommandEvacuate, Evacuation: m.core.PrepareEvacuation(zone, active)}
 			m.submit(command, func(outcome registry.Outcome) {
 				if !done && outcome.Err == nil && outcome.Result.Code == directory.CodeDone {
 					done = true
--- a/internal/lab/fleetsim/member.go
+++ b/internal/lab/fleetsim/member.go
@@ -103,9 +103,9 @@
 	if m.world.settings.Zones >= defaultZones {
 		settings.LostZones = 1
 	}
-	settings.WarmupLimits = registry.WarmupLimits{Over: 1}
-	settings.WarmthOf = func(directory.Service) (registry.Warmth, error) {
-		return registry.Warmth{Time: flowrules.ColdTime, Rate: flowrules.ColdRate}, nil
+	settings.WarmupLimits = registry.WarmupLimits{Factor: 1}
+	settings.WarmthOf = func(directory.Service) (registry.WarmupConfig, error) {
+		return registry.WarmupConfig{Time: flowrules.ColdTime, Rate: flowrules.ColdRate}, nil
 	}
 	settings.Seeds = m.world.seeds()
 	settings.Bootstrap = m.bootstrap
@@ -206,7 +206,7 @@
 
 // beat takes a heartbeat as the process does.
 func (m *member) beat(reported directory.Target, answer func(acknowledged bool)) {
-	m.core.Heard(m.world.now, reported.Start())
+	m.core.RecordHeartbeat(m.world.now, reported.Start())
 	_, registered := m.core.State().Target(reported.ID)
 	if m.core.Holds(reported) || m.world.settings.Switches.EarlyDrain && registered {
 		answer(true)
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -81,7 +81,7 @@
 	}
 	var refusal error
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
-		core.Heard(now, beat.Target.Start())
+		core.RecordHeartbeat(now, beat.Target.Start())
 		if core.Holds(beat.Target) {
 			return 0, Output{}
 		}
@@ -113,7 +113,7 @@
 		if unknown = !p.hasZone(core, zone); unknown {
 			return 0, Output{}
 		}
-		return core.Submit(now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: core.OrderFor(zone, active)})
+		return core.Submit(now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: core.PrepareEvacuation(zone, active)})
 	})
 	switch {
 	case err != nil:
--- a/internal/registry/bounds.go
+++ b/internal/registry/bounds.go
@@ -9,8 +9,8 @@
 // Connections returns the bound of those that callers over HTTP hold.
 func (p *Process) Connections() *hosting.Connections { return p.connections }
 
-// Change takes over what has changed in the settings.
-func (p *Process) Change(next hosting.Changeable) {
+// ApplySettings takes over what has changed in the settings.
+func (p *Process) ApplySettings(next hosting.Changeable) {
 	p.connections.SetLimit(next.Strength.Connections())
 	p.inputs.Push(changeInput{next: next})
 }
@@ -26,8 +26,8 @@
 	return Output{}
 }
 
-// watchDisk writes an event when what the member keeps begins or ceases to fill its disk.
-func (p *Process) watchDisk() {
+// checkDiskUsage writes an event when what the member keeps begins or ceases to fill its disk.
+func (p *Process) checkDiskUsage() {
 	held := p.disk.Held()
 	p.metrics.diskHeld.Set(float64(held))
 	fills := p.settings.Strength.IsFilling(held, p.diskFills)
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -129,13 +129,13 @@
 	wasCurrent bool
 	members    membershipKeeper
 	liveness   livenessTable
-	groupSize  groupSizeWatch
+	groupSize  groupSizeState
 	warmups    warmupTable
 	openings   openingTable
 	outcomes   outcomeTable
 	strengths  strengthTable
-	speeds     speedTable
-	room       roomTable
+	speeds     responseTimeTable
+	room       linkUsageTable
 
 	// remembered is what this member's disk tells nodes until it is current, and encoded
 	// what it tells those without state from then on.
@@ -165,8 +165,8 @@
 	core.liveness.reset(now)
 	core.warmups = newWarmupTable(now)
 	core.openings = newOpeningTable()
-	core.speeds = newSpeedTable()
-	core.room = newRoomTable()
+	core.speeds = newResponseTimeTable()
+	core.room = newLinkUsageTable()
 	core.outcomes = newOutcomeTable(now, 0, directory.Verdicts{})
 	if restored.Snapshot.Index > 0 {
 		state, err := directory.Decode(restored.Snapshot.Data)
@@ -268,11 +268,11 @@
 		c.flush(now)
 		c.tickMembership(now)
 		c.tickLiveness(now)
-		c.tickSpeeds(now)
-		c.tickRoom(now)
+		c.tickResponseTimes(now)
+		c.tickLinkUsage(now)
 		c.flush(now)
 	}
-	c.watchGroupSize(now)
+	c.logGroupSize(now)
 	c.tickRequests(now)
 	c.tickNodes(now)
 	c.tickStrengths(now)
@@ -313,9 +313,9 @@
 	case wire.FrameLiveness:
 		err = c.receiveLiveness(now, frame.Payload)
 	case wire.FrameSpeeds:
-		err = c.receiveSpeeds(now, frame.Payload)
+		err = c.receiveResponseTimes(now, frame.Payload)
 	case wire.FrameRoom:
-		err = c.receiveRoom(now, frame.Payload)
+		err = c.receiveLinkUsage(now, frame.Payload)
 	}
 	if err != nil {
 		c.log(eventlog.BadFrame, "kind", frame.Kind, "err", err)
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -226,7 +226,7 @@
 	require.NoError(t, c.submit(leader, put("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 	for range 10 {
 		for _, name := range c.names() {
-			c.machines[name].core.Heard(c.now, directory.Start{ID: "i-1"})
+			c.machines[name].core.RecordHeartbeat(c.now, directory.Start{ID: "i-1"})
 		}
 		c.run(time.Second)
 		assert.Empty(t, leader.core.liveness.verdicts.Suspects)
@@ -341,7 +341,7 @@
 		if _, open := m.core.nodes[connection]; !open {
 			c.take(m, m.core.Open(c.now, connection, Subscribe{Node: fmt.Sprint("edge", node)}))
 		}
-		m.core.Observe(c.now, connection, evidence)
+		m.core.RecordEvidence(c.now, connection, evidence)
 	}
 }
 
@@ -385,7 +385,7 @@
 					c.observe(leader, 1, Evidence{Answering: tokens[:1]})
 				}
 				if test.beats {
-					c.machines[address(3)].core.Heard(c.now, directory.Start{ID: "i-0"})
+					c.machines[address(3)].core.RecordHeartbeat(c.now, directory.Start{ID: "i-0"})
 				}
 				c.run(100 * time.Millisecond)
 			}
@@ -397,7 +397,7 @@
 			assert.Equal(t, tokens[:1], follower.alive.Verdicts.Lost)
 			c.run(2 * time.Second)
 			assert.Equal(t, tokens[:1], follower.core.liveness.verdicts.Lost, "the verdict stands without new evidence")
-			follower.core.Heard(c.now, directory.Start{ID: "i-0"})
+			follower.core.RecordHeartbeat(c.now, directory.Start{ID: "i-0"})
 			c.run(500 * time.Millisecond)
 			assert.Empty(t, follower.core.liveness.verdicts.Lost)
 		})
@@ -415,7 +415,7 @@
 		evidence.Silent = append(evidence.Silent, SilentTarget{Token: target.Token, Weight: 9, Nodes: 1})
 	}
 	for number := range 4 {
-		leader.core.Heard(c.now, directory.Start{ID: fmt.Sprint("i-", number)})
+		leader.core.RecordHeartbeat(c.now, directory.Start{ID: fmt.Sprint("i-", number)})
 	}
 	for range 15 {
 		c.observe(leader, 3, evidence)
@@ -563,7 +563,7 @@
 	beat := func(targets int) {
 		for range 50 {
 			for number := range targets {
-				leader.core.Heard(c.now, directory.Start{ID: fmt.Sprint("i-", number)})
+				leader.core.RecordHeartbeat(c.now, directory.Start{ID: fmt.Sprint("i-", number)})
 			}
 			c.run(100 * time.Millisecond)
 		}
--- a/internal/registry/dryrun.go
+++ b/internal/registry/dryrun.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Effect is what the evacuation of a zone does to a service in another zone.
-type Effect struct {
+// ShareChange is what the evacuation of a zone does to a service in another zone.
+type ShareChange struct {
 	Service, Zone string
 	// Before and After are the parts of the service's slots that the zone has among
 	// those that take new flows.
@@ -14,9 +14,9 @@
 // that bears half as much again is at its limit when it was two thirds busy.
 const heavyLoad = 1.5
 
-// DryRun works out what the evacuation of a zone would do, by the shares that a member
+// DryRunEvacuation works out what the evacuation of a zone would do, by the shares that a member
 // told, and what to beware of.
-func DryRun(shares []ZoneShare, zone string) (effects []Effect, warnings []string) {
+func DryRunEvacuation(shares []ZoneStatus, zone string) (effects []ShareChange, warnings []string) {
 	total, left := map[string]uint32{}, map[string]uint32{}
 	var services []string
 	for _, share := range shares {
@@ -42,7 +42,7 @@
 		if share.Evacuated || share.Zone == zone {
 			continue
 		}
-		effects = append(effects, Effect{
+		effects = append(effects, ShareChange{
 			Service: share.Service, Zone: share.Zone,
 			Before: float64(share.Slots) / float64(total[share.Service]),
 			After:  float64(share.Slots) / float64(left[share.Service]),
--- a/internal/registry/ghost_test.go
+++ b/internal/registry/ghost_test.go
@@ -22,7 +22,7 @@
 // hear lets a target beat once a second for a time, at each member by turns.
 func (c *cluster) hear(id string, duration time.Duration) {
 	for turn := 0; duration > 0; turn++ {
-		c.machines[address(1+turn%3)].core.Heard(c.now, directory.Start{ID: id})
+		c.machines[address(1+turn%3)].core.RecordHeartbeat(c.now, directory.Start{ID: id})
 		c.run(min(time.Second, duration))
 		duration -= time.Second
 	}
--- a/internal/registry/groupsize.go
+++ b/internal/registry/groupsize.go
@@ -11,8 +11,8 @@
 // reach a quorum.
 const noQuorumInterval = 5 * time.Second
 
-// groupSizeWatch remembers what the log was last told about the group's size.
-type groupSizeWatch struct {
+// groupSizeState remembers what the log was last told about the group's size.
+type groupSizeState struct {
 	// small is set while the group has fewer voters than its tolerance needs.
 	small bool
 	// exposed is set while the loss of some zones would leave no quorum.
@@ -29,19 +29,19 @@
 	return len(c.replica.Node.Membership().Voters)
 }
 
-// IsTooSmall reports whether the group has fewer voters than it needs to bear
+// HasTooFewVoters reports whether the group has fewer voters than it needs to bear
 // the losses that the settings state.
-func (c *Core) IsTooSmall() bool { return c.Voters() < c.settings.Voters }
+func (c *Core) HasTooFewVoters() bool { return c.Voters() < c.settings.Voters }
 
-// watchGroupSize writes an event when the group becomes too small for its
+// logGroupSize writes an event when the group becomes too small for its
 // tolerance or large enough, and now and then while this member has no leader.
-func (c *Core) watchGroupSize(now kernel.Instant) {
-	if c.IsLeader() && c.IsTooSmall() != c.groupSize.small {
+func (c *Core) logGroupSize(now kernel.Instant) {
+	if c.IsLeader() && c.HasTooFewVoters() != c.groupSize.small {
 		c.groupSize.small = !c.groupSize.small
 		c.log(eventlog.GroupSizeChanged, "too_small", c.groupSize.small,
 			"voters", c.Voters(), "voters_needed", c.settings.Voters, "members", len(c.state.Members()))
 	}
-	c.watchZones()
+	c.logZoneTolerance()
 	if c.replica.Node == nil || now.Before(c.groupSize.nextNoQuorum) || !c.needsPlace(now) {
 		return
 	}
--- a/internal/registry/groupsize_test.go
+++ b/internal/registry/groupsize_test.go
@@ -62,13 +62,13 @@
 
 func TestAGroupTooSmallForItsToleranceSaysSo(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 2)
-	assert.True(t, c.leader().core.IsTooSmall())
+	assert.True(t, c.leader().core.HasTooFewVoters())
 	assert.Equal(t, 1, c.events[eventlog.GroupSizeChanged])
 	c.add(address(4), false)
 	c.add(address(5), false)
 	c.runUntil(5*time.Second, "five voters", func() bool { return len(c.voters()) == 5 })
 	c.run(time.Second)
-	assert.False(t, c.leader().core.IsTooSmall())
+	assert.False(t, c.leader().core.HasTooFewVoters())
 	assert.Equal(t, 2, c.events[eventlog.GroupSizeChanged])
 }
 
--- a/internal/registry/host.go
+++ b/internal/registry/host.go
@@ -48,9 +48,9 @@
 	before := c.state.Revision()
 	result := c.state.Apply(entry.Index, command)
 	c.logApplied(command, result, before, entry.Term != c.replica.Node.Term())
-	c.noteWarmup(now, command, result)
+	c.recordWarmup(now, command, result)
 	if command.Kind == directory.CommandPutTarget && c.IsLeader() && entry.Term == c.replica.Node.Term() {
-		c.Heard(now, command.Target.Start())
+		c.RecordHeartbeat(now, command.Target.Start())
 	}
 	if mine && waiting.term == entry.Term {
 		c.answer(waiting.ticket, result)
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -13,7 +13,7 @@
 
 // beat hands a heartbeat to a member as its process does.
 func (c *cluster) beat(m *machine, command directory.Command) {
-	m.core.Heard(c.now, command.Target.Start())
+	m.core.RecordHeartbeat(c.now, command.Target.Start())
 	if m.core.Holds(command.Target) {
 		return
 	}
--- a/internal/registry/inputs.go
+++ b/internal/registry/inputs.go
@@ -22,7 +22,7 @@
 	if p.core == nil {
 		return Output{}
 	}
-	p.core.NoteHeard(now, p.beats.TakeHeard())
+	p.core.RecordHeartbeats(now, p.beats.TakeHeard())
 	if !p.core.KnowsLeader() {
 		p.metrics.leaderless.Add(tickInterval.Seconds())
 	}
--- a/internal/registry/liveness.go
+++ b/internal/registry/liveness.go
@@ -41,10 +41,10 @@
 	heardAt kernel.Instant
 	// answeredAt is when the target was last seen to answer a caller.
 	answeredAt kernel.Instant
-	silences   map[string]silence
+	silences   map[string]silenceReport
 	// refusals are the members' reports of opening packets that it did not take, and
 	// refusedAt is when there were enough of them.
-	refusals  map[string]silence
+	refusals  map[string]silenceReport
 	refusedAt kernel.Instant
 	// questionedAt is when members were first asked about the target; 0 while
 	// nobody has reported its silence.
@@ -82,7 +82,7 @@
 func (l *livenessTable) sighting(token directory.Token) *sighting {
 	known, exists := l.sightings[token]
 	if !exists {
-		known = &sighting{heardAt: l.since, silences: map[string]silence{}}
+		known = &sighting{heardAt: l.since, silences: map[string]silenceReport{}}
 		l.sightings[token] = known
 	}
 	return known
@@ -99,7 +99,7 @@
 			return
 		}
 		seen := c.liveness.sighting(target.Token)
-		refuses := seen.refuses(now)
+		refuses := seen.isRefusing(now)
 		if refuses || now.Sub(seen.lastSign()) >= c.settings.SuspectAfter {
 			next.Suspects = append(next.Suspects, target.Token)
 		}
@@ -121,14 +121,14 @@
 		next.Suspects = nil
 	}
 	next.AvoidedZones = c.avoidedZones(now)
-	c.judgeOutcomes(now, &next)
+	c.ejectOutliers(now, &next)
 	c.spreadVerdicts(now, next)
 }
 
 // isQuestioned reports whether members are asked about a target: somebody has
 // lately reported its silence.
 func (c *Core) isQuestioned(now kernel.Instant, seen *sighting) bool {
-	if seen.silence(now).all() == 0 {
+	if seen.currentSilence(now).totalWeight() == 0 {
 		seen.questionedAt = 0
 		return false
 	}
@@ -152,7 +152,7 @@
 	}
 	seen.lost = quiet >= c.settings.LostAfter && seen.isSilent(now)
 	if seen.lost {
-		sum := seen.silence(now)
+		sum := seen.currentSilence(now)
 		c.log(eventlog.TargetHeldLost, "target", target.ID, "token", target.Token, "weight", sum.Weight, "nodes", sum.Nodes,
 			"doubtful", sum.Doubtful, "witnesses", sum.Witnesses, "heartbeat_age", now.Sub(seen.heardAt), "answer_age", now.Sub(seen.answeredAt))
 	}
@@ -200,6 +200,6 @@
 		c.liveness.verdicts = judged
 		return nil
 	}
-	c.note(now, seen)
+	c.recordObservations(now, seen)
 	return nil
 }
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -261,7 +261,7 @@
 		if isSilent {
 			return membership.Remove(silent), "voter is silent and there are enough", true
 		}
-		return membership.Demote(c.crowdedVoter(membership)), "its zone has the most voters", true
+		return membership.Demote(c.voterInLargestZone(membership)), "its zone has the most voters", true
 	}
 	ready, found := c.readyLearner(now, membership)
 	if !found {
@@ -273,7 +273,7 @@
 	if isSilent {
 		return membership.Remove(silent), "voter is silent and a learner is ready", true
 	}
-	if c.isMisplaced(membership, ready) {
+	if c.improvesZoneSpread(membership, ready) {
 		return membership.Promote(ready), "its zone has too few voters", true
 	}
 	return membership, "", false
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -84,7 +84,7 @@
 // observe copies the state of the core.
 func (m *metrics) observe(core *Core) {
 	m.leader.Set(flag(core.IsLeader()))
-	m.bearsLostZones.Set(flag(core.BearsLostZones()))
+	m.bearsLostZones.Set(flag(core.ToleratesZoneLoss()))
 	m.term.Set(float64(core.replica.Term))
 	m.revision.Set(float64(core.state.Revision()))
 	m.version.Set(float64(core.state.Configuration().Version))
--- a/internal/registry/nodes.go
+++ b/internal/registry/nodes.go
@@ -124,7 +124,7 @@
 }
 
 func (c *Core) encodeSince(now kernel.Instant, revision uint64) []byte {
-	return directory.EncodeUpdate(c.forNode(now, c.state.Since(revision)))
+	return directory.EncodeUpdate(c.adjustWarmups(now, c.state.Since(revision)))
 }
 
 // encodedState is the whole state as nodes without state get it.
--- a/internal/registry/observations.go
+++ b/internal/registry/observations.go
@@ -11,30 +11,30 @@
 
 // A member collects what its nodes and targets tell and passes it on to the leader.
 
-// Heard notes a heartbeat of a registered target. One of another start than the latest
+// RecordHeartbeat notes a heartbeat of a registered target. One of another start than the latest
 // is no sign of life.
-func (c *Core) Heard(now kernel.Instant, start directory.Start) {
+func (c *Core) RecordHeartbeat(now kernel.Instant, start directory.Start) {
 	target, known := c.state.Target(start.ID)
 	if !known || target.Start() != start {
 		return
 	}
-	c.NoteHeard(now, []directory.Token{target.Token})
+	c.RecordHeartbeats(now, []directory.Token{target.Token})
 }
 
-// NoteHeard notes heartbeats of targets by their tokens.
-func (c *Core) NoteHeard(now kernel.Instant, tokens []directory.Token) {
+// RecordHeartbeats notes heartbeats of targets by their tokens.
+func (c *Core) RecordHeartbeats(now kernel.Instant, tokens []directory.Token) {
 	for _, token := range tokens {
 		c.liveness.sighting(token).heardAt = now
 		c.liveness.unsentHeard[token] = true
 	}
 }
 
-// Observe notes what a subscribed node has seen of targets.
-func (c *Core) Observe(now kernel.Instant, connection ConnectionID, evidence Evidence) {
+// RecordEvidence notes what a subscribed node has seen of targets.
+func (c *Core) RecordEvidence(now kernel.Instant, connection ConnectionID, evidence Evidence) {
 	for _, token := range evidence.Answering {
 		c.liveness.unsentEvidence[token] = true
 	}
-	c.NoteHeard(now, evidence.Heard)
+	c.RecordHeartbeats(now, evidence.Heard)
 	c.openings.add(evidence)
 	if node, connected := c.nodes[connection]; connected {
 		node.silent = evidence.Silent
@@ -67,7 +67,7 @@
 	seen := c.takeObservations(now)
 	c.forgetEnded()
 	if c.IsLeader() {
-		c.note(now, seen)
+		c.recordObservations(now, seen)
 		c.judge(now)
 		return
 	}
@@ -93,8 +93,8 @@
 	return seen
 }
 
-// note enters a member's observations into the leader's table.
-func (c *Core) note(now kernel.Instant, seen observations) {
+// recordObservations enters a member's observations into the leader's table.
+func (c *Core) recordObservations(now kernel.Instant, seen observations) {
 	for _, token := range seen.Heard {
 		c.liveness.sighting(token).heardAt = now
 	}
--- a/internal/registry/openings.go
+++ b/internal/registry/openings.go
@@ -159,11 +159,11 @@
 // noteRefused enters a member's report of a target that took no opening packets.
 func (s *sighting) noteRefused(now kernel.Instant, from string, refused SilentTarget) {
 	if s.refusals == nil {
-		s.refusals = map[string]silence{}
+		s.refusals = map[string]silenceReport{}
 	}
 	report := s.refusals[from]
 	if now.Sub(report.at) >= refusalLifetime {
-		report = silence{}
+		report = silenceReport{}
 	}
 	report.Weight += refused.Weight
 	report.Nodes = max(report.Nodes, refused.Nodes)
@@ -171,9 +171,9 @@
 	s.refusals[from] = report
 }
 
-// refuses reports whether a target is suspected because it takes no opening packets.
+// isRefusing reports whether a target is suspected because it takes no opening packets.
 // A sign of it ends that.
-func (s *sighting) refuses(now kernel.Instant) bool {
+func (s *sighting) isRefusing(now kernel.Instant) bool {
 	var weight, nodes uint32
 	for _, report := range s.refusals {
 		if now.Sub(report.at) < refusalLifetime {
--- a/internal/registry/openings_test.go
+++ b/internal/registry/openings_test.go
@@ -97,7 +97,7 @@
 	b.report(200*time.Millisecond, 2, Evidence{Refused: []SilentTarget{{Token: token, Weight: 1, Nodes: 1}}})
 	b.run(AliveInterval)
 	assert.Equal(t, []directory.Token{token}, b.verdicts().Suspects)
-	b.follower.core.NoteHeard(b.now, []directory.Token{token})
+	b.follower.core.RecordHeartbeats(b.now, []directory.Token{token})
 	b.run(livenessInterval + AliveInterval + 100*time.Millisecond)
 	assert.Empty(t, b.verdicts().Suspects)
 }
@@ -114,13 +114,13 @@
 	s := &sighting{heardAt: kernel.Instant(time.Second)}
 	now := kernel.Instant(time.Minute)
 	s.noteRefused(now, "m1", SilentTarget{Weight: 2, Nodes: 1})
-	assert.False(t, s.refuses(now), "too few")
+	assert.False(t, s.isRefusing(now), "too few")
 	s.noteRefused(now, "m2", SilentTarget{Weight: 1, Nodes: 1})
-	assert.True(t, s.refuses(now))
-	assert.True(t, s.refuses(now.Add(refusedHold-1)))
-	assert.False(t, s.refuses(now.Add(refusedHold)))
+	assert.True(t, s.isRefusing(now))
+	assert.True(t, s.isRefusing(now.Add(refusedHold-1)))
+	assert.False(t, s.isRefusing(now.Add(refusedHold)))
 	s.answeredAt = now.Add(1)
-	assert.False(t, s.refuses(now.Add(2)))
+	assert.False(t, s.isRefusing(now.Add(2)))
 }
 
 func TestOpeningPacketsOfAllNodesAreSummedUp(t *testing.T) {
--- a/internal/registry/order.go
+++ b/internal/registry/order.go
@@ -18,52 +18,52 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// OrderKind is what an operator asks a member for over its own protocol.
-type OrderKind uint8
+// OperatorAction is what an operator asks a member for over its own protocol.
+type OperatorAction uint8
 
 // The kinds of orders.
 const (
-	// OrderList changes nothing.
-	OrderList OrderKind = iota
-	// OrderEvacuate begins the evacuation of a zone.
-	OrderEvacuate
-	// OrderTakeBack ends it.
-	OrderTakeBack
-	// OrderEjectTarget keeps new flows from a target.
-	OrderEjectTarget
-	// OrderExemptTarget keeps a target from being ejected.
-	OrderExemptTarget
-	// OrderReadmitTarget ends either, and readmits a target that the members ejected.
-	OrderReadmitTarget
-	// OrderHoldVersion keeps new flows from a version's targets.
-	OrderHoldVersion
-	// OrderReleaseVersion keeps a version from being held.
-	OrderReleaseVersion
-	// OrderJudgeVersion ends either.
-	OrderJudgeVersion
+	// ActionList changes nothing.
+	ActionList OperatorAction = iota
+	// ActionEvacuateZone begins the evacuation of a zone.
+	ActionEvacuateZone
+	// ActionEndEvacuation ends it.
+	ActionEndEvacuation
+	// ActionEjectTarget keeps new flows from a target.
+	ActionEjectTarget
+	// ActionExemptTarget keeps a target from being ejected.
+	ActionExemptTarget
+	// ActionReadmitTarget ends either, and readmits a target that the members ejected.
+	ActionReadmitTarget
+	// ActionHoldVersion keeps new flows from a version's targets.
+	ActionHoldVersion
+	// ActionReleaseVersion keeps a version from being held.
+	ActionReleaseVersion
+	// ActionJudgeVersion ends either.
+	ActionJudgeVersion
 )
 
 // targetRules are the rules that orders about a target ask for.
-var targetRules = map[OrderKind]directory.TargetRule{
-	OrderEjectTarget:   directory.RuleEjected,
-	OrderExemptTarget:  directory.RuleExempt,
-	OrderReadmitTarget: directory.RuleJudged,
+var targetRules = map[OperatorAction]directory.TargetRule{
+	ActionEjectTarget:   directory.RuleEjected,
+	ActionExemptTarget:  directory.RuleExempt,
+	ActionReadmitTarget: directory.RuleJudged,
 }
 
 // versionRules are the rules that orders about a version ask for.
-var versionRules = map[OrderKind]directory.VersionRule{
-	OrderHoldVersion:    directory.VersionHeld,
-	OrderReleaseVersion: directory.VersionReleased,
-	OrderJudgeVersion:   directory.VersionJudged,
+var versionRules = map[OperatorAction]directory.VersionRule{
+	ActionHoldVersion:    directory.VersionHeld,
+	ActionReleaseVersion: directory.VersionReleased,
+	ActionJudgeVersion:   directory.VersionJudged,
 }
 
 // orderTimeout is how long an order waits for the group: an election and a write.
 const orderTimeout = 3 * time.Second
 
-// Order is an operator's order to a member.
-type Order struct {
-	Kind OrderKind
-	Zone string
+// OperatorRequest is an operator's order to a member.
+type OperatorRequest struct {
+	Action OperatorAction
+	Zone   string
 	// Target is the ID of a target. In a list it is named though there is nothing to
 	// say of it.
 	Target string
@@ -71,9 +71,9 @@
 	Version directory.ServiceVersion
 }
 
-func (o Order) frame() wire.Frame {
+func (o OperatorRequest) frame() wire.Frame {
 	var encoder wire.Encoder
-	encoder.Uint8(uint8(o.Kind))
+	encoder.Uint8(uint8(o.Action))
 	encoder.String(o.Zone)
 	encoder.String(o.Target)
 	if o.Version.Version != "" {
@@ -83,9 +83,9 @@
 	return wire.Frame{Kind: wire.FrameOrder, Payload: encoder.Buffer}
 }
 
-func decodeOrder(payload []byte) (Order, error) {
+func decodeOrder(payload []byte) (OperatorRequest, error) {
 	decoder := wire.NewDecoder(payload)
-	order := Order{Kind: OrderKind(decoder.Uint8()), Zone: decoder.String()}
+	order := OperatorRequest{Action: OperatorAction(decoder.Uint8()), Zone: decoder.String()}
 	// Orders of versions that knew none about targets end here.
 	if decoder.HasMore() {
 		order.Target = decoder.String()
@@ -96,34 +96,34 @@
 	return order, decoder.Err("registry.decode_order")
 }
 
-// ZoneShare is what the targets of a zone that take new flows bear of a service.
-type ZoneShare struct {
+// ZoneStatus is what the targets of a zone that take new flows bear of a service.
+type ZoneStatus struct {
 	Zone, Service  string
 	Targets, Slots uint32
 	// Evacuated is set while the zone gets no new flows.
 	Evacuated bool
 }
 
-// OrderReply is a member's answer to an order.
-type OrderReply struct {
-	// Problem says why the order was not carried out; empty when it was. Refused is
+// OperatorResponse is a member's answer to an order.
+type OperatorResponse struct {
+	// Error says why the order was not carried out; empty when it was. Refused is
 	// set when giving it again is no use.
-	Problem string
-	Refused bool
-	// Shares are those of all zones and services, in order.
-	Shares []ZoneShare
+	Error    string
+	Rejected bool
+	// Zones are those of all zones and services, in order.
+	Zones []ZoneStatus
 	// Targets are those that are not as usual, and the one that the order names.
-	Targets []TargetShare
+	Targets []TargetStatus
 	// Versions are those of all services, in order.
-	Versions []VersionShare
+	Versions []VersionStatus
 }
 
-func (r OrderReply) frame() wire.Frame {
+func (r OperatorResponse) frame() wire.Frame {
 	var encoder wire.Encoder
-	encoder.String(r.Problem)
-	encoder.Bool(r.Refused)
-	encoder.Uint32(uint32(len(r.Shares)))
-	for _, share := range r.Shares {
+	encoder.String(r.Error)
+	encoder.Bool(r.Rejected)
+	encoder.Uint32(uint32(len(r.Zones)))
+	for _, share := range r.Zones {
 		encoder.String(share.Zone)
 		encoder.String(share.Service)
 		encoder.Uint32(share.Targets)
@@ -140,11 +140,11 @@
 // smallestShare is the encoded size in bytes of a share without names.
 const smallestShare = 17
 
-func decodeOrderReply(payload []byte) (OrderReply, error) {
+func decodeOrderReply(payload []byte) (OperatorResponse, error) {
 	decoder := wire.NewDecoder(payload)
-	reply := OrderReply{Problem: decoder.String(), Refused: decoder.Bool()}
+	reply := OperatorResponse{Error: decoder.String(), Rejected: decoder.Bool()}
 	for count := decoder.Count(smallestShare); count > 0; count-- {
-		reply.Shares = append(reply.Shares, ZoneShare{
+		reply.Zones = append(reply.Zones, ZoneStatus{
 			Zone: decoder.String(), Service: decoder.String(), Targets: decoder.Uint32(), Slots: decoder.Uint32(), Evacuated: decoder.Bool(),
 		})
 	}
@@ -157,8 +157,8 @@
 	return reply, decoder.Err("registry.decode_order_reply")
 }
 
-// SendOrder gives an order to the first of some members that answers.
-func SendOrder(ctx context.Context, addresses []string, order Order) (OrderReply, error) {
+// SendOperatorRequest gives an order to the first of some members that answers.
+func SendOperatorRequest(ctx context.Context, addresses []string, order OperatorRequest) (OperatorResponse, error) {
 	const step = "registry.send_order"
 	remaining := slices.Clone(addresses)
 	connection, address, err := peerlink.DialFirst(ctx, func() (string, bool) {
@@ -170,24 +170,24 @@
 		return next, true
 	})
 	if err != nil {
-		return OrderReply{}, err
+		return OperatorResponse{}, err
 	}
 	defer func() { _ = connection.Close() }()
 	if err := peerlink.Write(connection, wire.AppendFrame(nil, order.frame())); err != nil {
-		return OrderReply{}, steperror.Wrap(step, address, err)
+		return OperatorResponse{}, steperror.Wrap(step, address, err)
 	}
 	if err := connection.SetReadDeadline(time.Now().Add(orderTimeout + time.Second)); err != nil {
-		return OrderReply{}, steperror.Wrap(step, address, err)
+		return OperatorResponse{}, steperror.Wrap(step, address, err)
 	}
 	frame, err := wire.ReadFrame(bufio.NewReader(connection))
 	if err != nil {
-		return OrderReply{}, steperror.Wrap(step, address, err)
+		return OperatorResponse{}, steperror.Wrap(step, address, err)
 	}
 	return decodeOrderReply(frame.Payload)
 }
 
-// serveOrder carries out an order and answers it.
-func (p *Process) serveOrder(connection net.Conn, frame wire.Frame) {
+// serveOperatorRequest carries out an order and answers it.
+func (p *Process) serveOperatorRequest(connection net.Conn, frame wire.Frame) {
 	order, err := decodeOrder(frame.Payload)
 	if err != nil {
 		p.logger.Event(eventlog.BadFrame, "peer", connection.RemoteAddr(), "err", err)
@@ -201,49 +201,49 @@
 	}
 }
 
-func (p *Process) carryOut(ctx context.Context, order Order) OrderReply {
+func (p *Process) carryOut(ctx context.Context, order OperatorRequest) OperatorResponse {
 	var err error
-	switch order.Kind {
-	case OrderEvacuate:
+	switch order.Action {
+	case ActionEvacuateZone:
 		err = p.Evacuate(ctx, order.Zone, true)
-	case OrderTakeBack:
+	case ActionEndEvacuation:
 		err = p.Evacuate(ctx, order.Zone, false)
-	case OrderEjectTarget, OrderExemptTarget, OrderReadmitTarget:
-		err = p.OrderTarget(ctx, order.Target, targetRules[order.Kind])
-	case OrderHoldVersion, OrderReleaseVersion, OrderJudgeVersion:
-		err = p.OrderVersion(ctx, order.Version, versionRules[order.Kind])
+	case ActionEjectTarget, ActionExemptTarget, ActionReadmitTarget:
+		err = p.SetTargetRule(ctx, order.Target, targetRules[order.Action])
+	case ActionHoldVersion, ActionReleaseVersion, ActionJudgeVersion:
+		err = p.SetVersionRule(ctx, order.Version, versionRules[order.Action])
 	}
-	var reply OrderReply
+	var reply OperatorResponse
 	if err == nil {
 		reply, err = p.report(ctx, order.Target)
 	}
 	if err != nil {
 		var problem *directory.Problem
-		reply = OrderReply{Problem: err.Error(), Refused: errors.As(err, &problem)}
+		reply = OperatorResponse{Error: err.Error(), Rejected: errors.As(err, &problem)}
 	}
 	return reply
 }
 
 // report returns what each zone bears and which targets are not as usual, as a
 // linearizable read.
-func (p *Process) report(ctx context.Context, id string) (OrderReply, error) {
+func (p *Process) report(ctx context.Context, id string) (OperatorResponse, error) {
 	if _, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) { return core.Read(now) }); err != nil {
-		return OrderReply{}, err
+		return OperatorResponse{}, err
 	}
-	answer := make(chan OrderReply, 1)
+	answer := make(chan OperatorResponse, 1)
 	_, err := p.call(ctx, func(core *Core, _ kernel.Instant) (Ticket, Output) {
-		answer <- OrderReply{Shares: core.zoneShares(), Targets: core.targetShares(id), Versions: core.versionShares()}
+		answer <- OperatorResponse{Zones: core.zoneShares(), Targets: core.targetShares(id), Versions: core.versionShares()}
 		return 0, Output{}
 	})
 	if err != nil {
-		return OrderReply{}, err
+		return OperatorResponse{}, err
 	}
 	return <-answer, nil
 }
 
-func (c *Core) zoneShares() []ZoneShare {
+func (c *Core) zoneShares() []ZoneStatus {
 	type place struct{ zone, service string }
-	shares := map[place]ZoneShare{}
+	shares := map[place]ZoneStatus{}
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.State != directory.TargetReady {
 			return
@@ -256,7 +256,7 @@
 		share.Evacuated = c.state.Evacuation(target.Zone).Active
 		shares[key] = share
 	})
-	return slices.SortedFunc(maps.Values(shares), func(a, b ZoneShare) int {
+	return slices.SortedFunc(maps.Values(shares), func(a, b ZoneStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Zone, b.Zone))
 	})
 }
--- a/internal/registry/order_test.go
+++ b/internal/registry/order_test.go
@@ -39,49 +39,49 @@
 }
 
 // order gives an order until the member takes it: it needs a moment to lead.
-func order(t *testing.T, address string, wanted Order) OrderReply {
+func order(t *testing.T, address string, wanted OperatorRequest) OperatorResponse {
 	t.Helper()
-	var reply OrderReply
+	var reply OperatorResponse
 	require.Eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		var err error
-		reply, err = SendOrder(ctx, []string{address}, wanted)
-		return err == nil && (reply.Problem == "" || reply.Refused)
+		reply, err = SendOperatorRequest(ctx, []string{address}, wanted)
+		return err == nil && (reply.Error == "" || reply.Rejected)
 	}, 10*time.Second, 20*time.Millisecond)
 	return reply
 }
 
 func TestOrdersOverTheMembersOwnProtocol(t *testing.T) {
 	process, address := startMember(t)
-	assert.Empty(t, order(t, address, Order{}).Shares)
+	assert.Empty(t, order(t, address, OperatorRequest{}).Zones)
 	for id, zone := range map[string]string{"i-1": "north", "i-2": "south"} {
 		target := directory.Target{ID: id, Service: "booking", Zone: zone, Slots: 2, State: directory.TargetReady}
 		target.Address = netip.MustParseAddrPort("10.0.0." + id[2:] + ":1")
 		_, err := process.Beat(context.Background(), Heartbeat{Target: target})
 		require.NoError(t, err)
 	}
-	shares := order(t, address, Order{Kind: OrderEvacuate, Zone: "north"}).Shares
+	shares := order(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones
 	require.Len(t, shares, 2)
-	assert.Equal(t, ZoneShare{Zone: "north", Service: "booking", Targets: 1, Slots: 2, Evacuated: true}, shares[0])
+	assert.Equal(t, ZoneStatus{Zone: "north", Service: "booking", Targets: 1, Slots: 2, Evacuated: true}, shares[0])
 	assert.False(t, shares[1].Evacuated)
-	assert.True(t, order(t, address, Order{Kind: OrderEvacuate, Zone: "north"}).Shares[0].Evacuated, "given again")
-	assert.False(t, order(t, address, Order{Kind: OrderTakeBack, Zone: "north"}).Shares[0].Evacuated)
-	refused := order(t, address, Order{Kind: OrderEvacuate, Zone: "west"})
-	assert.True(t, refused.Refused)
-	assert.Equal(t, `zone: "west" is not known`, refused.Problem)
+	assert.True(t, order(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones[0].Evacuated, "given again")
+	assert.False(t, order(t, address, OperatorRequest{Action: ActionEndEvacuation, Zone: "north"}).Zones[0].Evacuated)
+	refused := order(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "west"})
+	assert.True(t, refused.Rejected)
+	assert.Equal(t, `zone: "west" is not known`, refused.Error)
 }
 
 func TestADryRunTellsWhatTheOtherZonesBear(t *testing.T) {
-	shares := []ZoneShare{
+	shares := []ZoneStatus{
 		{Zone: "a", Service: "one", Slots: 10}, {Zone: "b", Service: "one", Slots: 10}, {Zone: "c", Service: "one", Slots: 10, Evacuated: true},
 		{Zone: "a", Service: "two", Slots: 4},
 		{Zone: "a", Service: "three", Slots: 2}, {Zone: "b", Service: "three", Slots: 8},
 	}
-	effects, warnings := DryRun(shares, "a")
+	effects, warnings := DryRunEvacuation(shares, "a")
 	require.Len(t, effects, 2)
-	assert.Equal(t, Effect{Service: "one", Zone: "b", Before: 0.5, After: 1}, effects[0])
-	assert.Equal(t, Effect{Service: "three", Zone: "b", Before: 0.8, After: 1}, effects[1])
+	assert.Equal(t, ShareChange{Service: "one", Zone: "b", Before: 0.5, After: 1}, effects[0])
+	assert.Equal(t, ShareChange{Service: "three", Zone: "b", Before: 0.8, After: 1}, effects[1])
 	assert.Equal(t, []string{
 		"service one: the other zones bear 2.0 times as much",
 		"service two has no targets elsewhere: its callers are refused meanwhile",
@@ -89,8 +89,8 @@
 }
 
 func FuzzDecodeOrder(f *testing.F) {
-	f.Add(Order{Kind: OrderEvacuate, Zone: "north"}.frame().Payload)
-	f.Add(OrderReply{Problem: "p", Shares: []ZoneShare{{Zone: "a", Service: "b", Targets: 1, Slots: 2}}}.frame().Payload)
+	f.Add(OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}.frame().Payload)
+	f.Add(OperatorResponse{Error: "p", Zones: []ZoneStatus{{Zone: "a", Service: "b", Targets: 1, Slots: 2}}}.frame().Payload)
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if decoded, err := decodeOrder(data); err == nil {
 			again, err := decodeOrder(decoded.frame().Payload)
--- a/internal/registry/outliers.go
+++ b/internal/registry/outliers.go
@@ -171,10 +171,10 @@
 	}
 }
 
-// judgeOutcomes adds the targets that fail their work to the verdicts. Those that take
+// ejectOutliers adds the targets that fail their work to the verdicts. Those that take
 // no new flows anyway, also in evacuated zones, or are held for lost, are not judged and
 // forgotten; they bear nothing, so they do not count in the share that may be left out.
-func (c *Core) judgeOutcomes(now kernel.Instant, next *judgement) {
+func (c *Core) ejectOutliers(now kernel.Instant, next *judgement) {
 	if now.Before(c.outcomes.judgeAt) {
 		next.Ejected = c.liveness.verdicts.Ejected
 		next.Probation = c.liveness.verdicts.Probation
--- a/internal/registry/outliers_test.go
+++ b/internal/registry/outliers_test.go
@@ -83,7 +83,7 @@
 
 func (b *outcomeBench) reportTo(m *machine, node int, counted ...directory.Outcomes) {
 	if m.up {
-		m.core.Observe(b.now, b.open(m, node), Evidence{Outcomes: counted})
+		m.core.RecordEvidence(b.now, b.open(m, node), Evidence{Outcomes: counted})
 	}
 }
 
@@ -158,7 +158,7 @@
 	for number := range 30 {
 		connection := ConnectionID(1000 + number)
 		b.take(m, m.core.Open(b.now, connection, Subscribe{Node: "edge1"}))
-		m.core.Observe(b.now, connection, Evidence{Outcomes: []directory.Outcomes{{Token: b.targets[0].Token, Unanswered: 5}}})
+		m.core.RecordEvidence(b.now, connection, Evidence{Outcomes: []directory.Outcomes{{Token: b.targets[0].Token, Unanswered: 5}}})
 		b.serve(livenessInterval)
 	}
 	assert.Zero(t, b.events[eventlog.TargetEjected])
@@ -324,7 +324,7 @@
 	}
 	require.Equal(t, []directory.Token{sick}, b.reporters[0].alive.Verdicts.Lost)
 	assert.Empty(t, b.reporters[0].alive.Verdicts.Ejected)
-	b.reporters[0].core.NoteHeard(b.now, []directory.Token{sick})
+	b.reporters[0].core.RecordHeartbeats(b.now, []directory.Token{sick})
 	b.run(4 * livenessInterval)
 	assert.Empty(t, b.reporters[0].alive.Verdicts.Lost)
 	assert.Empty(t, b.reporters[0].alive.Verdicts.Ejected)
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -211,7 +211,7 @@
 	if p.core != nil {
 		p.followBeats(p.core.State())
 		p.followMembers(p.core)
-		p.watchDisk()
+		p.checkDiskUsage()
 		p.announcer.begin(p.now(), p.core)
 	}
 }
--- a/internal/registry/registration.go
+++ b/internal/registry/registration.go
@@ -29,7 +29,7 @@
 		if !c.IsCurrent(now) {
 			return 0, Output{}, errBehind
 		}
-		target.Warmup = c.warmupOf(target)
+		target.Warmup = c.newWarmup(target)
 	}
 	ticket, output := c.Submit(now, directory.Command{Kind: directory.CommandPutTarget, Target: target})
 	return ticket, output, nil
--- a/internal/registry/room.go
+++ b/internal/registry/room.go
@@ -29,8 +29,8 @@
 	return true
 }
 
-// roomTable knows how the links of nodes are used.
-type roomTable struct {
+// linkUsageTable knows how the links of nodes are used.
+type linkUsageTable struct {
 	// nodes are the words of this member's nodes.
 	nodes room.Table[ConnectionID]
 	// members are the sums of all members, on the leader.
@@ -45,20 +45,20 @@
 	full bool
 }
 
-func newRoomTable() roomTable {
-	return roomTable{nodes: room.NewTable[ConnectionID](), members: room.NewTable[string]()}
+func newLinkUsageTable() linkUsageTable {
+	return linkUsageTable{nodes: room.NewTable[ConnectionID](), members: room.NewTable[string]()}
 }
 
-// NoteRoom notes what a subscribed node tells of its link.
-func (c *Core) NoteRoom(now kernel.Instant, connection ConnectionID, word room.Word) {
+// RecordLinkUsage notes what a subscribed node tells of its link.
+func (c *Core) RecordLinkUsage(now kernel.Instant, connection ConnectionID, word room.Word) {
 	if node, connected := c.nodes[connection]; connected {
 		c.room.nodes.NoteWord(now, connection, node.zone, word)
 	}
 }
 
-// tickRoom tells the leader how this member's nodes are used, or as the leader all
+// tickLinkUsage tells the leader how this member's nodes are used, or as the leader all
 // members how all are, and nodes what is known of their zones.
-func (c *Core) tickRoom(now kernel.Instant) {
+func (c *Core) tickLinkUsage(now kernel.Instant) {
 	if now.Before(c.room.next) {
 		return
 	}
@@ -85,8 +85,8 @@
 	}
 }
 
-// receiveRoom takes the sums of a member, or the leader's of all.
-func (c *Core) receiveRoom(now kernel.Instant, payload []byte) error {
+// receiveLinkUsage takes the sums of a member, or the leader's of all.
+func (c *Core) receiveLinkUsage(now kernel.Instant, payload []byte) error {
 	message, err := room.Decode(payload)
 	if err != nil || message.Word != nil {
 		return err
@@ -139,8 +139,8 @@
 	}
 }
 
-// Room returns the fleet's sums by zone and their age.
-func (c *Core) Room(now kernel.Instant) ([]room.ZoneSum, time.Duration) {
+// LinkUsage returns the fleet's sums by zone and their age.
+func (c *Core) LinkUsage(now kernel.Instant) ([]room.ZoneSum, time.Duration) {
 	return c.room.fleet.Zones, now.Sub(c.room.fleetAt)
 }
 
@@ -151,14 +151,14 @@
 
 func (i roomInput) handle(p *Process, now kernel.Instant) Output {
 	if p.core != nil {
-		p.core.NoteRoom(now, i.connection, i.word)
+		p.core.RecordLinkUsage(now, i.connection, i.word)
 	}
 	return Output{}
 }
 
-// receiveWord takes what a node tells of its link. It may be dropped under load: the
+// receiveLinkReport takes what a node tells of its link. It may be dropped under load: the
 // next one says the same.
-func (p *Process) receiveWord(connection ConnectionID, frame wire.Frame) {
+func (p *Process) receiveLinkReport(connection ConnectionID, frame wire.Frame) {
 	message, err := room.Decode(frame.Payload)
 	if err != nil {
 		p.logger.Event(eventlog.BadFrame, "connection", connection, "kind", frame.Kind, "err", err)
--- a/internal/registry/room_test.go
+++ b/internal/registry/room_test.go
@@ -37,15 +37,15 @@
 	for end := b.now.Add(duration); b.now < end; b.run(room.Interval) {
 		for _, name := range b.names() {
 			if m := b.machines[name]; m.up {
-				m.core.NoteRoom(b.now, 1, word)
-				m.core.NoteRoom(b.now, 2, word)
+				m.core.RecordLinkUsage(b.now, 1, word)
+				m.core.RecordLinkUsage(b.now, 2, word)
 			}
 		}
 	}
 }
 
 func (b *roomBench) nodes(m *machine) int {
-	zones, age := m.core.Room(b.now)
+	zones, age := m.core.LinkUsage(b.now)
 	if len(zones) == 0 || age >= room.Lifetime {
 		return 0
 	}
@@ -56,7 +56,7 @@
 	b := newRoomBench(t)
 	b.tell(4*time.Second, room.Word{Rate: 100, In: 50})
 	for _, name := range b.names() {
-		zones, _ := b.machines[name].core.Room(b.now)
+		zones, _ := b.machines[name].core.LinkUsage(b.now)
 		require.Len(t, zones, 1)
 		assert.Equal(t, 6, zones[0].Nodes())
 		assert.Equal(t, uint64(300), zones[0].Used)
--- a/internal/registry/settings.go
+++ b/internal/registry/settings.go
@@ -38,7 +38,7 @@
 	LostAfter time.Duration
 	// WarmthOf returns what is stated about the cold targets of a service; nil where
 	// nothing is.
-	WarmthOf     func(service directory.Service) (Warmth, error)
+	WarmthOf     func(service directory.Service) (WarmupConfig, error)
 	WarmupLimits WarmupLimits
 	// SnapshotEntries is the length of the log at which it is compacted.
 	SnapshotEntries int
--- a/internal/registry/sightings_test.go
+++ b/internal/registry/sightings_test.go
@@ -20,7 +20,7 @@
 		id := fmt.Sprint("i-", number)
 		require.NoError(t, c.submit(leader, put(id, fmt.Sprintf("10.1.1.%d:%d", number%200+1, number+1), directory.TargetReady)).Err)
 		for _, name := range c.names() {
-			c.machines[name].core.Heard(c.now, directory.Start{ID: id})
+			c.machines[name].core.RecordHeartbeat(c.now, directory.Start{ID: id})
 		}
 		if number > 0 {
 			before, _ := leader.core.State().Target(fmt.Sprint("i-", number-1))
@@ -32,7 +32,7 @@
 	last, _ := leader.core.State().Target("i-299")
 	for _, name := range c.names() {
 		m := c.machines[name]
-		m.core.Heard(c.now, directory.Start{ID: "i-299"})
+		m.core.RecordHeartbeat(c.now, directory.Start{ID: "i-299"})
 		c.run(livenessInterval)
 		assert.LessOrEqual(t, len(m.core.liveness.sightings), 2+sightingSlack, name)
 		assert.Contains(t, m.core.liveness.sightings, last.Token)
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -11,23 +11,23 @@
 // most below 0.7 s), with the way of an answer's report to the leader (0.3 s).
 const doubtfulSilence = 1300 * time.Millisecond
 
-// silence is a member's newest report that a target leaves flows unanswered.
-type silence struct {
+// silenceReport is a member's newest report that a target leaves flows unanswered.
+type silenceReport struct {
 	SilentTarget
 	at kernel.Instant
 }
 
-// all returns the weight of all evidence, also what is doubtful.
-func (s silence) all() uint32 { return s.Weight + s.Doubtful }
+// totalWeight returns the weight of totalWeight evidence, also what is doubtful.
+func (s silenceReport) totalWeight() uint32 { return s.Weight + s.Doubtful }
 
 // isEnough reports whether weight from so many nodes holds a target for lost.
 func isEnough(weight, nodes uint32) bool {
 	return weight >= silentWeightNeeded && nodes >= silentNodesNeeded
 }
 
-// silence sums up the reports that still count.
-func (s *sighting) silence(now kernel.Instant) silence {
-	var sum silence
+// currentSilence sums up the reports that still count.
+func (s *sighting) currentSilence(now kernel.Instant) silenceReport {
+	var sum silenceReport
 	for _, report := range s.silences {
 		if now.Sub(report.at) < silenceLifetime {
 			sum.SilentTarget = sum.add(report.SilentTarget)
@@ -39,14 +39,14 @@
 // isSilent reports whether there is evidence enough that a target is silent. What is
 // doubtful counts only after a longer silence.
 func (s *sighting) isSilent(now kernel.Instant) bool {
-	sum := s.silence(now)
+	sum := s.currentSilence(now)
 	if isEnough(sum.Weight, sum.Nodes) {
 		return true
 	}
-	return now.Sub(s.lastSign()) >= doubtfulSilence && isEnough(sum.all(), sum.Witnesses)
+	return now.Sub(s.lastSign()) >= doubtfulSilence && isEnough(sum.totalWeight(), sum.Witnesses)
 }
 
 // noteSilence enters a member's report of silence.
 func (s *sighting) noteSilence(now kernel.Instant, from string, silent SilentTarget) {
-	s.silences[from] = silence{SilentTarget: silent, at: now}
+	s.silences[from] = silenceReport{SilentTarget: silent, at: now}
 }
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -31,7 +31,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			now := kernel.Instant(time.Hour)
-			seen := &sighting{silences: map[string]silence{}, heardAt: now.Add(-test.quiet)}
+			seen := &sighting{silences: map[string]silenceReport{}, heardAt: now.Add(-test.quiet)}
 			for number := range test.nodes {
 				seen.noteSilence(now, address(number), test.seen.Witnessed())
 			}
--- a/internal/registry/speeds.go
+++ b/internal/registry/speeds.go
@@ -48,8 +48,8 @@
 	speedRepeat = 30 * time.Second
 )
 
-// speedTable holds how long targets take, as nodes and members tell it.
-type speedTable struct {
+// responseTimeTable holds how long targets take, as nodes and members tell it.
+type responseTimeTable struct {
 	// nodes are the words of the nodes that follow this member, members those of the
 	// members at the leader.
 	nodes   speed.Table[ConnectionID]
@@ -79,8 +79,8 @@
 	next, estimateAt, sweepAt kernel.Instant
 }
 
-func newSpeedTable() speedTable {
-	return speedTable{
+func newResponseTimeTable() responseTimeTable {
+	return responseTimeTable{
 		nodes:   speed.NewTable[ConnectionID](speed.HalfLife),
 		members: speed.NewTable[string](speed.MemberHalfLife),
 		unsent:  newTokenQueue(),
@@ -117,8 +117,8 @@
 	return taken
 }
 
-// ObserveSpeeds notes what a subscribed node tells of how long targets take.
-func (c *Core) ObserveSpeeds(now kernel.Instant, connection ConnectionID, words []speed.Word) {
+// RecordResponseTimes notes what a subscribed node tells of how long targets take.
+func (c *Core) RecordResponseTimes(now kernel.Instant, connection ConnectionID, words []speed.Word) {
 	if _, connected := c.nodes[connection]; !connected {
 		return
 	}
@@ -131,8 +131,8 @@
 	}
 }
 
-// tickSpeeds passes on what was learned: to the leader, and to the nodes.
-func (c *Core) tickSpeeds(now kernel.Instant) {
+// tickResponseTimes passes on what was learned: to the leader, and to the nodes.
+func (c *Core) tickResponseTimes(now kernel.Instant) {
 	if now.Before(c.speeds.next) {
 		return
 	}
@@ -185,8 +185,8 @@
 	}
 }
 
-// receiveSpeeds takes the sums of a member, or what the leader tells.
-func (c *Core) receiveSpeeds(now kernel.Instant, payload []byte) error {
+// receiveResponseTimes takes the sums of a member, or what the leader tells.
+func (c *Core) receiveResponseTimes(now kernel.Instant, payload []byte) error {
 	message, err := speed.Decode(payload)
 	if err != nil {
 		return err
@@ -249,7 +249,7 @@
 }
 
 // distance returns how far a step is from what was told before.
-func (s *speedTable) distance(told speed.Told) int {
+func (s *responseTimeTable) distance(told speed.Told) int {
 	distance := int(told.Step) - int(s.told[told.Token])
 	return max(distance, -distance)
 }
@@ -318,14 +318,14 @@
 	}
 }
 
-func (s *speedTable) forget(token directory.Token) {
+func (s *responseTimeTable) forget(token directory.Token) {
 	delete(s.told, token)
 	delete(s.heard, token)
 	s.isStale = true
 }
 
 // setOrder makes the order anew. A long one is left as it is until it is told whole.
-func (s *speedTable) setOrder() {
+func (s *responseTimeTable) setOrder() {
 	isLong := len(s.order) > toldAtOnce
 	if !s.isStale || isLong && s.nodeTurn != 0 {
 		return
@@ -335,7 +335,7 @@
 }
 
 // repeated returns the part of all that is told which is due again, from a turn on.
-func (s *speedTable) repeated(turn *int) []speed.Told {
+func (s *responseTimeTable) repeated(turn *int) []speed.Told {
 	due := min(len(s.order)*int(speedInterval)/int(speedRepeat)+1, toldAtOnce)
 	from := min(*turn, len(s.order))
 	to := min(from+due, len(s.order))
@@ -346,7 +346,7 @@
 	return s.list(s.order[from:to])
 }
 
-func (s *speedTable) list(tokens []directory.Token) []speed.Told {
+func (s *responseTimeTable) list(tokens []directory.Token) []speed.Told {
 	var list []speed.Told
 	for _, token := range tokens {
 		list = append(list, speed.Told{Token: token, Step: s.told[token]})
--- a/internal/registry/speeds_test.go
+++ b/internal/registry/speeds_test.go
@@ -53,7 +53,7 @@
 			}
 			m := b.reporters[node%len(b.reporters)]
 			if m.up {
-				m.core.ObserveSpeeds(b.now, b.open(m, node), words)
+				m.core.RecordResponseTimes(b.now, b.open(m, node), words)
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 		for _, target := range b.targets[:6] {
 			words = append(words, speed.Word{Token: target.Token, Sums: speed.Sums{Count: 8000, Total: 16000, Squares: 32000}})
 		}
-		m.core.ObserveSpeeds(b.now, b.open(m, nodesOfBench), words)
+		m.core.RecordResponseTimes(b.now, b.open(m, nodesOfBench), words)
 		b.learn(speedInterval)
 	}
 	for _, target := range b.targets[:6] {
@@ -226,7 +226,7 @@
 	b := newSpeedBench(t)
 	m := b.reporters[0]
 	for token := range directory.Token(10_000) {
-		m.core.ObserveSpeeds(b.now, b.open(m, 1), []speed.Word{{Token: token, Sums: speed.Sums{Count: 1}}})
+		m.core.RecordResponseTimes(b.now, b.open(m, 1), []speed.Word{{Token: token, Sums: speed.Sums{Count: 1}}})
 	}
 	assert.Empty(t, m.core.speeds.nodes.Tokens())
 }
--- a/internal/registry/start_test.go
+++ b/internal/registry/start_test.go
@@ -64,7 +64,7 @@
 	t.Helper()
 	token := func() directory.Token { target, _ := m.core.State().Target("i-1"); return target.Token }()
 	seen := m.core.liveness.sighting(token).heardAt
-	m.core.Heard(c.now, late.Target.Start())
+	m.core.RecordHeartbeat(c.now, late.Target.Start())
 	assert.Equal(t, seen, m.core.liveness.sighting(token).heardAt, "no sign of life of the later start")
 	require.False(t, m.core.Holds(late.Target))
 	_, _, err := m.core.Register(c.now, late.Target)
--- a/internal/registry/startfaults_test.go
+++ b/internal/registry/startfaults_test.go
@@ -41,7 +41,7 @@
 // say hands a word to a member as its process does.
 func (r *startRun) say(m *machine, command directory.Command) {
 	if command.Kind == directory.CommandPutTarget {
-		m.core.Heard(r.now, command.Target.Start())
+		m.core.RecordHeartbeat(r.now, command.Target.Start())
 		if m.core.Holds(command.Target) {
 			return
 		}
--- a/internal/registry/streams.go
+++ b/internal/registry/streams.go
@@ -40,7 +40,7 @@
 			return
 		}
 		if frame.Kind == wire.FrameOrder {
-			p.serveOrder(connection, frame)
+			p.serveOperatorRequest(connection, frame)
 			return
 		}
 		if frame.Kind == wire.FrameEcho {
@@ -108,7 +108,7 @@
 	case wire.FrameEvidence:
 		p.receiveEvidence(connection, frame)
 	case wire.FrameRoom:
-		p.receiveWord(connection, frame)
+		p.receiveLinkReport(connection, frame)
 	case wire.FrameSpeeds:
 		p.receiveSpeeds(connection, frame)
 	case wire.FrameSubscribe:
@@ -145,7 +145,7 @@
 
 func (i speedsInput) handle(p *Process, now kernel.Instant) Output {
 	if p.core != nil {
-		p.core.ObserveSpeeds(now, i.connection, i.words)
+		p.core.RecordResponseTimes(now, i.connection, i.words)
 	}
 	return Output{}
 }
@@ -157,7 +157,7 @@
 
 func (i evidenceInput) handle(p *Process, now kernel.Instant) Output {
 	if p.core != nil {
-		p.core.Observe(now, i.connection, i.evidence)
+		p.core.RecordEvidence(now, i.connection, i.evidence)
 	}
 	return Output{}
 }
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -28,8 +28,8 @@
 	bounded map[string]bool
 }
 
-// Restate takes another strength of a node that follows this member.
-func (c *Core) Restate(connection ConnectionID, stated strength.Strength) Output {
+// UpdateStrength takes another strength of a node that follows this member.
+func (c *Core) UpdateStrength(connection ConnectionID, stated strength.Strength) Output {
 	node, follows := c.nodes[connection]
 	if !follows || node.strength == stated {
 		return c.take()
@@ -124,5 +124,5 @@
 	if p.core == nil {
 		return Output{}
 	}
-	return p.core.Restate(i.connection, i.stated)
+	return p.core.UpdateStrength(i.connection, i.stated)
 }
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -77,7 +77,7 @@
 	for number := range before {
 		before[number] = leader.core.stewards(fmt.Sprint("i-", number), 2, 2)
 	}
-	c.take(leader, leader.core.Restate(6, strength.Strength{Share: 0.15}))
+	c.take(leader, leader.core.UpdateStrength(6, strength.Strength{Share: 0.15}))
 	for number := range before {
 		after := leader.core.stewards(fmt.Sprint("i-", number), 2, 2)
 		for _, steward := range before[number] {
@@ -87,8 +87,8 @@
 		}
 	}
 	assert.Equal(t, 1, c.events[eventlog.StrengthChanged])
-	c.take(leader, leader.core.Restate(6, strength.Strength{Share: 0.15}))
-	c.take(leader, leader.core.Restate(99, strength.Strength{Share: 0.15}))
+	c.take(leader, leader.core.UpdateStrength(6, strength.Strength{Share: 0.15}))
+	c.take(leader, leader.core.UpdateStrength(99, strength.Strength{Share: 0.15}))
 	assert.Equal(t, 1, c.events[eventlog.StrengthChanged], "the same word, and one of no node")
 }
 
@@ -124,7 +124,7 @@
 			case 1:
 				core.Close(connection)
 			case 2:
-				core.Restate(connection, stated)
+				core.UpdateStrength(connection, stated)
 			}
 			names := map[uint32]bool{}
 			for _, node := range core.nodes {
--- a/internal/registry/targetorder.go
+++ b/internal/registry/targetorder.go
@@ -13,8 +13,8 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// TargetShare is one target, as an operator sees it.
-type TargetShare struct {
+// TargetStatus is one target, as an operator sees it.
+type TargetStatus struct {
 	ID, Service, Zone string
 	Slots             uint32
 	// Rule is what was ordered about it.
@@ -24,14 +24,14 @@
 }
 
 // isPlain reports whether there is nothing to say of the target.
-func (t TargetShare) isPlain() bool {
+func (t TargetStatus) isPlain() bool {
 	return t.Rule == directory.RuleJudged && !t.Ejected && !t.Probation
 }
 
 // smallestTargetShare is the encoded size in bytes of a target without names.
 const smallestTargetShare = 19
 
-func encodeTargetShares(encoder *wire.Encoder, targets []TargetShare) {
+func encodeTargetShares(encoder *wire.Encoder, targets []TargetStatus) {
 	encoder.Uint32(uint32(len(targets)))
 	for _, target := range targets {
 		encoder.String(target.ID)
@@ -44,10 +44,10 @@
 	}
 }
 
-func decodeTargetShares(decoder *wire.Decoder) []TargetShare {
-	var targets []TargetShare
+func decodeTargetShares(decoder *wire.Decoder) []TargetStatus {
+	var targets []TargetStatus
 	for count := decoder.Count(smallestTargetShare); count > 0; count-- {
-		targets = append(targets, TargetShare{
+		targets = append(targets, TargetStatus{
 			ID: decoder.String(), Service: decoder.String(), Zone: decoder.String(), Slots: decoder.Uint32(),
 			Rule: directory.TargetRule(decoder.Uint8()), Ejected: decoder.Bool(), Probation: decoder.Bool(),
 		})
@@ -55,10 +55,10 @@
 	return targets
 }
 
-// OrderTarget says whether a target is judged, ejected or exempt. It returns once a
+// SetTargetRule says whether a target is judged, ejected or exempt. It returns once a
 // quorum has the order on disk. An order that has been overtaken by another one since
 // it came fails; what holds may be another one then.
-func (p *Process) OrderTarget(ctx context.Context, id string, rule directory.TargetRule) error {
+func (p *Process) SetTargetRule(ctx context.Context, id string, rule directory.TargetRule) error {
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
 		order := directory.TargetOrder{ID: id, Rule: rule, Revision: core.State().TargetOrder(id).Revision}
 		return core.Submit(now, directory.Command{Kind: directory.CommandOrderTarget, TargetOrder: order})
@@ -82,14 +82,14 @@
 
 // targetShares returns the targets of which there is something to say, and the one with
 // an ID.
-func (c *Core) targetShares(id string) []TargetShare {
+func (c *Core) targetShares(id string) []TargetStatus {
 	verdicts := c.liveness.verdicts.Verdicts
-	var targets []TargetShare
+	var targets []TargetStatus
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.State != directory.TargetReady {
 			return
 		}
-		share := TargetShare{ID: target.ID, Service: target.Service, Zone: target.Zone, Slots: target.Slots}
+		share := TargetStatus{ID: target.ID, Service: target.Service, Zone: target.Zone, Slots: target.Slots}
 		share.Rule = c.state.TargetOrder(target.ID).Rule
 		// The next verdicts, within livenessInterval, say what was just ordered.
 		share.Ejected = slices.Contains(verdicts.Ejected, target.Token) || share.Rule == directory.RuleEjected
@@ -98,7 +98,7 @@
 			targets = append(targets, share)
 		}
 	})
-	slices.SortFunc(targets, func(a, b TargetShare) int {
+	slices.SortFunc(targets, func(a, b TargetStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.ID, b.ID))
 	})
 	return targets
@@ -107,14 +107,14 @@
 // DryRunTarget works out what the ejection of a target would do, by what a member told,
 // and what to beware of. It is false when the target is not among those that take new
 // flows.
-func DryRunTarget(reply OrderReply, id string) (effect Effect, warnings []string, known bool) {
-	position := slices.IndexFunc(reply.Targets, func(target TargetShare) bool { return target.ID == id })
+func DryRunTarget(reply OperatorResponse, id string) (effect ShareChange, warnings []string, known bool) {
+	position := slices.IndexFunc(reply.Targets, func(target TargetStatus) bool { return target.ID == id })
 	if position < 0 {
-		return Effect{}, nil, false
+		return ShareChange{}, nil, false
 	}
 	chosen := reply.Targets[position]
 	var total, out uint32
-	for _, share := range reply.Shares {
+	for _, share := range reply.Zones {
 		if share.Service == chosen.Service && !share.Evacuated {
 			total += share.Slots
 		}
@@ -126,7 +126,7 @@
 	}
 	before := max(total, out) - out
 	after := max(before, chosen.Slots) - chosen.Slots
-	effect = Effect{Service: chosen.Service, Zone: chosen.Zone, Before: part(before, total), After: part(after, total)}
+	effect = ShareChange{Service: chosen.Service, Zone: chosen.Zone, Before: part(before, total), After: part(after, total)}
 	switch {
 	case chosen.Ejected:
 		warnings = append(warnings, fmt.Sprintf("target %s is ejected already", id))
--- a/internal/registry/targetorder_test.go
+++ b/internal/registry/targetorder_test.go
@@ -29,33 +29,33 @@
 			return err == nil
 		}, 10*time.Second, 20*time.Millisecond)
 	}
-	ejected := order(t, address, Order{Kind: OrderEjectTarget, Target: "i-1"}).Targets
-	expected := TargetShare{ID: "i-1", Service: "booking", Zone: "north", Slots: 2, Rule: directory.RuleEjected, Ejected: true}
-	assert.Equal(t, []TargetShare{expected}, ejected)
-	assert.Equal(t, ejected, order(t, address, Order{}).Targets, "listed")
-	exempt := order(t, address, Order{Kind: OrderExemptTarget, Target: "i-1"}).Targets
+	ejected := order(t, address, OperatorRequest{Action: ActionEjectTarget, Target: "i-1"}).Targets
+	expected := TargetStatus{ID: "i-1", Service: "booking", Zone: "north", Slots: 2, Rule: directory.RuleEjected, Ejected: true}
+	assert.Equal(t, []TargetStatus{expected}, ejected)
+	assert.Equal(t, ejected, order(t, address, OperatorRequest{}).Targets, "listed")
+	exempt := order(t, address, OperatorRequest{Action: ActionExemptTarget, Target: "i-1"}).Targets
 	require.Len(t, exempt, 1)
 	assert.Equal(t, directory.RuleExempt, exempt[0].Rule)
-	order(t, address, Order{Kind: OrderReadmitTarget, Target: "i-1"})
-	readmitted := func() bool { return len(order(t, address, Order{}).Targets) == 0 }
+	order(t, address, OperatorRequest{Action: ActionReadmitTarget, Target: "i-1"})
+	readmitted := func() bool { return len(order(t, address, OperatorRequest{}).Targets) == 0 }
 	assert.Eventually(t, readmitted, 5*time.Second, 20*time.Millisecond, "with the next verdicts")
-	assert.Len(t, order(t, address, Order{Target: "i-2"}).Targets, 1, "named, though as usual")
-	refused := order(t, address, Order{Kind: OrderEjectTarget, Target: "i-9"})
-	assert.True(t, refused.Refused)
-	assert.Equal(t, `target: "i-9" is not known or has ended`, refused.Problem)
+	assert.Len(t, order(t, address, OperatorRequest{Target: "i-2"}).Targets, 1, "named, though as usual")
+	refused := order(t, address, OperatorRequest{Action: ActionEjectTarget, Target: "i-9"})
+	assert.True(t, refused.Rejected)
+	assert.Equal(t, `target: "i-9" is not known or has ended`, refused.Error)
 }
 
 func TestADryRunTellsWhatTheOtherTargetsBear(t *testing.T) {
-	reply := OrderReply{
-		Shares: []ZoneShare{{Zone: "a", Service: "one", Slots: 6}, {Zone: "b", Service: "one", Slots: 6}, {Zone: "c", Service: "one", Slots: 9, Evacuated: true}},
-		Targets: []TargetShare{
+	reply := OperatorResponse{
+		Zones: []ZoneStatus{{Zone: "a", Service: "one", Slots: 6}, {Zone: "b", Service: "one", Slots: 6}, {Zone: "c", Service: "one", Slots: 9, Evacuated: true}},
+		Targets: []TargetStatus{
 			{ID: "i-1", Service: "one", Slots: 2}, {ID: "i-2", Service: "one", Slots: 4, Ejected: true}, {ID: "i-3", Service: "one", Slots: 8},
 			{ID: "i-4", Service: "two", Slots: 9, Ejected: true},
 		},
 	}
 	effect, warnings, known := DryRunTarget(reply, "i-1")
 	require.True(t, known)
-	assert.Equal(t, Effect{Service: "one", Before: 8.0 / 12, After: 6.0 / 12}, effect)
+	assert.Equal(t, ShareChange{Service: "one", Before: 8.0 / 12, After: 6.0 / 12}, effect)
 	assert.Empty(t, warnings)
 	_, warnings, _ = DryRunTarget(reply, "i-3")
 	assert.Equal(t, []string{"service one has no other targets: its callers are sent to ejected ones"}, warnings)
@@ -142,11 +142,11 @@
 // Orders and answers of versions that knew none about targets are read.
 func TestOrdersWithoutTargetsAreRead(t *testing.T) {
 	const emptyField = 4
-	payload := Order{Kind: OrderEvacuate, Zone: "north"}.frame().Payload
+	payload := OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}.frame().Payload
 	decoded, err := decodeOrder(payload[:len(payload)-emptyField])
 	require.NoError(t, err)
-	assert.Equal(t, Order{Kind: OrderEvacuate, Zone: "north"}, decoded)
-	reply := OrderReply{Shares: []ZoneShare{{Zone: "a", Service: "b"}}}
+	assert.Equal(t, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}, decoded)
+	reply := OperatorResponse{Zones: []ZoneStatus{{Zone: "a", Service: "b"}}}
 	payload = reply.frame().Payload
 	read, err := decodeOrderReply(payload[:len(payload)-emptyField])
 	require.NoError(t, err)
--- a/internal/registry/uploads_test.go
+++ b/internal/registry/uploads_test.go
@@ -156,7 +156,7 @@
 	if b.dead[target.Token] {
 		return
 	}
-	b.follower.core.Heard(b.now, target.Start())
+	b.follower.core.RecordHeartbeat(b.now, target.Start())
 	b.after(uploadBeat, func() { b.beat(target) })
 }
 
@@ -171,7 +171,7 @@
 	if b.judged {
 		message.Outcomes = evidence.Outcomes
 	}
-	b.follower.core.Observe(b.now, node.connection, message)
+	b.follower.core.RecordEvidence(b.now, node.connection, message)
 	b.after(livenessInterval, func() { b.report(node) })
 }
 
--- a/internal/registry/versions_test.go
+++ b/internal/registry/versions_test.go
@@ -120,22 +120,22 @@
 		}, 10*time.Second, 20*time.Millisecond)
 	}
 	v1, v2 := directory.ServiceVersion{Service: "booking", Version: "v1"}, directory.ServiceVersion{Service: "booking", Version: "v2"}
-	listed := order(t, address, Order{})
-	assert.Equal(t, []VersionShare{{ServiceVersion: v1, Targets: 2, Slots: 4}, {ServiceVersion: v2, Targets: 1, Slots: 2}}, listed.Versions)
+	listed := order(t, address, OperatorRequest{})
+	assert.Equal(t, []VersionStatus{{ServiceVersion: v1, Targets: 2, Slots: 4}, {ServiceVersion: v2, Targets: 1, Slots: 2}}, listed.Versions)
 	effect, warnings, known := DryRunVersion(listed, v1)
 	assert.True(t, known)
-	assert.Equal(t, Effect{Service: "booking", Before: 1, After: 0.5}, effect)
+	assert.Equal(t, ShareChange{Service: "booking", Before: 1, After: 0.5}, effect)
 	assert.Equal(t, []string{"service booking: the others bear 2.0 times as much"}, warnings)
-	held := order(t, address, Order{Kind: OrderHoldVersion, Version: v2})
+	held := order(t, address, OperatorRequest{Action: ActionHoldVersion, Version: v2})
 	require.Len(t, held.Versions, 2)
 	assert.Equal(t, directory.VersionHeld, held.Versions[1].Rule)
-	out := func() uint32 { return order(t, address, Order{}).Versions[1].Out }
+	out := func() uint32 { return order(t, address, OperatorRequest{}).Versions[1].Ejected }
 	assert.Eventually(t, func() bool { return out() == 1 }, 5*time.Second, 20*time.Millisecond, "with the next verdicts")
-	order(t, address, Order{Kind: OrderJudgeVersion, Version: v2})
+	order(t, address, OperatorRequest{Action: ActionJudgeVersion, Version: v2})
 	assert.Eventually(t, func() bool { return out() == 0 }, 5*time.Second, 20*time.Millisecond)
-	refused := order(t, address, Order{Kind: OrderHoldVersion, Version: directory.ServiceVersion{Service: "booking", Version: "v9"}})
-	assert.True(t, refused.Refused)
-	assert.Equal(t, `version: "v9" of service "booking" has no targets`, refused.Problem)
+	refused := order(t, address, OperatorRequest{Action: ActionHoldVersion, Version: directory.ServiceVersion{Service: "booking", Version: "v9"}})
+	assert.True(t, refused.Rejected)
+	assert.Equal(t, `version: "v9" of service "booking" has no targets`, refused.Error)
 	_, _, known = DryRunVersion(listed, directory.ServiceVersion{Service: "booking", Version: "v9"})
 	assert.False(t, known)
 }
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -12,8 +12,8 @@
 	"github.com/beamdoor/beamdoor/internal/rendezvous"
 )
 
-// Warmth is what is stated about the cold targets of a service.
-type Warmth struct {
+// WarmupConfig is what is stated about the cold targets of a service.
+type WarmupConfig struct {
 	// Time is how long a target is cold after its start.
 	Time time.Duration
 	// Rate is the number of requests that a cold target bears in a second; 0 where
@@ -30,7 +30,7 @@
 
 // Validate returns a directory.Problem when a value cannot be meant. The fields are
 // those of the service that states them.
-func (w Warmth) Validate(timeField, rateField string) error {
+func (w WarmupConfig) Validate(timeField, rateField string) error {
 	if w.Time < 0 || w.Time > maxWarmupTime {
 		return directory.NewProblem(timeField, w.Time, fmt.Sprintf("must be from 0 to %v", maxWarmupTime))
 	}
@@ -42,7 +42,7 @@
 
 // WarmupLimits bound what a cold target may be sent in a second to Over times the
 // rate that it bears, and Slack beyond that.
-type WarmupLimits struct{ Over, Slack float64 }
+type WarmupLimits struct{ Factor, Slack float64 }
 
 const (
 	// maxStewards is the number of nodes that share the budget of a target. Each is
@@ -105,8 +105,8 @@
 	return warmup.Left - now.Sub(since)
 }
 
-// noteWarmup enters what a command has just made cold.
-func (c *Core) noteWarmup(now kernel.Instant, command directory.Command, result directory.Result) {
+// recordWarmup enters what a command has just made cold.
+func (c *Core) recordWarmup(now kernel.Instant, command directory.Command, result directory.Result) {
 	if c.state.Revision() != result.Revision {
 		return
 	}
@@ -120,9 +120,9 @@
 	}
 }
 
-// forNode leaves out of an update what nodes need not know: the warm-up of targets
+// adjustWarmups leaves out of an update what nodes need not know: the warm-up of targets
 // that are warm by now. A node counts the time that is left from when it is told.
-func (c *Core) forNode(now kernel.Instant, update directory.Update) directory.Update {
+func (c *Core) adjustWarmups(now kernel.Instant, update directory.Update) directory.Update {
 	for position, target := range update.Targets {
 		if target.Warmup == nil {
 			continue
@@ -147,16 +147,16 @@
 	return update
 }
 
-// warmupOf returns the warm-up of a target that is cold, with its budget and stewards.
-func (c *Core) warmupOf(target directory.Target) *directory.Warmup {
+// newWarmup returns the warm-up of a target that is cold, with its budget and stewards.
+func (c *Core) newWarmup(target directory.Target) *directory.Warmup {
 	warmup := directory.Warmup{Left: target.Warmup.Left, Budget: c.budget(c.warmthOf(target.Service))}
 	warmup.Stewards = c.stewards(target.ID, warmup.Budget, maxStewards)
 	return &warmup
 }
 
-// OrderFor returns the order that begins or ends the evacuation of a zone, given on
+// PrepareEvacuation returns the order that begins or ends the evacuation of a zone, given on
 // what this member knows.
-func (c *Core) OrderFor(zone string, active bool) directory.Evacuation {
+func (c *Core) PrepareEvacuation(zone string, active bool) directory.Evacuation {
 	order := directory.Evacuation{Zone: zone, Active: active, Revision: c.state.Evacuation(zone).Revision}
 	if active {
 		return order
@@ -185,9 +185,9 @@
 }
 
 // warmthOf returns what the configuration states about a service's cold targets.
-func (c *Core) warmthOf(name string) Warmth {
+func (c *Core) warmthOf(name string) WarmupConfig {
 	if c.settings.WarmthOf == nil {
-		return Warmth{}
+		return WarmupConfig{}
 	}
 	for _, service := range c.state.Configuration().Services {
 		if service.Name != name {
@@ -196,21 +196,21 @@
 		warmth, err := c.settings.WarmthOf(service)
 		if err != nil {
 			c.log(eventlog.WarmthUnreadable, "service", name, "err", err)
-			return Warmth{}
+			return WarmupConfig{}
 		}
 		return warmth
 	}
-	return Warmth{}
+	return WarmupConfig{}
 }
 
 // budget returns the number of new flows that a cold target gets in a second at
 // most: what it bears, and one at least so that it is used at all, within the
 // limits. It is 0 where no rate is stated.
-func (c *Core) budget(warmth Warmth) uint32 {
+func (c *Core) budget(warmth WarmupConfig) uint32 {
 	if warmth.Rate <= 0 {
 		return 0
 	}
-	bound := warmth.Rate*c.settings.WarmupLimits.Over + c.settings.WarmupLimits.Slack
+	bound := warmth.Rate*c.settings.WarmupLimits.Factor + c.settings.WarmupLimits.Slack
 	return uint32(max(1, min(bound, warmth.Rate)))
 }
 
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -26,23 +26,25 @@
 	}
 	for _, test := range cases {
 		core := &Core{settings: CoreSettings{WarmupLimits: test.limits}}
-		assert.Equal(t, test.budget, core.budget(Warmth{Rate: test.rate}), "%+v", test)
+		assert.Equal(t, test.budget, core.budget(WarmupConfig{Rate: test.rate}), "%+v", test)
 	}
 }
 
 func TestAWarmUpThatCannotBeMeantIsRefused(t *testing.T) {
-	assert.NoError(t, Warmth{Time: time.Second, Rate: 100}.Validate("time", "rate"))
-	assert.ErrorContains(t, Warmth{Time: -1}.Validate("time", "rate"), "time: ")
-	assert.ErrorContains(t, Warmth{Time: 2 * time.Hour}.Validate("time", "rate"), "time: ")
-	assert.ErrorContains(t, Warmth{Rate: -1}.Validate("time", "rate"), "rate: -1: must be")
-	assert.ErrorContains(t, Warmth{Rate: 1e9}.Validate("time", "rate"), "rate: ")
+	assert.NoError(t, WarmupConfig{Time: time.Second, Rate: 100}.Validate("time", "rate"))
+	assert.ErrorContains(t, WarmupConfig{Time: -1}.Validate("time", "rate"), "time: ")
+	assert.ErrorContains(t, WarmupConfig{Time: 2 * time.Hour}.Validate("time", "rate"), "time: ")
+	assert.ErrorContains(t, WarmupConfig{Rate: -1}.Validate("time", "rate"), "rate: -1: must be")
+	assert.ErrorContains(t, WarmupConfig{Rate: 1e9}.Validate("time", "rate"), "rate: ")
 }
 
 // withNodes returns a leader that some nodes follow and that states a rate.
 func withNodes(c *cluster, nodes int) *machine {
 	leader := c.waitForLeader()
-	leader.core.settings.WarmupLimits = WarmupLimits{Over: 1.5, Slack: 5}
-	leader.core.settings.WarmthOf = func(directory.Service) (Warmth, error) { return Warmth{Time: 2 * time.Second, Rate: 3}, nil }
+	leader.core.settings.WarmupLimits = WarmupLimits{Factor: 1.5, Slack: 5}
+	leader.core.settings.WarmthOf = func(directory.Service) (WarmupConfig, error) {
+		return WarmupConfig{Time: 2 * time.Second, Rate: 3}, nil
+	}
 	next := directory.Configuration{Version: 1, Services: []directory.Service{{Name: "booking"}}}
 	edit := directory.Difference(leader.core.State().Configuration(), next)
 	require.NoError(c, c.submit(leader, directory.Command{Kind: directory.CommandPublish, Edit: edit}).Err)
@@ -57,18 +59,18 @@
 	leader := withNodes(c, 10)
 	command := put("i-1", "10.1.1.1:1", directory.TargetReady)
 	command.Target.Warmup = &directory.Warmup{Left: time.Second}
-	command.Target.Warmup = leader.core.warmupOf(command.Target)
+	command.Target.Warmup = leader.core.newWarmup(command.Target)
 	require.Equal(t, uint32(3), command.Target.Warmup.Budget)
 	require.Len(t, command.Target.Warmup.Stewards, 3)
 	require.NoError(t, c.submit(leader, command).Err)
-	first := leader.core.forNode(c.now, leader.core.State().Since(0))
+	first := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
 	require.NotNil(t, first.Targets[0].Warmup)
 	assert.LessOrEqual(t, first.Targets[0].Warmup.Left, time.Second)
 	c.run(500 * time.Millisecond)
-	later := leader.core.forNode(c.now, leader.core.State().Since(0))
+	later := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
 	assert.Less(t, later.Targets[0].Warmup.Left, 600*time.Millisecond, "a node counts from when it is told")
 	c.run(time.Second)
-	assert.Nil(t, leader.core.forNode(c.now, leader.core.State().Since(0)).Targets[0].Warmup, "it is warm")
+	assert.Nil(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Targets[0].Warmup, "it is warm")
 }
 
 // A member that has just started does not know how old the registrations on its disk
@@ -87,9 +89,9 @@
 		c.start(name)
 	}
 	core := c.waitForLeader().core
-	require.NotNil(t, core.forNode(c.now, core.State().Since(0)).Targets[0].Warmup)
+	require.NotNil(t, core.adjustWarmups(c.now, core.State().Since(0)).Targets[0].Warmup)
 	c.run(2 * time.Second)
-	assert.Nil(t, core.forNode(c.now, core.State().Since(0)).Targets[0].Warmup)
+	assert.Nil(t, core.adjustWarmups(c.now, core.State().Since(0)).Targets[0].Warmup)
 }
 
 func TestAZoneThatIsTakenBackTellsTheWarmUpOfItsServices(t *testing.T) {
@@ -102,14 +104,14 @@
 	base := leader.core.State().Evacuation("north").Revision
 	order := leader.core.takeBack(directory.Evacuation{Zone: "north", Revision: base})
 	require.NoError(t, c.submit(leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order}).Err)
-	update := leader.core.forNode(c.now, leader.core.State().Since(0))
+	update := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
 	require.Len(t, update.Evacuations, 1)
 	warmup, known := update.Evacuations[0].Warmup("booking")
 	require.True(t, known)
 	assert.Equal(t, uint32(3), warmup.Budget)
 	assert.Len(t, warmup.Stewards, 3)
 	c.run(3 * time.Second)
-	assert.Empty(t, leader.core.forNode(c.now, leader.core.State().Since(0)).Evacuations[0].Warmups)
+	assert.Empty(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Evacuations[0].Warmups)
 }
 
 func TestTheTableOfColdTargetsForgetsWarmOnes(t *testing.T) {
--- a/internal/registry/zones.go
+++ b/internal/registry/zones.go
@@ -34,9 +34,9 @@
 	return voters
 }
 
-// isMisplaced reports whether a learner would vote better than a voter of another
+// improvesZoneSpread reports whether a learner would vote better than a voter of another
 // zone: its own has far fewer voters.
-func (c *Core) isMisplaced(membership raft.Membership, learner raft.MemberID) bool {
+func (c *Core) improvesZoneSpread(membership raft.Membership, learner raft.MemberID) bool {
 	if c.settings.LostZones == 0 {
 		return false
 	}
@@ -45,9 +45,9 @@
 	return most-voters[c.zoneOf(learner)] >= spreadTolerance
 }
 
-// crowdedVoter returns a voter of the zone with the most voters, of several the one
+// voterInLargestZone returns a voter of the zone with the most voters, of several the one
 // that joined last. It is never this leader itself.
-func (c *Core) crowdedVoter(membership raft.Membership) raft.MemberID {
+func (c *Core) voterInLargestZone(membership raft.Membership) raft.MemberID {
 	voters := c.votersByZone(membership)
 	crowded := raft.NoMember
 	for _, id := range slices.Sorted(slices.Values(membership.Voters)) {
@@ -61,9 +61,9 @@
 	return crowded
 }
 
-// BearsLostZones reports whether a quorum of the voters is left when the
+// ToleratesZoneLoss reports whether a quorum of the voters is left when the
 // LostZones zones with the most voters are lost.
-func (c *Core) BearsLostZones() bool {
+func (c *Core) ToleratesZoneLoss() bool {
 	if c.settings.LostZones == 0 || c.replica.Node == nil {
 		return true
 	}
@@ -77,10 +77,10 @@
 	return len(membership.Voters)-lost >= membership.Quorum()
 }
 
-// watchZones writes an event when the loss of zones would begin or cease to stop
+// logZoneTolerance writes an event when the loss of zones would begin or cease to stop
 // the group.
-func (c *Core) watchZones() {
-	if !c.IsLeader() || c.groupSize.exposed == !c.BearsLostZones() {
+func (c *Core) logZoneTolerance() {
+	if !c.IsLeader() || c.groupSize.exposed == !c.ToleratesZoneLoss() {
 		return
 	}
 	c.groupSize.exposed = !c.groupSize.exposed
--- a/internal/registry/zones_test.go
+++ b/internal/registry/zones_test.go
@@ -51,7 +51,7 @@
 func (c *cluster) waitForSpread() {
 	c.runUntil(15*time.Second, "the voters are spread", func() bool {
 		leader := c.leader()
-		return leader != nil && len(c.voters()) == c.wanted && leader.core.BearsLostZones()
+		return leader != nil && len(c.voters()) == c.wanted && leader.core.ToleratesZoneLoss()
 	})
 }
 
@@ -140,7 +140,7 @@
 	c.runUntil(15*time.Second, "the voters are spread", func() bool {
 		least = min(least, len(c.voters()))
 		leader := c.leader()
-		return leader != nil && len(c.voters()) == 5 && leader.core.BearsLostZones()
+		return leader != nil && len(c.voters()) == 5 && leader.core.ToleratesZoneLoss()
 	})
 	assert.Equal(t, 5, least)
 	assert.Positive(t, c.events[eventlog.ZoneToleranceChanged])
@@ -155,6 +155,6 @@
 	}
 	leader := c.waitForLeader()
 	c.run(time.Second)
-	assert.False(t, leader.core.BearsLostZones(), "all stand in one zone")
+	assert.False(t, leader.core.ToleratesZoneLoss(), "all stand in one zone")
 	assert.Positive(t, c.events[eventlog.ZoneToleranceChanged])
 }
