--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -13,7 +13,7 @@
 
 // heartbeat hands a heartbeat to a member as its process does.
 func (c *cluster) heartbeat(m *machine, command directory.Command) {
-	m.core.Heard(c.now, command.Target.Start())
+	m.core.RecordHeartbeat(c.now, command.Target.Start())
 	if m.core.IsRegistered(command.Target) {
 		return
 	}
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -84,7 +84,7 @@
 // observe copies the state of the core.
 func (m *metrics) observe(core *Core) {
 	m.leader.Set(gaugeValue(core.IsLeader()))
-	m.bearsLostZones.Set(gaugeValue(core.BearsLostZones()))
+	m.bearsLostZones.Set(gaugeValue(core.ToleratesZoneLoss()))
 	m.term.Set(float64(core.replica.Term))
 	m.revision.Set(float64(core.state.Revision()))
 	m.version.Set(float64(core.state.Configuration().Version))
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -211,7 +211,7 @@
 	if p.core != nil {
 		p.refreshHeartbeats(p.core.State())
 		p.refreshReferrals(p.core)
-		p.watchDisk()
+		p.checkDiskUsage()
 		p.announcer.announceIfDue(p.now(), p.core)
 	}
 }
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -31,7 +31,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			now := kernel.Instant(time.Hour)
-			seen := &targetStatus{silences: map[string]silence{}, lastHeartbeat: now.Add(-test.quiet)}
+			seen := &targetStatus{silences: map[string]silenceReport{}, lastHeartbeat: now.Add(-test.quiet)}
 			for number := range test.nodes {
 				seen.noteSilence(now, address(number), test.seen.FromSingleNode())
 			}
