--- a/internal/registry/ghost_test.go
+++ b/internal/registry/addressconflict_test.go
@@ -32,7 +32,7 @@
 
 // A process crashed behind a cut before anybody had heard of it; another one registered
 // at its address. The first heartbeats of the first one come late, several of them.
-func TestALateFirstHeartbeatDoesNotEndTheTargetAtItsAddress(t *testing.T) {
+func TestLateFirstHeartbeatDoesNotEvictAddressHolder(t *testing.T) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 900 * time.Millisecond, 2900 * time.Millisecond, 6 * time.Second} {
 		for member := range 3 {
 			c := newCluster(t, 3, 3)
@@ -57,7 +57,7 @@
 
 // A target that has crashed leaves its address to the next one as soon as it has missed
 // a heartbeat; one that leaves, or that a new leader has not heard, at once.
-func TestATargetTakesTheAddressOfOneThatIsGone(t *testing.T) {
+func TestAddressOfGoneTargetIsReused(t *testing.T) {
 	cases := map[string]func(c *cluster, leader *machine){
 		"crashed": func(c *cluster, _ *machine) { c.run(addressHoldTime) },
 		"left": func(c *cluster, leader *machine) {
--- a/internal/registry/announcer.go
+++ b/internal/registry/announcer.go
@@ -52,13 +52,13 @@
 	announcing atomic.Bool
 
 	mutex sync.Mutex
-	// own are the nodes that have followed this member since its start, and since those
+	// subscribers are the nodes that have followed this member since its start, and since those
 	// and the ones that others have told of.
-	own, since *roster
+	subscribers, recentNodes *roster
 }
 
 func newAnnouncer(process *Process) *announcer {
-	return &announcer{process: process, queue: ring.New[rosterEntry](rosterCapacity), own: newRoster(nil), since: newRoster(nil)}
+	return &announcer{process: process, queue: ring.New[rosterEntry](rosterCapacity), subscribers: newRoster(nil), recentNodes: newRoster(nil)}
 }
 
 // rosterEntry tells where a node takes announcements.
@@ -90,7 +90,7 @@
 func (a *announcer) isRecorded(address string) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.since.addresses[address]
+	return a.recentNodes.addresses[address]
 }
 
 // load reads the nodes of the last life. Without them, nodes find this member by the
@@ -134,7 +134,7 @@
 		}
 		if time.Since(started) > previousNodesTTL {
 			a.mutex.Lock()
-			all.retain(a.since.addresses)
+			all.retain(a.recentNodes.addresses)
 			a.mutex.Unlock()
 		}
 		a.save(all)
@@ -148,9 +148,9 @@
 func (a *announcer) record(node rosterEntry) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.since.add(node.address)
+	a.recentNodes.add(node.address)
 	if node.own {
-		a.own.add(node.address)
+		a.subscribers.add(node.address)
 	}
 }
 
@@ -159,7 +159,7 @@
 func (a *announcer) runRosterSharing() {
 	for a.wait(rosterShareInterval) {
 		a.mutex.Lock()
-		own := a.own.list()
+		own := a.subscribers.list()
 		a.mutex.Unlock()
 		if len(own) > 0 {
 			a.process.inputs.TryPush(shareRosterInput{frame: wire.Frame{Kind: wire.FrameRoster, Payload: encodeRoster(own)}})
--- a/internal/registry/announcer_test.go
+++ b/internal/registry/announcer_test.go
@@ -17,7 +17,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-func TestARosterIsBoundedAndForgetsNodes(t *testing.T) {
+func TestRosterEvictsOldestAndRetainsSubset(t *testing.T) {
 	nodes := newRoster([]string{"10.0.0.1:1"})
 	nodes.add("10.0.0.1:1")
 	nodes.add("")
@@ -26,7 +26,7 @@
 		nodes.add(fmt.Sprint("10.1.0.0:", number))
 	}
 	assert.Len(t, nodes.addresses, maxRosterNodes)
-	assert.Len(t, nodes.order, maxRosterNodes)
+	assert.Len(t, nodes.insertionOrder, maxRosterNodes)
 	assert.NotContains(t, nodes.addresses, "10.0.0.1:1", "the one that was noted first gives way")
 	nodes.retain(map[string]bool{"10.1.0.0:7": true})
 	addresses, err := decodeRoster(encodeRoster(nodes.list()))
@@ -64,7 +64,7 @@
 	<-ended
 }
 
-func TestNodesOfTheLastLifeAreToldWhereMembersAre(t *testing.T) {
+func TestAnnounceSendsToNodesOfPreviousRun(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "member")
 	node, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestATornRosterIsNoObstacle(t *testing.T) {
+func TestLoadIgnoresTruncatedRoster(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "member")
 	first := newTestAnnouncer(folder)
 	require.NoError(t, wal.Replace(first.folder, rosterName, []byte{0, 0, 0, 7, 1}))
@@ -109,7 +109,7 @@
 
 // A member announced itself only once it was current, while its disk had all that nodes
 // needed.
-func TestAMemberAnnouncesItselfAsSoonAsItHasReadItsDisk(t *testing.T) {
+func TestAnnounceBeforeMemberIsCurrent(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "member")
 	node := nodeSocket(t)
 	follow(t, newTestAnnouncer(folder), node.LocalAddr().String())
@@ -129,7 +129,7 @@
 }
 
 // Nodes that had followed other members were not on the disk of the first one that was up.
-func TestMembersTellEachOtherOfTheNodesThatFollowThem(t *testing.T) {
+func TestMembersShareRosters(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "member")
 	a := newTestAnnouncer(folder)
 	a.receiveRoster(wire.Frame{Kind: wire.FrameRoster, Payload: encodeRoster([]string{"10.0.0.1:1"})})
@@ -148,7 +148,7 @@
 	}, 2*rosterWriteInterval+time.Second, 10*time.Millisecond)
 	close(a.process.stopped)
 	<-ended
-	assert.Equal(t, []string{followAlso}, a.own.list(), "what others tell is not told again")
+	assert.Equal(t, []string{followAlso}, a.subscribers.list(), "what others tell is not told again")
 
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.waitForLeader()
@@ -160,7 +160,7 @@
 	assert.Len(t, output.Members, 2)
 }
 
-func TestAnAnnouncementNamesTheMemberAndAFewOthers(t *testing.T) {
+func TestAnnouncementListsSelfAndNextMembers(t *testing.T) {
 	var members []directory.Member
 	for number := range uint32(5) {
 		members = append(members, directory.Member{ID: number, Address: fmt.Sprint("10.0.0.", number, ":1")})
@@ -173,7 +173,7 @@
 	assert.Empty(t, announcementMembers("10.0.0.0:1", nil))
 }
 
-func TestAMemberAnnouncesItselfToAPartOfALargeFleet(t *testing.T) {
+func TestAnnounceSelectsSubsetOfLargeFleet(t *testing.T) {
 	a := newTestAnnouncer(filepath.Join(t.TempDir(), "member"))
 	for number := range 2 * maxAnnouncedNodes {
 		a.previousNodes = append(a.previousNodes, fmt.Sprint("10.1.0.0:", number))
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	stepTime  = 10 * time.Millisecond
-	frameTime = 2 * time.Millisecond
+	stepTime      = 10 * time.Millisecond
+	minFrameDelay = 2 * time.Millisecond
 )
 
 // machine is one simulated member.
@@ -58,7 +58,7 @@
 	now      kernel.Instant
 	machines map[string]*machine
 	seeds    []string
-	flights  []inFlightFrame
+	inFlight []inFlightFrame
 	order    int
 	cut      func(from, to string) bool
 	// voterCount is the number of voters that members keep, and lostZones that of the
@@ -159,8 +159,8 @@
 func (c *cluster) apply(m *machine, output Output) {
 	for _, message := range output.Members {
 		c.order++
-		delay := frameTime + time.Duration(c.random.Int64N(int64(frameTime)))
-		c.flights = append(c.flights, inFlightFrame{at: c.now.Add(delay), order: c.order, from: m.address, to: message.To, frame: message.Frame})
+		delay := minFrameDelay + time.Duration(c.random.Int64N(int64(minFrameDelay)))
+		c.inFlight = append(c.inFlight, inFlightFrame{at: c.now.Add(delay), order: c.order, from: m.address, to: message.To, frame: message.Frame})
 	}
 	for _, event := range output.Events {
 		c.events[event.Event]++
@@ -235,12 +235,12 @@
 }
 
 func (c *cluster) deliver() {
-	slices.SortStableFunc(c.flights, func(a, b inFlightFrame) int {
+	slices.SortStableFunc(c.inFlight, func(a, b inFlightFrame) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order))
 	})
-	for len(c.flights) > 0 && c.flights[0].at <= c.now {
-		next := c.flights[0]
-		c.flights = c.flights[1:]
+	for len(c.inFlight) > 0 && c.inFlight[0].at <= c.now {
+		next := c.inFlight[0]
+		c.inFlight = c.inFlight[1:]
 		m, known := c.machines[next.to]
 		if !known || !m.up || c.cut(next.from, next.to) {
 			continue
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -119,10 +119,10 @@
 	answered []Ticket
 	// commands finds the open request of a command: targets that get no answer
 	// say the same again, at this and other members.
-	commands  map[string]*request
-	ticket    Ticket
-	proposals map[uint64]proposal
-	nodes     map[ConnectionID]*subscription
+	commands   map[string]*request
+	lastTicket Ticket
+	proposals  map[uint64]proposal
+	nodes      map[ConnectionID]*subscription
 	// nextUpdate is when nodes may get the next updates.
 	nextUpdate kernel.Instant
 	// wasCurrent is whether this member was current when nodes were last told.
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -17,7 +17,7 @@
 
 // The other founders have no number until one of them tells it: a group that
 // waits for a leader to do so is never founded (bench run 6e01730e).
-func TestTheGroupIsFoundedByItsSeeds(t *testing.T) {
+func TestSeedsBootstrapGroup(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, seed, 3)
 		c.runUntil(5*time.Second, "a leader", func() bool { return c.leader() != nil })
@@ -31,13 +31,13 @@
 	}
 }
 
-func TestASingleFounderIsAGroup(t *testing.T) {
+func TestSingleSeedBootstrapsGroup(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.waitForLeader()
 	require.NoError(t, c.publish(c.machines[address(1)], 3).Err)
 }
 
-func TestAnOlderVersionSucceedsAndChangesNothing(t *testing.T) {
+func TestPublishOlderVersionIsNoOp(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := c.waitForLeader()
 	require.NoError(t, c.publish(leader, 7).Err)
@@ -51,7 +51,7 @@
 	assert.Equal(t, uint64(7), version)
 }
 
-func TestOfTwoEditsOfTheSameBaseOneConflicts(t *testing.T) {
+func TestConcurrentEditsOfSameBaseConflict(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := c.waitForLeader()
 	base := leader.core.State().Configuration()
@@ -67,7 +67,7 @@
 	assert.Equal(t, directory.CodeConflict, leader.outcomes[tickets[1]].Result.Code)
 }
 
-func TestAcknowledgedStateSurvivesALostDiskAndLossOfPowerElsewhere(t *testing.T) {
+func TestAcknowledgedStateSurvivesDiskLossAndPowerLoss(t *testing.T) {
 	for seed := range uint64(30) {
 		c := newCluster(t, seed, 3)
 		leader := c.waitForLeader()
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestALostMemberIsReplacedTwiceInARow(t *testing.T) {
+func TestLostMemberIsReplacedRepeatedly(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, seed, 3)
 		c.waitForLeader()
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestAWipedMemberComesBackUnderANewNumber(t *testing.T) {
+func TestWipedMemberRejoinsWithNewID(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, seed, 3)
 		leader := c.waitForLeader()
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestAMemberThatWasCutOffKeepsItsPlace(t *testing.T) {
+func TestPartitionedMemberKeepsMembership(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	leader := c.waitForLeader()
 	away := leader.address
@@ -154,7 +154,7 @@
 	assert.Equal(t, 0, leader.resets)
 }
 
-func TestASilentVoterGivesWayToALearnerAndComesBackEmpty(t *testing.T) {
+func TestSilentVoterIsReplacedByLearnerAndResets(t *testing.T) {
 	c := newCluster(t, 4, 3)
 	leader := c.waitForLeader()
 	c.add(address(4), false)
@@ -177,7 +177,7 @@
 	})
 }
 
-func TestARequestIsServedByAnyMember(t *testing.T) {
+func TestAnyMemberServesRequests(t *testing.T) {
 	c := newCluster(t, 5, 3)
 	leader := c.waitForLeader()
 	for _, name := range c.names() {
@@ -204,7 +204,7 @@
 
 // Heartbeats in a replayed log are no signs of life (bench day scale-1: a
 // member that came back cleared the suspicion of two dead targets).
-func TestAReplayedLogIsNoHeartbeat(t *testing.T) {
+func TestLogReplayDoesNotCountAsHeartbeat(t *testing.T) {
 	c := newCluster(t, 6, 3)
 	leader := c.waitForLeader()
 	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
@@ -220,7 +220,7 @@
 	assert.Len(t, c.waitForLeader().core.liveness.verdicts.Suspects, 1)
 }
 
-func TestHeartbeatsAtAnyMemberKeepATargetFromSuspicion(t *testing.T) {
+func TestHeartbeatAtAnyMemberPreventsSuspicion(t *testing.T) {
 	c := newCluster(t, 7, 3)
 	leader := c.waitForLeader()
 	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
@@ -233,7 +233,7 @@
 	}
 }
 
-func TestANodeGetsDeltasAndHearsWhetherItsMemberIsCurrent(t *testing.T) {
+func TestNodeReceivesDeltasAndCurrentFlag(t *testing.T) {
 	c := newCluster(t, 8, 3)
 	leader := c.waitForLeader()
 	require.NoError(t, c.publish(leader, 1).Err)
@@ -254,7 +254,7 @@
 	assert.False(t, m.keepalive.Current)
 }
 
-func TestAMemberBehindItsNodeSaysNothingUntilItHasCaughtUp(t *testing.T) {
+func TestMemberBehindNodeSendsNoUpdate(t *testing.T) {
 	c := newCluster(t, 9, 3)
 	leader := c.waitForLeader()
 	require.NoError(t, c.publish(leader, 1).Err)
@@ -271,7 +271,7 @@
 	}
 }
 
-func TestAFailedDiskEndsRequestsAndStopsTheMember(t *testing.T) {
+func TestDiskFailureFailsRequestsAndStopsMember(t *testing.T) {
 	c := newCluster(t, 10, 1)
 	leader := c.waitForLeader()
 	leader.core.replica.Storage = brokenStorage{}
@@ -290,7 +290,7 @@
 // A member that comes back learns step by step how far its log is committed.
 // What it passes through on the way is old and must not reach a node (seen on
 // bench day trouble-1: fresh nodes were ready with the first version).
-func TestAFreshNodeNeverSeesTheStatesOfAReplay(t *testing.T) {
+func TestNewNodeReceivesNoReplayedState(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, seed, 3)
 		leader := c.waitForLeader()
@@ -314,7 +314,7 @@
 	}
 }
 
-func TestANodeThatWaitedTooLongGetsWhatThereIs(t *testing.T) {
+func TestNodeReceivesStaleStateAfterWait(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := c.waitForLeader()
 	require.NoError(t, c.publish(leader, 4).Err)
@@ -345,7 +345,7 @@
 	}
 }
 
-func TestATargetIsHeldForLostByEvidenceAndComesBackByASign(t *testing.T) {
+func TestTargetLostByEvidenceRecoversOnHeartbeat(t *testing.T) {
 	silentTarget := func(token directory.Token, weight uint32) Evidence {
 		return Evidence{Silent: []SilentTarget{{Token: token, Weight: weight, Nodes: 1}}}
 	}
@@ -404,7 +404,7 @@
 	}
 }
 
-func TestWhenMostTargetsSeemLostNoneMoreIsHeldSo(t *testing.T) {
+func TestNoTargetMarkedLostWhenMostSeemLost(t *testing.T) {
 	c := newCluster(t, 12, 3)
 	leader := c.waitForLeader()
 	var evidence Evidence
@@ -427,7 +427,7 @@
 // Members that came after the founding must find each other after a restart of
 // all, before anyone knows how far the log is committed (own bench day
 // close-kill-all-after-replace: no leader, the configuration never came back).
-func TestReplacedMembersFindEachOtherAfterARestartOfAll(t *testing.T) {
+func TestReplacedMembersReconnectAfterFullRestart(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newCluster(t, seed, 3)
 		c.waitForLeader()
@@ -456,7 +456,7 @@
 
 // A learner that has just been added was taken for one that had been silent
 // since the leader's election, and removed again (random faults, seed 16).
-func TestANewLearnerIsGivenTimeUnderAnOldLeader(t *testing.T) {
+func TestNewLearnerIsNotRemovedAsSilent(t *testing.T) {
 	c := newCluster(t, 13, 3)
 	leader := c.waitForLeader()
 	c.run(learnerTimeout + 5*time.Second)
@@ -469,7 +469,7 @@
 
 // Targets that get no answer say the same again at each member. A proposal for
 // each of them drowned the group (300 machines, bench run 1a0d676f).
-func TestEqualCommandsShareOneRequest(t *testing.T) {
+func TestIdenticalCommandsAreCoalesced(t *testing.T) {
 	c := newCluster(t, 14, 3)
 	leader := c.waitForLeader()
 	before := leader.core.Raft().LastIndex()
@@ -495,7 +495,7 @@
 	assert.LessOrEqual(t, leader.core.Raft().LastIndex()-before, uint64(2))
 }
 
-func TestInputsOfABatchShareOneSync(t *testing.T) {
+func TestBatchUsesOneSync(t *testing.T) {
 	c := newCluster(t, 15, 1)
 	leader := c.waitForLeader()
 	saves := &countingStorage{Storage: leader.core.replica.Storage}
@@ -525,7 +525,7 @@
 
 // At 300 machines members handed each waiting request on four times a second,
 // and the leader had time for nothing else (sweep 36539bc3).
-func TestAMemberHasFewRequestsWithTheLeaderAndRefusesTooMany(t *testing.T) {
+func TestInFlightAndPendingRequestsAreBounded(t *testing.T) {
 	c := newCluster(t, 16, 3)
 	leader := c.waitForLeader()
 	c.run(time.Second)
@@ -554,7 +554,7 @@
 // In a split most targets told members on the other side of it; the leader
 // suspected 79 of 123, and the others got all flows (swancoast-geo-grown
 // trouble-3).
-func TestWhenMostTargetsSeemSilentNoneIsSuspected(t *testing.T) {
+func TestNoTargetSuspectedWhenMostAreSilent(t *testing.T) {
 	c := newCluster(t, 17, 3)
 	leader := c.waitForLeader()
 	for number := range 5 {
@@ -574,7 +574,7 @@
 	assert.Empty(t, leader.core.liveness.verdicts.Suspects)
 }
 
-func TestHeartbeatsAtNodesCountAsHeard(t *testing.T) {
+func TestHeartbeatsReportedByNodesCount(t *testing.T) {
 	c := newCluster(t, 18, 3)
 	leader := c.waitForLeader()
 	var tokens []directory.Token
@@ -591,7 +591,7 @@
 	assert.Equal(t, tokens[3:], leader.core.liveness.verdicts.Suspects)
 }
 
-func TestManyNodesGetChangesTogether(t *testing.T) {
+func TestUpdatesToManyNodesAreBatched(t *testing.T) {
 	c := newCluster(t, 19, 1)
 	leader := c.waitForLeader()
 	const nodes = 100
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -61,11 +61,11 @@
 	heal     func()
 	nextJoin int
 	faults   []string
-	// each is called now and then, unless it is nil.
-	each func()
+	// onStep is called now and then, unless it is nil.
+	onStep func()
 }
 
-func (r *faultRun) begin(m *machine, input versionInput) {
+func (r *faultRun) startOperation(m *machine, input versionInput) {
 	var ticket Ticket
 	var output Output
 	if input.version == 0 {
@@ -106,7 +106,7 @@
 	r.open = waiting
 }
 
-func (r *faultRun) anyUp() *machine {
+func (r *faultRun) randomUpMember() *machine {
 	names := r.names()
 	for range 20 {
 		m := r.machines[names[r.random.IntN(len(names))]]
@@ -163,8 +163,8 @@
 	}
 }
 
-// settled is the time after a fault that a group is given, as its users do.
-const settled = 4 * time.Second
+// recoveryTime is the time after a fault that a group is given, as its users do.
+const recoveryTime = 4 * time.Second
 
 func runFaults(t *testing.T, seed uint64) {
 	r := &faultRun{cluster: newCluster(t, seed, 3), nextJoin: 3}
@@ -195,21 +195,21 @@
 	for r.now < end {
 		r.run(time.Duration(20+r.random.IntN(200)) * time.Millisecond)
 		r.collect()
-		if r.each != nil {
-			r.each()
+		if r.onStep != nil {
+			r.onStep()
 		}
-		if m := r.anyUp(); m != nil {
+		if m := r.randomUpMember(); m != nil {
 			input := versionInput{}
 			if r.random.IntN(3) > 0 {
 				r.version += uint64(1 + r.random.IntN(3))
 				input.version = r.version
 			}
-			r.begin(m, input)
+			r.startOperation(m, input)
 		}
 		if r.heal != nil && r.now >= r.healAt {
 			r.heal()
 			r.heal = nil
-			nextFault = r.now.Add(settled)
+			nextFault = r.now.Add(recoveryTime)
 		}
 		if r.heal == nil && r.now >= nextFault {
 			r.fault()
--- a/internal/registry/host_test.go
+++ b/internal/registry/host_test.go
@@ -13,7 +13,7 @@
 )
 
 // The lines of a group grow with its targets, not with targets times members.
-func TestOnlyTheLeaderWritesEachStageOfEachTarget(t *testing.T) {
+func TestFollowersSampleTargetStageEvents(t *testing.T) {
 	const targets = 20
 	c := newCluster(t, 1, 5)
 	leader := c.waitForLeader()
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -26,7 +26,7 @@
 // A process crashed, another one registered at its address, and a heartbeat of the
 // first one that was under way comes late. It must neither live again nor take its
 // address back.
-func TestALateHeartbeatOfACrashedIncarnationRevivesNothing(t *testing.T) {
+func TestLateHeartbeatDoesNotReviveReplacedTarget(t *testing.T) {
 	const (
 		place = "10.1.1.1:1"
 		old   = "i-old"
@@ -93,7 +93,7 @@
 }
 
 // The late heartbeat comes to a member that has the state from a snapshot.
-func TestALateHeartbeatRevivesNothingAfterASnapshot(t *testing.T) {
+func TestLateHeartbeatDoesNotReviveTargetAfterSnapshot(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	leader := c.waitForLeader()
 	require.NoError(t, c.submit(leader, putTarget("i-old", "10.1.1.1:1", directory.TargetReady)).Err)
--- a/internal/registry/firststate_test.go
+++ b/internal/registry/initialstate_test.go
@@ -13,7 +13,7 @@
 // Bench day trouble-1 of the grown site of the third customer: half of 108 nodes
 // had their first state 100 ms after the leader was elected, since a member that
 // had become current looked at its nodes only after their pause.
-func TestNodesGetTheirFirstStateOnceTheirMemberIsCurrent(t *testing.T) {
+func TestInitialStateSentOnceMemberIsCurrent(t *testing.T) {
 	const nodes = 60
 	for seed := range uint64(10) {
 		c := newTolerantCluster(t, seed, 3, 1)
@@ -38,7 +38,7 @@
 // since it had not applied the log yet: the node dropped the targets that it
 // remembered and could not forward open flows for 130 ms (front-osborne-park-31 of
 // swancoast-geo-large trouble-1, seed 2, revision 1).
-func TestALeaderGivesNodesNoStateOfItsReplay(t *testing.T) {
+func TestNewLeaderSendsNoReplayedState(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newTolerantCluster(t, seed, 3, 1)
 		require.NoError(t, c.submit(c.leader(), putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
--- a/internal/registry/inputs.go
+++ b/internal/registry/inputs.go
@@ -24,7 +24,7 @@
 	}
 	p.core.NoteHeard(now, p.heartbeats.TakeAcknowledged())
 	if !p.core.KnowsLeader() {
-		p.metrics.leaderless.Add(tickInterval.Seconds())
+		p.metrics.leaderlessSeconds.Add(tickInterval.Seconds())
 	}
 	return p.core.Tick(now)
 }
@@ -87,7 +87,7 @@
 		i.answer <- Outcome{}
 		return output
 	}
-	p.waiting[ticket] = i.answer
+	p.pendingCalls[ticket] = i.answer
 	return output
 }
 
--- a/internal/registry/liveness.go
+++ b/internal/registry/liveness.go
@@ -98,15 +98,15 @@
 		if target.State == directory.TargetEnded {
 			return
 		}
-		seen := c.liveness.status(target.Token)
-		refuses := seen.refuses(now)
-		if refuses || now.Sub(seen.lastSeen()) >= c.settings.SuspectAfter {
+		status := c.liveness.status(target.Token)
+		refuses := status.refuses(now)
+		if refuses || now.Sub(status.lastSeen()) >= c.settings.SuspectAfter {
 			next.Suspects = append(next.Suspects, target.Token)
 		}
-		if questioned := c.isQueried(now, seen); questioned || refuses {
+		if questioned := c.isQueried(now, status); questioned || refuses {
 			next.Queried = append(next.Queried, target.Token)
 		}
-		if c.isLost(now, target, seen) {
+		if c.isLost(now, target, status) {
 			next.Lost = append(next.Lost, target.Token)
 		}
 	})
@@ -127,13 +127,13 @@
 
 // isQueried reports whether members are asked about a target: somebody has
 // lately reported its silence.
-func (c *Core) isQueried(now kernel.Instant, seen *targetStatus) bool {
-	if seen.silence(now).all() == 0 {
-		seen.queriedSince = 0
+func (c *Core) isQueried(now kernel.Instant, status *targetStatus) bool {
+	if status.silence(now).all() == 0 {
+		status.queriedSince = 0
 		return false
 	}
-	if seen.queriedSince == 0 {
-		seen.queriedSince = now
+	if status.queriedSince == 0 {
+		status.queriedSince = now
 	}
 	return true
 }
@@ -141,22 +141,22 @@
 // isLost reports whether a target is held for dead: flows at several nodes wait
 // for its answers, and for LostAfter nobody has seen it answer or heard it.
 // The verdict stands until there is a sign of life.
-func (c *Core) isLost(now kernel.Instant, target *directory.Target, seen *targetStatus) bool {
-	quiet := now.Sub(seen.lastSeen())
-	if seen.lost {
-		seen.lost = quiet >= c.settings.LostAfter
-		return seen.lost
+func (c *Core) isLost(now kernel.Instant, target *directory.Target, status *targetStatus) bool {
+	silentFor := now.Sub(status.lastSeen())
+	if status.lost {
+		status.lost = silentFor >= c.settings.LostAfter
+		return status.lost
 	}
-	if seen.queriedSince == 0 || now.Sub(seen.queriedSince) < queryDuration {
+	if status.queriedSince == 0 || now.Sub(status.queriedSince) < queryDuration {
 		return false
 	}
-	seen.lost = quiet >= c.settings.LostAfter && seen.isSilent(now)
-	if seen.lost {
-		sum := seen.silence(now)
+	status.lost = silentFor >= c.settings.LostAfter && status.isSilent(now)
+	if status.lost {
+		sum := status.silence(now)
 		c.logEvent(eventlog.TargetHeldLost, "target", target.ID, "token", target.Token, "weight", sum.Weight, "nodes", sum.Nodes,
-			"doubtful", sum.UnreliableWeight, "witnesses", sum.Reporters, "heartbeat_age", now.Sub(seen.lastHeartbeat), "answer_age", now.Sub(seen.lastAnswer))
+			"doubtful", sum.UnreliableWeight, "witnesses", sum.Reporters, "heartbeat_age", now.Sub(status.lastHeartbeat), "answer_age", now.Sub(status.lastAnswer))
 	}
-	return seen.lost
+	return status.lost
 }
 
 func (c *Core) sendVerdicts(now kernel.Instant, next leaderVerdicts) {
@@ -168,9 +168,9 @@
 	}
 	c.liveness.nextVerdictResend = now.Add(verdictResendInterval)
 	if !judged {
-		c.logEvent(eventlog.TargetsSuspected, "suspects", tokenText(next.Suspects), "lost", tokenText(next.Lost),
+		c.logEvent(eventlog.TargetsSuspected, "suspects", formatTokens(next.Suspects), "lost", formatTokens(next.Lost),
 			"avoided_zones", strings.Join(next.AvoidedZones, ","),
-			"ejected", tokenText(next.Ejected), "probation", tokenText(next.Probation))
+			"ejected", formatTokens(next.Ejected), "probation", formatTokens(next.Probation))
 	}
 	*current = next
 	for _, member := range c.state.Members() {
@@ -178,7 +178,7 @@
 	}
 }
 
-func tokenText(tokens []directory.Token) string {
+func formatTokens(tokens []directory.Token) string {
 	const limit = 8
 	var words []string
 	for _, token := range tokens {
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -308,13 +308,13 @@
 	}
 }
 
-// silenceOf returns how long a member has not been heard by this leader.
-func (c *Core) silenceOf(now kernel.Instant, id raft.MemberID) time.Duration {
+// silentFor returns how long a member has not been heard by this leader.
+func (c *Core) silentFor(now kernel.Instant, id raft.MemberID) time.Duration {
 	return now.Sub(max(c.replica.Node.LastContact(id), c.members.firstSeen[id]))
 }
 
 func (c *Core) isLive(now kernel.Instant, id raft.MemberID, limit time.Duration) bool {
-	return id == c.settings.Raft.ID || c.silenceOf(now, id) < limit
+	return id == c.settings.Raft.ID || c.silentFor(now, id) < limit
 }
 
 // readyLearner finds a learner that is up and has the whole committed log: of
@@ -339,7 +339,7 @@
 		if id == c.settings.Raft.ID {
 			continue
 		}
-		if silence := c.silenceOf(now, id); silence > longest {
+		if silence := c.silentFor(now, id); silence > longest {
 			longest = silence
 			silent = id
 		}
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -48,8 +48,8 @@
 	diskHeldBytes prometheus.Gauge
 	// referrals counts the nodes that were sent on to another member.
 	referrals prometheus.Counter
-	// leaderless is the time without a known leader, in seconds.
-	leaderless prometheus.Counter
+	// leaderlessSeconds is the time without a known leader, in seconds.
+	leaderlessSeconds prometheus.Counter
 }
 
 func newMetrics() *metrics {
@@ -77,7 +77,7 @@
 		nodesBounded:         set.Gauge("nodes_bounded", "subscribed nodes whose stated processor was taken for less"),
 		diskHeldBytes:        set.Gauge("disk_held_bytes", "bytes of the log and of its snapshots, while one is written too"),
 		referrals:            set.Counter("referrals_total", "nodes that were sent on to another member"),
-		leaderless:           set.Counter("leaderless_seconds_total", "time without a known leader"),
+		leaderlessSeconds:    set.Counter("leaderless_seconds_total", "time without a known leader"),
 	}
 }
 
--- a/internal/registry/nodes_test.go
+++ b/internal/registry/nodes_test.go
@@ -30,7 +30,7 @@
 
 // The load: a zone with 6,000 targets is gone, and 470 nodes follow the member. What they
 // are told costs bytes when it changes, not each time that the member says it is up.
-func TestLongVerdictsAreToldOnceToANodeThatKeepsThem(t *testing.T) {
+func TestUnchangedVerdictsAreOmitted(t *testing.T) {
 	const suspects = 6000
 	c := newCluster(t, 1, 3)
 	core := c.waitForLeader().core
@@ -69,7 +69,7 @@
 
 // A node takes no verdicts of a member that is not current: those told meanwhile do not
 // count as told.
-func TestVerdictsAreToldAgainOnceTheMemberIsCurrent(t *testing.T) {
+func TestVerdictsAreResentOnceMemberIsCurrent(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	core := c.waitForLeader().core
 	core.liveness.verdicts = leaderVerdicts{Verdicts: directory.Verdicts{Suspects: []directory.Token{5}}}
--- a/internal/registry/memory_test.go
+++ b/internal/registry/persistedstate_test.go
@@ -50,14 +50,14 @@
 		r.rememberedVersions[readPersistedState(restored).configuration.Version] = true
 	}
 	r.onNodeFrame = r.deliverNodeFrame
-	r.each = r.step
+	r.onStep = r.step
 	return r
 }
 
 // step registers a target, lets a node follow another member, and starts one at each
 // member that is not current.
 func (r *rememberedRun) step() {
-	m := r.anyUp()
+	m := r.randomUpMember()
 	if m == nil {
 		return
 	}
@@ -66,11 +66,11 @@
 	}
 	r.register(m)
 	if node := r.nodes[ConnectionID(1+r.random.IntN(int(r.connections)+1))]; node != nil {
-		r.follow(m, node)
+		r.subscribe(m, node)
 	}
 	for _, name := range r.names() {
 		if m := r.machines[name]; m.up && !m.core.IsCurrent(r.now) {
-			r.follow(m, r.newNode())
+			r.subscribe(m, r.newNode())
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	return &simulatedNode{core: steer.New(settings), startedAt: r.now}
 }
 
-func (r *rememberedRun) follow(m *machine, node *simulatedNode) {
+func (r *rememberedRun) subscribe(m *machine, node *simulatedNode) {
 	r.connections++
 	r.nodes[r.connections] = node
 	r.apply(m, m.core.Subscribe(r.now, r.connections, Subscribe{Node: "edge", Revision: node.core.Revision()}))
@@ -127,7 +127,7 @@
 
 // Whatever fails, a disk gives no version as committed that the group does not hold for
 // good, and no node goes back from what a disk told it.
-func TestWhatDisksRememberWasCommitted(t *testing.T) {
+func TestRememberedConfigurationWasCommitted(t *testing.T) {
 	byMemory := 0
 	for seed := range uint64(20) {
 		r := newRememberedRun(t, seed)
@@ -161,12 +161,12 @@
 	return restored
 }
 
-func publishing(version uint64, before directory.Configuration) directory.Command {
+func publishCommand(version uint64, before directory.Configuration) directory.Command {
 	return directory.Command{Kind: directory.CommandPublish, Edit: directory.Difference(before, configurationOf(version))}
 }
 
-func TestOnlyWhatIsKnownToBeCommittedIsRememberedAsConfiguration(t *testing.T) {
-	commands := []directory.Command{publishing(3, directory.Configuration{}), publishing(5, configurationOf(3)), publishing(8, configurationOf(5))}
+func TestPersistedStateUsesCommittedConfiguration(t *testing.T) {
+	commands := []directory.Command{publishCommand(3, directory.Configuration{}), publishCommand(5, configurationOf(3)), publishCommand(8, configurationOf(5))}
 	for commit, want := range []uint64{0, 3, 5, 8} {
 		memory := readPersistedState(restoredOf(uint64(commit), commands...))
 		assert.Equal(t, want, memory.configuration.Version)
@@ -188,7 +188,7 @@
 	return directory.TargetEnded
 }
 
-func TestTargetsThatMayBeClosedGetNoNewFlowsByADisk(t *testing.T) {
+func TestRememberedTargetsWithoutNewFlowsAreLeaving(t *testing.T) {
 	cold := putTarget("cold", "10.1.1.1:1", directory.TargetReady)
 	cold.Target.Warmup = &directory.Warmup{Left: time.Second, Budget: 2, Stewards: []uint32{1}}
 	spared := putTarget("spared", "10.1.1.2:1", directory.TargetReady)
@@ -239,7 +239,7 @@
 	return c, c.machines[c.names()[0]]
 }
 
-func TestAMemberTellsItsConfigurationForTheFirstSecondsOfItsLife(t *testing.T) {
+func TestRememberedConfigurationExpires(t *testing.T) {
 	c, m := startWithoutPeers(t)
 	c.apply(m, m.core.Subscribe(c.now, 1, Subscribe{Node: "edge"}))
 	require.Len(t, m.remembered, 1)
@@ -252,7 +252,7 @@
 	assert.Len(t, m.remembered[1].Targets, 2, "open flows need them for longer")
 }
 
-func TestAMemberThatHasBeenCurrentRemembersNothing(t *testing.T) {
+func TestCurrentMemberDropsRememberedState(t *testing.T) {
 	c, m := startWithoutPeers(t)
 	for _, name := range c.names()[1:] {
 		c.start(name)
@@ -268,7 +268,7 @@
 	assert.Empty(t, m.remembered)
 }
 
-func TestNodesThatStartTogetherGetTheSameBytes(t *testing.T) {
+func TestInitialStatePayloadIsShared(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.waitForLeader()
 	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -63,7 +63,7 @@
 	core            *Core
 	disk            *wal.Log
 	reopenAt        time.Time
-	waiting         map[Ticket]chan Outcome
+	pendingCalls    map[Ticket]chan Outcome
 	nodeQueues      map[ConnectionID]*ring.Ring[wire.Frame]
 	metrics         *metrics
 	heartbeats      *heartbeat.Cache
@@ -87,7 +87,7 @@
 	mutex          sync.Mutex
 	nextConnection ConnectionID
 	listener       net.Listener
-	group          sync.WaitGroup
+	goroutines     sync.WaitGroup
 	stopped        chan struct{}
 }
 
@@ -98,7 +98,7 @@
 		logger:          logger,
 		started:         time.Now(),
 		inputs:          ring.New[input](inputQueueCapacity),
-		waiting:         map[Ticket]chan Outcome{},
+		pendingCalls:    map[Ticket]chan Outcome{},
 		nodeQueues:      map[ConnectionID]*ring.Ring[wire.Frame]{},
 		metrics:         newMetrics(),
 		heartbeats:      heartbeat.NewCache(),
@@ -144,16 +144,16 @@
 	p.inputs.Close()
 	p.links.Close()
 	p.announcer.queue.Close()
-	p.group.Wait()
+	p.goroutines.Wait()
 	p.logger.Event(eventlog.ProcessStopped, "member", p.settings.Name)
 	return nil
 }
 
-func (p *Process) spawn(duty func()) {
-	p.group.Add(1)
+func (p *Process) spawn(run func()) {
+	p.goroutines.Add(1)
 	go func() {
-		defer p.group.Done()
-		duty()
+		defer p.goroutines.Done()
+		run()
 	}()
 }
 
@@ -279,18 +279,18 @@
 	p.core = nil
 	p.disk = nil
 	p.reopenAt = time.Now().Add(reopenInterval)
-	p.failWaiting("the disk of this member failed")
+	p.failPendingCalls("the disk of this member failed")
 }
 
-func (p *Process) failWaiting(reason string) {
-	for ticket, answer := range p.waiting {
-		delete(p.waiting, ticket)
+func (p *Process) failPendingCalls(reason string) {
+	for ticket, answer := range p.pendingCalls {
+		delete(p.pendingCalls, ticket)
 		answer <- Outcome{Ticket: ticket, Err: steperror.New("registry.request", p.settings.Name, reason)}
 	}
 }
 
 func (p *Process) closeAll() {
-	p.failWaiting("the member is stopping")
+	p.failPendingCalls("the member is stopping")
 	for _, queue := range p.nodeQueues {
 		queue.Close()
 	}
@@ -312,8 +312,8 @@
 		p.sendNode(message)
 	}
 	for _, outcome := range output.Outcomes {
-		if answer, known := p.waiting[outcome.Ticket]; known {
-			delete(p.waiting, outcome.Ticket)
+		if answer, known := p.pendingCalls[outcome.Ticket]; known {
+			delete(p.pendingCalls, outcome.Ticket)
 			answer <- outcome
 		}
 	}
--- a/internal/registry/referral_test.go
+++ b/internal/registry/referral_test.go
@@ -19,7 +19,7 @@
 	{ID: 2, Address: "10.0.0.2:7000", Zone: "north"},
 }
 
-func TestNodesThatKnowOnlySeedsAreSentOn(t *testing.T) {
+func TestReferralOfNodesThatKnowOnlySeeds(t *testing.T) {
 	cases := []struct {
 		name      string
 		members   []directory.Member
@@ -43,7 +43,7 @@
 
 // The goroutine of the connection refers a node alone: the core, which has an
 // election to hold, hears nothing of it.
-func TestAReferralCostsTheCoreNothing(t *testing.T) {
+func TestReferralBypassesCore(t *testing.T) {
 	process := NewProcess(Settings{Name: "core-1"}, eventlog.Discard())
 	process.referrals.Store(newReferralTable(referred[0].Address, "south", referred))
 	near, far := net.Pipe()
@@ -65,7 +65,7 @@
 
 // Members that joined after the last snapshot stand only in entries that are
 // not known to be committed when a member has just started.
-func TestAMemberThatHasJustStartedRefersToAllMembersOnItsDisk(t *testing.T) {
+func TestReferralAfterRestartListsPersistedMembers(t *testing.T) {
 	c := newTolerantCluster(t, 1, 5, 2)
 	c.waitForLeader()
 	for _, name := range c.names() {
--- a/internal/registry/remembered_test.go
+++ b/internal/registry/remembered_test.go
@@ -10,7 +10,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-func TestAMemberTellsAFreshNodeTheTargetsOnItsDiskAtOnce(t *testing.T) {
+func TestNewNodeReceivesRememberedTargets(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.leader()
 	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
@@ -32,7 +32,7 @@
 	assert.Len(t, m.remembered, 1, "a node with state needs none")
 }
 
-func TestAMemberThatIsCurrentTellsWhatHolds(t *testing.T) {
+func TestCurrentMemberSendsReplicatedState(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.leader()
 	require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -38,8 +38,8 @@
 }
 
 func (c *Core) openRequest(now kernel.Instant, opened *request) (Ticket, Output) {
-	c.ticket++
-	ticket := c.ticket
+	c.lastTicket++
+	ticket := c.lastTicket
 	c.admit(now, opened, waiter{ticket: ticket})
 	c.flush(now)
 	return ticket, c.takeOutput()
@@ -57,8 +57,8 @@
 		c.output.Outcomes = append(c.output.Outcomes, Outcome{Ticket: waiting.ticket, Err: errOverloaded})
 		return
 	}
-	c.ticket++
-	opened.ticket = c.ticket
+	c.lastTicket++
+	opened.ticket = c.lastTicket
 	opened.openedAt = now
 	opened.deadline = now.Add(c.settings.RequestTimeout)
 	opened.waiters = []waiter{waiting}
--- a/internal/registry/restart_test.go
+++ b/internal/registry/restart_test.go
@@ -45,7 +45,7 @@
 // Bench day trouble-1 of the third customer, closing fault: two members that
 // had waited for the third asked for its vote at the same time, none had
 // enough, and the group had no leader for 170 ms more.
-func TestAfterARestartOfAllALeaderStandsSoon(t *testing.T) {
+func TestLeaderElectedSoonAfterFullRestart(t *testing.T) {
 	var times []time.Duration
 	for seed := range uint64(restartSeeds) {
 		c := newTolerantCluster(t, seed, 5, 2)
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -15,8 +15,8 @@
 // followed this member since its start, and those of its last life.
 type roster struct {
 	addresses map[string]bool
-	// order holds the addresses, those that were noted first in front.
-	order []string
+	// insertionOrder holds the addresses, those that were noted first in front.
+	insertionOrder []string
 	// dirty is set while the file does not hold what the roster does.
 	dirty bool
 }
@@ -36,18 +36,18 @@
 	if address == "" || r.addresses[address] {
 		return
 	}
-	if len(r.order) >= maxRosterNodes {
-		delete(r.addresses, r.order[0])
-		r.order = r.order[1:]
+	if len(r.insertionOrder) >= maxRosterNodes {
+		delete(r.addresses, r.insertionOrder[0])
+		r.insertionOrder = r.insertionOrder[1:]
 	}
 	r.addresses[address] = true
-	r.order = append(r.order, address)
+	r.insertionOrder = append(r.insertionOrder, address)
 	r.dirty = true
 }
 
 // retain forgets all nodes but some.
 func (r *roster) retain(addresses map[string]bool) {
-	r.order = slices.DeleteFunc(r.order, func(address string) bool {
+	r.insertionOrder = slices.DeleteFunc(r.insertionOrder, func(address string) bool {
 		if addresses[address] {
 			return false
 		}
--- a/internal/registry/settings.go
+++ b/internal/registry/settings.go
@@ -45,12 +45,12 @@
 }
 
 const (
-	// suspectAfter is the least silence after which a target is suspected: a heartbeat
+	// minSuspectAfter is the least silence after which a target is suspected: a heartbeat
 	// whose call failed after a second is still under way at another member.
-	suspectAfter = 3200 * time.Millisecond
-	// heartbeatLateness is how much later than usual heartbeats of living targets come at
+	minSuspectAfter = 3200 * time.Millisecond
+	// heartbeatDelayMargin is how much later than usual heartbeats of living targets come at
 	// the leader, beside a tenth of the interval: their way and that of members' reports.
-	heartbeatLateness = 300 * time.Millisecond
+	heartbeatDelayMargin = 300 * time.Millisecond
 )
 
 // CoreOption changes the settings of a member in production.
@@ -61,7 +61,7 @@
 // living targets was suspected at any moment.
 func WithHeartbeats(interval time.Duration) CoreOption {
 	return func(s *CoreSettings) {
-		s.SuspectAfter = max(suspectAfter, interval+interval/10+heartbeatLateness)
+		s.SuspectAfter = max(minSuspectAfter, interval+interval/10+heartbeatDelayMargin)
 	}
 }
 
@@ -80,7 +80,7 @@
 		ReplaceAfter:    2500 * time.Millisecond,
 		RequestTimeout:  900 * time.Millisecond,
 		MaxStaleness:    800 * time.Millisecond,
-		SuspectAfter:    suspectAfter,
+		SuspectAfter:    minSuspectAfter,
 		LostAfter:       600 * time.Millisecond,
 		SnapshotEntries: 1024,
 	}
--- a/internal/registry/start_test.go
+++ b/internal/registry/start_test.go
@@ -24,7 +24,7 @@
 // A target starts again under its ID, at each stage of the start before, at the same
 // and another address; the group changes its leader or loses its power; then words of
 // the start before come late, to each member.
-func TestATargetThatStartsAgainUnderItsIDServesAnew(t *testing.T) {
+func TestRestartedTargetServesUnderSameID(t *testing.T) {
 	const here, there = "10.1.1.1:1", "10.1.1.2:1"
 	stages := []directory.TargetState{directory.TargetReady, directory.TargetDraining, directory.TargetEnded}
 	for number, stage := range stages {
@@ -52,7 +52,7 @@
 							}
 						}
 					}
-					checkServesAnew(t, c, first, place)
+					checkServes(t, c, first, place)
 				})
 			}
 		}
@@ -73,7 +73,7 @@
 	assert.Equal(t, "born", problem.Field)
 }
 
-func checkServesAnew(t *testing.T, c *cluster, first directory.Target, place string) {
+func checkServes(t *testing.T, c *cluster, first directory.Target, place string) {
 	t.Helper()
 	for _, name := range c.names() {
 		m := c.machines[name]
@@ -91,7 +91,7 @@
 }
 
 // A later start at the address of another living target is refused like any newcomer.
-func TestALaterStartTakesNoAddressFromALivingTarget(t *testing.T) {
+func TestRestartedTargetCannotTakeLiveAddress(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := c.waitForLeader()
 	require.NoError(t, c.submit(leader, startCommand(bornFirst, "10.1.1.1:1", directory.TargetReady)).Err)
@@ -104,7 +104,7 @@
 
 // Where heartbeats are 3 s apart a living holder was mostly heard longer ago than the
 // usual 1.5 s. A claim of a process that started before it is a late word all the same.
-func TestAnEarlierProcessTakesNoAddressFromAHolderHeardLately(t *testing.T) {
+func TestOlderProcessCannotTakeAddressOfRecentHolder(t *testing.T) {
 	for _, test := range []struct {
 		born  uint64
 		after time.Duration
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestTargetsWithRareHeartbeatsAreSuspectedLater(t *testing.T) {
+func TestSuspectAfterScalesWithHeartbeatInterval(t *testing.T) {
 	for interval, want := range map[time.Duration]time.Duration{
 		0: 3200 * time.Millisecond, 1200 * time.Millisecond: 3200 * time.Millisecond,
 		3 * time.Second: 3600 * time.Millisecond, 10 * time.Second: 11300 * time.Millisecond,
@@ -136,7 +136,7 @@
 
 // What names a service that no configuration has is not registered, and holds no
 // address; a target that is registered stays when its service goes.
-func TestAWordForAnUnknownServiceRegistersNothing(t *testing.T) {
+func TestRegisterRejectsUnknownService(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := c.waitForLeader()
 	_, _, err := leader.core.Register(c.now, putTarget("i-0", "10.1.1.9:1", directory.TargetReady).Target)
--- a/internal/registry/startfaults_test.go
+++ b/internal/registry/startfaults_test.go
@@ -132,13 +132,13 @@
 	for r.now < end {
 		r.run(time.Duration(20+r.random.IntN(200)) * time.Millisecond)
 		r.collectAcknowledged()
-		if m := r.anyUp(); m != nil {
+		if m := r.randomUpMember(); m != nil {
 			r.step(m)
 		}
 		if r.heal != nil && r.now >= r.healAt {
 			r.heal()
 			r.heal = nil
-			nextFault = r.now.Add(settled)
+			nextFault = r.now.Add(recoveryTime)
 		}
 		if r.heal == nil && r.now >= nextFault {
 			r.fault()
--- a/internal/registry/streams.go
+++ b/internal/registry/streams.go
@@ -88,7 +88,7 @@
 		if err != nil {
 			break
 		}
-		p.receive(id, frame)
+		p.receiveFromNode(id, frame)
 	}
 	p.inputs.Push(nodeClosed{connection: id})
 }
@@ -102,8 +102,8 @@
 	}
 }
 
-// receive takes what a node tells. Kinds of later versions are left out.
-func (p *Process) receive(connection ConnectionID, frame wire.Frame) {
+// receiveFromNode takes what a node tells. Kinds of later versions are left out.
+func (p *Process) receiveFromNode(connection ConnectionID, frame wire.Frame) {
 	switch frame.Kind {
 	case wire.FrameEvidence:
 		p.receiveEvidence(connection, frame)
