--- a/internal/registry/addressconflict_test.go
+++ b/internal/registry/addressconflict_test.go
@@ -10,7 +10,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// register hands a registration to a member and returns its outcome.
+// register registers a target at a member and returns the outcome.
 func (c *cluster) register(m *machine, command directory.Command) Outcome {
 	ticket, output, err := m.core.Register(c.now, command.Target)
 	require.NoError(c, err)
@@ -19,7 +19,7 @@
 	return m.outcomes[ticket]
 }
 
-// heartbeatFor lets a target beat once a second for a time, at each member by turns.
+// heartbeatFor sends a heartbeat of a target each second, to each member in turn.
 func (c *cluster) heartbeatFor(id string, duration time.Duration) {
 	for turn := 0; duration > 0; turn++ {
 		c.machines[address(1+turn%3)].core.Heard(c.now, directory.Start{ID: id})
@@ -30,8 +30,9 @@
 
 const contestedAddress = "10.1.1.1:1"
 
-// A process crashed behind a cut before anybody had heard of it; another one registered
-// at its address. The first heartbeats of the first one come late, several of them.
+// A process crashes before any member has heard of it, another one registers at its
+// address,
+// and then the first heartbeats of the crashed process arrive.
 func TestLateFirstHeartbeatDoesNotEvictAddressHolder(t *testing.T) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 900 * time.Millisecond, 2900 * time.Millisecond, 6 * time.Second} {
 		for member := range 3 {
@@ -55,8 +56,8 @@
 	}
 }
 
-// A target that has crashed leaves its address to the next one as soon as it has missed
-// a heartbeat; one that leaves, or that a new leader has not heard, at once.
+// The address of a crashed target is reassigned after addressHoldTime; that of a leaving
+// target or one that a new leader has not heard from, at once.
 func TestAddressOfGoneTargetIsReused(t *testing.T) {
 	cases := map[string]func(c *cluster, leader *machine){
 		"crashed": func(c *cluster, _ *machine) { c.run(addressHoldTime) },
--- a/internal/registry/announcement.go
+++ b/internal/registry/announcement.go
@@ -8,20 +8,20 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// After a loss of all power a node knows only the seeds, and these may come back last
-// while other members serve already. So members remember on their disks where the nodes
-// are, tell each other of those that follow them, and tell nodes where members are once
-// they have read their disks. An announcement is only a hint where to connect to.
+// A node that restarts knows only the seed addresses, and after a full power loss the seeds
+// may come back last. Members therefore persist the addresses of nodes, share them with
+// each other, and announce themselves to those nodes after a restart. An announcement is
+// only a hint about where to connect.
 
-// Announcement tells a node that a member is up.
+// Announcement tells a node that a member is running.
 type Announcement struct {
 	// From is the address of the member.
 	From string
-	// Members are that member and a few others of the group.
+	// Members are the announcing member and a few others of the group.
 	Members []directory.Member
 }
 
-// Frame returns the frame of an announcement.
+// Frame encodes the announcement.
 func (a Announcement) Frame() wire.Frame {
 	var encoder wire.Encoder
 	encoder.String(a.From)
@@ -29,7 +29,7 @@
 	return wire.Frame{Kind: wire.FrameAnnouncement, Payload: encoder.Buffer}
 }
 
-// DecodeAnnouncement reads an announcement.
+// DecodeAnnouncement decodes the payload of an announcement frame.
 func DecodeAnnouncement(payload []byte) (Announcement, error) {
 	decoder := wire.NewDecoder(payload)
 	announcement := Announcement{From: decoder.String()}
@@ -37,9 +37,8 @@
 	return announcement, decoder.Err("registry.decode_announcement")
 }
 
-// announcementDelays are the pauses before each round of announcements. Processes of
-// a fleet whose power is back start within some tenths of a second of each other, and
-// datagrams get lost.
+// announcementDelays are the delays before each round of announcements. Rounds are repeated
+// because datagrams get lost and nodes may start slightly later than the member.
 var announcementDelays = [...]time.Duration{
 	0,
 	50 * time.Millisecond,
@@ -54,12 +53,12 @@
 	400 * time.Millisecond,
 }
 
-// maxAnnouncementMembers is the number of members in an announcement: all members tell each
-// node in each round, over links that callers need.
+// maxAnnouncementMembers limits the members listed in an announcement, since every member
+// sends one to each node in each round over links that also carry traffic.
 const maxAnnouncementMembers = 3
 
-// announcementMembers returns the members that one of them names: itself and those that come after
-// it in the order of numbers, so that each is named by some.
+// announcementMembers returns the members that a member lists: itself and the next ones in
+// order of their IDs, so that every member is listed by some announcement.
 func announcementMembers(self string, members []directory.Member) []directory.Member {
 	first := slices.IndexFunc(members, func(member directory.Member) bool { return member.Address == self })
 	var list []directory.Member
--- a/internal/registry/announcer.go
+++ b/internal/registry/announcer.go
@@ -18,42 +18,51 @@
 
 const (
 	rosterName = "roster"
-	// rosterCapacity is the number of nodes that wait for the roster to be written:
-	// twice those of a member in the largest fleet.
+	// rosterCapacity is the length of the queue of nodes to be added to the roster. It
+	// exceeds
+	// the number of nodes that one member serves in the largest supported fleet.
 	rosterCapacity = 1024
 	rosterBatch    = 256
-	// rosterWriteInterval is the time between two writes of the roster. A fleet changes in the
-	// course of minutes, and each write costs two syncs.
+	// rosterWriteInterval is the minimum time between two writes of the roster file, each
+	// of
+	// which costs two syncs.
 	rosterWriteInterval = 2 * time.Second
-	// previousNodesTTL is how long nodes of the member's last life are remembered that
-	// nobody has told of again: longer than any outage after which they come back.
+	// previousNodesTTL is how long nodes of the previous run are kept unless they are
+	// reported
+	// again. It is longer than the outages that nodes are expected to return from.
 	previousNodesTTL = 5 * time.Minute
-	// rosterShareInterval is the time between two words to the other members on the nodes
-	// that follow this one. A member that has lost its disk lacks them for so long.
+	// rosterShareInterval is the time between two transfers of this member's subscribers to
+	// the
+	// other members. It bounds how long a member that lost its disk lacks them.
 	rosterShareInterval = 5 * time.Second
-	// maxAnnouncedNodes is the number of nodes that a member announces itself to. In a
-	// larger fleet each member takes others.
+	// maxAnnouncedNodes limits the nodes that one member announces itself to. In a larger
+	// fleet
+	// each member selects a different subset.
 	maxAnnouncedNodes = 256
 )
 
-// announcer remembers where nodes are and announces the member to them after each start,
-// as soon as it has read its disk, and again if it is current only long after that.
+// announcer persists the addresses of nodes and announces the member to them after each
+// start: once its disk has been read, and again when it first becomes current if the first
+// announcement has finished by then.
 type announcer struct {
 	process *Process
 	folder  *wal.Folder
-	// previousNodes are the nodes of the last life.
+	// previousNodes are the nodes in the roster file of the previous run.
 	previousNodes []string
-	// queue takes the nodes that follow this member and those that others tell of.
+	// queue holds this member's subscribers and nodes reported by other members until they
+	// are
+	// added to the roster.
 	queue *ring.Ring[rosterEntry]
-	// announcedOnce is set once the member has announced itself, and current once it was
-	// current. The goroutine that owns the core has both.
+	// announcedOnce is set after the first announcement, and wasCurrent once the member has
+	// been
+	// current. Both belong to the goroutine that owns the core.
 	announcedOnce, wasCurrent bool
-	// announcing is set while announcements are sent.
+	// announcing is set while announcements are being sent.
 	announcing atomic.Bool
 
 	mutex sync.Mutex
-	// subscribers are the nodes that have followed this member since its start, and since those
-	// and the ones that others have told of.
+	// subscribers are the nodes that have subscribed to this member since its start, and
+	// recentNodes those and the nodes reported by other members.
 	subscribers, recentNodes *roster
 }
 
@@ -61,19 +70,19 @@
 	return &announcer{process: process, queue: ring.New[rosterEntry](rosterCapacity), subscribers: newRoster(nil), recentNodes: newRoster(nil)}
 }
 
-// rosterEntry tells where a node takes announcements.
+// rosterEntry is the address at which a node takes announcements.
 type rosterEntry struct {
 	address string
-	// own is set on a node that follows this member.
+	// own is set for a node that subscribed to this member.
 	own bool
 }
 
-// addSubscriber notes a node that follows this member.
+// addSubscriber queues a node that subscribed to this member.
 func (a *announcer) addSubscriber(address string) {
 	a.queue.TryPush(rosterEntry{address: address, own: true})
 }
 
-// receiveRoster notes the nodes that another member tells of.
+// receiveRoster queues the nodes reported by another member.
 func (a *announcer) receiveRoster(frame wire.Frame) {
 	addresses, err := decodeRoster(frame.Payload)
 	if err != nil {
@@ -93,8 +102,8 @@
 	return a.recentNodes.addresses[address]
 }
 
-// load reads the nodes of the last life. Without them, nodes find this member by the
-// seeds.
+// load reads the roster of the previous run. If that fails, nodes find this member through
+// the seeds only.
 func (a *announcer) load() {
 	folder, err := wal.OpenFolder(a.process.settings.DataFolder + "-" + rosterName)
 	if err != nil {
@@ -104,7 +113,7 @@
 	a.folder = folder
 	data, err := folder.ReadFile(rosterName)
 	if err != nil {
-		// The first start has none.
+		// There is no file at the first start.
 		a.process.logger.Event(eventlog.RosterRead, "nodes", 0, "reason", err)
 		return
 	}
@@ -117,7 +126,7 @@
 	a.process.logger.Event(eventlog.RosterRead, "nodes", len(known))
 }
 
-// runRoster keeps the file of nodes until the process stops.
+// runRoster adds queued nodes to the roster and writes its file until the process stops.
 func (a *announcer) runRoster() {
 	all := newRoster(a.previousNodes)
 	started := time.Now()
@@ -144,18 +153,18 @@
 	}
 }
 
-// record notes a node of this life.
-func (a *announcer) record(node rosterEntry) {
+// record adds a node that was reported in this run.
+func (a *announcer) record(entry rosterEntry) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.recentNodes.add(node.address)
-	if node.own {
-		a.subscribers.add(node.address)
+	a.recentNodes.add(entry.address)
+	if entry.own {
+		a.subscribers.add(entry.address)
 	}
 }
 
-// runRosterSharing tells the other members of the nodes that follow this one until the process
-// stops.
+// runRosterSharing periodically sends this member's subscribers to the other members until
+// the process stops.
 func (a *announcer) runRosterSharing() {
 	for a.wait(rosterShareInterval) {
 		a.mutex.Lock()
@@ -167,7 +176,7 @@
 	}
 }
 
-// shareRosterInput sends a frame to all other members.
+// shareRosterInput sends a roster frame to all other members.
 type shareRosterInput struct{ frame wire.Frame }
 
 func (i shareRosterInput) handle(p *Process, _ kernel.Instant) Output {
@@ -194,18 +203,19 @@
 	nodes.dirty = false
 }
 
-// wait waits, and returns false when the process stops.
-func (a *announcer) wait(pause time.Duration) bool {
+// wait waits for a delay and returns false if the process stops first.
+func (a *announcer) wait(delay time.Duration) bool {
 	select {
-	case <-time.After(pause):
+	case <-time.After(delay):
 		return true
 	case <-a.process.stopped:
 		return false
 	}
 }
 
-// announceIfDue announces the member once it has read its disk, and once it is current for the
-// first time when the first announcements are over by then.
+// announceIfDue starts an announcement after the disk has been read, and another one when
+// the
+// member first becomes current, unless an announcement is still running.
 func (a *announcer) announceIfDue(now kernel.Instant, core *Core) {
 	isCurrent := core.IsCurrent(now)
 	due := !a.announcedOnce || isCurrent && !a.wasCurrent
@@ -221,7 +231,7 @@
 	})
 }
 
-// announce sends the announcement to the nodes of the last life, in rounds.
+// announce sends the announcement in rounds to the nodes of the previous run.
 func (a *announcer) announce(announcement Announcement) {
 	socket, err := net.ListenUDP("udp4", nil)
 	if err != nil {
@@ -232,8 +242,8 @@
 	datagram := wire.AppendFrame(nil, announcement.Frame())
 	nodes := a.selectNodes(announcement.From)
 	failed := 0
-	for _, pause := range announcementDelays {
-		if !a.wait(pause) {
+	for _, delay := range announcementDelays {
+		if !a.wait(delay) {
 			return
 		}
 		failed += sendAll(socket, nodes, datagram)
@@ -257,7 +267,7 @@
 	return nodes
 }
 
-// sendAll sends a datagram to each node and returns the number that could not be sent.
+// sendAll sends a datagram to each node and returns the number of failed sends.
 func sendAll(socket *net.UDPConn, nodes []string, datagram []byte) int {
 	failed := 0
 	for _, address := range nodes {
--- a/internal/registry/announcer_test.go
+++ b/internal/registry/announcer_test.go
@@ -36,7 +36,7 @@
 	assert.Error(t, err)
 }
 
-// newTestAnnouncer returns the announcer of a member with a data folder.
+// newTestAnnouncer returns the announcer of a member with the given data folder.
 func newTestAnnouncer(folder string) *announcer {
 	settings := Settings{Name: "core-1", DataFolder: folder}
 	settings.Core.Address = "10.0.0.9:1"
@@ -45,8 +45,8 @@
 	return process.announcer
 }
 
-// follow lets nodes follow a member until their addresses are on its disk.
-func follow(t *testing.T, a *announcer, addresses ...string) {
+// subscribeNodes adds subscribers and waits until the roster file holds their addresses.
+func subscribeNodes(t *testing.T, a *announcer, addresses ...string) {
 	ended := make(chan struct{})
 	go func() {
 		a.runRoster()
@@ -71,7 +71,7 @@
 	defer func() { _ = node.Close() }()
 	first := newTestAnnouncer(folder)
 	assert.Empty(t, first.previousNodes)
-	follow(t, first, node.LocalAddr().String())
+	subscribeNodes(t, first, node.LocalAddr().String())
 
 	second := newTestAnnouncer(folder)
 	require.Equal(t, []string{node.LocalAddr().String()}, second.previousNodes)
@@ -98,8 +98,8 @@
 	assert.Empty(t, newTestAnnouncer(folder).previousNodes)
 }
 
-// nodeSocket returns a socket at which a node takes announcements.
-func nodeSocket(t *testing.T) *net.UDPConn {
+// newNodeSocket returns a socket that receives announcements.
+func newNodeSocket(t *testing.T) *net.UDPConn {
 	node, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = node.Close() })
@@ -107,12 +107,13 @@
 	return node
 }
 
-// A member announced itself only once it was current, while its disk had all that nodes
-// needed.
+// Announcements must not wait until the member is current, since its disk already holds
+// what
+// nodes need.
 func TestAnnounceBeforeMemberIsCurrent(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "member")
-	node := nodeSocket(t)
-	follow(t, newTestAnnouncer(folder), node.LocalAddr().String())
+	node := newNodeSocket(t)
+	subscribeNodes(t, newTestAnnouncer(folder), node.LocalAddr().String())
 	_, m := startWithoutPeers(t)
 	second := newTestAnnouncer(folder)
 	defer close(second.process.stopped)
@@ -128,7 +129,7 @@
 	assert.Len(t, heard.Members, 3, "those on its disk")
 }
 
-// Nodes that had followed other members were not on the disk of the first one that was up.
+// Guards against a restart where the first member up lacks the nodes of the other members.
 func TestMembersShareRosters(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "member")
 	a := newTestAnnouncer(folder)
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -12,18 +12,18 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// conflictRetryDelay is the wait before an edit that met another one is tried again.
+// conflictRetryDelay is the delay before an edit that conflicted with another is retried.
 const conflictRetryDelay = 5 * time.Millisecond
 
-// Heartbeat is the word of a target about itself.
+// Heartbeat is a target's report about itself.
 type Heartbeat struct {
 	Target directory.Target
-	// Sequence rises with each call of the target, so that a late one is known.
+	// Sequence increases with each call of the target.
 	Sequence uint64
 }
 
-// Publish submits a configuration and returns once a quorum has it on disk. A
-// version that is not above the one that holds changes nothing and succeeds.
+// Publish submits a configuration and returns once a quorum has persisted it. Publishing a
+// version that is not newer than the one in force succeeds and changes nothing.
 func (p *Process) Publish(ctx context.Context, next directory.Configuration) error {
 	for {
 		result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
@@ -35,7 +35,7 @@
 			return nil
 		}
 		if err == nil && result.Code != directory.CodeConflict {
-			return steperror.New("registry.publish", p.settings.Name, "unexpected outcome")
+			return steperror.New("registry.publish", p.settings.Name, "unexpected result code")
 		}
 		if err != nil && ctx.Err() != nil {
 			p.logger.Event(eventlog.VersionUnanswered, "version", next.Version, "err", err)
@@ -56,8 +56,8 @@
 	}
 }
 
-// Configuration returns the configuration that holds, as a linearizable read:
-// it fails when this member cannot be sure of the newest.
+// Configuration returns the configuration in force. The read is linearizable: it fails if
+// this member cannot confirm that its state is the newest.
 func (p *Process) Configuration(ctx context.Context) (directory.Configuration, error) {
 	_, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) { return core.Read(now) })
 	if err != nil {
@@ -71,23 +71,23 @@
 	return configuration, err
 }
 
-// HandleHeartbeat takes a heartbeat. It returns once what must hold of it is on the
-// disks of a quorum: that the target exists, and that it drains. The address is
-// that of a node for the target's later heartbeats, or "" when it is to stay, as
-// it does until its nodes can know it.
-func (p *Process) HandleHeartbeat(ctx context.Context, beat Heartbeat) (address string, err error) {
-	if p.heartbeats.Acknowledge(beat.Target.Start(), beat.Target.State) {
-		return p.heartbeatSpread.Assign(beat.Target.Zone, beat.Target.ID), nil
+// HandleHeartbeat processes a heartbeat. It returns once a quorum has persisted the state
+// changes that it implies, such as the registration or draining of the target. The returned
+// address is the node or member to send later heartbeats to, or "" to keep the current one;
+// heartbeats that change the state return "".
+func (p *Process) HandleHeartbeat(ctx context.Context, heartbeat Heartbeat) (address string, err error) {
+	if p.heartbeats.Acknowledge(heartbeat.Target.Start(), heartbeat.Target.State) {
+		return p.heartbeatSpread.Assign(heartbeat.Target.Zone, heartbeat.Target.ID), nil
 	}
 	var refusal error
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
-		core.Heard(now, beat.Target.Start())
-		if core.IsRegistered(beat.Target) {
+		core.Heard(now, heartbeat.Target.Start())
+		if core.IsRegistered(heartbeat.Target) {
 			return 0, Output{}
 		}
 		var ticket Ticket
 		var output Output
-		ticket, output, refusal = core.Register(now, beat.Target)
+		ticket, output, refusal = core.Register(now, heartbeat.Target)
 		return ticket, output
 	})
 	switch {
@@ -96,17 +96,16 @@
 	case result.Code == directory.CodeTaken:
 		return "", errAddressTaken
 	case result.Code == directory.CodeOutdated:
-		return "", outdatedStartError(beat.Target)
+		return "", outdatedStartError(heartbeat.Target)
 	}
 	return "", refusal
 }
 
-// errAddressTaken refuses a heartbeat; a process that lives sends the next one.
-var errAddressTaken = steperror.New("registry.beat", "", "the address is that of a target that was heard lately")
+// errAddressTaken rejects a heartbeat; a live target retries with its next heartbeat.
+var errAddressTaken = steperror.New("registry.beat", "", "the address belongs to a target with a recent heartbeat")
 
-// Evacuate begins or ends the evacuation of a zone. It returns once a quorum has
-// the order on disk. An order that has been overtaken by another one since it came
-// fails; what holds may be another one then.
+// Evacuate starts or ends the evacuation of a zone and returns once a quorum has persisted
+// the order. It fails if another order about the zone was applied in the meantime.
 func (p *Process) Evacuate(ctx context.Context, zone string, active bool) error {
 	unknown := false
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
@@ -124,7 +123,7 @@
 		p.logger.Event(eventlog.EvacuationRefused, "zone", zone, "active", active, "reason", problem)
 		return problem
 	case result.Code != directory.CodeDone:
-		err = steperror.New("registry.evacuate", p.settings.Name, "another order about the zone came first")
+		err = steperror.New("registry.evacuate", p.settings.Name, "another order about the zone was applied first")
 		p.logger.Event(eventlog.EvacuationUnanswered, "zone", zone, "active", active, "err", err)
 		return err
 	}
@@ -132,13 +131,12 @@
 	return nil
 }
 
-// hasZone reports whether a zone is among those of the settings, or has a target or
-// a member.
+// hasZone reports whether a zone is in the settings or has a target or a member.
 func (p *Process) hasZone(core *Core, zone string) bool {
 	return slices.Contains(p.settings.Zones, zone) || core.State().HasZone(zone)
 }
 
-// EndTarget takes the word of a target that it ends. A start without Born stands for the
+// EndTarget marks a target as ended at its own request. A start without Born refers to the
 // latest one.
 func (p *Process) EndTarget(ctx context.Context, start directory.Start) error {
 	target := directory.Target{ID: start.ID, Born: start.Born}
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -32,17 +32,17 @@
 	log     *wal.Log
 	core    *Core
 	up      bool
-	// bootstrap is the setting of the same name at the next start.
+	// bootstrap is CoreSettings.Bootstrap at the next start.
 	bootstrap bool
 	resets    int
 	outcomes  map[Ticket]Outcome
 	updates   []directory.Update
-	// remembered is what it told nodes from its disk.
+	// remembered holds the persisted states sent to nodes.
 	remembered []directory.Remembered
 	keepalive  Keepalive
 }
 
-// inFlightFrame is a frame under way.
+// inFlightFrame is a frame that has not been delivered yet.
 type inFlightFrame struct {
 	at    kernel.Instant
 	order int
@@ -51,7 +51,7 @@
 	frame wire.Frame
 }
 
-// cluster runs members on a virtual clock over a network that can be cut.
+// cluster runs members on a virtual clock over a simulated network that can be partitioned.
 type cluster struct {
 	*testing.T
 	random   *rand.Rand
@@ -61,24 +61,24 @@
 	inFlight []inFlightFrame
 	order    int
 	cut      func(from, to string) bool
-	// voterCount is the number of voters that members keep, and lostZones that of the
-	// zones whose loss they bear.
+	// voterCount and lostZones are the settings Voters and LostZones of all members.
 	voterCount, lostZones int
 	// zoneOf returns the zone of a member.
 	zoneOf func(name string) string
 	// events counts the events of all members.
 	events map[eventlog.ID]int
-	// sampled counts those of which only some are written.
+	// sampled counts the events with Sampled set.
 	sampled map[eventlog.ID]int
-	// batches lets members handle each frame as a batch of its own, as processes do.
+	// batches makes members handle each frame in a batch of its own, as Process does.
 	batches bool
-	// onStart is told what a member's disk held at its start, and heard what members tell
-	// nodes, unless they are nil.
+	// onStart is called with a member's persisted log at its start, and onNodeFrame with
+	// each
+	// frame to a node; both may be nil.
 	onStart     func(restored raft.Restored)
 	onNodeFrame func(m *machine, message NodeFrame)
-	// versionsInForce holds the versions that a member had in force.
+	// versionsInForce holds the versions that any member logged as in force.
 	versionsInForce map[uint64]bool
-	// trace writes the events of all members to the test's log.
+	// trace writes the events of all members to the test log.
 	trace bool
 }
 
@@ -140,8 +140,7 @@
 	m.outcomes = map[Ticket]Outcome{}
 }
 
-// kill ends a member's process; its disk loses what was not synced when
-// power is set.
+// kill stops a member's process; with power set, its disk loses unsynced data.
 func (c *cluster) kill(name string, power bool) {
 	m := c.machines[name]
 	m.up = false
@@ -155,7 +154,7 @@
 	c.machines[name].disk.Wipe()
 }
 
-// apply carries out what a core wants done.
+// apply performs the actions requested by a core.
 func (c *cluster) apply(m *machine, output Output) {
 	for _, message := range output.Members {
 		c.order++
@@ -182,7 +181,7 @@
 		m.outcomes[outcome.Ticket] = outcome
 	}
 	for _, message := range output.Nodes {
-		c.takeNode(m, message.Frame)
+		c.receiveNodeFrame(m, message.Frame)
 		if c.onNodeFrame != nil {
 			c.onNodeFrame(m, message)
 		}
@@ -194,7 +193,7 @@
 	}
 }
 
-func (c *cluster) takeNode(m *machine, frame wire.Frame) {
+func (c *cluster) receiveNodeFrame(m *machine, frame wire.Frame) {
 	switch frame.Kind {
 	case wire.FrameUpdate:
 		update, err := directory.DecodeUpdate(frame.Payload)
@@ -220,7 +219,7 @@
 	return names
 }
 
-// run lets time pass.
+// run advances the virtual clock.
 func (c *cluster) run(duration time.Duration) {
 	end := c.now.Add(duration)
 	for c.now < end {
@@ -249,7 +248,7 @@
 	}
 }
 
-// deliverFrame gives a frame to a member.
+// deliverFrame passes a frame to a member.
 func (c *cluster) deliverFrame(m *machine, frame wire.Frame) {
 	if !c.batches {
 		c.apply(m, m.core.HandleFrame(c.now, frame))
@@ -260,7 +259,7 @@
 	c.apply(m, m.core.EndBatch(c.now))
 }
 
-// runUntil lets time pass until a condition holds.
+// runUntil advances the virtual clock until a condition holds.
 func (c *cluster) runUntil(limit time.Duration, what string, done func() bool) {
 	end := c.now.Add(limit)
 	for !done() {
@@ -284,7 +283,7 @@
 	return c.leader()
 }
 
-// submit hands a command to a member and waits for the outcome.
+// submit submits a command at a member and waits for the outcome.
 func (c *cluster) submit(m *machine, command directory.Command) Outcome {
 	ticket, output := m.core.Submit(c.now, command)
 	c.apply(m, output)
@@ -292,14 +291,14 @@
 	return m.outcomes[ticket]
 }
 
-// publish submits a version as the process does.
+// publish submits a version in the same way as Process.Publish.
 func (c *cluster) publish(m *machine, version uint64) Outcome {
 	next := directory.Configuration{Version: version, Routes: []directory.Route{{Name: fmt.Sprint("r", version)}}}
 	edit := directory.Difference(m.core.State().Configuration(), next)
 	return c.submit(m, directory.Command{Kind: directory.CommandPublish, Edit: edit})
 }
 
-// read returns the version that a linearizable read at a member sees.
+// read returns the version seen by a linearizable read at a member.
 func (c *cluster) read(m *machine) (uint64, error) {
 	ticket, output := m.core.Read(c.now)
 	c.apply(m, output)
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -1,9 +1,8 @@
-// Package registry provides a control member for token-routed nodes. Targets
-// register with it by themselves, operators submit whole configurations of
-// which the highest version holds, and nodes subscribe to updates. Members
-// find each other through a few seed addresses, found the group once, and
-// replace lost members without an operator. Core is deterministic; Process
-// runs it with goroutines, a disk and sockets.
+// Package registry implements a control member for token-routed nodes. Targets register
+// themselves, operators publish whole configurations of which the highest version is in
+// force, and nodes subscribe to updates. Members find each other through a few seed
+// addresses, bootstrap the group once, and replace failed members automatically. Core is
+// deterministic; Process runs it with goroutines, a disk and sockets.
 package registry
 
 import (
@@ -20,7 +19,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Ticket links a request to the core with its outcome.
+// Ticket identifies a request to the core; its Outcome carries the same ticket.
 type Ticket uint64
 
 // ConnectionID identifies the connection of a subscribed node.
@@ -38,12 +37,12 @@
 	Frame      wire.Frame
 }
 
-// Outcome is the end of a request.
+// Outcome is the result of a request.
 type Outcome struct {
 	Ticket Ticket
 	Result directory.Result
-	// Err is set when it is not known whether the command took effect; it may
-	// be sent again.
+	// Err is set when it is unknown whether the command took effect. The request may be
+	// retried.
 	Err error
 }
 
@@ -51,81 +50,82 @@
 type LogEvent struct {
 	Event  eventlog.ID
 	Fields []any
-	// Sampled is set on an event that may come thousands of times at once.
+	// Sampled is set for events that can occur thousands of times at once.
 	Sampled bool
 }
 
-// Output is what the core wants done after an input.
+// Output holds the actions that the core requests after an input.
 type Output struct {
 	Members  []AddressedFrame
 	Nodes    []NodeFrame
 	Outcomes []Outcome
 	Events   []LogEvent
-	// Reset asks to empty the data folder and begin anew: the group has
-	// removed this member.
+	// Reset requests that the data folder be emptied and the member restarted, because the
+	// group has removed it.
 	Reset bool
 }
 
-// waiter is told the outcome of a request: a call at this member, or a member
-// that has forwarded the request.
+// waiter receives the outcome of a request: a local call, or a member that forwarded the
+// request.
 type waiter struct {
 	// origin is the address of the member that forwarded the request, or "".
 	origin string
 	ticket Ticket
 }
 
-// request waits for the group. A request without a command is a read.
+// request is a command or, without one, a read that awaits its result from the group.
 type request struct {
 	ticket   Ticket
 	command  []byte
 	deadline kernel.Instant
-	// sentTerm is the term in which the request was last handed on.
+	// sentTerm is the term in which the request was last proposed or forwarded.
 	sentTerm uint64
 	sentAt   kernel.Instant
-	// openedAt is when the request came; a read waits until a quorum has
-	// confirmed the leader after that.
+	// openedAt is when the request arrived; a read waits until a quorum has confirmed the
+	// leader after that.
 	openedAt kernel.Instant
-	// answered is set once the leader has told the result; it is delivered
-	// when this member has applied the log that far.
+	// answered is set once the leader has returned the result, which is delivered when this
+	// member has applied the log up to its revision.
 	answered bool
 	result   directory.Result
-	// forwarded is set on a request that came from another member; it is not
-	// handed on again.
+	// forwarded is set for a request from another member, which is not forwarded again.
 	forwarded bool
 	waiters   []waiter
 }
 
-// proposal waits for its log entry.
+// proposal is the request that proposed a log entry, and the term of the entry.
 type proposal struct {
 	ticket Ticket
 	term   uint64
 }
 
-// Core is the deterministic part of a member. One goroutine owns it.
+// Core is the deterministic part of a member. It is owned by a single goroutine.
 type Core struct {
 	settings CoreSettings
-	// replica has no node until this member has a number in the group.
+	// replica has no Raft node until this member has an ID in the group.
 	replica *replica.Driver
 	state   *directory.State
-	// joinRequests holds what empty members said while the group is founded.
+	// joinRequests holds the latest join request from each address, used to bootstrap the
+	// group.
 	joinRequests map[string]receivedJoin
 	nextJoin     kernel.Instant
 
 	requests map[Ticket]*request
-	// inFlight is the number of requests that the leader has, as of the last tick
-	// and those handed on since.
+	// inFlight is the number of requests pending at the leader: those counted at the last
+	// tick
+	// and those sent since.
 	inFlight int
 	// answered are the requests that wait for this member to apply the log.
 	answered []Ticket
-	// commands finds the open request of a command: targets that get no answer
-	// say the same again, at this and other members.
+	// commands maps each encoded command to its open request, so that retries of the same
+	// command at this and other members share one request.
 	commands   map[string]*request
 	lastTicket Ticket
 	proposals  map[uint64]proposal
 	nodes      map[ConnectionID]*subscription
-	// nextUpdate is when nodes may get the next updates.
+	// nextUpdate is the earliest time of the next round of updates to nodes.
 	nextUpdate kernel.Instant
-	// wasCurrent is whether this member was current when nodes were last told.
+	// wasCurrent is whether this member was current at the last check.
 	wasCurrent bool
 	members    membershipState
 	liveness   livenessTable
@@ -137,11 +137,11 @@
 	speeds     speedTable
 	room       roomTable
 
-	// remembered is what this member's disk tells nodes until it is current, and encoded
-	// what it tells those without state from then on.
+	// remembered holds the persisted state sent to nodes until this member is current, and
+	// initialState the replicated state sent to nodes without state from then on.
 	remembered   rememberedPayloads
 	initialState initialState
-	// rememberedMembers are the members on this member's disk.
+	// rememberedMembers are the members found on this member's disk at start.
 	rememberedMembers []directory.Member
 
 	output   Output
@@ -149,7 +149,7 @@
 	batching bool
 }
 
-// NewCore returns a member that starts from what its disk held.
+// NewCore returns a member that starts from the contents of its disk.
 func NewCore(now kernel.Instant, settings CoreSettings, storage replica.Storage, restored raft.Restored) (*Core, error) {
 	core := &Core{
 		settings:     settings,
@@ -186,7 +186,7 @@
 	return core, nil
 }
 
-// ownMemberID finds this data folder's number in the memberships on its disk.
+// ownMemberID returns the ID of this data folder's identity in the persisted memberships.
 func ownMemberID(restored raft.Restored, identity uint64) raft.MemberID {
 	memberships := []raft.Membership{restored.Snapshot.Membership}
 	for _, entry := range restored.Entries {
@@ -207,37 +207,37 @@
 	return raft.NoMember
 }
 
-// startReplica takes part in the replicated log under a number.
+// startReplica joins the replicated log under a member ID.
 func (c *Core) startReplica(now kernel.Instant, number raft.MemberID) {
 	c.settings.Raft.ID = number
 	c.replica.Node = raft.NewNode(now, c.settings.Raft, c.restored)
 	c.logEvent(eventlog.MemberNumbered, "member", number, "last_index", c.replica.Node.LastIndex())
 }
 
-// Failed returns the error of the disk that stopped this member, or nil.
+// Failed returns the disk error that stopped this member, or nil.
 func (c *Core) Failed() error { return c.replica.Failed }
 
-// State returns the replicated state as far as this member has applied it.
+// State returns the replicated state applied by this member.
 func (c *Core) State() *directory.State { return c.state }
 
-// Raft returns the replicated log's core, or nil before this member has a number.
+// Raft returns the Raft node, or nil before this member has an ID.
 func (c *Core) Raft() *raft.Node { return c.replica.Node }
 
-// IsLeader reports whether this member leads.
+// IsLeader reports whether this member is the leader.
 func (c *Core) IsLeader() bool { return c.replica.IsLeader() }
 
-// KnowsLeader reports whether this member knows a leader of its term.
+// KnowsLeader reports whether this member knows the leader of its term.
 func (c *Core) KnowsLeader() bool {
 	return c.replica.Node != nil && c.replica.Node.Leader() != raft.NoMember
 }
 
-// IsCurrent reports whether this member's state is that of a group with a
-// leader, no older than CurrentFor.
+// IsCurrent reports whether this member's state is up to date: a leader must hold a lease,
+// and any other member must have heard from the leader within MaxStaleness.
 func (c *Core) IsCurrent(now kernel.Instant) bool {
 	if c.replica.Node == nil || c.replica.Failed != nil {
 		return false
 	}
-	// Within a batch the log may be committed further than it is applied.
+	// Within a batch, committed entries may not have been applied yet.
 	if c.replica.Applied < c.replica.Node.Commit() {
 		return false
 	}
@@ -248,8 +248,8 @@
 	return heard && now.Sub(at) < c.settings.MaxStaleness && c.replica.Node.KnowsCommit()
 }
 
-// LeaderlessFor returns how long this member has neither heard from a leader nor
-// led with a quorum; 0 while it has no place in the group.
+// LeaderlessFor returns how long this member has neither heard from a leader nor led with a
+// quorum; 0 while it is not a member of the group.
 func (c *Core) LeaderlessFor(now kernel.Instant) time.Duration {
 	if c.replica.Node == nil {
 		return 0
@@ -257,7 +257,7 @@
 	return now.Sub(c.replica.Node.LeaderlessSince(now))
 }
 
-// Tick lets time pass. It is called at least ten times a second.
+// Tick advances time. It must be called at least ten times a second.
 func (c *Core) Tick(now kernel.Instant) Output {
 	if c.replica.Failed != nil {
 		return c.takeOutput()
@@ -279,11 +279,12 @@
 	return c.takeOutput()
 }
 
-// BeginBatch puts off all that needs the disk until EndBatch, so that many
-// inputs share one sync and one update to each node.
+// BeginBatch defers disk writes until EndBatch, so that several inputs share one sync and
+// one
+// update to each node.
 func (c *Core) BeginBatch() { c.batching = true }
 
-// EndBatch does what was put off.
+// EndBatch performs the deferred work.
 func (c *Core) EndBatch(now kernel.Instant) Output {
 	c.batching = false
 	c.flush(now)
@@ -293,7 +294,7 @@
 	return c.takeOutput()
 }
 
-// HandleFrame handles a frame from another member.
+// HandleFrame processes a frame from another member.
 func (c *Core) HandleFrame(now kernel.Instant, frame wire.Frame) Output {
 	if c.replica.Failed != nil {
 		return c.takeOutput()
@@ -354,7 +355,7 @@
 	return output
 }
 
-// address returns where a member of the group is reached, or "".
+// address returns the address of a member of the group, or "" if it is unknown.
 func (c *Core) address(id raft.MemberID) string {
 	if c.replica.Node != nil {
 		if address, known := c.replica.Node.Membership().Addresses[id]; known {
@@ -367,9 +368,8 @@
 	return c.members.learnedAddresses[id]
 }
 
-// flush does what the replicated log asks for, then tells the requests that
-// wait. Nodes are told at the next tick, so that changes that come together
-// travel together.
+// flush persists and applies the pending work of the replicated log, then completes
+// requests. Nodes are updated at the next tick, so that concurrent changes share an update.
 func (c *Core) flush(now kernel.Instant) {
 	if c.batching {
 		return
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -15,8 +15,8 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// The other founders have no number until one of them tells it: a group that
-// waits for a leader to do so is never founded (bench run 6e01730e).
+// Guards against a bootstrap deadlock: the other seeds get their IDs only from the one that
+// bootstraps the group.
 func TestSeedsBootstrapGroup(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, seed, 3)
@@ -202,8 +202,7 @@
 	}
 }
 
-// Heartbeats in a replayed log are no signs of life (bench day scale-1: a
-// member that came back cleared the suspicion of two dead targets).
+// Guards against replayed registrations clearing the suspicion of dead targets.
 func TestLogReplayDoesNotCountAsHeartbeat(t *testing.T) {
 	c := newCluster(t, 6, 3)
 	leader := c.waitForLeader()
@@ -287,9 +286,8 @@
 func (brokenStorage) Save(raft.Ready, raft.Restored) error { return fmt.Errorf("no space left") }
 func (brokenStorage) Rewrite(raft.Restored) error          { return fmt.Errorf("no space left") }
 
-// A member that comes back learns step by step how far its log is committed.
-// What it passes through on the way is old and must not reach a node (seen on
-// bench day trouble-1: fresh nodes were ready with the first version).
+// A restarted member learns the commit index step by step; nodes must not receive the
+// outdated states that it passes through.
 func TestNewNodeReceivesNoReplayedState(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, seed, 3)
@@ -334,7 +332,7 @@
 	assert.Equal(t, uint64(4), leader.updates[0].Configuration.Version)
 }
 
-// reportEvidence gives a member the reports of nodes about one target.
+// reportEvidence lets several nodes report the same evidence to a member.
 func (c *cluster) reportEvidence(m *machine, nodes int, evidence Evidence) {
 	for node := range nodes {
 		connection := ConnectionID(100 + node)
@@ -424,9 +422,9 @@
 	assert.Empty(t, leader.core.liveness.verdicts.Lost)
 }
 
-// Members that came after the founding must find each other after a restart of
-// all, before anyone knows how far the log is committed (own bench day
-// close-kill-all-after-replace: no leader, the configuration never came back).
+// Members added after bootstrap must find each other after a full restart, before any of
+// them
+// knows the commit index.
 func TestReplacedMembersReconnectAfterFullRestart(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newCluster(t, seed, 3)
@@ -454,8 +452,8 @@
 	}
 }
 
-// A learner that has just been added was taken for one that had been silent
-// since the leader's election, and removed again (random faults, seed 16).
+// Guards against removing a new learner because it has been silent since the election of a
+// long-standing leader.
 func TestNewLearnerIsNotRemovedAsSilent(t *testing.T) {
 	c := newCluster(t, 13, 3)
 	leader := c.waitForLeader()
@@ -467,8 +465,7 @@
 	assert.Zero(t, joined.resets)
 }
 
-// Targets that get no answer say the same again at each member. A proposal for
-// each of them drowned the group (300 machines, bench run 1a0d676f).
+// Guards against overload by one proposal for each retry of the same registration.
 func TestIdenticalCommandsAreCoalesced(t *testing.T) {
 	c := newCluster(t, 14, 3)
 	leader := c.waitForLeader()
@@ -523,8 +520,7 @@
 	return s.Storage.Save(ready, whole)
 }
 
-// At 300 machines members handed each waiting request on four times a second,
-// and the leader had time for nothing else (sweep 36539bc3).
+// Guards against overloading the leader with requests that each member resends.
 func TestInFlightAndPendingRequestsAreBounded(t *testing.T) {
 	c := newCluster(t, 16, 3)
 	leader := c.waitForLeader()
@@ -551,9 +547,8 @@
 	c.runUntil(2*time.Second, "all others are done", func() bool { return follower.core.State().TargetCount() == maxPending })
 }
 
-// In a split most targets told members on the other side of it; the leader
-// suspected 79 of 123, and the others got all flows (swancoast-geo-grown
-// trouble-3).
+// In a network partition most targets may be silent; suspecting all of them would overload
+// the others.
 func TestNoTargetSuspectedWhenMostAreSilent(t *testing.T) {
 	c := newCluster(t, 17, 3)
 	leader := c.waitForLeader()
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -16,15 +16,14 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// faultSeeds is the number of seeds that the test plays; more can be asked for
-// by the environment variable of the same meaning.
+// faultSeeds is the default number of seeds; BEAMDOOR_FAULT_SEEDS overrides it.
 const faultSeeds = 60
 
-// versionInput is an operation on the configuration: a write of a version, or
-// a read when the version is 0.
+// versionInput is an operation on the configuration: a write of a version, or a read if the
+// version is 0.
 type versionInput struct{ version uint64 }
 
-// versionModel is the sequential meaning: the highest version holds.
+// versionModel is the sequential specification: the highest version is in force.
 var versionModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -38,7 +37,7 @@
 	Equal: func(a, b any) bool { return a.(uint64) == b.(uint64) },
 }
 
-// openOperation waits for its outcome.
+// openOperation is an operation without an outcome.
 type openOperation struct {
 	machine *machine
 	core    *Core
@@ -48,20 +47,20 @@
 	client  int
 }
 
-// faultRun plays random faults against a group while an operator writes and
-// reads at any member.
+// faultRun injects random faults into a group while a client writes and reads at random
+// members.
 type faultRun struct {
 	*cluster
-	version  uint64
-	acked    uint64
-	open     []openOperation
-	history  []porcupine.Operation
-	client   int
-	healAt   kernel.Instant
-	heal     func()
-	nextJoin int
-	faults   []string
-	// onStep is called now and then, unless it is nil.
+	lastVersion    uint64
+	ackedVersion   uint64
+	openOperations []openOperation
+	history        []porcupine.Operation
+	lastClient     int
+	healAt         kernel.Instant
+	heal           func()
+	nextJoin       int
+	faults         []string
+	// onStep is called in each step unless it is nil.
 	onStep func()
 }
 
@@ -75,16 +74,16 @@
 		edit := directory.Difference(m.core.State().Configuration(), next)
 		ticket, output = m.core.Submit(r.now, directory.Command{Kind: directory.CommandPublish, Edit: edit})
 	}
-	r.client++
-	r.open = append(r.open, openOperation{machine: m, core: m.core, ticket: ticket, input: input, call: r.now, client: r.client})
+	r.lastClient++
+	r.openOperations = append(r.openOperations, openOperation{machine: m, core: m.core, ticket: ticket, input: input, call: r.now, client: r.lastClient})
 	r.apply(m, output)
 }
 
-// collect enters finished operations into the history. A write whose outcome
-// is not known may take effect at any later time.
+// collect adds finished operations to the history. A write with an unknown outcome may take
+// effect at any later time.
 func (r *faultRun) collect() {
 	var waiting []openOperation
-	for _, operation := range r.open {
+	for _, operation := range r.openOperations {
 		outcome, done := operation.machine.outcomes[operation.ticket]
 		alive := operation.machine.core == operation.core && operation.machine.up
 		if !done && alive {
@@ -99,11 +98,11 @@
 		if known {
 			entry.Return = int64(r.now)
 			entry.Output = operation.machine.core.State().Configuration().Version
-			r.acked = max(r.acked, operation.input.version)
+			r.ackedVersion = max(r.ackedVersion, operation.input.version)
 		}
 		r.history = append(r.history, entry)
 	}
-	r.open = waiting
+	r.openOperations = waiting
 }
 
 func (r *faultRun) randomUpMember() *machine {
@@ -117,7 +116,7 @@
 	return nil
 }
 
-// fault begins one random fault and says how it ends.
+// fault starts a random fault and sets when and how it ends.
 func (r *faultRun) fault() {
 	names := r.names()
 	name := names[r.random.IntN(len(names))]
@@ -163,7 +162,7 @@
 	}
 }
 
-// recoveryTime is the time after a fault that a group is given, as its users do.
+// recoveryTime is the time between the end of a fault and the next one.
 const recoveryTime = 4 * time.Second
 
 func runFaults(t *testing.T, seed uint64) {
@@ -176,19 +175,19 @@
 	for _, name := range r.names() {
 		version, err := r.read(r.machines[name])
 		require.NoError(t, err, context)
-		assert.GreaterOrEqual(t, version, r.acked, context)
+		assert.GreaterOrEqual(t, version, r.ackedVersion, context)
 	}
 	assert.Len(t, r.voters(), 3, context)
 	result := porcupine.CheckOperationsTimeout(versionModel, r.history, 20*time.Second)
 	assert.Equal(t, porcupine.Ok, result, context)
 }
 
-// configurationOf returns the only configuration that is ever written under a version.
+// configurationOf returns the only configuration written under a version.
 func configurationOf(version uint64) directory.Configuration {
 	return directory.Configuration{Version: version, Routes: []directory.Route{{Name: fmt.Sprint("r", version)}}}
 }
 
-// play lets faults come for a time, and then the group recover.
+// play injects faults for a duration and then lets the group recover.
 func (r *faultRun) play(duration time.Duration) {
 	end := r.now.Add(duration)
 	nextFault := r.now.Add(time.Second)
@@ -201,8 +200,8 @@
 		if m := r.randomUpMember(); m != nil {
 			input := versionInput{}
 			if r.random.IntN(3) > 0 {
-				r.version += uint64(1 + r.random.IntN(3))
-				input.version = r.version
+				r.lastVersion += uint64(1 + r.random.IntN(3))
+				input.version = r.lastVersion
 			}
 			r.startOperation(m, input)
 		}
@@ -222,8 +221,8 @@
 	r.collect()
 }
 
-// Versions are linearizable, nothing acknowledged is lost and the group has
-// three voters again, whatever fails, one member at a time or all at once.
+// Checks under random faults that versions are linearizable, acknowledged versions persist
+// and the group returns to three voters.
 func TestRandomFaults(t *testing.T) {
 	seeds := faultSeeds
 	if text := os.Getenv("BEAMDOOR_FAULT_SEEDS"); text != "" {
--- a/internal/registry/host.go
+++ b/internal/registry/host.go
@@ -36,7 +36,7 @@
 
 // Apply implements replica.Host.
 func (c *Core) Apply(now kernel.Instant, entry raft.Entry) error {
-	waiting, mine := c.proposals[entry.Index]
+	pending, proposedHere := c.proposals[entry.Index]
 	delete(c.proposals, entry.Index)
 	if entry.Kind != raft.EntryCommand {
 		return nil
@@ -52,25 +52,24 @@
 	if command.Kind == directory.CommandPutTarget && c.IsLeader() && entry.Term == c.replica.Node.Term() {
 		c.Heard(now, command.Target.Start())
 	}
-	if mine && waiting.term == entry.Term {
-		c.recordResult(waiting.ticket, result)
+	if proposedHere && pending.term == entry.Term {
+		c.recordResult(pending.ticket, result)
 	}
 	return nil
 }
 
-// logApplied writes one line for each change of what the group believes. Of
-// entries of earlier terms, most of which are a replay, only some are written:
-// thousands of lines would hold up a member that has just come back. Of targets' stages
-// the leader writes all and the others some: each of 14 members wrote 8,000 lines and
-// more before the first call of a fleet of 10,000 targets.
+// logApplied logs each applied change of the replicated state. Entries of earlier terms are
+// mostly replayed and are sampled, so that logging does not delay a restarted member.
+// Stages
+// of targets are sampled at followers, since the leader logs all of them.
 func (c *Core) logApplied(command directory.Command, result directory.Result, before uint64, replayed bool) {
 	if c.state.Revision() == before {
 		return
 	}
-	first := len(c.output.Events)
+	firstEvent := len(c.output.Events)
 	defer func() {
-		for position := first; position < len(c.output.Events); position++ {
-			c.output.Events[position].Sampled = replayed || isStage(command) && !c.IsLeader()
+		for event := firstEvent; event < len(c.output.Events); event++ {
+			c.output.Events[event].Sampled = replayed || isStage(command) && !c.IsLeader()
 		}
 	}()
 	switch command.Kind {
@@ -91,7 +90,7 @@
 	}
 }
 
-// isStage reports whether a command moves a target on in its life.
+// isStage reports whether a command moves a target to a later stage.
 func isStage(command directory.Command) bool {
 	return command.Kind == directory.CommandPutTarget || command.Kind == directory.CommandEndTarget
 }
--- a/internal/registry/host_test.go
+++ b/internal/registry/host_test.go
@@ -12,7 +12,7 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// The lines of a group grow with its targets, not with targets times members.
+// Guards against log volume that grows with the product of targets and members.
 func TestFollowersSampleTargetStageEvents(t *testing.T) {
 	const targets = 20
 	c := newCluster(t, 1, 5)
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// heartbeat hands a heartbeat to a member as its process does.
+// heartbeat sends a heartbeat to a member in the same way as Process.HandleHeartbeat.
 func (c *cluster) heartbeat(m *machine, command directory.Command) {
 	m.core.Heard(c.now, command.Target.Start())
 	if m.core.IsRegistered(command.Target) {
@@ -23,9 +23,8 @@
 	c.runUntil(3*time.Second, "an outcome", func() bool { _, done := m.outcomes[ticket]; return done })
 }
 
-// A process crashed, another one registered at its address, and a heartbeat of the
-// first one that was under way comes late. It must neither live again nor take its
-// address back.
+// A delayed heartbeat of a crashed process must neither revive its target nor take back the
+// address that another target has since registered.
 func TestLateHeartbeatDoesNotReviveReplacedTarget(t *testing.T) {
 	const (
 		place = "10.1.1.1:1"
@@ -75,13 +74,13 @@
 		if !m.up {
 			continue
 		}
-		crashed, known := m.core.State().Target(old)
+		replaced, known := m.core.State().Target(old)
 		assert.True(t, known)
-		assert.Equal(t, directory.TargetEnded, crashed.State, "it lives again")
-		serving, known := m.core.State().Target(next)
+		assert.Equal(t, directory.TargetEnded, replaced.State, "it lives again")
+		successor, known := m.core.State().Target(next)
 		require.True(t, known)
-		assert.Equal(t, directory.TargetReady, serving.State)
-		assert.NotContains(t, m.core.liveness.verdicts.Lost, serving.Token)
+		assert.Equal(t, directory.TargetReady, successor.State)
+		assert.NotContains(t, m.core.liveness.verdicts.Lost, successor.Token)
 		for _, target := range m.core.State().Since(0).Targets {
 			if target.ID == next {
 				assert.Equal(t, "10.1.1.1:1", target.Address.String())
@@ -92,7 +91,7 @@
 	}
 }
 
-// The late heartbeat comes to a member that has the state from a snapshot.
+// The same after the state has been restored from a snapshot.
 func TestLateHeartbeatDoesNotReviveTargetAfterSnapshot(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	leader := c.waitForLeader()
--- a/internal/registry/initialstate_test.go
+++ b/internal/registry/initialstate_test.go
@@ -10,9 +10,9 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// Bench day trouble-1 of the grown site of the third customer: half of 108 nodes
-// had their first state 100 ms after the leader was elected, since a member that
-// had become current looked at its nodes only after their pause.
+// Guards against delaying the initial state by the update interval after a member has
+// become
+// current.
 func TestInitialStateSentOnceMemberIsCurrent(t *testing.T) {
 	const nodes = 60
 	for seed := range uint64(10) {
@@ -34,10 +34,8 @@
 	}
 }
 
-// A leader that had just been elected gave its nodes the state of its last snapshot,
-// since it had not applied the log yet: the node dropped the targets that it
-// remembered and could not forward open flows for 130 ms (front-osborne-park-31 of
-// swancoast-geo-large trouble-1, seed 2, revision 1).
+// Guards against a new leader sending the state of its last snapshot before it has applied
+// the log, which makes nodes drop targets of open flows.
 func TestNewLeaderSendsNoReplayedState(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newTolerantCluster(t, seed, 3, 1)
--- a/internal/registry/inputs.go
+++ b/internal/registry/inputs.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// input is a typed message for the goroutine that owns the core.
+// input is a message for the goroutine that owns the core.
 type input interface {
 	handle(p *Process, now kernel.Instant) Output
 }
@@ -49,7 +49,7 @@
 		i.queue.Close()
 		return Output{}
 	}
-	// The node came before this member had read its disk.
+	// The node connected before this member had read its disk and could refer it.
 	if table := p.referrals.Load(); table.refers(i.subscribe) {
 		p.metrics.referrals.Inc()
 		i.queue.TryPush(table.frame)
@@ -70,8 +70,8 @@
 	return Output{}
 }
 
-// callInput runs a function on the goroutine that owns the core. The function
-// returns the ticket to wait for, or 0 when it has its answer already.
+// callInput runs a function on the goroutine that owns the core. The function returns the
+// ticket to wait for, or 0 if the call is complete.
 type callInput struct {
 	run    func(core *Core, now kernel.Instant) (Ticket, Output)
 	answer chan Outcome
@@ -79,7 +79,7 @@
 
 func (i callInput) handle(p *Process, now kernel.Instant) Output {
 	if p.core == nil {
-		i.answer <- Outcome{Err: steperror.New("registry.request", p.settings.Name, "the disk of this member cannot be used")}
+		i.answer <- Outcome{Err: steperror.New("registry.request", p.settings.Name, "this member's disk is unavailable")}
 		return Output{}
 	}
 	ticket, output := i.run(p.core, now)
@@ -91,7 +91,7 @@
 	return output
 }
 
-// call runs a function with the core and waits for the outcome.
+// call runs a function on the goroutine that owns the core and waits for the outcome.
 func (p *Process) call(ctx context.Context, run func(core *Core, now kernel.Instant) (Ticket, Output)) (directory.Result, error) {
 	const step = "registry.call"
 	started := time.Now()
--- a/internal/registry/liveness.go
+++ b/internal/registry/liveness.go
@@ -11,60 +11,62 @@
 )
 
 const (
-	// livenessInterval is the time between two messages about targets.
+	// livenessInterval is the time between two liveness messages.
 	livenessInterval = 100 * time.Millisecond
-	// silenceReportTTL is how long a report of silence counts.
+	// silenceReportTTL is how long a member's report of a silent target is valid.
 	silenceReportTTL = 500 * time.Millisecond
-	// nodeSilenceReportTTL is the same for the report of one node.
+	// nodeSilenceReportTTL is how long the report of a single node is valid.
 	nodeSilenceReportTTL = 250 * time.Millisecond
-	// minSilentWeight is the weight of the evidence that is needed to hold a
-	// target for lost.
+	// minSilentWeight is the weight of evidence required to mark a target as lost.
 	minSilentWeight = 4
-	// minSilentNodes is the number of nodes that must have seen it: what
-	// only one node sees may be its own fault.
+	// minSilentNodes is the number of nodes that must report a target as silent. A single
+	// observer may be at fault itself.
 	minSilentNodes = 2
-	// verdictShareDivisor bounds the targets suspected or held for lost to one
-	// part in so many of all: when more seem silent, the observers are more
-	// likely at fault.
+	// verdictShareDivisor limits the suspected and the lost targets to one part in this
+	// many of
+	// all targets. If more seem silent, the observers are more likely at fault.
 	verdictShareDivisor = 2
-	// verdictResendInterval is the time after which verdicts are told again though they have
-	// not changed: a member that missed them, behind a cut, has them a second after it.
+	// verdictResendInterval is the time after which unchanged verdicts are sent again, for
+	// members that missed them during a network partition.
 	verdictResendInterval = time.Second
-	// queryDuration is how long members are asked whether a target answers
-	// before it can be held for lost.
+	// queryDuration is how long members are asked whether a target answers before the
+	// target
+	// can be marked as lost.
 	queryDuration = 250 * time.Millisecond
 )
 
-// targetStatus is what the leader knows of one target.
+// targetStatus is the leader's view of the liveness of one target.
 type targetStatus struct {
-	// lastHeartbeat is when a heartbeat last came, at any member.
+	// lastHeartbeat is when the last heartbeat arrived at any member.
 	lastHeartbeat kernel.Instant
 	// lastAnswer is when the target was last seen to answer a caller.
 	lastAnswer kernel.Instant
 	silences   map[string]silence
-	// refusals are the members' reports of opening packets that it did not take, and
-	// refusedAt is when there were enough of them.
+	// refusals are the members' reports of refused opening packets, and refusedAt is when
+	// they
+	// last reached the threshold.
 	refusals  map[string]silence
 	refusedAt kernel.Instant
-	// queriedSince is when members were first asked about the target; 0 while
-	// nobody has reported its silence.
+	// queriedSince is when members were first asked about the target; 0 while no silence is
+	// reported.
 	queriedSince kernel.Instant
 	lost         bool
 }
 
 func (s *targetStatus) lastSeen() kernel.Instant { return max(s.lastHeartbeat, s.lastAnswer) }
 
-// livenessTable knows when targets were last heard from and seen to answer.
-// It is not replicated: a new leader begins with the benefit of the doubt.
+// livenessTable holds the liveness of all targets. It is not replicated: a new leader
+// treats
+// every target as heard from at the time of its election.
 type livenessTable struct {
 	since    kernel.Instant
 	statuses map[directory.Token]*targetStatus
-	// unsentHeartbeats and unsentEvidence wait for the next message to the leader.
+	// unsentHeartbeats and unsentAnswers are reported in the next message to the leader.
 	unsentHeartbeats map[directory.Token]bool
 	unsentAnswers    map[directory.Token]bool
 	verdicts         leaderVerdicts
 	nextReport       kernel.Instant
-	// nextVerdictResend is when the leader tells its verdicts again.
+	// nextVerdictResend is when the leader sends its verdicts again.
 	nextVerdictResend kernel.Instant
 }
 
@@ -88,7 +90,8 @@
 	return known
 }
 
-// evaluateTargets works out the verdicts and tells the other members when they change.
+// evaluateTargets computes the verdicts and sends them to the other members if they
+// changed.
 func (c *Core) evaluateTargets(now kernel.Instant) {
 	if now.Sub(c.liveness.since) < c.settings.LostAfter {
 		return
@@ -125,8 +128,8 @@
 	c.sendVerdicts(now, next)
 }
 
-// isQueried reports whether members are asked about a target: somebody has
-// lately reported its silence.
+// isQueried reports whether members are asked about a target, which is the case while
+// reports of its silence are valid.
 func (c *Core) isQueried(now kernel.Instant, status *targetStatus) bool {
 	if status.silence(now).all() == 0 {
 		status.queriedSince = 0
@@ -138,9 +141,10 @@
 	return true
 }
 
-// isLost reports whether a target is held for dead: flows at several nodes wait
-// for its answers, and for LostAfter nobody has seen it answer or heard it.
-// The verdict stands until there is a sign of life.
+// isLost reports whether a target is considered dead: flows at several nodes wait for its
+// answers, and it has neither answered nor sent a heartbeat for LostAfter. The verdict
+// holds
+// until the next answer or heartbeat.
 func (c *Core) isLost(now kernel.Instant, target *directory.Target, status *targetStatus) bool {
 	silentFor := now.Sub(status.lastSeen())
 	if status.lost {
@@ -161,13 +165,13 @@
 
 func (c *Core) sendVerdicts(now kernel.Instant, next leaderVerdicts) {
 	current := &c.liveness.verdicts
-	judged := next.Equal(current.Verdicts)
-	repeated := !now.Before(c.liveness.nextVerdictResend) && c.replica.Node.HasLease(now)
-	if judged && slices.Equal(next.Queried, current.Queried) && !repeated {
+	unchanged := next.Equal(current.Verdicts)
+	resendDue := !now.Before(c.liveness.nextVerdictResend) && c.replica.Node.HasLease(now)
+	if unchanged && slices.Equal(next.Queried, current.Queried) && !resendDue {
 		return
 	}
 	c.liveness.nextVerdictResend = now.Add(verdictResendInterval)
-	if !judged {
+	if !unchanged {
 		c.logEvent(eventlog.TargetsSuspected, "suspects", formatTokens(next.Suspects), "lost", formatTokens(next.Lost),
 			"avoided_zones", strings.Join(next.AvoidedZones, ","),
 			"ejected", formatTokens(next.Ejected), "probation", formatTokens(next.Probation))
@@ -192,14 +196,14 @@
 }
 
 func (c *Core) receiveLiveness(now kernel.Instant, payload []byte) error {
-	fromLeader, judged, seen, err := decodeLiveness(payload)
+	fromLeader, verdicts, observed, err := decodeLiveness(payload)
 	if err != nil {
 		return err
 	}
 	if fromLeader {
-		c.liveness.verdicts = judged
+		c.liveness.verdicts = verdicts
 		return nil
 	}
-	c.note(now, seen)
+	c.note(now, observed)
 	return nil
 }
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -13,37 +13,41 @@
 )
 
 const (
-	// joinRequestTTL is how long the word of an empty member counts.
+	// joinRequestTTL is how long a join request counts for bootstrapping the group.
 	joinRequestTTL = 2 * time.Second
-	// membershipInterval is the time between two checks of the membership.
+	// membershipInterval is the time between two membership checks.
 	membershipInterval = 100 * time.Millisecond
 	// learnerTimeout is the silence after which a learner is removed.
 	learnerTimeout = 20 * time.Second
-	// rejoinAfter is the time without a leader after which a member asks
-	// whether it still belongs to the group.
+	// rejoinAfter is the time without a leader after which a member asks whether it still
+	// belongs
+	// to the group.
 	rejoinAfter = 1500 * time.Millisecond
 )
 
-// receivedJoin is what an empty founder said and when.
+// receivedJoin is a join request and the time of its arrival.
 type receivedJoin struct {
 	request joinRequest
 	at      kernel.Instant
 }
 
-// membershipState holds what the leader does about the membership.
+// membershipState is the state of a member's membership management.
 type membershipState struct {
 	nextCheck kernel.Instant
-	// learnedAddresses holds addresses of members before the replicated state is here.
+	// learnedAddresses are member addresses from a join reply, used until the replicated
+	// state
+	// arrives.
 	learnedAddresses map[raft.MemberID]string
-	// firstSeen is when this leader first saw each member: one that has just
-	// been added has not had the time to be heard.
+	// firstSeen is when this leader first saw each member, so that a member that was just
+	// added
+	// does not count as silent.
 	firstSeen map[raft.MemberID]kernel.Instant
-	// lastSubmitted is the time of the last command about members.
+	// lastSubmitted is when the last membership command was proposed.
 	lastSubmitted kernel.Instant
 }
 
-// tickJoin asks for a place while this member has none, and founds the group
-// when it is the first of the founders and all of them are ready.
+// tickJoin sends join requests while this member has no place in the group, and bootstraps
+// the group if all seeds are ready and this member has the lowest address.
 func (c *Core) tickJoin(now kernel.Instant) {
 	if now < c.nextJoin || !c.needsMembership(now) {
 		return
@@ -64,8 +68,9 @@
 	}
 }
 
-// needsMembership reports whether this member has no number, or has not heard from
-// a leader for so long that it may have been removed.
+// needsMembership reports whether this member has no ID, or has been without a leader for
+// so
+// long that it may have been removed.
 func (c *Core) needsMembership(now kernel.Instant) bool {
 	if c.replica.Node == nil {
 		return true
@@ -76,7 +81,7 @@
 	return c.LeaderlessFor(now) > rejoinAfter
 }
 
-// knownAddresses returns the addresses of all members that this one knows of.
+// knownAddresses returns the addresses of all members known to this one.
 func (c *Core) knownAddresses() []string {
 	addresses := slices.Clone(c.settings.Seeds)
 	for _, member := range c.state.Members() {
@@ -89,18 +94,20 @@
 	return slices.Compact(addresses)
 }
 
-// canBootstrap reports whether this member may found the group: it is one of the
-// seeds, the whole group starts for the first time and its folder is empty.
+// canBootstrap reports whether this member may bootstrap the group: bootstrapping is
+// enabled,
+// its data folder is empty and it is one of the seeds.
 func (c *Core) canBootstrap() bool {
 	return c.settings.Bootstrap && c.replica.Node == nil && c.restored.Snapshot.Index == 0 &&
 		slices.Contains(c.settings.Seeds, c.settings.Address)
 }
 
-// SetSeeds replaces the seed addresses after the settings have changed.
+// SetSeeds replaces the seed addresses.
 func (c *Core) SetSeeds(seeds []string) { c.settings.Seeds = seeds }
 
-// tryBootstrap founds the group when every founder has said lately that its
-// folder is empty too. Only the founder with the lowest address does so.
+// tryBootstrap bootstraps the group if every seed has recently requested to join with an
+// empty
+// data folder. Only the seed with the lowest address does so.
 func (c *Core) tryBootstrap(now kernel.Instant) {
 	founders := slices.Clone(c.settings.Seeds)
 	slices.Sort(founders)
@@ -113,12 +120,12 @@
 	for position, address := range founders {
 		member := directory.Member{Identity: c.settings.Raft.Identity, Address: address, Zone: c.settings.Zone}
 		if address != c.settings.Address {
-			known, heard := c.joinRequests[address]
-			if !heard || !known.request.CanBootstrap || now.Sub(known.at) > joinRequestTTL {
+			received, exists := c.joinRequests[address]
+			if !exists || !received.request.CanBootstrap || now.Sub(received.at) > joinRequestTTL {
 				return
 			}
-			member.Identity = known.request.Identity
-			member.Zone = known.request.Zone
+			member.Identity = received.request.Identity
+			member.Zone = received.request.Zone
 		}
 		state.Apply(bootstrapIndex, directory.Command{Kind: directory.CommandAddMember, Member: member})
 		id := raft.MemberID(position + 1)
@@ -127,7 +134,7 @@
 	c.bootstrap(now, state, membership)
 }
 
-// bootstrapIndex is the log position of a group's first snapshot.
+// bootstrapIndex is the log index of the snapshot that a group is bootstrapped with.
 const bootstrapIndex = 1
 
 func (c *Core) bootstrap(now kernel.Instant, state *directory.State, membership raft.Membership) {
@@ -147,8 +154,8 @@
 	c.startReplica(now, ownMemberID(restored, c.settings.Raft.Identity))
 }
 
-// receiveJoin answers a member that asks for a place. Numbers and removals are
-// told by any member, since both are final; a new place is given by the leader.
+// receiveJoin answers a join request. Any member may return an ID or a removal, since both
+// are final; only the leader adds new members.
 func (c *Core) receiveJoin(now kernel.Instant, payload []byte) error {
 	message, err := decodeJoinRequest(payload)
 	if err != nil {
@@ -182,7 +189,7 @@
 	return nil
 }
 
-// submitMember proposes a command about members, at most one at a time.
+// submitMember proposes a membership command, at most one per membershipInterval.
 func (c *Core) submitMember(now kernel.Instant, command directory.Command) {
 	if c.members.lastSubmitted != 0 && now.Sub(c.members.lastSubmitted) < membershipInterval {
 		return
@@ -193,7 +200,7 @@
 	}
 }
 
-// receiveJoinReply takes the number that the group has given to this member.
+// receiveJoinReply takes the member ID assigned by the group.
 func (c *Core) receiveJoinReply(now kernel.Instant, payload []byte) error {
 	message, err := decodeJoinReply(payload)
 	if err != nil || message.Identity != c.settings.Raft.Identity {
@@ -218,8 +225,8 @@
 	return nil
 }
 
-// tickMembership brings the voters in line with the members that are up. It
-// makes one change at a time and waits until the one before is committed.
+// tickMembership adjusts the voters to the live members, one change at a time; each change
+// waits until the previous one is committed.
 func (c *Core) tickMembership(now kernel.Instant) {
 	if !c.IsLeader() || now < c.members.nextCheck || !c.replica.Node.HasLease(now) {
 		return
@@ -241,10 +248,10 @@
 	c.logEvent(eventlog.MembershipProposed, "reason", reason, "voters", len(next.Voters), "learners", len(next.Learners))
 }
 
-// nextMembership returns the next step: wiped members leave first, then new
-// ones learn, then learners fill the places of voters that are missing, then a
-// silent voter gives way to a learner that is ready, and last the voters are
-// spread over the zones.
+// nextMembership returns the next membership change and its reason. In order of priority:
+// remove members whose disk was lost, add new members as learners, reduce surplus voters,
+// promote learners to missing voters, replace a silent voter by a ready learner, and spread
+// the voters over the zones.
 func (c *Core) nextMembership(now kernel.Instant) (raft.Membership, string, bool) {
 	membership := c.replica.Node.Membership()
 	if id, found := c.replacedMember(membership); found {
@@ -259,9 +266,9 @@
 	silent, isSilent := c.silentVoter(now, membership)
 	if c.settings.LostZones > 0 && len(membership.Voters) > c.settings.Voters {
 		if isSilent {
-			return membership.Remove(silent), "voter is silent and there are enough", true
+			return membership.Remove(silent), "surplus voter is silent", true
 		}
-		return membership.Demote(c.crowdedVoter(membership)), "its zone has the most voters", true
+		return membership.Demote(c.crowdedVoter(membership)), "surplus voter in the zone with the most voters", true
 	}
 	ready, found := c.readyLearner(now, membership)
 	if !found {
@@ -279,8 +286,8 @@
 	return membership, "", false
 }
 
-// replacedMember finds a member whose address has a newer member: its data
-// folder is gone.
+// replacedMember returns a member whose address belongs to a newer member, which means that
+// its data folder was lost.
 func (c *Core) replacedMember(membership raft.Membership) (raft.MemberID, bool) {
 	newest := map[string]uint32{}
 	for _, member := range c.state.Members() {
@@ -295,7 +302,7 @@
 	return raft.NoMember, false
 }
 
-// recordNewMembers notes the members that were added since the last check.
+// recordNewMembers records when members were first seen.
 func (c *Core) recordNewMembers(now kernel.Instant) {
 	membership := c.replica.Node.Membership()
 	known := c.members.firstSeen
@@ -308,7 +315,7 @@
 	}
 }
 
-// silentFor returns how long a member has not been heard by this leader.
+// silentFor returns how long this leader has not heard from a member.
 func (c *Core) silentFor(now kernel.Instant, id raft.MemberID) time.Duration {
 	return now.Sub(max(c.replica.Node.LastContact(id), c.members.firstSeen[id]))
 }
@@ -317,21 +324,22 @@
 	return id == c.settings.Raft.ID || c.silentFor(now, id) < limit
 }
 
-// readyLearner finds a learner that is up and has the whole committed log: of
-// several, one in the zone with the fewest voters.
+// readyLearner returns a live learner that has the whole committed log, preferring the zone
+// with the fewest voters.
 func (c *Core) readyLearner(now kernel.Instant, membership raft.Membership) (raft.MemberID, bool) {
 	voters := c.votersByZone(membership)
-	best := raft.NoMember
+	chosen := raft.NoMember
 	for _, id := range slices.Sorted(slices.Values(membership.Learners)) {
 		ready := c.replica.Node.Match(id) >= c.replica.Node.Commit() && c.isLive(now, id, c.settings.Raft.ElectionTimeout)
-		if ready && (best == raft.NoMember || voters[c.zoneOf(id)] < voters[c.zoneOf(best)]) {
-			best = id
+		if ready && (chosen == raft.NoMember || voters[c.zoneOf(id)] < voters[c.zoneOf(chosen)]) {
+			chosen = id
 		}
 	}
-	return best, best != raft.NoMember
+	return chosen, chosen != raft.NoMember
 }
 
-// silentVoter finds the voter that has been silent for the longest time.
+// silentVoter returns the voter that has been silent for longest, if longer than
+// ReplaceAfter.
 func (c *Core) silentVoter(now kernel.Instant, membership raft.Membership) (raft.MemberID, bool) {
 	longest := c.settings.ReplaceAfter
 	silent := raft.NoMember
@@ -347,8 +355,8 @@
 	return silent, silent != raft.NoMember
 }
 
-// removeStaleMembers removes members from the state that no longer vote or learn,
-// and learners that have been silent for long.
+// removeStaleMembers removes members from the state that are no longer voters or learners,
+// and learners that have been silent for learnerTimeout.
 func (c *Core) removeStaleMembers(now kernel.Instant) {
 	membership := c.replica.Node.Membership()
 	for _, member := range c.state.Members() {
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -9,14 +9,14 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// joinRequest asks for a place in the group.
+// joinRequest asks for membership in the group.
 type joinRequest struct {
 	Address  string
 	Zone     string
 	Identity uint64
-	// CanBootstrap is set while the sender waits for the group to be founded.
+	// CanBootstrap is set while the sender waits for the group to be bootstrapped.
 	CanBootstrap bool
-	// KnownID is the number under which the sender knows itself; 0 if none.
+	// KnownID is the sender's current member ID; 0 if it has none.
 	KnownID uint32
 }
 
@@ -42,8 +42,9 @@
 	return request, decoder.Err("registry.decode_join")
 }
 
-// joinReply tells a member its number. Number 0 means that the group has no
-// place for this identity any more and the data folder is to be emptied.
+// joinReply returns the receiver's member ID. Number 0 means that the group has removed
+// this
+// identity and that the data folder must be emptied.
 type joinReply struct {
 	Identity uint64
 	Number   uint32
@@ -65,7 +66,7 @@
 	return reply, decoder.Err("registry.decode_join_reply")
 }
 
-// forward carries a command, or a read without one, to the leader.
+// forward carries a command, or a read if the command is empty, to the leader.
 type forward struct {
 	Origin  string
 	Ticket  Ticket
@@ -90,7 +91,7 @@
 	return request, decoder.Err("registry.decode_forward")
 }
 
-// forwarded is the leader's answer to a forward.
+// forwarded is the leader's reply to a forward.
 type forwarded struct {
 	Ticket Ticket
 	Result directory.Result
@@ -111,30 +112,30 @@
 	return reply, decoder.Err("registry.decode_forwarded")
 }
 
-// Subscribe opens the stream of updates to a node.
+// Subscribe opens a node's stream of updates.
 type Subscribe struct {
 	Node string
 	Zone string
-	// Revision is what the node already has; 0 asks for the whole state.
+	// Revision is the revision of the node's state; 0 requests the whole state.
 	Revision uint64
-	// Waited is how long the node has been without any state.
+	// Waited is how long the node has been without state.
 	Waited time.Duration
-	// HeartbeatAddress is the address at which the node takes heartbeats of targets, or "".
+	// HeartbeatAddress is where the node accepts heartbeats of targets, or "".
 	HeartbeatAddress string
-	// Referable is set while the node knows no member but the seeds: it can be
-	// sent on to a nearer one.
+	// Referable is set while the node knows only the seeds, so that it may be referred to
+	// another member.
 	Referable bool
-	// AnnouncementAddress is the address at which the node takes announcements, or "".
+	// AnnouncementAddress is where the node accepts announcements, or "".
 	AnnouncementAddress string
-	// CachesVerdicts is set by nodes that keep the verdicts of a member until it sends
-	// others.
+	// CachesVerdicts is set by nodes that keep the last verdicts until others are sent.
 	CachesVerdicts bool
-	// Strength is what is stated of the node's machine. A node whose machine has changed
-	// sends the whole message again over the open connection.
+	// Strength is the stated capacity of the node's machine. If it changes, the node sends
+	// the
+	// whole message again over the open connection.
 	Strength strength.Strength
 }
 
-// Frame returns the frame of a subscription.
+// Frame encodes the subscription.
 func (s Subscribe) Frame() wire.Frame {
 	var encoder wire.Encoder
 	encoder.String(s.Node)
@@ -149,7 +150,7 @@
 	return wire.Frame{Kind: wire.FrameSubscribe, Payload: encoder.Buffer}
 }
 
-// DecodeSubscribe reads a subscription.
+// DecodeSubscribe decodes the payload of a subscription frame.
 func DecodeSubscribe(payload []byte) (Subscribe, error) {
 	decoder := wire.NewDecoder(payload)
 	subscribe := Subscribe{Node: decoder.String(), Zone: decoder.String(), Revision: decoder.Uint64()}
@@ -157,71 +158,73 @@
 	subscribe.HeartbeatAddress = decoder.String()
 	subscribe.Referable = decoder.Bool()
 	subscribe.AnnouncementAddress = decoder.String()
-	// Nodes of versions that heard the verdicts with each sign of life end here.
+	// Older nodes, which receive the verdicts in each keepalive, omit the rest.
 	if decoder.HasMore() {
 		subscribe.CachesVerdicts = decoder.Bool()
 	}
-	// Nodes of versions that stated no strength end here.
+	// Older nodes, which state no strength, omit the rest.
 	if decoder.HasMore() {
 		subscribe.Strength = strength.Decode(decoder)
 	}
 	return subscribe, decoder.Err("registry.decode_subscribe")
 }
 
-// Keepalive tells a node that its member is up.
+// Keepalive tells a node that its member is running.
 type Keepalive struct {
-	// Current is set while the member hears from a leader with a quorum.
+	// Current is set while the member's state is up to date.
 	Current bool
-	// Empty is set while the member has no place in the group: its disk is new, and
-	// it knows nothing until the group has taken it in.
+	// Empty is set while the member has no ID in the group and therefore no state.
 	Empty bool
-	// Leaderless is how long the member has had no leader, in whole milliseconds on
-	// the wire; 0 while it is current.
+	// Leaderless is how long the member has had no leader; 0 while it is current. It is
+	// encoded
+	// in whole milliseconds.
 	Leaderless time.Duration
-	// Unchanged is set when the verdicts are those that the member told last over this
-	// connection; they are left out then.
+	// Unchanged is set if the verdicts equal those sent last over this connection, in which
+	// case
+	// they are omitted.
 	Unchanged bool
-	// Verdicts are the group's, as far as this member knows them.
+	// Verdicts are the group's verdicts as known to this member.
 	Verdicts directory.Verdicts
 }
 
-// Frame returns the frame of the message.
-func (a Keepalive) Frame() wire.Frame {
+// Frame encodes the keepalive.
+func (k Keepalive) Frame() wire.Frame {
 	var encoder wire.Encoder
-	encoder.Bool(a.Current)
-	encoder.Bool(a.Empty)
-	encoder.Uint32(uint32(a.Leaderless.Milliseconds()))
-	a.Verdicts.Encode(&encoder)
-	encoder.Bool(a.Unchanged)
+	encoder.Bool(k.Current)
+	encoder.Bool(k.Empty)
+	encoder.Uint32(uint32(k.Leaderless.Milliseconds()))
+	k.Verdicts.Encode(&encoder)
+	encoder.Bool(k.Unchanged)
 	return wire.Frame{Kind: wire.FrameAlive, Payload: encoder.Buffer}
 }
 
-// DecodeKeepalive reads the message.
+// DecodeKeepalive decodes the payload of a keepalive frame.
 func DecodeKeepalive(payload []byte) (Keepalive, error) {
 	decoder := wire.NewDecoder(payload)
-	alive := Keepalive{Current: decoder.Bool(), Empty: decoder.Bool()}
-	alive.Leaderless = time.Duration(decoder.Uint32()) * time.Millisecond
-	alive.Verdicts = directory.DecodeVerdicts(decoder)
+	keepalive := Keepalive{Current: decoder.Bool(), Empty: decoder.Bool()}
+	keepalive.Leaderless = time.Duration(decoder.Uint32()) * time.Millisecond
+	keepalive.Verdicts = directory.DecodeVerdicts(decoder)
 	if decoder.HasMore() {
-		alive.Unchanged = decoder.Bool()
+		keepalive.Unchanged = decoder.Bool()
 	}
-	return alive, decoder.Err("registry.decode_alive")
+	return keepalive, decoder.Err("registry.decode_alive")
 }
 
-// SilentTarget is a target that left packets of some flows unanswered.
+// SilentTarget reports a target that left packets of some flows unanswered.
 type SilentTarget struct {
 	Token directory.Token
-	// Weight grows with the flows that wait for an answer and with their wait.
+	// Weight increases with the number of waiting flows and their waiting time.
 	Weight uint32
-	// Nodes is the number of nodes that have seen it.
+	// Nodes is the number of nodes that reported the target with a weight.
 	Nodes uint32
-	// UnreliableWeight is the weight of what nodes have seen whose callers' data gets lost, and
-	// Witnesses the number of nodes that have seen anything.
+	// UnreliableWeight is the weight reported by nodes that also lose data of their
+	// callers, and
+	// Reporters the number of nodes with any report.
 	UnreliableWeight uint32
 	Reporters        uint32
 }
 
-// FromSingleNode returns the silence as seen by one node.
+// FromSingleNode returns the report with the counts of a single reporting node.
 func (s SilentTarget) FromSingleNode() SilentTarget {
 	s.Reporters = 1
 	s.Nodes = 0
@@ -231,7 +234,7 @@
 	return s
 }
 
-// add sums up what others have seen of the same target.
+// add sums two reports about the same target.
 func (s SilentTarget) add(other SilentTarget) SilentTarget {
 	s.Token = other.Token
 	s.Weight += other.Weight
@@ -244,30 +247,31 @@
 // silentTargetSize is the encoded size of a SilentTarget in bytes.
 const silentTargetSize = 20
 
-// Evidence is what a node has seen of targets since its last report.
+// Evidence is what a node observed about targets since its last report.
 type Evidence struct {
 	Answering []directory.Token
 	Silent    []SilentTarget
-	// Refused are the targets that took no opening packets; their weight is the
-	// number of these. Openings count those of all targets by zone.
+	// Refused are the targets that refused opening packets, with the number of refused
+	// packets
+	// as weight. Openings are the counts of opening packets to all targets by zone.
 	Refused  []SilentTarget
 	Openings []directory.ZoneOpenings
-	// Heartbeats are the targets whose heartbeats came to the node.
+	// Heartbeats are the targets that sent heartbeats to the node.
 	Heartbeats []directory.Token
-	// Outcomes count how exchanges with targets ended.
+	// Outcomes count the results of exchanges with targets.
 	Outcomes []directory.Outcomes
 }
 
-// IsEmpty reports whether there is nothing to tell.
+// IsEmpty reports whether there is nothing to report.
 func (e Evidence) IsEmpty() bool {
 	return len(e.Answering)+len(e.Silent)+len(e.Heartbeats)+len(e.Refused)+len(e.Openings)+len(e.Outcomes) == 0
 }
 
 func (e Evidence) encode(encoder *wire.Encoder) {
 	directory.EncodeTokens(encoder, e.Answering)
-	encodeSilent(encoder, e.Silent)
+	encodeSilentTargets(encoder, e.Silent)
 	directory.EncodeTokens(encoder, e.Heartbeats)
-	encodeSilent(encoder, e.Refused)
+	encodeSilentTargets(encoder, e.Refused)
 	encoder.Uint32(uint32(len(e.Openings)))
 	for _, counted := range e.Openings {
 		encoder.String(counted.Zone)
@@ -277,7 +281,7 @@
 	directory.EncodeOutcomes(encoder, e.Outcomes)
 }
 
-func encodeSilent(encoder *wire.Encoder, targets []SilentTarget) {
+func encodeSilentTargets(encoder *wire.Encoder, targets []SilentTarget) {
 	encoder.Uint32(uint32(len(targets)))
 	for _, silent := range targets {
 		encoder.Uint32(uint32(silent.Token))
@@ -288,7 +292,7 @@
 	}
 }
 
-func decodeSilent(decoder *wire.Decoder) []SilentTarget {
+func decodeSilentTargets(decoder *wire.Decoder) []SilentTarget {
 	var targets []SilentTarget
 	for count := decoder.Count(silentTargetSize); count > 0; count-- {
 		silent := SilentTarget{Token: directory.Token(decoder.Uint32()), Weight: decoder.Uint32()}
@@ -300,15 +304,14 @@
 	return targets
 }
 
-// minZoneOpeningsSize is the encoded size in bytes of the counts of a zone without a
-// name.
+// minZoneOpeningsSize is the encoded size in bytes of a zone's counts with an empty name.
 const minZoneOpeningsSize = 12
 
 func decodeEvidence(decoder *wire.Decoder) Evidence {
 	evidence := Evidence{Answering: directory.DecodeTokens(decoder)}
-	evidence.Silent = decodeSilent(decoder)
+	evidence.Silent = decodeSilentTargets(decoder)
 	evidence.Heartbeats = directory.DecodeTokens(decoder)
-	evidence.Refused = decodeSilent(decoder)
+	evidence.Refused = decodeSilentTargets(decoder)
 	for count := decoder.Count(minZoneOpeningsSize); count > 0; count-- {
 		counted := directory.ZoneOpenings{Zone: decoder.String(), Opened: decoder.Uint32(), Refused: decoder.Uint32()}
 		evidence.Openings = append(evidence.Openings, counted)
@@ -317,33 +320,32 @@
 	return evidence
 }
 
-// Frame returns the frame of a node's evidence.
+// Frame encodes the evidence.
 func (e Evidence) Frame() wire.Frame {
 	var encoder wire.Encoder
 	e.encode(&encoder)
 	return wire.Frame{Kind: wire.FrameEvidence, Payload: encoder.Buffer}
 }
 
-// DecodeEvidence reads a node's evidence.
+// DecodeEvidence decodes the payload of an evidence frame.
 func DecodeEvidence(payload []byte) (Evidence, error) {
 	decoder := wire.NewDecoder(payload)
 	evidence := decodeEvidence(decoder)
 	return evidence, decoder.Err("registry.decode_evidence")
 }
 
-// observations are what a member tells the leader about targets.
+// observations are a member's report to the leader about targets.
 type observations struct {
-	// From is the address of the member.
+	// From is the address of the reporting member.
 	From string
-	// Heartbeats are the targets whose heartbeats came since the last message.
+	// Heartbeats are the targets whose heartbeats arrived since the last report.
 	Heartbeats []directory.Token
 	Evidence   Evidence
-	// Outcomes are the sums of what the member's nodes counted; those of the evidence
-	// are empty here.
+	// Outcomes are the sums over the member's nodes. Evidence.Outcomes is empty here.
 	Outcomes []outlier.Report
 }
 
-// isEmpty reports whether there is nothing to tell.
+// isEmpty reports whether there is nothing to report.
 func (o observations) isEmpty() bool {
 	return len(o.Heartbeats) == 0 && len(o.Outcomes) == 0 && o.Evidence.IsEmpty()
 }
@@ -358,10 +360,10 @@
 	return wire.Frame{Kind: wire.FrameLiveness, Payload: encoder.Buffer}
 }
 
-// leaderVerdicts is what the leader tells the members about targets.
+// leaderVerdicts is the leader's message to the members about targets.
 type leaderVerdicts struct {
 	directory.Verdicts
-	// Queried are the targets of which members tell whether they answer.
+	// Queried are the targets whose answers members must report.
 	Queried []directory.Token
 }
 
@@ -373,17 +375,17 @@
 	return wire.Frame{Kind: wire.FrameLiveness, Payload: encoder.Buffer}
 }
 
-// decodeLiveness reads verdicts of the leader or observations of a member.
-func decodeLiveness(payload []byte) (fromLeader bool, judged leaderVerdicts, seen observations, err error) {
+// decodeLiveness decodes either the leader's verdicts or a member's observations.
+func decodeLiveness(payload []byte) (fromLeader bool, verdicts leaderVerdicts, observed observations, err error) {
 	decoder := wire.NewDecoder(payload)
 	fromLeader = decoder.Bool()
 	if fromLeader {
-		judged = leaderVerdicts{Verdicts: directory.DecodeVerdicts(decoder)}
-		judged.Queried = directory.DecodeTokens(decoder)
+		verdicts = leaderVerdicts{Verdicts: directory.DecodeVerdicts(decoder)}
+		verdicts.Queried = directory.DecodeTokens(decoder)
 	} else {
-		seen = observations{From: decoder.String(), Heartbeats: directory.DecodeTokens(decoder)}
-		seen.Evidence = decodeEvidence(decoder)
-		seen.Outcomes = decodeReports(decoder)
+		observed = observations{From: decoder.String(), Heartbeats: directory.DecodeTokens(decoder)}
+		observed.Evidence = decodeEvidence(decoder)
+		observed.Outcomes = decodeReports(decoder)
 	}
-	return fromLeader, judged, seen, decoder.Err("registry.decode_liveness")
+	return fromLeader, verdicts, observed, decoder.Err("registry.decode_liveness")
 }
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// metrics are the counters of a member's process.
+// metrics are the Prometheus metrics of a member.
 type metrics struct {
 	set      *hosting.Metrics
 	leader   prometheus.Gauge
@@ -24,31 +24,30 @@
 	suspects prometheus.Gauge
 	lost     prometheus.Gauge
 	ejected  prometheus.Gauge
-	// probation is the number of targets that are tried after they were ejected.
+	// probation is the number of ejected targets that get trial flows.
 	probation prometheus.Gauge
-	// versionsHeld is the number of versions that the leader holds.
+	// versionsHeld is the number of service versions held back by the leader.
 	versionsHeld prometheus.Gauge
 	voters       prometheus.Gauge
-	// votersMissing is how many voters the stated tolerance needs and the group
-	// has not.
+	// votersMissing is the number of voters missing for the configured tolerance.
 	votersMissing prometheus.Gauge
-	// bearsLostZones is 1 while the voters bear the loss of the zones that the
-	// settings state.
+	// bearsLostZones is 1 while the voters tolerate the loss of LostZones zones.
 	bearsLostZones prometheus.Gauge
-	// requestSeconds is the time from a call to its outcome, in seconds.
+	// requestSeconds is the duration of calls in seconds.
 	requestSeconds prometheus.Histogram
-	// saveSeconds is the time that the disk takes to make a batch last, in seconds.
+	// saveSeconds is the time to persist a batch in seconds.
 	saveSeconds prometheus.Histogram
-	// frameBytes counts the bytes of frames to members and nodes by their kind.
+	// frameBytes counts the bytes of frames sent to members and nodes by kind.
 	frameBytes *prometheus.CounterVec
-	// nodesWithoutStrength and bounded are the numbers of nodes that state no processor, and of those
-	// whose word was taken for less than it says.
+	// nodesWithoutStrength is the number of nodes that state no processor, and nodesBounded
+	// the
+	// number whose stated processor was reduced to a bound.
 	nodesWithoutStrength, nodesBounded prometheus.Gauge
-	// diskHeldBytes is what the log and its snapshots take on the disk in bytes.
+	// diskHeldBytes is the size of the log and its snapshots on disk.
 	diskHeldBytes prometheus.Gauge
-	// referrals counts the nodes that were sent on to another member.
+	// referrals counts the nodes referred to another member.
 	referrals prometheus.Counter
-	// leaderlessSeconds is the time without a known leader, in seconds.
+	// leaderlessSeconds is the time without a known leader in seconds.
 	leaderlessSeconds prometheus.Counter
 }
 
@@ -56,32 +55,32 @@
 	set := hosting.NewMetrics("member")
 	return &metrics{
 		set:                  set,
-		leader:               set.Gauge("leader", "1 while this member leads"),
+		leader:               set.Gauge("leader", "1 while this member is the leader"),
 		term:                 set.Gauge("term", "term of the replicated log"),
-		revision:             set.Gauge("revision", "log position of the last change"),
-		version:              set.Gauge("configuration_version", "version of the configuration that holds"),
+		revision:             set.Gauge("revision", "log index of the last change"),
+		version:              set.Gauge("configuration_version", "version of the configuration in force"),
 		nodes:                set.Gauge("nodes", "subscribed nodes"),
 		targets:              set.Gauge("targets", "targets that have not ended"),
-		suspects:             set.Gauge("suspects", "targets not heard from lately"),
-		lost:                 set.Gauge("lost", "targets held for dead"),
-		ejected:              set.Gauge("ejected", "targets that get no new flows because they fail their work"),
-		probation:            set.Gauge("probation", "targets that are tried after they were ejected"),
-		versionsHeld:         set.Gauge("versions_held", "versions of services whose targets get trial flows only, at the leader"),
-		voters:               set.Gauge("voters", "voters of the group that this member knows of"),
-		votersMissing:        set.Gauge("voters_missing", "voters that the stated tolerance needs and the group has not"),
-		bearsLostZones:       set.Gauge("bears_lost_zones", "1 while a quorum is left after the loss of the zones that must be borne"),
-		requestSeconds:       set.Seconds("request_seconds", "time from a call to its outcome"),
-		saveSeconds:          set.Seconds("save_seconds", "time of the disk to make a batch last"),
+		suspects:             set.Gauge("suspects", "suspected targets"),
+		lost:                 set.Gauge("lost", "targets marked as lost"),
+		ejected:              set.Gauge("ejected", "targets that get no new flows because their exchanges fail"),
+		probation:            set.Gauge("probation", "ejected targets that get trial flows"),
+		versionsHeld:         set.Gauge("versions_held", "service versions held back to trial flows, at the leader"),
+		voters:               set.Gauge("voters", "voters known to this member"),
+		votersMissing:        set.Gauge("voters_missing", "voters missing for the configured tolerance"),
+		bearsLostZones:       set.Gauge("bears_lost_zones", "1 while the voters tolerate the configured loss of zones"),
+		requestSeconds:       set.Seconds("request_seconds", "duration of calls"),
+		saveSeconds:          set.Seconds("save_seconds", "time to persist a batch"),
 		frameBytes:           set.CounterVec("frame_bytes_total", "bytes of frames sent to members and nodes", "kind"),
 		nodesWithoutStrength: set.Gauge("nodes_without_strength", "subscribed nodes that state no processor"),
-		nodesBounded:         set.Gauge("nodes_bounded", "subscribed nodes whose stated processor was taken for less"),
-		diskHeldBytes:        set.Gauge("disk_held_bytes", "bytes of the log and of its snapshots, while one is written too"),
-		referrals:            set.Counter("referrals_total", "nodes that were sent on to another member"),
+		nodesBounded:         set.Gauge("nodes_bounded", "subscribed nodes whose stated processor was reduced to a bound"),
+		diskHeldBytes:        set.Gauge("disk_held_bytes", "bytes of the log and its snapshots, including one being written"),
+		referrals:            set.Counter("referrals_total", "nodes referred to another member"),
 		leaderlessSeconds:    set.Counter("leaderless_seconds_total", "time without a known leader"),
 	}
 }
 
-// observe copies the state of the core.
+// observe sets the gauges from the state of the core.
 func (m *metrics) observe(core *Core) {
 	m.leader.Set(gaugeValue(core.IsLeader()))
 	m.bearsLostZones.Set(gaugeValue(core.BearsLostZones()))
@@ -101,7 +100,7 @@
 	m.versionsHeld.Set(float64(core.outcomes.judge.HeldVersions()))
 }
 
-// gaugeValue returns the value of a gauge that is 1 or 0.
+// gaugeValue returns 1 for true and 0 for false.
 func gaugeValue(set bool) float64 {
 	if set {
 		return 1
@@ -109,15 +108,15 @@
 	return 0
 }
 
-// countFrame counts a frame that is sent to a member or a node.
+// countFrame adds a frame sent to a member or a node to frameBytes.
 func (m *metrics) countFrame(frame wire.Frame) {
 	m.frameBytes.WithLabelValues(frame.Kind.String()).Add(float64(wire.FrameSize(frame)))
 }
 
-// Metrics returns the handler of the metrics address.
+// Metrics returns the HTTP handler of the metrics address.
 func (p *Process) Metrics() http.Handler { return p.metrics.set.Handler() }
 
-// timedStorage measures how long the disk takes.
+// timedStorage records the duration of saves.
 type timedStorage struct {
 	replica.Storage
 	saves prometheus.Histogram
--- a/internal/registry/nodes.go
+++ b/internal/registry/nodes.go
@@ -12,45 +12,49 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// KeepaliveInterval is the time between two signs of life to a node.
+// KeepaliveInterval is the time between two keepalives to a node.
 const KeepaliveInterval = 400 * time.Millisecond
 
-// updateIntervalPerNode is the time, for each subscribed node, between two rounds of
-// updates: it bounds the frames that a member sends in a second.
+// updateIntervalPerNode is multiplied by the number of subscribed nodes to give the
+// interval
+// between rounds of updates, which bounds the frames that a member sends per second.
 const updateIntervalPerNode = 2 * time.Millisecond
 
-// initialStateWait is how long a node without state waits for this member to be
-// current before it gets what the member has.
+// initialStateWait is how long a node without state waits for this member to become current
+// before it is sent a state that may be outdated.
 const initialStateWait = 5 * time.Second
 
-// initialStateTTL is how long the bytes of the whole state serve for further nodes, which
-// come in hundreds after an outage. What is cold counts as cold for so much longer.
+// initialStateTTL is how long the encoded whole state is reused for further nodes, which
+// may subscribe by the hundreds after an outage. The remaining warm-up times that it
+// contains are outdated by up to this time.
 const initialStateTTL = 100 * time.Millisecond
 
-// subscription is a connected node.
+// subscription is the state of a subscribed node.
 type subscription struct {
 	name     string
 	zone     string
 	revision uint64
-	// waitingSince is when the node began to wait for its first state.
+	// waitingSince is when the node began to wait for its initial state.
 	waitingSince  kernel.Instant
 	nextKeepalive kernel.Instant
 	current       bool
 	verdicts      directory.Verdicts
-	// cachesVerdicts is set on a node that need not hear the same verdicts again, and
-	// toldVerdicts once it has those above.
+	// cachesVerdicts is set for a node that keeps the last verdicts, and verdictsSent once
+	// it
+	// has been sent the verdicts above.
 	cachesVerdicts, verdictsSent bool
-	// silent is the newest report of silent targets.
+	// silent is the latest report of silent targets.
 	silent   []SilentTarget
 	silentAt kernel.Instant
 	strength strength.Strength
-	// stepsSent is the number of relative times that the node was told since it came, and
-	// hasSteps is set once these were all.
+	// stepsSent is the number of relative target times sent to the node since it
+	// subscribed, and
+	// hasAllSteps is set once all have been sent.
 	stepsSent   int
 	hasAllSteps bool
 }
 
-// Subscribe begins the stream of updates to a node.
+// Subscribe opens the stream of updates to a node.
 func (c *Core) Subscribe(now kernel.Instant, connection ConnectionID, subscribe Subscribe) Output {
 	c.nodes[connection] = &subscription{
 		name: subscribe.Node, zone: subscribe.Zone, revision: subscribe.Revision, waitingSince: now.Add(-subscribe.Waited), cachesVerdicts: subscribe.CachesVerdicts,
@@ -64,16 +68,15 @@
 	return c.takeOutput()
 }
 
-// Unsubscribe ends the stream to a node.
+// Unsubscribe closes the stream of updates to a node.
 func (c *Core) Unsubscribe(connection ConnectionID) {
 	delete(c.nodes, connection)
 	c.strengths.isStale = true
 	c.room.nodes.Forget(connection)
 }
 
-// sendUpdates sends what has changed to all subscribed nodes. Nodes that are at the
-// same revision get the same bytes. The more nodes there are, the more changes
-// travel together.
+// sendUpdates sends changes to all subscribed nodes. Nodes at the same revision share the
+// encoded update. The interval grows with the number of nodes, so that updates are batched.
 func (c *Core) sendUpdates(now kernel.Instant) {
 	if now.Before(c.nextUpdate) {
 		return
@@ -85,8 +88,8 @@
 	}
 }
 
-// becameCurrent reports whether this member has become current since the last
-// call. Nodes without state wait for nothing else, so their update is due then.
+// becameCurrent reports whether this member has become current since the last call. If so,
+// updates are due at once, since nodes without state wait for that.
 func (c *Core) becameCurrent(now kernel.Instant) bool {
 	current := c.IsCurrent(now)
 	became := current && !c.wasCurrent
@@ -98,10 +101,10 @@
 	return became
 }
 
-// update sends a node what it lacks. A node that knows more than this member
-// hears nothing until the member has caught up: state never goes back. A node
-// without state is not given that of a member that may be behind, unless it
-// has waited for too long.
+// update sends a node the changes since its revision. A node that is ahead of this member
+// gets no update until the member has caught up, and a node without state gets none while
+// the
+// member is not current unless it has waited for initialStateWait.
 func (c *Core) update(now kernel.Instant, connection ConnectionID, payloads map[uint64][]byte) {
 	node := c.nodes[connection]
 	if c.state.Revision() <= node.revision {
@@ -127,14 +130,14 @@
 	return directory.EncodeUpdate(c.forNode(now, c.state.Since(revision)))
 }
 
-// initialState is the whole state as nodes without state get it.
+// initialState caches the encoded whole state for nodes without state.
 type initialState struct {
 	revision  uint64
 	createdAt kernel.Instant
 	payload   []byte
 }
 
-// initialStatePayload returns the bytes of the whole state.
+// initialStatePayload returns the encoded whole state.
 func (c *Core) initialStatePayload(now kernel.Instant) []byte {
 	kept := &c.initialState
 	if kept.revision != c.state.Revision() || now.Sub(kept.createdAt) >= initialStateTTL {
@@ -143,15 +146,15 @@
 	return kept.payload
 }
 
-// sortedConnections returns the connections in a fixed order, so that a simulated run
-// repeats.
+// sortedConnections returns the connections in a fixed order to keep simulations
+// reproducible.
 func (c *Core) sortedConnections() []ConnectionID { return slices.Sorted(maps.Keys(c.nodes)) }
 
 func (c *Core) sendToNode(connection ConnectionID, frame wire.Frame) {
 	c.output.Nodes = append(c.output.Nodes, NodeFrame{Connection: connection, Frame: frame})
 }
 
-// tickNodes sends signs of life, at once when what they say has changed.
+// tickNodes sends due updates and keepalives.
 func (c *Core) tickNodes(now kernel.Instant) {
 	c.becameCurrent(now)
 	c.sendUpdates(now)
@@ -160,33 +163,34 @@
 	}
 }
 
-// sendKeepalive sends a node a sign of life when one is due, or when it says that
-// this member is current or not, or another target or zone that is held for lost. The
-// verdicts go with it only when they are others than before: after the loss of a zone of
-// 6,000 targets their list is 24 kB, 60 kB/s for each node if each sign held it.
+// sendKeepalive sends a keepalive if one is due, if this member became current or ceased to
+// be,
+// or if the verdicts changed urgently. Unchanged verdicts are omitted, because their list
+// can
+// be long after the loss of a zone and would otherwise be sent with every keepalive.
 func (c *Core) sendKeepalive(now kernel.Instant, connection ConnectionID) {
 	node := c.nodes[connection]
 	current := c.IsCurrent(now)
-	judged := c.liveness.verdicts.Verdicts
-	changed := node.current != current || !judged.IsAsUrgentAs(node.verdicts)
+	verdicts := c.liveness.verdicts.Verdicts
+	changed := node.current != current || !verdicts.IsAsUrgentAs(node.verdicts)
 	if now.Before(node.nextKeepalive) && !changed {
 		return
 	}
 	node.nextKeepalive = now.Add(KeepaliveInterval)
 	node.current = current
-	alive := Keepalive{
+	keepalive := Keepalive{
 		Current: current && c.state.Revision() >= node.revision,
 		Empty:   c.replica.Node == nil,
 	}
-	alive.Unchanged = alive.Current && node.cachesVerdicts && node.verdictsSent && judged.Equal(node.verdicts)
-	if !alive.Unchanged {
-		alive.Verdicts = judged
+	keepalive.Unchanged = keepalive.Current && node.cachesVerdicts && node.verdictsSent && verdicts.Equal(node.verdicts)
+	if !keepalive.Unchanged {
+		keepalive.Verdicts = verdicts
 	}
-	// A node takes no verdicts of a member that is not current.
-	node.verdictsSent = alive.Current
-	node.verdicts = judged
-	if !alive.Current {
-		alive.Leaderless = c.LeaderlessFor(now)
+	// Nodes ignore verdicts from a member that is not current.
+	node.verdictsSent = keepalive.Current
+	node.verdicts = verdicts
+	if !keepalive.Current {
+		keepalive.Leaderless = c.LeaderlessFor(now)
 	}
-	c.sendToNode(connection, alive.Frame())
+	c.sendToNode(connection, keepalive.Frame())
 }
--- a/internal/registry/nodes_test.go
+++ b/internal/registry/nodes_test.go
@@ -11,25 +11,25 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// takeKeepalives returns the signs of life that a core sends to a node in the time between two,
-// and their bytes.
-func takeKeepalives(t *testing.T, core *Core, now kernel.Instant, connection ConnectionID) (list []Keepalive, bytes int) {
+// takeKeepalives calls sendKeepalive and returns the keepalives to a node and their size in
+// bytes.
+func takeKeepalives(t *testing.T, core *Core, now kernel.Instant, connection ConnectionID) (keepalives []Keepalive, bytes int) {
 	t.Helper()
 	core.sendKeepalive(now, connection)
 	for _, sent := range core.takeOutput().Nodes {
 		if sent.Connection != connection || sent.Frame.Kind != wire.FrameAlive {
 			continue
 		}
-		alive, err := DecodeKeepalive(sent.Frame.Payload)
+		keepalive, err := DecodeKeepalive(sent.Frame.Payload)
 		require.NoError(t, err)
-		list = append(list, alive)
+		keepalives = append(keepalives, keepalive)
 		bytes += wire.FrameSize(sent.Frame)
 	}
-	return list, bytes
+	return keepalives, bytes
 }
 
-// The load: a zone with 6,000 targets is gone, and 470 nodes follow the member. What they
-// are told costs bytes when it changes, not each time that the member says it is up.
+// Guards against sending the long verdicts after the loss of a zone with each keepalive to
+// each node.
 func TestUnchangedVerdictsAreOmitted(t *testing.T) {
 	const suspects = 6000
 	c := newCluster(t, 1, 3)
@@ -67,8 +67,7 @@
 	}
 }
 
-// A node takes no verdicts of a member that is not current: those told meanwhile do not
-// count as told.
+// Nodes ignore verdicts from a member that is not current, so these must be sent again.
 func TestVerdictsAreResentOnceMemberIsCurrent(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	core := c.waitForLeader().core
--- a/internal/registry/persistedstate_test.go
+++ b/internal/registry/persistedstate_test.go
@@ -16,26 +16,26 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// simulatedNode is a node that follows members at random.
+// simulatedNode is a node that subscribes to random members.
 type simulatedNode struct {
 	core      *steer.Core
 	startedAt kernel.Instant
-	// version is the highest version that it has placed by.
-	version uint64
+	// highestVersion is the highest version that the node has used.
+	highestVersion uint64
 }
 
-// rememberedRun plays faults while nodes start and follow members, and targets of two
-// services use a few addresses by turns.
+// rememberedRun injects faults while nodes subscribe to members and targets of two services
+// reuse a few addresses.
 type rememberedRun struct {
 	*faultRun
-	nodes       map[ConnectionID]*simulatedNode
-	connections ConnectionID
-	targets     int
-	// serviceOf holds the service of each target that ever registered.
+	nodes          map[ConnectionID]*simulatedNode
+	lastConnection ConnectionID
+	targetCount    int
+	// serviceOf maps each target that ever registered to its service.
 	serviceOf map[string]string
-	// rememberedVersions are the versions that disks gave as known to be committed.
+	// rememberedVersions are the versions that members read from disk as committed.
 	rememberedVersions map[uint64]bool
-	// placedByMemory counts the nodes that could place by a disk.
+	// placedByMemory counts how often a node could route by remembered state.
 	placedByMemory int
 }
 
@@ -54,7 +54,7 @@
 	return r
 }
 
-// step registers a target, lets a node follow another member, and starts one at each
+// step registers a target, subscribes a node to another member, and starts a node at each
 // member that is not current.
 func (r *rememberedRun) step() {
 	m := r.randomUpMember()
@@ -65,7 +65,7 @@
 		r.restartAll(time.Duration(r.random.IntN(200)) * time.Millisecond)
 	}
 	r.register(m)
-	if node := r.nodes[ConnectionID(1+r.random.IntN(int(r.connections)+1))]; node != nil {
+	if node := r.nodes[ConnectionID(1+r.random.IntN(int(r.lastConnection)+1))]; node != nil {
 		r.subscribe(m, node)
 	}
 	for _, name := range r.names() {
@@ -82,15 +82,15 @@
 }
 
 func (r *rememberedRun) subscribe(m *machine, node *simulatedNode) {
-	r.connections++
-	r.nodes[r.connections] = node
-	r.apply(m, m.core.Subscribe(r.now, r.connections, Subscribe{Node: "edge", Revision: node.core.Revision()}))
+	r.lastConnection++
+	r.nodes[r.lastConnection] = node
+	r.apply(m, m.core.Subscribe(r.now, r.lastConnection, Subscribe{Node: "edge", Revision: node.core.Revision()}))
 }
 
 // register registers a new target at one of a few addresses.
 func (r *rememberedRun) register(m *machine) {
-	r.targets++
-	id := fmt.Sprintf("i-%08x", r.targets)
+	r.targetCount++
+	id := fmt.Sprintf("i-%08x", r.targetCount)
 	r.serviceOf[id] = fmt.Sprint("service-", r.random.IntN(2))
 	_, output := m.core.Submit(r.now, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 		ID: id, Service: r.serviceOf[id], Zone: "north", Slots: 1, State: directory.TargetReady,
@@ -99,7 +99,7 @@
 	r.apply(m, output)
 }
 
-// deliverNodeFrame hands a node what a member tells it.
+// deliverNodeFrame passes a member's frame to a node.
 func (r *rememberedRun) deliverNodeFrame(_ *machine, message NodeFrame) {
 	node := r.nodes[message.Connection]
 	if node == nil {
@@ -121,12 +121,12 @@
 		require.NoError(r, err)
 		node.core.Update(r.now, update)
 	}
-	require.GreaterOrEqual(r, node.core.Version(), node.version, "a node never goes back in its life")
-	node.version = node.core.Version()
+	require.GreaterOrEqual(r, node.core.Version(), node.highestVersion, "a node never goes back in its life")
+	node.highestVersion = node.core.Version()
 }
 
-// Whatever fails, a disk gives no version as committed that the group does not hold for
-// good, and no node goes back from what a disk told it.
+// Checks under random faults that remembered versions were committed, and that the version
+// of a node never decreases.
 func TestRememberedConfigurationWasCommitted(t *testing.T) {
 	byMemory := 0
 	for seed := range uint64(20) {
@@ -143,7 +143,7 @@
 			require.True(t, r.versionsInForce[told], "version %d was never in force: %s", told, context)
 		}
 		for _, node := range r.nodes {
-			require.LessOrEqual(t, node.version, version, context)
+			require.LessOrEqual(t, node.highestVersion, version, context)
 		}
 		byMemory += r.placedByMemory
 	}
@@ -151,7 +151,7 @@
 	t.Log(byMemory, "nodes placed by a disk")
 }
 
-func restoredOf(commit uint64, commands ...directory.Command) raft.Restored {
+func restoredLog(commit uint64, commands ...directory.Command) raft.Restored {
 	restored := raft.Restored{HardState: raft.HardState{Term: 1, Commit: commit}}
 	for position, command := range commands {
 		restored.Entries = append(restored.Entries, raft.Entry{
@@ -168,7 +168,7 @@
 func TestPersistedStateUsesCommittedConfiguration(t *testing.T) {
 	commands := []directory.Command{publishCommand(3, directory.Configuration{}), publishCommand(5, configurationOf(3)), publishCommand(8, configurationOf(5))}
 	for commit, want := range []uint64{0, 3, 5, 8} {
-		memory := readPersistedState(restoredOf(uint64(commit), commands...))
+		memory := readPersistedState(restoredLog(uint64(commit), commands...))
 		assert.Equal(t, want, memory.configuration.Version)
 	}
 	state := directory.New()
@@ -177,8 +177,8 @@
 	assert.Equal(t, uint64(3), readPersistedState(snapshot).configuration.Version, "a snapshot is committed")
 }
 
-// stageOf returns the stage in which a disk tells of a target.
-func stageOf(t *testing.T, memory persistedState, id string) directory.TargetState {
+// rememberedState returns the state in which a remembered target is sent to nodes.
+func rememberedState(t *testing.T, memory persistedState, id string) directory.TargetState {
 	for _, target := range memory.targets() {
 		if target.ID == id {
 			assert.Nil(t, target.Warmup)
@@ -209,22 +209,22 @@
 		{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "back", Active: true}},
 		{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "back", Revision: 11, Warmups: budget}},
 	}
-	memory := readPersistedState(restoredOf(uint64(len(commands)), commands...))
+	memory := readPersistedState(restoredLog(uint64(len(commands)), commands...))
 	for id, want := range map[string]directory.TargetState{
 		"warm": directory.TargetReady, "spared": directory.TargetReady,
 		"cold": directory.TargetLeaving, "far": directory.TargetLeaving, "back": directory.TargetLeaving,
 		"ejected": directory.TargetLeaving, "draining": directory.TargetLeaving, "ended": directory.TargetEnded,
 	} {
-		assert.Equal(t, want, stageOf(t, memory, id), id)
+		assert.Equal(t, want, rememberedState(t, memory, id), id)
 	}
 	takenBack := directory.Command{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "far", Revision: 10}}
-	uncertain := readPersistedState(restoredOf(uint64(len(commands)), append(commands, takenBack)...))
-	assert.Equal(t, directory.TargetLeaving, stageOf(t, uncertain, "far"), "the order that takes the zone back may not hold")
-	certain := readPersistedState(restoredOf(uint64(len(commands)+1), append(commands, takenBack)...))
-	assert.Equal(t, directory.TargetLeaving, stageOf(t, certain, "back"))
+	uncertain := readPersistedState(restoredLog(uint64(len(commands)), append(commands, takenBack)...))
+	assert.Equal(t, directory.TargetLeaving, rememberedState(t, uncertain, "far"), "the order that takes the zone back may not hold")
+	certain := readPersistedState(restoredLog(uint64(len(commands)+1), append(commands, takenBack)...))
+	assert.Equal(t, directory.TargetLeaving, rememberedState(t, certain, "back"))
 }
 
-// startWithoutPeers returns a member that has restarted without the others.
+// startWithoutPeers returns a member that has restarted while the other members are down.
 func startWithoutPeers(t *testing.T) (*cluster, *machine) {
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.waitForLeader()
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -27,11 +27,12 @@
 	inputBatch         = 64
 	nodeQueueCapacity  = 256
 	tickInterval       = 25 * time.Millisecond
-	// busyAfter is how long after the last tick a process is busy: its ticker has
-	// not had a turn. A message takes several such turns on its way, so that twice
-	// as much would let elections fail.
+	// busyAfter is the time since the last tick after which a process counts as busy. A
+	// message
+	// waits for several goroutines on its way, so a much longer delay would let elections
+	// fail.
 	busyAfter = tickInterval + 15*time.Millisecond
-	// reopenInterval is the time between two attempts to use a failed disk.
+	// reopenInterval is the time between two attempts to open a failed disk.
 	reopenInterval = 500 * time.Millisecond
 )
 
@@ -40,19 +41,19 @@
 	Name       string
 	DataFolder string
 	Core       CoreSettings
-	// Zones are the zones that are known from the settings.
+	// Zones are the zones named in the settings.
 	Zones []string
-	// Strength is what is stated of the machine.
+	// Strength is the stated capacity of the machine.
 	Strength strength.Strength
-	// HeartbeatOptions changes how heartbeats are passed on to nodes.
+	// HeartbeatOptions configure how targets' heartbeats are distributed over nodes.
 	HeartbeatOptions []heartbeat.DistributorOption
-	// APIAddress returns where targets call a member that other members reach at
-	// an address. Without it targets are not sent to members of their zones.
+	// APIAddress maps a member's address to the address where targets call it. Without it,
+	// targets are not redirected to members of their zones.
 	APIAddress func(address string) string
 }
 
-// Process runs a member: one goroutine owns the core, others have one duty
-// each and reach it through a bounded ring.
+// Process runs a member. One goroutine owns the core; the others send it inputs through a
+// bounded ring.
 type Process struct {
 	settings Settings
 	logger   *eventlog.Logger
@@ -68,20 +69,20 @@
 	metrics         *metrics
 	heartbeats      *heartbeat.Cache
 	heartbeatSpread *heartbeat.Distributor
-	// heartbeatsRevision is the revision that the cache of heartbeats has followed.
+	// heartbeatsRevision is the revision up to which the heartbeat cache has been updated.
 	heartbeatsRevision uint64
-	// referralRevision is the revision of the members that the referral table was made
-	// from; the goroutines of connections share the table.
+	// referralRevision is the member revision that the referral table was built from. The
+	// goroutines of connections share the table.
 	referralRevision uint64
 	referrals        atomic.Pointer[referralTable]
 
 	announcer *announcer
 
 	connections *hosting.Connections
-	// diskNearlyFull is set while what the member keeps nearly fills its disk.
+	// diskNearlyFull is set while the persisted data nearly fills the disk.
 	diskNearlyFull bool
 
-	// tickedAt is when the ticker last ran, in nanoseconds since the start.
+	// tickedAt is the time of the last tick in nanoseconds since the start.
 	tickedAt atomic.Int64
 
 	mutex          sync.Mutex
@@ -91,7 +92,7 @@
 	stopped        chan struct{}
 }
 
-// NewProcess prepares a member. Nothing listens yet.
+// NewProcess returns a member that has not started to listen.
 func NewProcess(settings Settings, logger *eventlog.Logger) *Process {
 	process := &Process{
 		settings:        settings,
@@ -119,11 +120,11 @@
 	p.logger.Event(eventlog.PeerConnected, "address", address)
 }
 
-// now returns the time on this process's monotonic clock, which starts at 1
-// second so that no event is at the zero instant.
+// now returns the time on the process's monotonic clock. It starts at 1 second, so that no
+// event occurs at the zero instant.
 func (p *Process) now() kernel.Instant { return kernel.Instant(time.Second + time.Since(p.started)) }
 
-// Run serves until the context ends.
+// Run serves until the context is canceled.
 func (p *Process) Run(ctx context.Context) error {
 	listener, err := peerlink.Listen(faultlayer.ListenAddress(p.settings.Core.Address))
 	if err != nil {
@@ -157,15 +158,14 @@
 	}()
 }
 
-// IsBusy reports whether this process has so little time that its own ticks come
-// late. Callers should wait or go to another member.
+// IsBusy reports whether the process is overloaded, that is, whether its ticks are late.
+// Callers should wait or use another member.
 func (p *Process) IsBusy() bool {
 	return time.Since(p.started)-time.Duration(p.tickedAt.Load()) > busyAfter
 }
 
-// runTicker feeds the passing of time to the core. It begins at a random point
-// of the interval: members that start together would otherwise hold elections
-// at the same instants, and split the vote.
+// runTicker sends ticks to the core, starting at a random offset so that members that start
+// together do not hold elections at the same time and split the vote.
 func (p *Process) runTicker() {
 	time.Sleep(rand.N(tickInterval))
 	ticker := time.NewTicker(tickInterval)
@@ -181,7 +181,7 @@
 	}
 }
 
-// runCore owns the core until the ring is closed.
+// runCore processes inputs until the ring is closed.
 func (p *Process) runCore() {
 	defer p.closeAll()
 	p.reopen()
@@ -197,7 +197,7 @@
 	}
 }
 
-// handleBatch handles inputs that share one sync.
+// handleBatch processes inputs that share one sync.
 func (p *Process) handleBatch(batch []input) {
 	if p.core != nil {
 		p.core.BeginBatch()
@@ -216,7 +216,7 @@
 	}
 }
 
-// refreshHeartbeats takes the targets that changed over into the cache of heartbeats.
+// refreshHeartbeats updates the heartbeat cache with the changed targets.
 func (p *Process) refreshHeartbeats(state *directory.State) {
 	if state.Revision() == p.heartbeatsRevision {
 		return
@@ -229,8 +229,8 @@
 	p.heartbeatsRevision = state.Revision()
 }
 
-// reopen reads the data folder when there is no core: at the start, after a
-// failure of the disk, and after the group has removed this member.
+// reopen creates the core from the data folder if there is none: at the start, after a disk
+// failure, and after the group has removed this member.
 func (p *Process) reopen() {
 	if p.core != nil || time.Now().Before(p.reopenAt) {
 		return
@@ -273,13 +273,13 @@
 	return core, disk, err
 }
 
-// closeCore gives up the core; reopen makes another one.
+// closeCore closes the core and its disk; reopen creates a new core later.
 func (p *Process) closeCore() {
 	_ = p.disk.Close()
 	p.core = nil
 	p.disk = nil
 	p.reopenAt = time.Now().Add(reopenInterval)
-	p.failPendingCalls("the disk of this member failed")
+	p.failPendingCalls("this member's disk failed")
 }
 
 func (p *Process) failPendingCalls(reason string) {
@@ -299,7 +299,7 @@
 	}
 }
 
-// dispatch carries out what the core wants done.
+// dispatch performs the actions requested by the core.
 func (p *Process) dispatch(output Output) {
 	for _, event := range output.Events {
 		p.logEvent(event)
@@ -330,7 +330,7 @@
 	}
 }
 
-// logEvent writes an event. Those that come with each call or node are sampled.
+// logEvent logs an event. Events that occur per call or per node are sampled.
 func (p *Process) logEvent(event LogEvent) {
 	switch event.Event {
 	case eventlog.RequestGivenUp, eventlog.NodeSubscribed, eventlog.BadFrame:
@@ -343,8 +343,8 @@
 	p.logger.Event(event.Event, event.Fields...)
 }
 
-// sendNode queues a frame for a node. A node that does not read is dropped:
-// it subscribes again and gets all that it lacks.
+// sendNode queues a frame for a node. If the queue is full, the node is disconnected; it
+// subscribes again and gets what it missed.
 func (p *Process) sendNode(message NodeFrame) {
 	p.metrics.countFrame(message.Frame)
 	queue, connected := p.nodeQueues[message.Connection]
@@ -364,7 +364,7 @@
 	}
 }
 
-// resetFolder empties the data folder of a member that the group has removed.
+// resetFolder empties the data folder of a removed member.
 func (p *Process) resetFolder() {
 	p.closeCore()
 	p.reopenAt = time.Time{}
--- a/internal/registry/referral.go
+++ b/internal/registry/referral.go
@@ -7,36 +7,36 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Referral names the members of the group to a node that knows only seeds.
-// After a restart of all, hundreds of nodes come to three seeds at once: what a
-// seed spends on each of them, it lacks for the election that they wait for.
+// Referral lists the members of the group for a node that knows only the seeds. It keeps
+// hundreds of nodes that restart together from overloading the seeds during an election.
 type Referral struct {
 	Members []directory.Member
 }
 
-// Frame returns the frame of a referral.
+// Frame encodes the referral.
 func (r Referral) Frame() wire.Frame {
 	var encoder wire.Encoder
 	directory.EncodeMembers(&encoder, r.Members)
 	return wire.Frame{Kind: wire.FrameReferral, Payload: encoder.Buffer}
 }
 
-// DecodeReferral reads a referral.
+// DecodeReferral decodes the payload of a referral frame.
 func DecodeReferral(payload []byte) (Referral, error) {
 	decoder := wire.NewDecoder(payload)
 	referral := Referral{Members: directory.DecodeMembers(decoder)}
 	return referral, decoder.Err("registry.decode_referral")
 }
 
-// referralTable decides which nodes are sent on. It does not change once made,
-// so that the goroutines of connections may share it.
+// referralTable decides which nodes are referred to another member. It is immutable, so
+// that
+// the goroutines of connections can share it.
 type referralTable struct {
 	zone  string
 	frame wire.Frame
 }
 
-// newReferralTable returns the table of a member in a zone, or nil when it
-// knows no other member.
+// newReferralTable returns the table of a member in a zone, or nil if it knows no other
+// member.
 func newReferralTable(address, zone string, members []directory.Member) *referralTable {
 	other := func(member directory.Member) bool { return member.Address != address }
 	if !slices.ContainsFunc(members, other) {
@@ -45,23 +45,24 @@
 	return &referralTable{zone: zone, frame: Referral{Members: members}.Frame()}
 }
 
-// refers reports whether a node goes to another member: one of its own zone, or
-// any when its zone has none, so that the seeds do not bear them all.
+// refers reports whether a node is referred to another member, which is the case for nodes
+// of
+// other zones that know only the seeds.
 func (t *referralTable) refers(subscribe Subscribe) bool {
 	return t != nil && subscribe.Referable && subscribe.Zone != t.zone
 }
 
-// Refer returns the referral for a node that is to be sent on to another member,
-// and false for one that stays.
+// Refer returns the referral for a node, and false if the node stays with this member.
 func (c *Core) Refer(subscribe Subscribe) (Referral, bool) {
 	members := c.referralMembers()
 	table := newReferralTable(c.settings.Address, c.settings.Zone, members)
 	return Referral{Members: members}, table.refers(subscribe)
 }
 
-// referralMembers returns the members that nodes are told of: those of the
-// replicated state or, before this member has learned what is committed, those
-// on its disk. One that has gone costs a node an attempt to connect.
+// referralMembers returns the members listed in referrals: those of the replicated state,
+// or
+// those found on disk while that has fewer. Members that have left cost a node a failed
+// connection attempt.
 func (c *Core) referralMembers() []directory.Member {
 	if members := c.state.Members(); len(members) >= len(c.rememberedMembers) {
 		return members
@@ -69,8 +70,8 @@
 	return c.rememberedMembers
 }
 
-// refreshReferrals tells connections and heartbeats of the members when these have
-// changed.
+// refreshReferrals updates the referral table and the addresses for heartbeats when the
+// members have changed.
 func (p *Process) refreshReferrals(core *Core) {
 	revision := core.state.MemberRevision()
 	if revision == p.referralRevision && p.referrals.Load() != nil {
@@ -82,7 +83,7 @@
 	p.heartbeatSpread.SetMembers(p.apiAddressesByZone(members))
 }
 
-// apiAddressesByZone returns where targets call the members of each zone.
+// apiAddressesByZone returns the addresses where targets call the members of each zone.
 func (p *Process) apiAddressesByZone(members []directory.Member) map[string][]string {
 	homes := map[string][]string{}
 	if p.settings.APIAddress == nil {
--- a/internal/registry/referral_test.go
+++ b/internal/registry/referral_test.go
@@ -41,8 +41,7 @@
 	}
 }
 
-// The goroutine of the connection refers a node alone: the core, which has an
-// election to hold, hears nothing of it.
+// Referrals are sent by the connection's goroutine, so that they do not delay the core.
 func TestReferralBypassesCore(t *testing.T) {
 	process := NewProcess(Settings{Name: "core-1"}, eventlog.Discard())
 	process.referrals.Store(newReferralTable(referred[0].Address, "south", referred))
@@ -63,8 +62,9 @@
 	assert.Zero(t, process.inputs.Discard())
 }
 
-// Members that joined after the last snapshot stand only in entries that are
-// not known to be committed when a member has just started.
+// Members added after the last snapshot are found only in log entries that a restarted
+// member
+// does not yet know to be committed.
 func TestReferralAfterRestartListsPersistedMembers(t *testing.T) {
 	c := newTolerantCluster(t, 1, 5, 2)
 	c.waitForLeader()
--- a/internal/registry/registration.go
+++ b/internal/registry/registration.go
@@ -6,18 +6,18 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// errNotCurrent refuses the registration of a cold target at a member that may not know
-// what the target bears.
-var errNotCurrent = steperror.New("registry.register", "", "this member is not current and cannot tell what a cold target bears")
+// errNotCurrent rejects the registration of a cold target at a member that may not know
+// the target's current warm-up limits.
+var errNotCurrent = steperror.New("registry.register", "", "this member is not up to date and cannot determine the warm-up limits of a cold target")
 
-// IsRegistered reports whether what a target says of itself is registered already.
+// IsRegistered reports whether the registered state already includes what a target reports.
 func (c *Core) IsRegistered(target directory.Target) bool {
 	known, registered := c.state.Target(target.ID)
 	return registered && known.Start() == target.Start() && known.State >= target.State
 }
 
-// Register hands the word of a target to the group: that it exists, or that it leaves.
-// One that registers while it is cold needs a member that is current.
+// Register submits a target's registration or change of state. The registration of a cold
+// target requires a current member.
 func (c *Core) Register(now kernel.Instant, target directory.Target) (Ticket, Output, error) {
 	if known, registered := c.state.Target(target.ID); registered && target.Start().IsBefore(known.Start()) {
 		return 0, Output{}, outdatedStartError(target)
@@ -35,15 +35,15 @@
 	return ticket, output, nil
 }
 
-// outdatedStartError refuses the word of a start that a later one has replaced.
+// outdatedStartError rejects a report of a start that has been superseded.
 func outdatedStartError(target directory.Target) error {
 	return directory.NewProblem("born", target.Born, "a later start of "+target.ID+" is registered")
 }
 
-// checkService refuses a target that registers for a service which the configuration
-// does not have: no route leads to it, and it must not take an address from a target
-// that serves. Before the first configuration any service is taken, since targets and
-// operator start together.
+// checkService rejects a target whose service is not in the configuration, so that it
+// cannot
+// take the address of a serving target. Any service is accepted before the first
+// configuration, and targets that are registered already stay accepted.
 func (c *Core) checkService(target directory.Target) error {
 	configuration := c.state.Configuration()
 	if configuration.Version == 0 || configuration.HasService(target.Service) {
--- a/internal/registry/remembered.go
+++ b/internal/registry/remembered.go
@@ -12,23 +12,23 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// RememberedTTL bounds what nodes may place by a member's disk: a member tells its
-// configuration no longer after its start, and a node uses it no longer after its own.
-// Both have so long to find a group with a leader again.
+// RememberedTTL limits the use of a configuration read from a member's disk: a member sends
+// it only this long after its own start, and a node uses it only this long after its own.
 const RememberedTTL = 3 * time.Second
 
-// persistedState is what a member's disk held at its start.
+// persistedState is the contents of a member's disk at start.
 type persistedState struct {
-	// state is the state by all that the disk holds, committed or not.
+	// state includes all persisted entries, committed or not.
 	state *directory.State
-	// configuration is the newest one that is known to be committed.
+	// configuration is the newest configuration known to be committed.
 	configuration directory.Configuration
-	// closedZones are the zones whose targets may not get new flows, by what is known to be
-	// committed or by the rest.
+	// closedZones are the zones whose targets may be barred from new flows, according to
+	// the
+	// committed or to the uncommitted entries.
 	closedZones map[string]bool
 }
 
-// readPersistedState applies all that a disk holds.
+// readPersistedState applies all persisted entries.
 func readPersistedState(restored raft.Restored) persistedState {
 	m := persistedState{state: directory.New(), closedZones: map[string]bool{}}
 	if restored.Snapshot.Index > 0 {
@@ -38,14 +38,14 @@
 		}
 		m.state = decoded
 	}
-	known := len(restored.Entries)
-	for known > 0 && restored.Entries[known-1].Index > restored.HardState.Commit {
-		known--
+	committed := len(restored.Entries)
+	for committed > 0 && restored.Entries[committed-1].Index > restored.HardState.Commit {
+		committed--
 	}
-	m.apply(restored.Entries[:known])
+	m.apply(restored.Entries[:committed])
 	m.configuration = m.state.Configuration()
 	m.closeZones()
-	m.apply(restored.Entries[known:])
+	m.apply(restored.Entries[committed:])
 	m.closeZones()
 	return m
 }
@@ -61,52 +61,55 @@
 	}
 }
 
-// closeZones enters the zones that are being evacuated, and those that were taken back with
-// a budget: what they were sent since is not on the disk.
+// closeZones adds the zones under evacuation and those that returned with a warm-up budget,
+// whose use is not persisted.
 func (m *persistedState) closeZones() {
 	for _, evacuation := range m.state.Evacuations() {
-		bounded := slices.ContainsFunc(evacuation.Warmups, func(known directory.ServiceWarmup) bool { return known.Warmup.Budget > 0 })
-		if evacuation.Active || bounded {
+		hasBudget := slices.ContainsFunc(evacuation.Warmups, func(known directory.ServiceWarmup) bool { return known.Warmup.Budget > 0 })
+		if evacuation.Active || hasBudget {
 			m.closedZones[evacuation.Zone] = true
 		}
 	}
 }
 
-// targets returns the targets that have not ended by what the disk holds, committed or
-// not. Whether an entry is committed does not decide where the packets of open flows go:
-// a target's name and address never change, nor does its token where that follows from
-// the name. Those that may not get new flows are told as leaving.
+// targets returns the targets that have not ended according to all persisted entries.
+// Routing
+// of open flows does not depend on whether an entry is committed, since a target's ID,
+// address and own token never change. Targets without new flows are returned as leaving.
 func (m *persistedState) targets() []directory.Target {
 	var targets []directory.Target
 	m.state.EachTarget(func(target *directory.Target) {
 		if target.State == directory.TargetEnded || !target.HasOwnToken() {
 			return
 		}
-		told := *target
+		reported := *target
 		if !m.acceptsNewFlows(target) {
-			told.State = max(told.State, directory.TargetLeaving)
+			reported.State = max(reported.State, directory.TargetLeaving)
 		}
-		told.Warmup = nil
-		targets = append(targets, told)
+		reported.Warmup = nil
+		targets = append(targets, reported)
 	})
 	slices.SortFunc(targets, func(a, b directory.Target) int { return cmp.Compare(a.Token, b.Token) })
 	return targets
 }
 
-// acceptsNewFlows reports whether a target may get new flows by what the disk holds. How
-// much of its budget a cold target has used is not on it.
+// acceptsNewFlows reports whether a target may get new flows according to the disk. The
+// used
+// part of a cold target's budget is not persisted.
 func (m *persistedState) acceptsNewFlows(target *directory.Target) bool {
-	cold := target.Warmup != nil && target.Warmup.Budget > 0
-	ejected := m.state.TargetOrder(target.ID).Rule == directory.RuleEjected
-	return target.State == directory.TargetReady && !cold && !ejected && !m.closedZones[target.Zone]
+	isCold := target.Warmup != nil && target.Warmup.Budget > 0
+	isEjected := m.state.TargetOrder(target.ID).Rule == directory.RuleEjected
+	return target.State == directory.TargetReady && !isCold && !isEjected && !m.closedZones[target.Zone]
 }
 
-// rememberedPayloads is what nodes without state are told while this member has not been
-// current since its start.
+// rememberedPayloads are the payloads for nodes without state, sent until this member has
+// been current for the first time.
 type rememberedPayloads struct {
-	// withConfiguration is encoded; none once the member has been current.
+	// withConfiguration is the payload with targets and configuration; empty once this
+	// member
+	// has been current.
 	withConfiguration []byte
-	// targetsOnly is the payload without the configuration, for which it gives way at until.
+	// targetsOnly replaces withConfiguration from configurationUntil on.
 	targetsOnly        []byte
 	configurationUntil kernel.Instant
 }
@@ -123,8 +126,9 @@
 	}
 }
 
-// sendRemembered sends a node without state what is on this member's disk, as long as
-// this member has not been current.
+// sendRemembered sends a node without state the persisted state, unless this member has
+// been
+// current.
 func (c *Core) sendRemembered(now kernel.Instant, connection ConnectionID) {
 	if c.IsCurrent(now) {
 		c.remembered = rememberedPayloads{}
@@ -139,7 +143,7 @@
 	c.sendToNode(connection, wire.Frame{Kind: wire.FrameRemembered, Payload: payload})
 }
 
-// logRemembered tells what nodes are told until a member is current.
+// logRemembered logs the persisted state that is sent to nodes.
 func (c *Core) logRemembered(m persistedState, restored raft.Restored) {
 	if len(c.remembered.withConfiguration) == 0 {
 		return
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -10,29 +10,31 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// resendInterval is the time after which a request is handed on once more.
+// resendInterval is the time after which an unanswered request is forwarded again.
 const resendInterval = 250 * time.Millisecond
 
 const (
-	// maxInFlight is the number of requests that a member has with the leader at
-	// a time. The others wait here, where they cost the leader nothing.
+	// maxInFlight limits the requests of a member that are pending at the leader. Further
+	// requests wait at the member.
 	maxInFlight = 64
-	// maxPending is the number of requests that wait at a member; more are refused
-	// at once, so that their callers go elsewhere.
+	// maxPending limits the requests that wait at a member. Further requests are rejected
+	// at
+	// once, so that callers try another member.
 	maxPending = 256
 )
 
-// errOverloaded refuses a request that found too many others waiting.
-var errOverloaded = steperror.New("registry.request", "", "too many requests are waiting")
+// errOverloaded rejects a request because maxPending is reached.
+var errOverloaded = steperror.New("registry.request", "", "too many pending requests")
 
-// Submit hands a command to the group. The outcome follows under the ticket
-// that is returned; it is delivered once this member has applied the command.
+// Submit submits a command to the group. The outcome is delivered under the returned ticket
+// once this member has applied the command.
 func (c *Core) Submit(now kernel.Instant, command directory.Command) (Ticket, Output) {
 	return c.openRequest(now, &request{command: directory.EncodeCommand(command)})
 }
 
-// Read asks for the position that a linearizable read must see. The outcome
-// is delivered once this member has applied the log that far.
+// Read starts a linearizable read. The outcome is delivered once this member has applied
+// the
+// log up to the confirmed index.
 func (c *Core) Read(now kernel.Instant) (Ticket, Output) {
 	return c.openRequest(now, &request{})
 }
@@ -45,8 +47,7 @@
 	return ticket, c.takeOutput()
 }
 
-// admit begins a request, or lets the waiter join the open one that asks for
-// the same.
+// admit starts a request, or adds the waiter to an open request with the same command.
 func (c *Core) admit(now kernel.Instant, opened *request, waiting waiter) {
 	key := string(opened.command)
 	if same, exists := c.commands[key]; exists && key != "" {
@@ -73,7 +74,7 @@
 	c.dispatchRequest(now, opened)
 }
 
-// dispatchRequest proposes the request here, or sends it to the leader.
+// dispatchRequest proposes a request at the leader, or forwards it to the leader.
 func (c *Core) dispatchRequest(now kernel.Instant, open *request) {
 	if c.replica.Node == nil {
 		return
@@ -93,7 +94,7 @@
 	c.sendToMember(c.address(leader), message.frame())
 }
 
-// handleAsLeader serves a request on the leader.
+// handleAsLeader proposes the command of a request, or confirms leadership for a read.
 func (c *Core) handleAsLeader(now kernel.Instant, open *request) {
 	if len(open.command) == 0 {
 		open.sentTerm = c.replica.Node.Term()
@@ -117,8 +118,9 @@
 	c.proposals[index] = proposal{ticket: open.ticket, term: term}
 }
 
-// confirmReads answers the reads that came before a quorum last confirmed
-// this leader.
+// confirmReads answers the reads that arrived before the last confirmation of this leader
+// by
+// a quorum.
 func (c *Core) confirmReads(now kernel.Instant) {
 	if !c.IsLeader() {
 		return
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// recordResult notes the result of a request.
+// recordResult stores the result of a request.
 func (c *Core) recordResult(ticket Ticket, result directory.Result) {
 	open, waiting := c.requests[ticket]
 	if !waiting {
@@ -162,7 +164,7 @@
 	open.result = result
 }
 
-// completeAnswered ends the requests whose result this member has applied.
+// completeAnswered completes the requests whose result this member has applied.
 func (c *Core) completeAnswered(now kernel.Instant) {
 	if len(c.requests) == 0 {
 		return
@@ -182,8 +184,8 @@
 	c.answered = waiting
 }
 
-// complete ends a request and tells its waiters. Members that forwarded it hear
-// only of success; they ask again otherwise.
+// complete ends a request and notifies its waiters. Forwarding members are notified of
+// success only and retry otherwise.
 func (c *Core) complete(open *request, err error) {
 	delete(c.requests, open.ticket)
 	if c.commands[string(open.command)] == open {
@@ -206,14 +208,14 @@
 	}
 }
 
-// tickRequests hands requests on again after a change of leader, and gives up
-// those that waited too long. Commands may be repeated without harm.
+// tickRequests resends requests after a timeout or change of leader and fails those past
+// their deadline. Commands are idempotent and may be repeated.
 func (c *Core) tickRequests(now kernel.Instant) {
 	c.countInFlight(now)
 	for _, open := range c.sortedRequests() {
 		if !now.Before(open.deadline) {
 			c.logEvent(eventlog.RequestGivenUp, "ticket", open.ticket, "command", len(open.command) > 0)
-			c.complete(open, steperror.New("registry.request", "", "the group did not answer in time"))
+			c.complete(open, steperror.New("registry.request", "", "timed out waiting for the group"))
 			continue
 		}
 		if open.answered || c.replica.Node == nil {
@@ -226,13 +228,12 @@
 	c.flush(now)
 }
 
-// isInFlight reports whether a request was handed on in this term and not too
-// long ago.
+// isInFlight reports whether a request was sent in the current term within resendInterval.
 func (c *Core) isInFlight(now kernel.Instant, open *request) bool {
 	return open.sentTerm == c.replica.Node.Term() && now.Sub(open.sentAt) < resendInterval
 }
 
-// countInFlight counts the requests that the leader has.
+// countInFlight recounts the requests pending at the leader.
 func (c *Core) countInFlight(now kernel.Instant) {
 	c.inFlight = 0
 	if c.replica.Node == nil {
--- a/internal/registry/restart_test.go
+++ b/internal/registry/restart_test.go
@@ -10,12 +10,12 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// restartSeeds is the number of restarts that the test plays.
+// restartSeeds is the number of simulated restarts.
 const restartSeeds = 60
 
-// restartAll cuts the power of all members and starts them again within 300 ms,
-// as machines do, and returns the time from the start of the last member that a
-// quorum needs until there is a leader.
+// restartAll cuts the power of all members, starts them again within 300 ms, and returns
+// the
+// time from the start of the last member needed for a quorum until there is a leader.
 func (c *cluster) restartAll() time.Duration {
 	for _, name := range c.names() {
 		c.kill(name, true)
@@ -42,9 +42,9 @@
 	return c.now.Sub(needed)
 }
 
-// Bench day trouble-1 of the third customer, closing fault: two members that
-// had waited for the third asked for its vote at the same time, none had
-// enough, and the group had no leader for 170 ms more.
+// Guards against split votes of members that have waited for a quorum and stand for
+// election
+// at the same time.
 func TestLeaderElectedSoonAfterFullRestart(t *testing.T) {
 	var times []time.Duration
 	for seed := range uint64(restartSeeds) {
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -7,17 +7,17 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// maxRosterNodes is the number of nodes that a roster holds: all those of the largest
-// fleet that the system is built for (docs/CAPACITY.md) and a third more, 0.2 MB.
+// maxRosterNodes limits the nodes in a roster. It exceeds the number of nodes in the
+// largest
+// supported fleet.
 const maxRosterNodes = 8192
 
-// roster holds the addresses at which nodes take announcements: those that have
-// followed this member since its start, and those of its last life.
+// roster is a bounded set of the addresses at which nodes accept announcements.
 type roster struct {
 	addresses map[string]bool
-	// insertionOrder holds the addresses, those that were noted first in front.
+	// insertionOrder holds the addresses, oldest first.
 	insertionOrder []string
-	// dirty is set while the file does not hold what the roster does.
+	// dirty is set while the roster differs from its file.
 	dirty bool
 }
 
@@ -30,8 +30,8 @@
 	return r
 }
 
-// add takes the address of a node, or "" of one that takes no announcements. A full
-// roster forgets the one that was noted first: machines are replaced in the long run.
+// add inserts the address of a node; "" is ignored. A full roster evicts its oldest entry,
+// since machines are replaced over time.
 func (r *roster) add(address string) {
 	if address == "" || r.addresses[address] {
 		return
@@ -45,7 +45,7 @@
 	r.dirty = true
 }
 
-// retain forgets all nodes but some.
+// retain removes all nodes except the given ones.
 func (r *roster) retain(addresses map[string]bool) {
 	r.insertionOrder = slices.DeleteFunc(r.insertionOrder, func(address string) bool {
 		if addresses[address] {
@@ -68,7 +68,7 @@
 	return encoder.Buffer
 }
 
-// minAddressSize is the encoded size in bytes of an address without a character.
+// minAddressSize is the encoded size in bytes of an empty address.
 const minAddressSize = 4
 
 func decodeRoster(data []byte) ([]string, error) {
--- a/internal/registry/settings.go
+++ b/internal/registry/settings.go
@@ -7,65 +7,68 @@
 	"github.com/beamdoor/beamdoor/internal/raft"
 )
 
-// CoreSettings are the fixed settings of a member's core.
+// CoreSettings are the settings of a member's core.
 type CoreSettings struct {
 	Raft raft.Settings
 	// Address is where other members and nodes reach this member.
 	Address string
 	Zone    string
-	// Seeds are addresses of members, some of which may be gone.
+	// Seeds are addresses of members, some of which may no longer exist.
 	Seeds []string
 	// Bootstrap is set at the first start of the whole group.
 	Bootstrap bool
-	// Voters is the number of voters to keep.
+	// Voters is the intended number of voters.
 	Voters int
-	// LostZones is the number of zones whose loss at once must leave a quorum of
-	// voters; 0 means that none need be borne.
+	// LostZones is the number of zones whose simultaneous loss must leave a quorum of
+	// voters;
+	// 0 disables the requirement.
 	LostZones int
-	// JoinInterval is the time between two requests for a place.
+	// JoinInterval is the time between two join requests.
 	JoinInterval time.Duration
-	// ReplaceAfter is the silence after which a voter gives way to a learner.
+	// ReplaceAfter is the silence after which a voter is replaced by a learner.
 	ReplaceAfter time.Duration
 	// RequestTimeout is how long a request waits for the group.
 	RequestTimeout time.Duration
-	// MaxStaleness is how long a member counts as current after it heard from
-	// the leader.
+	// MaxStaleness is how long a member counts as current after it last heard from the
+	// leader.
 	MaxStaleness time.Duration
 	// SuspectAfter is the silence after which a target is suspected.
 	SuspectAfter time.Duration
-	// LostAfter is the shortest silence after which a target can be held for
-	// lost, when callers wait for its answers.
+	// LostAfter is the minimum silence after which a target with unanswered flows can be
+	// marked
+	// as lost.
 	LostAfter time.Duration
-	// WarmthOf returns what is stated about the cold targets of a service; nil where
-	// nothing is.
+	// WarmthOf returns the configured warm-up of a service's cold targets; nil without any.
 	WarmthOf     func(service directory.Service) (Warmth, error)
 	WarmupLimits WarmupLimits
-	// SnapshotEntries is the length of the log at which it is compacted.
+	// SnapshotEntries is the log length that triggers compaction.
 	SnapshotEntries int
 }
 
 const (
-	// minSuspectAfter is the least silence after which a target is suspected: a heartbeat
-	// whose call failed after a second is still under way at another member.
+	// minSuspectAfter is the minimum of SuspectAfter. It leaves time for a failed heartbeat
+	// to be
+	// retried at another member.
 	minSuspectAfter = 3200 * time.Millisecond
-	// heartbeatDelayMargin is how much later than usual heartbeats of living targets come at
-	// the leader, beside a tenth of the interval: their way and that of members' reports.
+	// heartbeatDelayMargin allows for the delay of heartbeats and of members' reports to
+	// the
+	// leader.
 	heartbeatDelayMargin = 300 * time.Millisecond
 )
 
-// CoreOption changes the settings of a member in production.
+// CoreOption modifies the default settings of a core.
 type CoreOption func(s *CoreSettings)
 
-// WithHeartbeats sets the usual time between two heartbeats of a target. Where it is long
-// targets are suspected later: after 3.2 s with 3 s between heartbeats, a part of all
-// living targets was suspected at any moment.
+// WithHeartbeats sets the heartbeat interval of targets and raises SuspectAfter to match,
+// so
+// that live targets are not suspected between two heartbeats.
 func WithHeartbeats(interval time.Duration) CoreOption {
 	return func(s *CoreSettings) {
 		s.SuspectAfter = max(minSuspectAfter, interval+interval/10+heartbeatDelayMargin)
 	}
 }
 
-// DefaultCoreSettings returns the settings of a member in production.
+// DefaultCoreSettings returns the production settings of a core.
 func DefaultCoreSettings(opts ...CoreOption) CoreSettings {
 	settings := CoreSettings{
 		Raft: raft.Settings{
--- a/internal/registry/start_test.go
+++ b/internal/registry/start_test.go
@@ -14,16 +14,15 @@
 
 const bornFirst, bornLater = 1_790_000_000_000, 1_790_000_005_000
 
-// startCommand is the word of one start of the target i-1.
+// startCommand registers a start of the target i-1.
 func startCommand(born uint64, at string, state directory.TargetState) directory.Command {
 	command := putTarget("i-1", at, state)
 	command.Target.Born = born
 	return command
 }
 
-// A target starts again under its ID, at each stage of the start before, at the same
-// and another address; the group changes its leader or loses its power; then words of
-// the start before come late, to each member.
+// Delayed reports of the previous start arrive after the target has started again, at the
+// same or another address, and after a change of leader or a power loss.
 func TestRestartedTargetServesUnderSameID(t *testing.T) {
 	const here, there = "10.1.1.1:1", "10.1.1.2:1"
 	stages := []directory.TargetState{directory.TargetReady, directory.TargetDraining, directory.TargetEnded}
@@ -59,7 +58,7 @@
 	}
 }
 
-// checkRefused hands a late word to a member; nothing of it may reach the log.
+// checkRefused checks that a delayed report changes nothing at a member.
 func checkRefused(t *testing.T, c *cluster, m *machine, late directory.Command) {
 	t.Helper()
 	token := func() directory.Token { target, _ := m.core.State().Target("i-1"); return target.Token }()
@@ -84,13 +83,13 @@
 		require.True(t, known)
 		assert.Equal(t, []any{uint64(bornLater), directory.TargetReady, netip.MustParseAddrPort(place)},
 			[]any{latest.Born, latest.State, latest.Address})
-		over, known := m.core.State().TargetByToken(first.Token)
+		previous, known := m.core.State().TargetByToken(first.Token)
 		require.True(t, known)
-		assert.Equal(t, directory.TargetEnded, over.State)
+		assert.Equal(t, directory.TargetEnded, previous.State)
 	}
 }
 
-// A later start at the address of another living target is refused like any newcomer.
+// The address of another live target is refused, as for any new target.
 func TestRestartedTargetCannotTakeLiveAddress(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := c.waitForLeader()
@@ -102,8 +101,9 @@
 		"its own address is free: it has ended itself")
 }
 
-// Where heartbeats are 3 s apart a living holder was mostly heard longer ago than the
-// usual 1.5 s. A claim of a process that started before it is a late word all the same.
+// With long heartbeat intervals the holder's last heartbeat may be older than
+// addressHoldTime;
+// requests of processes started before the holder must still be refused.
 func TestOlderProcessCannotTakeAddressOfRecentHolder(t *testing.T) {
 	for _, test := range []struct {
 		born  uint64
@@ -134,8 +134,8 @@
 	}
 }
 
-// What names a service that no configuration has is not registered, and holds no
-// address; a target that is registered stays when its service goes.
+// A target with an unknown service must not take an address; a registered target stays
+// accepted when its service is removed.
 func TestRegisterRejectsUnknownService(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := c.waitForLeader()
--- a/internal/registry/startfaults_test.go
+++ b/internal/registry/startfaults_test.go
@@ -13,11 +13,10 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// startSeeds is the number of seeds that the test plays; more can be asked for by the
-// environment variable of the same meaning.
+// startSeeds is the default number of seeds; BEAMDOOR_START_SEEDS overrides it.
 const startSeeds = 30
 
-// submittedCommand is what a target says, and the member that hears it.
+// submittedCommand is a target's command that awaits its outcome at a member.
 type submittedCommand struct {
 	machine *machine
 	core    *Core
@@ -25,20 +24,21 @@
 	command directory.Command
 }
 
-// startRun lets targets start again and again under their IDs while members fail.
+// startRun restarts targets under their IDs while members fail.
 type startRun struct {
 	*faultRun
-	// newestStarts is the newest start of each target, and said are all words of all starts,
-	// which may come once more.
+	// newestStarts is the latest start of each target, and sentCommands all commands sent
+	// so far,
+	// any of which may be repeated late.
 	newestStarts map[string]directory.Target
 	sentCommands []directory.Command
 	pending      []submittedCommand
-	// acknowledged is the newest that each target was told to hold.
+	// acknowledged is the latest acknowledged state of each target.
 	acknowledged map[string]directory.Target
-	born         uint64
+	lastBorn     uint64
 }
 
-// submitAsProcess hands a word to a member as its process does.
+// submitAsProcess submits a command in the same way as Process.
 func (r *startRun) submitAsProcess(m *machine, command directory.Command) {
 	if command.Kind == directory.CommandPutTarget {
 		m.core.Heard(r.now, command.Target.Start())
@@ -60,7 +60,7 @@
 	r.apply(m, output)
 }
 
-// step lets a target start, drain or leave, or an old word come late.
+// step starts, drains or ends a random target, or repeats an old command.
 func (r *startRun) step(m *machine) {
 	id := fmt.Sprint("i-", r.random.IntN(4))
 	target, lives := r.newestStarts[id]
@@ -70,9 +70,9 @@
 		r.submitAsProcess(m, r.sentCommands[r.random.IntN(len(r.sentCommands))])
 		return
 	case choice < 4 || !lives:
-		r.born += uint64(1 + r.random.IntN(3))
+		r.lastBorn += uint64(1 + r.random.IntN(3))
 		target = putTarget(id, fmt.Sprintf("10.1.1.%d:1", 1+r.random.IntN(3)), directory.TargetReady).Target
-		target.Born = r.born
+		target.Born = r.lastBorn
 	case choice == 4:
 		target.State = directory.TargetDraining
 	case choice == 5:
@@ -84,7 +84,7 @@
 	r.submitAsProcess(m, command)
 }
 
-// collectAcknowledged enters what was acknowledged.
+// collectAcknowledged records the acknowledged commands.
 func (r *startRun) collectAcknowledged() {
 	var open []submittedCommand
 	for _, w := range r.pending {
@@ -103,8 +103,8 @@
 	r.pending = open
 }
 
-// check holds a member's state against what was acknowledged.
-func (r *startRun) check(m *machine, context string) {
+// checkMember compares a member's state with what was acknowledged.
+func (r *startRun) checkMember(m *machine, context string) {
 	for id, acknowledged := range r.acknowledged {
 		latest, known := m.core.State().Target(id)
 		require.True(r, known, "%s: %s is gone; %s", m.address, id, context)
@@ -156,13 +156,14 @@
 		m := r.machines[name]
 		_, err := r.read(m)
 		require.NoError(t, err, context)
-		r.check(m, context)
+		r.checkMember(m, context)
 		assert.Equal(t, leader.core.State().Targets(), m.core.State().Targets(), "%s; %s", name, context)
 	}
 }
 
-// What a target was told to hold of its newest start is held by all members in the end,
-// whatever fails, and no earlier start lives again by a late word.
+// Checks under random faults that all members hold each target's acknowledged newest start,
+// and
+// that late commands revive no earlier start.
 func TestStartsUnderRandomFaults(t *testing.T) {
 	seeds := startSeeds
 	if text := os.Getenv("BEAMDOOR_START_SEEDS"); text != "" {
--- a/internal/registry/streams.go
+++ b/internal/registry/streams.go
@@ -12,7 +12,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// accept serves each connection in a goroutine of its own.
+// accept serves each connection in its own goroutine.
 func (p *Process) accept() {
 	for {
 		connection, err := p.listener.Accept()
@@ -24,7 +24,7 @@
 	}
 }
 
-// serve reads the frames of a member, or turns into the stream to a node.
+// serve reads frames from another member, or serves a node if one subscribes.
 func (p *Process) serve(connection net.Conn) {
 	done := make(chan struct{})
 	defer close(done)
@@ -65,7 +65,7 @@
 	_ = connection.Close()
 }
 
-// serveNode streams updates to a node until it goes away.
+// serveNode streams updates to a node until the connection closes.
 func (p *Process) serveNode(connection net.Conn, reader *bufio.Reader, frame wire.Frame) {
 	subscribe, err := DecodeSubscribe(frame.Payload)
 	if err != nil {
@@ -93,7 +93,7 @@
 	p.inputs.Push(nodeClosed{connection: id})
 }
 
-// refer sends a node on to another member. The core has no part in it.
+// refer sends a node its referral without involving the core.
 func (p *Process) refer(connection net.Conn, subscribe Subscribe, table *referralTable) {
 	p.metrics.referrals.Inc()
 	p.logger.Sampled(eventlog.NodeReferred, "node", subscribe.Node, "zone", subscribe.Zone)
@@ -102,7 +102,7 @@
 	}
 }
 
-// receiveFromNode takes what a node tells. Kinds of later versions are left out.
+// receiveFromNode processes a frame from a node. Unknown kinds are ignored.
 func (p *Process) receiveFromNode(connection ConnectionID, frame wire.Frame) {
 	switch frame.Kind {
 	case wire.FrameEvidence:
@@ -116,8 +116,7 @@
 	}
 }
 
-// receiveEvidence takes what a node has seen of targets. It may be dropped
-// under load: the next report says the same.
+// receiveEvidence processes a node's evidence, which may be dropped under load.
 func (p *Process) receiveEvidence(connection ConnectionID, frame wire.Frame) {
 	evidence, err := DecodeEvidence(frame.Payload)
 	if err != nil {
@@ -127,8 +126,8 @@
 	p.inputs.TryPush(evidenceInput{connection: connection, evidence: evidence})
 }
 
-// receiveSpeeds takes what a node tells of how long targets take. It may be dropped under
-// load: the next word replaces it.
+// receiveSpeeds processes a node's report of target response times. It may be dropped under
+// load, since the next report replaces it.
 func (p *Process) receiveSpeeds(connection ConnectionID, frame wire.Frame) {
 	message, err := speed.Decode(frame.Payload)
 	if err != nil {
