--- a/internal/registry/addressconflict.go
+++ b/internal/registry/addressconflict.go
@@ -18,8 +18,7 @@
 const addressHoldTime = 1500 * time.Millisecond
 
 // isAddressTaken reports whether a command would register a target at the address of
-// another
-// one whose heartbeat this leader has received recently.
+// another one whose heartbeat this leader has received recently.
 func (c *Core) isAddressTaken(now kernel.Instant, encoded []byte) bool {
 	command, err := directory.DecodeCommand(encoded)
 	if err != nil || command.Kind != directory.CommandPutTarget {
@@ -38,11 +37,11 @@
 		// The process started before the holder, so the request is most likely delayed.
 		holdTime = max(holdTime, c.settings.SuspectAfter)
 	}
-	seen, sighted := c.liveness.statuses[holder.Token]
-	taken := sighted && seen.lastHeartbeat > c.liveness.since && now.Sub(seen.lastHeartbeat) < holdTime
+	status, hasStatus := c.liveness.statuses[holder.Token]
+	taken := hasStatus && status.lastHeartbeat > c.liveness.since && now.Sub(status.lastHeartbeat) < holdTime
 	if taken {
 		c.logEvent(eventlog.AddressTaken, "target", command.Target.ID, "address", command.Target.Address,
-			"holder", holder.ID, "heartbeat_age", now.Sub(seen.lastHeartbeat))
+			"holder", holder.ID, "heartbeat_age", now.Sub(status.lastHeartbeat))
 	}
 	return taken
 }
--- a/internal/registry/addressconflict_test.go
+++ b/internal/registry/addressconflict_test.go
@@ -31,8 +31,7 @@
 const contestedAddress = "10.1.1.1:1"
 
 // A process crashes before any member has heard of it, another one registers at its
-// address,
-// and then the first heartbeats of the crashed process arrive.
+// address, and then the first heartbeats of the crashed process arrive.
 func TestLateFirstHeartbeatDoesNotEvictAddressHolder(t *testing.T) {
 	for _, after := range []time.Duration{0, 300 * time.Millisecond, 900 * time.Millisecond, 2900 * time.Millisecond, 6 * time.Second} {
 		for member := range 3 {
@@ -41,7 +40,7 @@
 			require.NoError(t, c.submit(leader, putTarget("i-new", contestedAddress, directory.TargetReady)).Err)
 			c.heartbeatFor("i-new", after)
 			for range 3 {
-				outcome := c.register(c.machines[address(1+member)], putTarget("i-ghost", contestedAddress, directory.TargetReady))
+				outcome := c.register(c.machines[address(1+member)], putTarget("i-late", contestedAddress, directory.TargetReady))
 				require.NoError(t, outcome.Err)
 				assert.Equal(t, directory.CodeTaken, outcome.Result.Code, "after %v", after)
 			}
@@ -49,7 +48,7 @@
 			for _, m := range c.machines {
 				serving, _ := m.core.State().Target("i-new")
 				assert.Equal(t, directory.TargetReady, serving.State, "after %v", after)
-				_, known := m.core.State().Target("i-ghost")
+				_, known := m.core.State().Target("i-late")
 				assert.False(t, known)
 			}
 		}
@@ -69,13 +68,13 @@
 			c.waitForLeader()
 		},
 	}
-	for name, begin := range cases {
+	for name, prepare := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster(t, 3, 3)
 			leader := c.waitForLeader()
 			require.NoError(t, c.submit(leader, putTarget("i-old", contestedAddress, directory.TargetReady)).Err)
 			c.heartbeatFor("i-old", 3*time.Second)
-			begin(c, leader)
+			prepare(c, leader)
 			outcome := c.register(c.leader(), putTarget("i-next", contestedAddress, directory.TargetReady))
 			require.NoError(t, outcome.Err)
 			assert.Equal(t, directory.CodeDone, outcome.Result.Code)
--- a/internal/registry/announcement.go
+++ b/internal/registry/announcement.go
@@ -10,8 +10,8 @@
 
 // A node that restarts knows only the seed addresses, and after a full power loss the seeds
 // may come back last. Members therefore persist the addresses of nodes, share them with
-// each other, and announce themselves to those nodes after a restart. An announcement is
-// only a hint about where to connect.
+// each other, and announce themselves to those nodes after a restart. An announcement only
+// hints where to connect.
 
 // Announcement tells a node that a member is running.
 type Announcement struct {
@@ -61,9 +61,9 @@
 // order of their IDs, so that every member is listed by some announcement.
 func announcementMembers(self string, members []directory.Member) []directory.Member {
 	first := slices.IndexFunc(members, func(member directory.Member) bool { return member.Address == self })
-	var list []directory.Member
+	var listed []directory.Member
 	for offset := range min(maxAnnouncementMembers, len(members)) {
-		list = append(list, members[(max(first, 0)+offset)%len(members)])
+		listed = append(listed, members[(max(first, 0)+offset)%len(members)])
 	}
-	return list
+	return listed
 }
--- a/internal/registry/announcer.go
+++ b/internal/registry/announcer.go
@@ -19,25 +19,20 @@
 const (
 	rosterName = "roster"
 	// rosterCapacity is the length of the queue of nodes to be added to the roster. It
-	// exceeds
-	// the number of nodes that one member serves in the largest supported fleet.
+	// exceeds the number of nodes that one member serves in the largest supported fleet.
 	rosterCapacity = 1024
 	rosterBatch    = 256
 	// rosterWriteInterval is the minimum time between two writes of the roster file, each
-	// of
-	// which costs two syncs.
+	// of which costs two syncs.
 	rosterWriteInterval = 2 * time.Second
 	// previousNodesTTL is how long nodes of the previous run are kept unless they are
-	// reported
-	// again. It is longer than the outages that nodes are expected to return from.
+	// reported again. It is longer than the outages that nodes are expected to return from.
 	previousNodesTTL = 5 * time.Minute
 	// rosterShareInterval is the time between two transfers of this member's subscribers to
-	// the
-	// other members. It bounds how long a member that lost its disk lacks them.
+	// the other members. It bounds how long a member that lost its disk lacks them.
 	rosterShareInterval = 5 * time.Second
 	// maxAnnouncedNodes limits the nodes that one member announces itself to. In a larger
-	// fleet
-	// each member selects a different subset.
+	// fleet each member selects a different subset.
 	maxAnnouncedNodes = 256
 )
 
@@ -50,12 +45,10 @@
 	// previousNodes are the nodes in the roster file of the previous run.
 	previousNodes []string
 	// queue holds this member's subscribers and nodes reported by other members until they
-	// are
-	// added to the roster.
+	// are added to the roster.
 	queue *ring.Ring[rosterEntry]
 	// announcedOnce is set after the first announcement, and wasCurrent once the member has
-	// been
-	// current. Both belong to the goroutine that owns the core.
+	// been current. Both belong to the goroutine that owns the core.
 	announcedOnce, wasCurrent bool
 	// announcing is set while announcements are being sent.
 	announcing atomic.Bool
@@ -117,13 +110,13 @@
 		a.process.logger.Event(eventlog.RosterRead, "nodes", 0, "reason", err)
 		return
 	}
-	known, err := decodeRoster(data)
+	nodes, err := decodeRoster(data)
 	if err != nil {
 		a.process.logger.Event(eventlog.RosterFailed, "err", err)
 		return
 	}
-	a.previousNodes = known
-	a.process.logger.Event(eventlog.RosterRead, "nodes", len(known))
+	a.previousNodes = nodes
+	a.process.logger.Event(eventlog.RosterRead, "nodes", len(nodes))
 }
 
 // runRoster adds queued nodes to the roster and writes its file until the process stops.
@@ -192,15 +185,15 @@
 	return output
 }
 
-func (a *announcer) save(nodes *roster) {
-	if a.folder == nil || !nodes.dirty {
+func (a *announcer) save(r *roster) {
+	if a.folder == nil || !r.dirty {
 		return
 	}
-	if err := wal.Replace(a.folder, rosterName, encodeRoster(nodes.list())); err != nil {
+	if err := wal.Replace(a.folder, rosterName, encodeRoster(r.list())); err != nil {
 		a.process.logger.Event(eventlog.RosterFailed, "err", err)
 		return
 	}
-	nodes.dirty = false
+	r.dirty = false
 }
 
 // wait waits for a delay and returns false if the process stops first.
@@ -214,8 +207,7 @@
 }
 
 // announceIfDue starts an announcement after the disk has been read, and another one when
-// the
-// member first becomes current, unless an announcement is still running.
+// the member first becomes current, unless an announcement is still running.
 func (a *announcer) announceIfDue(now kernel.Instant, core *Core) {
 	isCurrent := core.IsCurrent(now)
 	due := !a.announcedOnce || isCurrent && !a.wasCurrent
--- a/internal/registry/announcer_test.go
+++ b/internal/registry/announcer_test.go
@@ -27,7 +27,7 @@
 	}
 	assert.Len(t, nodes.addresses, maxRosterNodes)
 	assert.Len(t, nodes.insertionOrder, maxRosterNodes)
-	assert.NotContains(t, nodes.addresses, "10.0.0.1:1", "the one that was noted first gives way")
+	assert.NotContains(t, nodes.addresses, "10.0.0.1:1", "the oldest entry is evicted")
 	nodes.retain(map[string]bool{"10.1.0.0:7": true})
 	addresses, err := decodeRoster(encodeRoster(nodes.list()))
 	require.NoError(t, err)
@@ -47,10 +47,10 @@
 
 // subscribeNodes adds subscribers and waits until the roster file holds their addresses.
 func subscribeNodes(t *testing.T, a *announcer, addresses ...string) {
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		a.runRoster()
-		close(ended)
+		close(done)
 	}()
 	for _, address := range addresses {
 		a.addSubscriber(address)
@@ -61,7 +61,7 @@
 		return err == nil && len(known) == len(addresses)
 	}, 2*rosterWriteInterval+time.Second, 10*time.Millisecond)
 	close(a.process.stopped)
-	<-ended
+	<-done
 }
 
 func TestAnnounceSendsToNodesOfPreviousRun(t *testing.T) {
@@ -108,8 +108,7 @@
 }
 
 // Announcements must not wait until the member is current, since its disk already holds
-// what
-// nodes need.
+// what nodes need.
 func TestAnnounceBeforeMemberIsCurrent(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "member")
 	node := newNodeSocket(t)
@@ -126,7 +125,7 @@
 	heard, err := DecodeAnnouncement(frame.Payload)
 	require.NoError(t, err)
 	assert.Equal(t, "10.0.0.9:1", heard.From)
-	assert.Len(t, heard.Members, 3, "those on its disk")
+	assert.Len(t, heard.Members, 3, "the members on its disk")
 }
 
 // Guards against a restart where the first member up lacks the nodes of the other members.
@@ -135,21 +134,21 @@
 	a := newTestAnnouncer(folder)
 	a.receiveRoster(wire.Frame{Kind: wire.FrameRoster, Payload: encodeRoster([]string{"10.0.0.1:1"})})
 	a.receiveRoster(wire.Frame{Kind: wire.FrameRoster, Payload: []byte{0, 0, 0, 9}})
-	followAlso := "10.0.0.2:1"
-	ended := make(chan struct{})
+	subscriber := "10.0.0.2:1"
+	done := make(chan struct{})
 	go func() {
 		a.runRoster()
-		close(ended)
+		close(done)
 	}()
-	a.addSubscriber(followAlso)
+	a.addSubscriber(subscriber)
 	assert.Eventually(t, func() bool {
 		data, err := a.folder.ReadFile(rosterName)
 		known, _ := decodeRoster(data)
 		return err == nil && len(known) == 2
 	}, 2*rosterWriteInterval+time.Second, 10*time.Millisecond)
 	close(a.process.stopped)
-	<-ended
-	assert.Equal(t, []string{followAlso}, a.subscribers.list(), "what others tell is not told again")
+	<-done
+	assert.Equal(t, []string{subscriber}, a.subscribers.list(), "nodes reported by other members are not shared again")
 
 	c := newTolerantCluster(t, 1, 3, 1)
 	leader := c.waitForLeader()
@@ -166,10 +165,10 @@
 	for number := range uint32(5) {
 		members = append(members, directory.Member{ID: number, Address: fmt.Sprint("10.0.0.", number, ":1")})
 	}
-	named := announcementMembers("10.0.0.4:1", members)
-	require.Len(t, named, maxAnnouncementMembers)
-	assert.Equal(t, members[4], named[0])
-	assert.Equal(t, members[:2], named[1:])
+	listed := announcementMembers("10.0.0.4:1", members)
+	require.Len(t, listed, maxAnnouncementMembers)
+	assert.Equal(t, members[4], listed[0])
+	assert.Equal(t, members[:2], listed[1:])
 	assert.Equal(t, members[:1], announcementMembers("10.0.0.0:1", members[:1]))
 	assert.Empty(t, announcementMembers("10.0.0.0:1", nil))
 }
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -72,8 +72,7 @@
 	// batches makes members handle each frame in a batch of its own, as Process does.
 	batches bool
 	// onStart is called with a member's persisted log at its start, and onNodeFrame with
-	// each
-	// frame to a node; both may be nil.
+	// each frame to a node; both may be nil.
 	onStart     func(restored raft.Restored)
 	onNodeFrame func(m *machine, message NodeFrame)
 	// versionsInForce holds the versions that any member logged as in force.
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -112,8 +112,7 @@
 
 	requests map[Ticket]*request
 	// inFlight is the number of requests pending at the leader: those counted at the last
-	// tick
-	// and those sent since.
+	// tick and those sent since.
 	inFlight int
 	// answered are the requests that wait for this member to apply the log.
 	answered []Ticket
@@ -176,10 +175,10 @@
 		core.state = state
 		core.replica.Applied = restored.Snapshot.Index
 	}
-	onDisk := readPersistedState(restored)
-	core.remembered = newRememberedPayloads(now, onDisk)
-	core.rememberedMembers = onDisk.state.Members()
-	core.logRemembered(onDisk, restored)
+	persisted := readPersistedState(restored)
+	core.remembered = newRememberedPayloads(now, persisted)
+	core.rememberedMembers = persisted.state.Members()
+	core.logRemembered(persisted, restored)
 	if number := ownMemberID(restored, settings.Raft.Identity); number != raft.NoMember {
 		core.startReplica(now, number)
 	}
@@ -280,8 +279,7 @@
 }
 
 // BeginBatch defers disk writes until EndBatch, so that several inputs share one sync and
-// one
-// update to each node.
+// one update to each node.
 func (c *Core) BeginBatch() { c.batching = true }
 
 // EndBatch performs the deferred work.
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -98,13 +98,13 @@
 		c.waitForLeader()
 		next := 4
 		for round := range 2 {
-			gone := c.names()[c.random.IntN(3)]
-			c.kill(gone, false)
-			delete(c.machines, gone)
+			lost := c.names()[c.random.IntN(3)]
+			c.kill(lost, false)
+			delete(c.machines, lost)
 			c.run(time.Second)
 			joined := c.add(address(next), false)
 			next++
-			c.runUntil(4*time.Second, "the successor votes", func() bool {
+			c.runUntil(4*time.Second, "the successor is a voter", func() bool {
 				node := joined.core.Raft()
 				return node != nil && len(c.voters()) == 3 && c.leader().core.Raft().Membership().IsVoter(joined.core.settings.Raft.ID)
 			})
@@ -125,7 +125,7 @@
 		c.wipe(leader.address)
 		c.run(500 * time.Millisecond)
 		c.start(leader.address)
-		c.runUntil(5*time.Second, "three voters without the old number", func() bool {
+		c.runUntil(5*time.Second, "three voters without the old ID", func() bool {
 			return len(c.voters()) == 3 && !slices.Contains(c.voters(), before)
 		})
 		version, err := c.read(leader)
@@ -137,14 +137,14 @@
 func TestPartitionedMemberKeepsMembership(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	leader := c.waitForLeader()
-	away := leader.address
+	partitioned := leader.address
 	number := leader.core.settings.Raft.ID
-	c.cut = func(from, to string) bool { return from == away || to == away }
+	c.cut = func(from, to string) bool { return from == partitioned || to == partitioned }
 	c.run(8 * time.Second)
 	require.NoError(t, c.publish(c.waitForLeader(), 9).Err)
 	assert.Contains(t, c.voters(), number)
 	_, err := c.read(leader)
-	require.Error(t, err, "a member that is cut off cannot be sure of the newest")
+	require.Error(t, err, "a partitioned member cannot serve linearizable reads")
 	assert.False(t, leader.core.IsCurrent(c.now))
 	c.cut = func(string, string) bool { return false }
 	c.run(2 * time.Second)
@@ -159,21 +159,21 @@
 	leader := c.waitForLeader()
 	c.add(address(4), false)
 	c.run(2 * time.Second)
-	require.Len(t, c.voters(), 3, "a learner waits while all voters are up")
-	var away string
+	require.Len(t, c.voters(), 3, "a learner is not promoted while all voters are up")
+	var silenced string
 	for _, name := range c.seeds {
 		if name != leader.address {
-			away = name
+			silenced = name
 		}
 	}
-	number := c.machines[away].core.settings.Raft.ID
-	c.kill(away, false)
-	c.runUntil(5*time.Second, "the learner votes", func() bool {
+	number := c.machines[silenced].core.settings.Raft.ID
+	c.kill(silenced, false)
+	c.runUntil(5*time.Second, "the learner is a voter", func() bool {
 		return len(c.voters()) == 3 && !slices.Contains(c.voters(), number)
 	})
-	c.start(away)
-	c.runUntil(10*time.Second, "the removed member has begun anew", func() bool {
-		return c.machines[away].resets == 1 && c.machines[away].core.Raft() != nil
+	c.start(silenced)
+	c.runUntil(10*time.Second, "the removed member has reset and rejoined", func() bool {
+		return c.machines[silenced].resets == 1 && c.machines[silenced].core.Raft() != nil
 	})
 }
 
@@ -184,7 +184,7 @@
 		m := c.machines[name]
 		require.NoError(t, c.submit(m, putTarget("i-"+name, name, directory.TargetReady)).Err)
 		_, known := m.core.State().Target("i-" + name)
-		assert.True(t, known, "the outcome comes once this member has applied it")
+		assert.True(t, known, "the outcome is delivered after this member has applied the command")
 	}
 	c.kill(leader.address, false)
 	for _, name := range c.names() {
@@ -193,7 +193,7 @@
 			c.apply(m, output)
 			c.run(2 * time.Second)
 			outcome, done := m.outcomes[ticket]
-			require.True(t, done, "a request has an outcome within its time")
+			require.True(t, done, "a request completes within its timeout")
 			if outcome.Err == nil {
 				_, known := m.core.State().Target("i-late")
 				assert.True(t, known)
@@ -356,10 +356,10 @@
 		lost   bool
 	}{
 		{"two nodes wait for answers", 2, 2, false, false, true},
-		{"only one node waits", 1, 9, false, false, false},
-		{"too little evidence", 2, 1, false, false, false},
+		{"a single node waits for answers", 1, 9, false, false, false},
+		{"insufficient weight", 2, 1, false, false, false},
 		{"another node sees answers", 2, 9, true, false, false},
-		{"heartbeats come", 2, 9, false, true, false},
+		{"heartbeats arrive", 2, 9, false, true, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -394,7 +394,7 @@
 			assert.Equal(t, tokens[:1], follower.core.liveness.verdicts.Lost)
 			assert.Equal(t, tokens[:1], follower.keepalive.Verdicts.Lost)
 			c.run(2 * time.Second)
-			assert.Equal(t, tokens[:1], follower.core.liveness.verdicts.Lost, "the verdict stands without new evidence")
+			assert.Equal(t, tokens[:1], follower.core.liveness.verdicts.Lost, "the verdict persists without new evidence")
 			follower.core.Heard(c.now, directory.Start{ID: "i-0"})
 			c.run(500 * time.Millisecond)
 			assert.Empty(t, follower.core.liveness.verdicts.Lost)
@@ -423,8 +423,7 @@
 }
 
 // Members added after bootstrap must find each other after a full restart, before any of
-// them
-// knows the commit index.
+// them knows the commit index.
 func TestReplacedMembersReconnectAfterFullRestart(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newCluster(t, seed, 3)
@@ -432,11 +431,11 @@
 		c.kill(address(3), false)
 		delete(c.machines, address(3))
 		c.add(address(4), false)
-		c.runUntil(5*time.Second, "the successor votes", func() bool { return slices.Contains(c.voters(), 4) })
+		c.runUntil(5*time.Second, "the successor is a voter", func() bool { return slices.Contains(c.voters(), 4) })
 		c.wipe(address(2))
 		c.run(time.Second)
 		c.start(address(2))
-		c.runUntil(5*time.Second, "the wiped member votes", func() bool { return slices.Contains(c.voters(), 5) })
+		c.runUntil(5*time.Second, "the wiped member is a voter", func() bool { return slices.Contains(c.voters(), 5) })
 		require.NoError(t, c.publish(c.waitForLeader(), 9).Err)
 		for _, name := range c.names() {
 			c.kill(name, true)
@@ -484,8 +483,8 @@
 		}
 	}
 	c.run(time.Second)
-	for _, made := range calls {
-		outcome, done := made.machine.outcomes[made.ticket]
+	for _, pending := range calls {
+		outcome, done := pending.machine.outcomes[pending.ticket]
 		require.True(t, done)
 		assert.NoError(t, outcome.Err)
 	}
@@ -529,22 +528,22 @@
 	if follower == leader {
 		follower = c.machines[address(3)]
 	}
-	handed := 0
+	forwarded := 0
 	var refused []Outcome
 	for number := range maxPending + 10 {
 		_, output := follower.core.Submit(c.now, putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.%d.%d:1", number/200, number%200), directory.TargetReady))
 		for _, message := range output.Members {
 			if message.Frame.Kind == wire.FrameForward {
-				handed++
+				forwarded++
 			}
 		}
 		refused = append(refused, output.Outcomes...)
 		c.apply(follower, output)
 	}
-	assert.Equal(t, maxInFlight, handed)
-	require.Len(t, refused, 10, "refused at once")
+	assert.Equal(t, maxInFlight, forwarded)
+	require.Len(t, refused, 10, "rejected immediately")
 	assert.ErrorIs(t, refused[0].Err, errOverloaded)
-	c.runUntil(2*time.Second, "all others are done", func() bool { return follower.core.State().TargetCount() == maxPending })
+	c.runUntil(2*time.Second, "all other requests are complete", func() bool { return follower.core.State().TargetCount() == maxPending })
 }
 
 // In a network partition most targets may be silent; suspecting all of them would overload
@@ -555,7 +554,7 @@
 	for number := range 5 {
 		require.NoError(t, c.submit(leader, putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number), directory.TargetReady)).Err)
 	}
-	beat := func(targets int) {
+	heartbeats := func(targets int) {
 		for range 50 {
 			for number := range targets {
 				leader.core.Heard(c.now, directory.Start{ID: fmt.Sprint("i-", number)})
@@ -563,9 +562,9 @@
 			c.run(100 * time.Millisecond)
 		}
 	}
-	beat(3)
+	heartbeats(3)
 	assert.Len(t, leader.core.liveness.verdicts.Suspects, 2)
-	beat(2)
+	heartbeats(2)
 	assert.Empty(t, leader.core.liveness.verdicts.Suspects)
 }
 
@@ -601,5 +600,5 @@
 	c.run(time.Second)
 	rounds := (len(leader.updates) - before) / nodes
 	assert.Positive(t, rounds)
-	assert.Less(t, rounds, 15, "40 changes travel in fewer rounds")
+	assert.Less(t, rounds, 15, "40 changes are batched")
 }
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -82,15 +82,15 @@
 // collect adds finished operations to the history. A write with an unknown outcome may take
 // effect at any later time.
 func (r *faultRun) collect() {
-	var waiting []openOperation
+	var remaining []openOperation
 	for _, operation := range r.openOperations {
 		outcome, done := operation.machine.outcomes[operation.ticket]
-		alive := operation.machine.core == operation.core && operation.machine.up
-		if !done && alive {
-			waiting = append(waiting, operation)
+		sameRun := operation.machine.core == operation.core && operation.machine.up
+		if !done && sameRun {
+			remaining = append(remaining, operation)
 			continue
 		}
-		known := done && alive && outcome.Err == nil && outcome.Result.Code == directory.CodeDone
+		known := done && sameRun && outcome.Err == nil && outcome.Result.Code == directory.CodeDone
 		if !known && (operation.input.version == 0 || done && outcome.Err == nil) {
 			continue
 		}
@@ -102,7 +102,7 @@
 		}
 		r.history = append(r.history, entry)
 	}
-	r.openOperations = waiting
+	r.openOperations = remaining
 }
 
 func (r *faultRun) randomUpMember() *machine {
--- a/internal/registry/host.go
+++ b/internal/registry/host.go
@@ -60,8 +60,7 @@
 
 // logApplied logs each applied change of the replicated state. Entries of earlier terms are
 // mostly replayed and are sampled, so that logging does not delay a restarted member.
-// Stages
-// of targets are sampled at followers, since the leader logs all of them.
+// Stages of targets are sampled at followers, since the leader logs all of them.
 func (c *Core) logApplied(command directory.Command, result directory.Result, before uint64, replayed bool) {
 	if c.state.Revision() == before {
 		return
--- a/internal/registry/host_test.go
+++ b/internal/registry/host_test.go
@@ -25,5 +25,5 @@
 	assert.Equal(t, 4*targets, c.sampled[eventlog.TargetStage])
 	require.NoError(t, c.publish(leader, 7).Err)
 	c.run(time.Second)
-	assert.Zero(t, c.sampled[eventlog.VersionInForce], "a version is in force at each member by its own line")
+	assert.Zero(t, c.sampled[eventlog.VersionInForce], "each member logs a new version without sampling")
 }
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -27,9 +27,9 @@
 // address that another target has since registered.
 func TestLateHeartbeatDoesNotReviveReplacedTarget(t *testing.T) {
 	const (
-		place = "10.1.1.1:1"
-		old   = "i-old"
-		next  = "i-new"
+		targetAddress = "10.1.1.1:1"
+		oldID         = "i-old"
+		newID         = "i-new"
 	)
 	for _, late := range []directory.TargetState{directory.TargetReady, directory.TargetDraining, directory.TargetLeaving} {
 		for _, lost := range []bool{false, true} {
@@ -37,8 +37,8 @@
 				t.Run(fmt.Sprintf("%v, lost %v, new leader %v", late, lost, newLeader), func(t *testing.T) {
 					c := newCluster(t, 3, 3)
 					leader := c.waitForLeader()
-					require.NoError(t, c.submit(leader, putTarget(old, place, directory.TargetReady)).Err)
-					first, _ := leader.core.State().Target(old)
+					require.NoError(t, c.submit(leader, putTarget(oldID, targetAddress, directory.TargetReady)).Err)
+					first, _ := leader.core.State().Target(oldID)
 					if lost {
 						c.run(time.Second)
 						for range 10 {
@@ -48,7 +48,7 @@
 						require.Equal(t, []directory.Token{first.Token}, leader.core.liveness.verdicts.Lost)
 					}
 					c.run(addressHoldTime + livenessInterval)
-					require.NoError(t, c.submit(leader, putTarget(next, place, directory.TargetReady)).Err)
+					require.NoError(t, c.submit(leader, putTarget(newID, targetAddress, directory.TargetReady)).Err)
 					if newLeader {
 						c.kill(leader.address, true)
 						c.waitForLeader()
@@ -56,11 +56,11 @@
 					}
 					for _, name := range c.names() {
 						if m := c.machines[name]; m.up {
-							c.heartbeat(m, putTarget(old, place, late))
+							c.heartbeat(m, putTarget(oldID, targetAddress, late))
 						}
 					}
 					c.run(time.Second)
-					assertReplaced(t, c, old, next)
+					assertReplaced(t, c, oldID, newID)
 				})
 			}
 		}
@@ -76,7 +76,7 @@
 		}
 		replaced, known := m.core.State().Target(old)
 		assert.True(t, known)
-		assert.Equal(t, directory.TargetEnded, replaced.State, "it lives again")
+		assert.Equal(t, directory.TargetEnded, replaced.State, "the replaced target must stay ended")
 		successor, known := m.core.State().Target(next)
 		require.True(t, known)
 		assert.Equal(t, directory.TargetReady, successor.State)
@@ -85,7 +85,7 @@
 			if target.ID == next {
 				assert.Equal(t, "10.1.1.1:1", target.Address.String())
 			} else {
-				assert.NotEqual(t, directory.TargetReady, target.State, "nodes are sent to it")
+				assert.NotEqual(t, directory.TargetReady, target.State, "nodes must not send new flows to the replaced target")
 			}
 		}
 	}
--- a/internal/registry/initialstate_test.go
+++ b/internal/registry/initialstate_test.go
@@ -11,8 +11,7 @@
 )
 
 // Guards against delaying the initial state by the update interval after a member has
-// become
-// current.
+// become current.
 func TestInitialStateSentOnceMemberIsCurrent(t *testing.T) {
 	const nodes = 60
 	for seed := range uint64(10) {
--- a/internal/registry/liveness.go
+++ b/internal/registry/liveness.go
@@ -23,15 +23,13 @@
 	// observer may be at fault itself.
 	minSilentNodes = 2
 	// verdictShareDivisor limits the suspected and the lost targets to one part in this
-	// many of
-	// all targets. If more seem silent, the observers are more likely at fault.
+	// many of all targets. If more seem silent, the observers are more likely at fault.
 	verdictShareDivisor = 2
 	// verdictResendInterval is the time after which unchanged verdicts are sent again, for
 	// members that missed them during a network partition.
 	verdictResendInterval = time.Second
 	// queryDuration is how long members are asked whether a target answers before the
-	// target
-	// can be marked as lost.
+	// target can be marked as lost.
 	queryDuration = 250 * time.Millisecond
 )
 
@@ -43,8 +41,7 @@
 	lastAnswer kernel.Instant
 	silences   map[string]silence
 	// refusals are the members' reports of refused opening packets, and refusedAt is when
-	// they
-	// last reached the threshold.
+	// they last reached the threshold.
 	refusals  map[string]silence
 	refusedAt kernel.Instant
 	// queriedSince is when members were first asked about the target; 0 while no silence is
@@ -56,8 +53,7 @@
 func (s *targetStatus) lastSeen() kernel.Instant { return max(s.lastHeartbeat, s.lastAnswer) }
 
 // livenessTable holds the liveness of all targets. It is not replicated: a new leader
-// treats
-// every target as heard from at the time of its election.
+// treats every target as heard from at the time of its election.
 type livenessTable struct {
 	since    kernel.Instant
 	statuses map[directory.Token]*targetStatus
@@ -106,7 +102,7 @@
 		if refuses || now.Sub(status.lastSeen()) >= c.settings.SuspectAfter {
 			next.Suspects = append(next.Suspects, target.Token)
 		}
-		if questioned := c.isQueried(now, status); questioned || refuses {
+		if queried := c.isQueried(now, status); queried || refuses {
 			next.Queried = append(next.Queried, target.Token)
 		}
 		if c.isLost(now, target, status) {
@@ -143,8 +139,7 @@
 
 // isLost reports whether a target is considered dead: flows at several nodes wait for its
 // answers, and it has neither answered nor sent a heartbeat for LostAfter. The verdict
-// holds
-// until the next answer or heartbeat.
+// holds until the next answer or heartbeat.
 func (c *Core) isLost(now kernel.Instant, target *directory.Target, status *targetStatus) bool {
 	silentFor := now.Sub(status.lastSeen())
 	if status.lost {
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -20,8 +20,7 @@
 	// learnerTimeout is the silence after which a learner is removed.
 	learnerTimeout = 20 * time.Second
 	// rejoinAfter is the time without a leader after which a member asks whether it still
-	// belongs
-	// to the group.
+	// belongs to the group.
 	rejoinAfter = 1500 * time.Millisecond
 )
 
@@ -35,12 +34,10 @@
 type membershipState struct {
 	nextCheck kernel.Instant
 	// learnedAddresses are member addresses from a join reply, used until the replicated
-	// state
-	// arrives.
+	// state arrives.
 	learnedAddresses map[raft.MemberID]string
 	// firstSeen is when this leader first saw each member, so that a member that was just
-	// added
-	// does not count as silent.
+	// added does not count as silent.
 	firstSeen map[raft.MemberID]kernel.Instant
 	// lastSubmitted is when the last membership command was proposed.
 	lastSubmitted kernel.Instant
@@ -69,8 +66,7 @@
 }
 
 // needsMembership reports whether this member has no ID, or has been without a leader for
-// so
-// long that it may have been removed.
+// so long that it may have been removed.
 func (c *Core) needsMembership(now kernel.Instant) bool {
 	if c.replica.Node == nil {
 		return true
@@ -95,8 +91,7 @@
 }
 
 // canBootstrap reports whether this member may bootstrap the group: bootstrapping is
-// enabled,
-// its data folder is empty and it is one of the seeds.
+// enabled, its data folder is empty and it is one of the seeds.
 func (c *Core) canBootstrap() bool {
 	return c.settings.Bootstrap && c.replica.Node == nil && c.restored.Snapshot.Index == 0 &&
 		slices.Contains(c.settings.Seeds, c.settings.Address)
@@ -106,18 +101,17 @@
 func (c *Core) SetSeeds(seeds []string) { c.settings.Seeds = seeds }
 
 // tryBootstrap bootstraps the group if every seed has recently requested to join with an
-// empty
-// data folder. Only the seed with the lowest address does so.
+// empty data folder. Only the seed with the lowest address does so.
 func (c *Core) tryBootstrap(now kernel.Instant) {
-	founders := slices.Clone(c.settings.Seeds)
-	slices.Sort(founders)
-	founders = slices.Compact(founders)
-	if founders[0] != c.settings.Address {
+	seeds := slices.Clone(c.settings.Seeds)
+	slices.Sort(seeds)
+	seeds = slices.Compact(seeds)
+	if seeds[0] != c.settings.Address {
 		return
 	}
 	state := directory.New()
 	membership := raft.Membership{}
-	for position, address := range founders {
+	for position, address := range seeds {
 		member := directory.Member{Identity: c.settings.Raft.Identity, Address: address, Zone: c.settings.Zone}
 		if address != c.settings.Address {
 			received, exists := c.joinRequests[address]
@@ -305,11 +299,11 @@
 // recordNewMembers records when members were first seen.
 func (c *Core) recordNewMembers(now kernel.Instant) {
 	membership := c.replica.Node.Membership()
-	known := c.members.firstSeen
+	previous := c.members.firstSeen
 	c.members.firstSeen = map[raft.MemberID]kernel.Instant{}
 	for id := range membership.Identities {
 		c.members.firstSeen[id] = now
-		if at, before := known[id]; before {
+		if at, seenBefore := previous[id]; seenBefore {
 			c.members.firstSeen[id] = at
 		}
 	}
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -43,8 +43,7 @@
 }
 
 // joinReply returns the receiver's member ID. Number 0 means that the group has removed
-// this
-// identity and that the data folder must be emptied.
+// this identity and that the data folder must be emptied.
 type joinReply struct {
 	Identity uint64
 	Number   uint32
@@ -130,8 +129,7 @@
 	// CachesVerdicts is set by nodes that keep the last verdicts until others are sent.
 	CachesVerdicts bool
 	// Strength is the stated capacity of the node's machine. If it changes, the node sends
-	// the
-	// whole message again over the open connection.
+	// the whole message again over the open connection.
 	Strength strength.Strength
 }
 
@@ -176,12 +174,10 @@
 	// Empty is set while the member has no ID in the group and therefore no state.
 	Empty bool
 	// Leaderless is how long the member has had no leader; 0 while it is current. It is
-	// encoded
-	// in whole milliseconds.
+	// encoded in whole milliseconds.
 	Leaderless time.Duration
 	// Unchanged is set if the verdicts equal those sent last over this connection, in which
-	// case
-	// they are omitted.
+	// case they are omitted.
 	Unchanged bool
 	// Verdicts are the group's verdicts as known to this member.
 	Verdicts directory.Verdicts
@@ -218,8 +214,7 @@
 	// Nodes is the number of nodes that reported the target with a weight.
 	Nodes uint32
 	// UnreliableWeight is the weight reported by nodes that also lose data of their
-	// callers, and
-	// Reporters the number of nodes with any report.
+	// callers, and Reporters the number of nodes with any report.
 	UnreliableWeight uint32
 	Reporters        uint32
 }
@@ -252,8 +247,7 @@
 	Answering []directory.Token
 	Silent    []SilentTarget
 	// Refused are the targets that refused opening packets, with the number of refused
-	// packets
-	// as weight. Openings are the counts of opening packets to all targets by zone.
+	// packets as weight. Openings are the counts of opening packets to all targets by zone.
 	Refused  []SilentTarget
 	Openings []directory.ZoneOpenings
 	// Heartbeats are the targets that sent heartbeats to the node.
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -40,8 +40,7 @@
 	// frameBytes counts the bytes of frames sent to members and nodes by kind.
 	frameBytes *prometheus.CounterVec
 	// nodesWithoutStrength is the number of nodes that state no processor, and nodesBounded
-	// the
-	// number whose stated processor was reduced to a bound.
+	// the number whose stated processor was reduced to a bound.
 	nodesWithoutStrength, nodesBounded prometheus.Gauge
 	// diskHeldBytes is the size of the log and its snapshots on disk.
 	diskHeldBytes prometheus.Gauge
--- a/internal/registry/nodes.go
+++ b/internal/registry/nodes.go
@@ -16,8 +16,8 @@
 const KeepaliveInterval = 400 * time.Millisecond
 
 // updateIntervalPerNode is multiplied by the number of subscribed nodes to give the
-// interval
-// between rounds of updates, which bounds the frames that a member sends per second.
+// interval between rounds of updates, which bounds the frames that a member sends per
+// second.
 const updateIntervalPerNode = 2 * time.Millisecond
 
 // initialStateWait is how long a node without state waits for this member to become current
@@ -40,16 +40,14 @@
 	current       bool
 	verdicts      directory.Verdicts
 	// cachesVerdicts is set for a node that keeps the last verdicts, and verdictsSent once
-	// it
-	// has been sent the verdicts above.
+	// it has been sent the verdicts above.
 	cachesVerdicts, verdictsSent bool
 	// silent is the latest report of silent targets.
 	silent   []SilentTarget
 	silentAt kernel.Instant
 	strength strength.Strength
 	// stepsSent is the number of relative target times sent to the node since it
-	// subscribed, and
-	// hasAllSteps is set once all have been sent.
+	// subscribed, and hasAllSteps is set once all have been sent.
 	stepsSent   int
 	hasAllSteps bool
 }
@@ -103,8 +101,7 @@
 
 // update sends a node the changes since its revision. A node that is ahead of this member
 // gets no update until the member has caught up, and a node without state gets none while
-// the
-// member is not current unless it has waited for initialStateWait.
+// the member is not current unless it has waited for initialStateWait.
 func (c *Core) update(now kernel.Instant, connection ConnectionID, payloads map[uint64][]byte) {
 	node := c.nodes[connection]
 	if c.state.Revision() <= node.revision {
@@ -113,9 +110,9 @@
 	if node.revision == 0 && !c.IsCurrent(now) && now.Sub(node.waitingSince) < initialStateWait {
 		return
 	}
-	payload, made := payloads[node.revision]
+	payload, cached := payloads[node.revision]
 	switch {
-	case made:
+	case cached:
 	case node.revision == 0:
 		payload = c.initialStatePayload(now)
 	default:
@@ -139,11 +136,11 @@
 
 // initialStatePayload returns the encoded whole state.
 func (c *Core) initialStatePayload(now kernel.Instant) []byte {
-	kept := &c.initialState
-	if kept.revision != c.state.Revision() || now.Sub(kept.createdAt) >= initialStateTTL {
-		*kept = initialState{revision: c.state.Revision(), createdAt: now, payload: c.encodeSince(now, 0)}
+	cache := &c.initialState
+	if cache.revision != c.state.Revision() || now.Sub(cache.createdAt) >= initialStateTTL {
+		*cache = initialState{revision: c.state.Revision(), createdAt: now, payload: c.encodeSince(now, 0)}
 	}
-	return kept.payload
+	return cache.payload
 }
 
 // sortedConnections returns the connections in a fixed order to keep simulations
@@ -164,10 +161,9 @@
 }
 
 // sendKeepalive sends a keepalive if one is due, if this member became current or ceased to
-// be,
-// or if the verdicts changed urgently. Unchanged verdicts are omitted, because their list
-// can
-// be long after the loss of a zone and would otherwise be sent with every keepalive.
+// be, or if a verdict other than a suspicion changed. Unchanged verdicts are omitted,
+// because their list can be long after the loss of a zone and would otherwise be sent with
+// every keepalive.
 func (c *Core) sendKeepalive(now kernel.Instant, connection ConnectionID) {
 	node := c.nodes[connection]
 	current := c.IsCurrent(now)
--- a/internal/registry/nodes_test.go
+++ b/internal/registry/nodes_test.go
@@ -39,29 +39,29 @@
 		tokens[number] = directory.Token(number + 1)
 	}
 	core.liveness.verdicts = leaderVerdicts{Verdicts: directory.Verdicts{Suspects: tokens}}
-	for _, keeps := range []bool{true, false} {
+	for _, caches := range []bool{true, false} {
 		const connection = 7
-		core.Subscribe(c.now, connection, Subscribe{Node: "edge", CachesVerdicts: keeps})
+		core.Subscribe(c.now, connection, Subscribe{Node: "edge", CachesVerdicts: caches})
 		total := 0
 		for range 10 {
 			core.nodes[connection].nextKeepalive = c.now
-			list, bytes := takeKeepalives(t, core, c.now, connection)
-			require.Len(t, list, 1)
-			require.True(t, list[0].Current)
-			assert.Equal(t, keeps, list[0].Unchanged, "the first was told as it subscribed")
+			keepalives, bytes := takeKeepalives(t, core, c.now, connection)
+			require.Len(t, keepalives, 1)
+			require.True(t, keepalives[0].Current)
+			assert.Equal(t, caches, keepalives[0].Unchanged, "verdicts were sent on subscription")
 			total += bytes
 		}
-		if keeps {
+		if caches {
 			assert.Less(t, total, 10*50)
 		} else {
 			assert.Greater(t, total, 10*suspects*4)
 		}
 		core.liveness.verdicts.Lost = []directory.Token{3}
-		list, _ := takeKeepalives(t, core, c.now, connection)
-		require.Len(t, list, 1)
-		assert.False(t, list[0].Unchanged)
-		assert.Equal(t, []directory.Token{3}, list[0].Verdicts.Lost)
-		assert.Len(t, list[0].Verdicts.Suspects, suspects)
+		keepalives, _ := takeKeepalives(t, core, c.now, connection)
+		require.Len(t, keepalives, 1)
+		assert.False(t, keepalives[0].Unchanged)
+		assert.Equal(t, []directory.Token{3}, keepalives[0].Verdicts.Lost)
+		assert.Len(t, keepalives[0].Verdicts.Suspects, suspects)
 		core.liveness.verdicts.Lost = nil
 		core.Unsubscribe(connection)
 	}
@@ -72,18 +72,18 @@
 	c := newCluster(t, 1, 3)
 	core := c.waitForLeader().core
 	core.liveness.verdicts = leaderVerdicts{Verdicts: directory.Verdicts{Suspects: []directory.Token{5}}}
-	late := c.now.Add(10 * core.settings.MaxStaleness)
-	require.False(t, core.IsCurrent(late))
-	core.Subscribe(late, 7, Subscribe{Node: "edge", CachesVerdicts: true})
+	staleTime := c.now.Add(10 * core.settings.MaxStaleness)
+	require.False(t, core.IsCurrent(staleTime))
+	core.Subscribe(staleTime, 7, Subscribe{Node: "edge", CachesVerdicts: true})
 	core.takeOutput()
-	list, _ := takeKeepalives(t, core, late.Add(KeepaliveInterval), 7)
-	require.Len(t, list, 1)
-	assert.False(t, list[0].Current || list[0].Unchanged)
+	keepalives, _ := takeKeepalives(t, core, staleTime.Add(KeepaliveInterval), 7)
+	require.Len(t, keepalives, 1)
+	assert.False(t, keepalives[0].Current || keepalives[0].Unchanged)
 	require.True(t, core.IsCurrent(c.now))
 	core.nodes[7].nextKeepalive = c.now
-	list, _ = takeKeepalives(t, core, c.now, 7)
-	require.Len(t, list, 1)
-	assert.True(t, list[0].Current)
-	assert.False(t, list[0].Unchanged)
-	assert.Equal(t, []directory.Token{5}, list[0].Verdicts.Suspects)
+	keepalives, _ = takeKeepalives(t, core, c.now, 7)
+	require.Len(t, keepalives, 1)
+	assert.True(t, keepalives[0].Current)
+	assert.False(t, keepalives[0].Unchanged)
+	assert.Equal(t, []directory.Token{5}, keepalives[0].Verdicts.Suspects)
 }
--- a/internal/registry/persistedstate_test.go
+++ b/internal/registry/persistedstate_test.go
@@ -121,7 +121,7 @@
 		require.NoError(r, err)
 		node.core.Update(r.now, update)
 	}
-	require.GreaterOrEqual(r, node.core.Version(), node.highestVersion, "a node never goes back in its life")
+	require.GreaterOrEqual(r, node.core.Version(), node.highestVersion, "the version of a node never decreases")
 	node.highestVersion = node.core.Version()
 }
 
@@ -138,17 +138,17 @@
 		version, err := r.read(r.leader())
 		require.NoError(t, err, context)
 		r.versionsInForce[0] = true
-		for told := range r.rememberedVersions {
-			require.LessOrEqual(t, told, version, context)
-			require.True(t, r.versionsInForce[told], "version %d was never in force: %s", told, context)
+		for remembered := range r.rememberedVersions {
+			require.LessOrEqual(t, remembered, version, context)
+			require.True(t, r.versionsInForce[remembered], "version %d was never in force: %s", remembered, context)
 		}
 		for _, node := range r.nodes {
 			require.LessOrEqual(t, node.highestVersion, version, context)
 		}
 		byMemory += r.placedByMemory
 	}
-	assert.Greater(t, byMemory, 20, "nodes place by disks after these faults")
-	t.Log(byMemory, "nodes placed by a disk")
+	assert.Greater(t, byMemory, 20, "the faults must let nodes use remembered state")
+	t.Log(byMemory, "nodes used remembered state")
 }
 
 func restoredLog(commit uint64, commands ...directory.Command) raft.Restored {
@@ -174,7 +174,7 @@
 	state := directory.New()
 	state.Apply(1, commands[0])
 	snapshot := raft.Restored{Snapshot: raft.Snapshot{Index: 1, Term: 1, Data: state.Encode()}}
-	assert.Equal(t, uint64(3), readPersistedState(snapshot).configuration.Version, "a snapshot is committed")
+	assert.Equal(t, uint64(3), readPersistedState(snapshot).configuration.Version, "snapshots hold committed entries only")
 }
 
 // rememberedState returns the state in which a remembered target is sent to nodes.
@@ -219,7 +219,7 @@
 	}
 	takenBack := directory.Command{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "far", Revision: 10}}
 	uncertain := readPersistedState(restoredLog(uint64(len(commands)), append(commands, takenBack)...))
-	assert.Equal(t, directory.TargetLeaving, rememberedState(t, uncertain, "far"), "the order that takes the zone back may not hold")
+	assert.Equal(t, directory.TargetLeaving, rememberedState(t, uncertain, "far"), "the order that ends the evacuation may not be committed")
 	certain := readPersistedState(restoredLog(uint64(len(commands)+1), append(commands, takenBack)...))
 	assert.Equal(t, directory.TargetLeaving, rememberedState(t, certain, "back"))
 }
@@ -249,7 +249,7 @@
 	c.apply(m, m.core.Subscribe(c.now, 2, Subscribe{Node: "edge"}))
 	require.Len(t, m.remembered, 2)
 	assert.Zero(t, m.remembered[1].Configuration.Version)
-	assert.Len(t, m.remembered[1].Targets, 2, "open flows need them for longer")
+	assert.Len(t, m.remembered[1].Targets, 2, "targets are still sent for open flows")
 }
 
 func TestCurrentMemberDropsRememberedState(t *testing.T) {
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -28,9 +28,8 @@
 	nodeQueueCapacity  = 256
 	tickInterval       = 25 * time.Millisecond
 	// busyAfter is the time since the last tick after which a process counts as busy. A
-	// message
-	// waits for several goroutines on its way, so a much longer delay would let elections
-	// fail.
+	// message waits for several goroutines on its way, so a much longer delay would let
+	// elections fail.
 	busyAfter = tickInterval + 15*time.Millisecond
 	// reopenInterval is the time between two attempts to open a failed disk.
 	reopenInterval = 500 * time.Millisecond
--- a/internal/registry/referral.go
+++ b/internal/registry/referral.go
@@ -28,8 +28,7 @@
 }
 
 // referralTable decides which nodes are referred to another member. It is immutable, so
-// that
-// the goroutines of connections can share it.
+// that the goroutines of connections can share it.
 type referralTable struct {
 	zone  string
 	frame wire.Frame
@@ -46,8 +45,7 @@
 }
 
 // refers reports whether a node is referred to another member, which is the case for nodes
-// of
-// other zones that know only the seeds.
+// of other zones that know only the seeds.
 func (t *referralTable) refers(subscribe Subscribe) bool {
 	return t != nil && subscribe.Referable && subscribe.Zone != t.zone
 }
@@ -60,8 +58,7 @@
 }
 
 // referralMembers returns the members listed in referrals: those of the replicated state,
-// or
-// those found on disk while that has fewer. Members that have left cost a node a failed
+// or those found on disk while that has fewer. Members that have left cost a node a failed
 // connection attempt.
 func (c *Core) referralMembers() []directory.Member {
 	if members := c.state.Members(); len(members) >= len(c.rememberedMembers) {
--- a/internal/registry/referral_test.go
+++ b/internal/registry/referral_test.go
@@ -28,10 +28,10 @@
 	}{
 		{"another zone", referred, Subscribe{Zone: "north", Referable: true}, true},
 		{"a zone without members", referred, Subscribe{Zone: "west", Referable: true}, true},
-		{"the own zone", referred, Subscribe{Zone: "south", Referable: true}, false},
+		{"same zone", referred, Subscribe{Zone: "south", Referable: true}, false},
 		{"knows the members", referred, Subscribe{Zone: "north"}, false},
 		{"no other member is known", referred[:1], Subscribe{Zone: "north", Referable: true}, false},
-		{"nothing is known", nil, Subscribe{Zone: "north", Referable: true}, false},
+		{"no member is known", nil, Subscribe{Zone: "north", Referable: true}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -45,12 +45,12 @@
 func TestReferralBypassesCore(t *testing.T) {
 	process := NewProcess(Settings{Name: "core-1"}, eventlog.Discard())
 	process.referrals.Store(newReferralTable(referred[0].Address, "south", referred))
-	near, far := net.Pipe()
-	go process.serve(far)
-	require.NoError(t, near.SetDeadline(time.Now().Add(5*time.Second)))
-	_, err := near.Write(wire.AppendFrame(nil, Subscribe{Node: "edge-1", Zone: "north", Referable: true}.Frame()))
+	client, server := net.Pipe()
+	go process.serve(server)
+	require.NoError(t, client.SetDeadline(time.Now().Add(5*time.Second)))
+	_, err := client.Write(wire.AppendFrame(nil, Subscribe{Node: "edge-1", Zone: "north", Referable: true}.Frame()))
 	require.NoError(t, err)
-	reader := bufio.NewReader(near)
+	reader := bufio.NewReader(client)
 	frame, err := wire.ReadFrame(reader)
 	require.NoError(t, err)
 	require.Equal(t, wire.FrameReferral, frame.Kind)
@@ -63,8 +63,7 @@
 }
 
 // Members added after the last snapshot are found only in log entries that a restarted
-// member
-// does not yet know to be committed.
+// member does not yet know to be committed.
 func TestReferralAfterRestartListsPersistedMembers(t *testing.T) {
 	c := newTolerantCluster(t, 1, 5, 2)
 	c.waitForLeader()
--- a/internal/registry/registration.go
+++ b/internal/registry/registration.go
@@ -6,8 +6,8 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// errNotCurrent rejects the registration of a cold target at a member that may not know
-// the target's current warm-up limits.
+// errNotCurrent rejects the registration of a cold target at a member that may not know the
+// target's current warm-up limits.
 var errNotCurrent = steperror.New("registry.register", "", "this member is not up to date and cannot determine the warm-up limits of a cold target")
 
 // IsRegistered reports whether the registered state already includes what a target reports.
@@ -41,8 +41,7 @@
 }
 
 // checkService rejects a target whose service is not in the configuration, so that it
-// cannot
-// take the address of a serving target. Any service is accepted before the first
+// cannot take the address of a serving target. Any service is accepted before the first
 // configuration, and targets that are registered already stay accepted.
 func (c *Core) checkService(target directory.Target) error {
 	configuration := c.state.Configuration()
--- a/internal/registry/remembered_test.go
+++ b/internal/registry/remembered_test.go
@@ -24,12 +24,12 @@
 	c.start(alone)
 	m := c.machines[alone]
 	c.apply(m, m.core.Subscribe(c.now, 1, Subscribe{Node: "edge"}))
-	require.Len(t, m.remembered, 1, "one without a leader")
-	require.Len(t, m.remembered[0].Targets, 1, "only what has not ended")
+	require.Len(t, m.remembered, 1, "sent without a leader")
+	require.Len(t, m.remembered[0].Targets, 1, "only targets that have not ended")
 	assert.Equal(t, "i-1", m.remembered[0].Targets[0].ID)
 	assert.Empty(t, m.updates)
 	c.apply(m, m.core.Subscribe(c.now, 2, Subscribe{Node: "other", Revision: 5}))
-	assert.Len(t, m.remembered, 1, "a node with state needs none")
+	assert.Len(t, m.remembered, 1, "not sent to a node with state")
 }
 
 func TestCurrentMemberSendsReplicatedState(t *testing.T) {
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -18,8 +18,7 @@
 	// requests wait at the member.
 	maxInFlight = 64
 	// maxPending limits the requests that wait at a member. Further requests are rejected
-	// at
-	// once, so that callers try another member.
+	// at once, so that callers try another member.
 	maxPending = 256
 )
 
@@ -33,101 +32,99 @@
 }
 
 // Read starts a linearizable read. The outcome is delivered once this member has applied
-// the
-// log up to the confirmed index.
+// the log up to the confirmed index.
 func (c *Core) Read(now kernel.Instant) (Ticket, Output) {
 	return c.openRequest(now, &request{})
 }
 
-func (c *Core) openRequest(now kernel.Instant, opened *request) (Ticket, Output) {
+func (c *Core) openRequest(now kernel.Instant, req *request) (Ticket, Output) {
 	c.lastTicket++
 	ticket := c.lastTicket
-	c.admit(now, opened, waiter{ticket: ticket})
+	c.admit(now, req, waiter{ticket: ticket})
 	c.flush(now)
 	return ticket, c.takeOutput()
 }
 
 // admit starts a request, or adds the waiter to an open request with the same command.
-func (c *Core) admit(now kernel.Instant, opened *request, waiting waiter) {
-	key := string(opened.command)
+func (c *Core) admit(now kernel.Instant, req *request, w waiter) {
+	key := string(req.command)
 	if same, exists := c.commands[key]; exists && key != "" {
-		same.waiters = append(same.waiters, waiting)
+		same.waiters = append(same.waiters, w)
 		return
 	}
-	if len(c.requests) >= maxPending && !opened.forwarded {
-		c.output.Outcomes = append(c.output.Outcomes, Outcome{Ticket: waiting.ticket, Err: errOverloaded})
+	if len(c.requests) >= maxPending && !req.forwarded {
+		c.output.Outcomes = append(c.output.Outcomes, Outcome{Ticket: w.ticket, Err: errOverloaded})
 		return
 	}
 	c.lastTicket++
-	opened.ticket = c.lastTicket
-	opened.openedAt = now
-	opened.deadline = now.Add(c.settings.RequestTimeout)
-	opened.waiters = []waiter{waiting}
-	c.requests[opened.ticket] = opened
+	req.ticket = c.lastTicket
+	req.openedAt = now
+	req.deadline = now.Add(c.settings.RequestTimeout)
+	req.waiters = []waiter{w}
+	c.requests[req.ticket] = req
 	if key != "" {
-		c.commands[key] = opened
+		c.commands[key] = req
 	}
 	if c.replica.Failed != nil {
-		c.complete(opened, c.replica.Failed)
+		c.complete(req, c.replica.Failed)
 		return
 	}
-	c.dispatchRequest(now, opened)
+	c.dispatchRequest(now, req)
 }
 
 // dispatchRequest proposes a request at the leader, or forwards it to the leader.
-func (c *Core) dispatchRequest(now kernel.Instant, open *request) {
+func (c *Core) dispatchRequest(now kernel.Instant, req *request) {
 	if c.replica.Node == nil {
 		return
 	}
 	if c.IsLeader() {
-		c.handleAsLeader(now, open)
+		c.handleAsLeader(now, req)
 		return
 	}
 	leader := c.replica.Node.Leader()
-	if leader == raft.NoMember || open.forwarded || c.inFlight >= maxInFlight {
+	if leader == raft.NoMember || req.forwarded || c.inFlight >= maxInFlight {
 		return
 	}
 	c.inFlight++
-	open.sentTerm = c.replica.Node.Term()
-	open.sentAt = now
-	message := forward{Origin: c.settings.Address, Ticket: open.ticket, Command: open.command}
+	req.sentTerm = c.replica.Node.Term()
+	req.sentAt = now
+	message := forward{Origin: c.settings.Address, Ticket: req.ticket, Command: req.command}
 	c.sendToMember(c.address(leader), message.frame())
 }
 
 // handleAsLeader proposes the command of a request, or confirms leadership for a read.
-func (c *Core) handleAsLeader(now kernel.Instant, open *request) {
-	if len(open.command) == 0 {
-		open.sentTerm = c.replica.Node.Term()
-		open.sentAt = now
+func (c *Core) handleAsLeader(now kernel.Instant, req *request) {
+	if len(req.command) == 0 {
+		req.sentTerm = c.replica.Node.Term()
+		req.sentAt = now
 		c.replica.Node.Confirm(now)
 		c.confirmReads(now)
 		return
 	}
-	if open.sentTerm == c.replica.Node.Term() {
+	if req.sentTerm == c.replica.Node.Term() {
 		return
 	}
-	if c.isAddressTaken(now, open.command) {
-		c.recordResult(open.ticket, directory.Result{Code: directory.CodeTaken})
+	if c.isAddressTaken(now, req.command) {
+		c.recordResult(req.ticket, directory.Result{Code: directory.CodeTaken})
 		return
 	}
-	index, term, err := c.replica.Node.Propose(now, open.command)
+	index, term, err := c.replica.Node.Propose(now, req.command)
 	if err != nil {
 		return
 	}
-	open.sentTerm = term
-	c.proposals[index] = proposal{ticket: open.ticket, term: term}
+	req.sentTerm = term
+	c.proposals[index] = proposal{ticket: req.ticket, term: term}
 }
 
 // confirmReads answers the reads that arrived before the last confirmation of this leader
-// by
-// a quorum.
+// by a quorum.
 func (c *Core) confirmReads(now kernel.Instant) {
 	if !c.IsLeader() {
 		return
 	}
-	for _, open := range c.requests {
-		if len(open.command) == 0 && !open.answered && c.replica.Node.ConfirmedSince(now, open.openedAt) {
-			c.recordResult(open.ticket, directory.Result{Revision: c.replica.Node.Commit()})
+	for _, req := range c.requests {
+		if len(req.command) == 0 && !req.answered && c.replica.Node.ConfirmedSince(now, req.openedAt) {
+			c.recordResult(req.ticket, directory.Result{Revision: c.replica.Node.Commit()})
 		}
 	}
 }
@@ -137,8 +134,8 @@
 	if err != nil || !c.IsLeader() {
 		return err
 	}
-	opened := &request{command: append([]byte(nil), message.Command...), forwarded: true}
-	c.admit(now, opened, waiter{origin: message.Origin, ticket: message.Ticket})
+	req := &request{command: append([]byte(nil), message.Command...), forwarded: true}
+	c.admit(now, req, waiter{origin: message.Origin, ticket: message.Ticket})
 	return nil
 }
 
@@ -153,15 +150,15 @@
 
 // recordResult stores the result of a request.
 func (c *Core) recordResult(ticket Ticket, result directory.Result) {
-	open, waiting := c.requests[ticket]
-	if !waiting {
+	req, exists := c.requests[ticket]
+	if !exists {
 		return
 	}
-	if !open.answered {
+	if !req.answered {
 		c.answered = append(c.answered, ticket)
 	}
-	open.answered = true
-	open.result = result
+	req.answered = true
+	req.result = result
 }
 
 // completeAnswered completes the requests whose result this member has applied.
@@ -170,41 +167,41 @@
 		return
 	}
 	c.confirmReads(now)
-	waiting := c.answered[:0]
+	remaining := c.answered[:0]
 	for _, ticket := range c.answered {
-		open, exists := c.requests[ticket]
+		req, exists := c.requests[ticket]
 		switch {
 		case !exists:
-		case c.replica.Applied < open.result.Revision:
-			waiting = append(waiting, ticket)
+		case c.replica.Applied < req.result.Revision:
+			remaining = append(remaining, ticket)
 		default:
-			c.complete(open, nil)
+			c.complete(req, nil)
 		}
 	}
-	c.answered = waiting
+	c.answered = remaining
 }
 
 // complete ends a request and notifies its waiters. Forwarding members are notified of
 // success only and retry otherwise.
-func (c *Core) complete(open *request, err error) {
-	delete(c.requests, open.ticket)
-	if c.commands[string(open.command)] == open {
-		delete(c.commands, string(open.command))
-	}
-	for _, waiting := range open.waiters {
-		if waiting.origin == "" {
-			c.output.Outcomes = append(c.output.Outcomes, Outcome{Ticket: waiting.ticket, Result: open.result, Err: err})
+func (c *Core) complete(req *request, err error) {
+	delete(c.requests, req.ticket)
+	if c.commands[string(req.command)] == req {
+		delete(c.commands, string(req.command))
+	}
+	for _, w := range req.waiters {
+		if w.origin == "" {
+			c.output.Outcomes = append(c.output.Outcomes, Outcome{Ticket: w.ticket, Result: req.result, Err: err})
 			continue
 		}
 		if err == nil {
-			c.sendToMember(waiting.origin, forwarded{Ticket: waiting.ticket, Result: open.result}.frame())
+			c.sendToMember(w.origin, forwarded{Ticket: w.ticket, Result: req.result}.frame())
 		}
 	}
 }
 
 func (c *Core) failRequests(err error) {
-	for _, open := range c.sortedRequests() {
-		c.complete(open, err)
+	for _, req := range c.sortedRequests() {
+		c.complete(req, err)
 	}
 }
 
@@ -212,25 +209,25 @@
 // their deadline. Commands are idempotent and may be repeated.
 func (c *Core) tickRequests(now kernel.Instant) {
 	c.countInFlight(now)
-	for _, open := range c.sortedRequests() {
-		if !now.Before(open.deadline) {
-			c.logEvent(eventlog.RequestGivenUp, "ticket", open.ticket, "command", len(open.command) > 0)
-			c.complete(open, steperror.New("registry.request", "", "timed out waiting for the group"))
+	for _, req := range c.sortedRequests() {
+		if !now.Before(req.deadline) {
+			c.logEvent(eventlog.RequestGivenUp, "ticket", req.ticket, "command", len(req.command) > 0)
+			c.complete(req, steperror.New("registry.request", "", "timed out waiting for the group"))
 			continue
 		}
-		if open.answered || c.replica.Node == nil {
+		if req.answered || c.replica.Node == nil {
 			continue
 		}
-		if !c.isInFlight(now, open) {
-			c.dispatchRequest(now, open)
+		if !c.isInFlight(now, req) {
+			c.dispatchRequest(now, req)
 		}
 	}
 	c.flush(now)
 }
 
 // isInFlight reports whether a request was sent in the current term within resendInterval.
-func (c *Core) isInFlight(now kernel.Instant, open *request) bool {
-	return open.sentTerm == c.replica.Node.Term() && now.Sub(open.sentAt) < resendInterval
+func (c *Core) isInFlight(now kernel.Instant, req *request) bool {
+	return req.sentTerm == c.replica.Node.Term() && now.Sub(req.sentAt) < resendInterval
 }
 
 // countInFlight recounts the requests pending at the leader.
@@ -239,8 +236,8 @@
 	if c.replica.Node == nil {
 		return
 	}
-	for _, open := range c.requests {
-		if !open.answered && c.isInFlight(now, open) {
+	for _, req := range c.requests {
+		if !req.answered && c.isInFlight(now, req) {
 			c.inFlight++
 		}
 	}
--- a/internal/registry/restart_test.go
+++ b/internal/registry/restart_test.go
@@ -14,8 +14,7 @@
 const restartSeeds = 60
 
 // restartAll cuts the power of all members, starts them again within 300 ms, and returns
-// the
-// time from the start of the last member needed for a quorum until there is a leader.
+// the time from the start of the last member needed for a quorum until there is a leader.
 func (c *cluster) restartAll() time.Duration {
 	for _, name := range c.names() {
 		c.kill(name, true)
@@ -43,8 +42,7 @@
 }
 
 // Guards against split votes of members that have waited for a quorum and stand for
-// election
-// at the same time.
+// election at the same time.
 func TestLeaderElectedSoonAfterFullRestart(t *testing.T) {
 	var times []time.Duration
 	for seed := range uint64(restartSeeds) {
@@ -52,7 +50,7 @@
 		times = append(times, c.restartAll())
 	}
 	slices.Sort(times)
-	t.Logf("median %s, nine of ten within %s, at most %s", times[restartSeeds/2], times[restartSeeds*9/10], times[restartSeeds-1])
+	t.Logf("median %s, 90th percentile %s, maximum %s", times[restartSeeds/2], times[restartSeeds*9/10], times[restartSeeds-1])
 	assert.Less(t, times[restartSeeds*9/10], 200*time.Millisecond)
 	assert.Less(t, times[restartSeeds-1], 300*time.Millisecond)
 }
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -8,8 +8,7 @@
 )
 
 // maxRosterNodes limits the nodes in a roster. It exceeds the number of nodes in the
-// largest
-// supported fleet.
+// largest supported fleet.
 const maxRosterNodes = 8192
 
 // roster is a bounded set of the addresses at which nodes accept announcements.
--- a/internal/registry/settings.go
+++ b/internal/registry/settings.go
@@ -20,8 +20,7 @@
 	// Voters is the intended number of voters.
 	Voters int
 	// LostZones is the number of zones whose simultaneous loss must leave a quorum of
-	// voters;
-	// 0 disables the requirement.
+	// voters; 0 disables the requirement.
 	LostZones int
 	// JoinInterval is the time between two join requests.
 	JoinInterval time.Duration
@@ -35,8 +34,7 @@
 	// SuspectAfter is the silence after which a target is suspected.
 	SuspectAfter time.Duration
 	// LostAfter is the minimum silence after which a target with unanswered flows can be
-	// marked
-	// as lost.
+	// marked as lost.
 	LostAfter time.Duration
 	// WarmthOf returns the configured warm-up of a service's cold targets; nil without any.
 	WarmthOf     func(service directory.Service) (Warmth, error)
@@ -47,12 +45,10 @@
 
 const (
 	// minSuspectAfter is the minimum of SuspectAfter. It leaves time for a failed heartbeat
-	// to be
-	// retried at another member.
+	// to be retried at another member.
 	minSuspectAfter = 3200 * time.Millisecond
 	// heartbeatDelayMargin allows for the delay of heartbeats and of members' reports to
-	// the
-	// leader.
+	// the leader.
 	heartbeatDelayMargin = 300 * time.Millisecond
 )
 
@@ -60,8 +56,7 @@
 type CoreOption func(s *CoreSettings)
 
 // WithHeartbeats sets the heartbeat interval of targets and raises SuspectAfter to match,
-// so
-// that live targets are not suspected between two heartbeats.
+// so that live targets are not suspected between two heartbeats.
 func WithHeartbeats(interval time.Duration) CoreOption {
 	return func(s *CoreSettings) {
 		s.SuspectAfter = max(minSuspectAfter, interval+interval/10+heartbeatDelayMargin)
--- a/internal/registry/start_test.go
+++ b/internal/registry/start_test.go
@@ -24,19 +24,19 @@
 // Delayed reports of the previous start arrive after the target has started again, at the
 // same or another address, and after a change of leader or a power loss.
 func TestRestartedTargetServesUnderSameID(t *testing.T) {
-	const here, there = "10.1.1.1:1", "10.1.1.2:1"
-	stages := []directory.TargetState{directory.TargetReady, directory.TargetDraining, directory.TargetEnded}
-	for number, stage := range stages {
-		for _, place := range []string{here, there} {
-			for _, trouble := range []string{"none", "leader killed", "power lost"} {
-				t.Run(fmt.Sprint(stage, " ", place, " ", trouble), func(t *testing.T) {
+	const firstAddress, otherAddress = "10.1.1.1:1", "10.1.1.2:1"
+	states := []directory.TargetState{directory.TargetReady, directory.TargetDraining, directory.TargetEnded}
+	for number, state := range states {
+		for _, targetAddress := range []string{firstAddress, otherAddress} {
+			for _, fault := range []string{"none", "leader killed", "power lost"} {
+				t.Run(fmt.Sprint(state, " ", targetAddress, " ", fault), func(t *testing.T) {
 					c := newCluster(t, uint64(number), 3)
 					leader := c.waitForLeader()
-					require.NoError(t, c.submit(leader, startCommand(bornFirst, here, directory.TargetReady)).Err)
+					require.NoError(t, c.submit(leader, startCommand(bornFirst, firstAddress, directory.TargetReady)).Err)
 					first, _ := leader.core.State().Target("i-1")
-					require.NoError(t, c.submit(leader, startCommand(bornFirst, here, stage)).Err)
-					c.heartbeat(leader, startCommand(bornLater, place, directory.TargetReady))
-					switch trouble {
+					require.NoError(t, c.submit(leader, startCommand(bornFirst, firstAddress, state)).Err)
+					c.heartbeat(leader, startCommand(bornLater, targetAddress, directory.TargetReady))
+					switch fault {
 					case "leader killed":
 						c.kill(leader.address, true)
 					case "power lost":
@@ -44,14 +44,14 @@
 					}
 					c.waitForLeader()
 					c.run(time.Second)
-					for _, late := range stages[:2] {
+					for _, late := range states[:2] {
 						for _, name := range c.names() {
 							if m := c.machines[name]; m.up {
-								checkRefused(t, c, m, startCommand(bornFirst, here, late))
+								checkRefused(t, c, m, startCommand(bornFirst, firstAddress, late))
 							}
 						}
 					}
-					checkServes(t, c, first, place)
+					checkServes(t, c, first, targetAddress)
 				})
 			}
 		}
@@ -62,9 +62,9 @@
 func checkRefused(t *testing.T, c *cluster, m *machine, late directory.Command) {
 	t.Helper()
 	token := func() directory.Token { target, _ := m.core.State().Target("i-1"); return target.Token }()
-	seen := m.core.liveness.status(token).lastHeartbeat
+	lastHeartbeat := m.core.liveness.status(token).lastHeartbeat
 	m.core.Heard(c.now, late.Target.Start())
-	assert.Equal(t, seen, m.core.liveness.status(token).lastHeartbeat, "no sign of life of the later start")
+	assert.Equal(t, lastHeartbeat, m.core.liveness.status(token).lastHeartbeat, "must not count as a heartbeat of the later start")
 	require.False(t, m.core.IsRegistered(late.Target))
 	_, _, err := m.core.Register(c.now, late.Target)
 	var problem *directory.Problem
@@ -72,7 +72,7 @@
 	assert.Equal(t, "born", problem.Field)
 }
 
-func checkServes(t *testing.T, c *cluster, first directory.Target, place string) {
+func checkServes(t *testing.T, c *cluster, first directory.Target, wantAddress string) {
 	t.Helper()
 	for _, name := range c.names() {
 		m := c.machines[name]
@@ -81,7 +81,7 @@
 		}
 		latest, known := m.core.State().Target("i-1")
 		require.True(t, known)
-		assert.Equal(t, []any{uint64(bornLater), directory.TargetReady, netip.MustParseAddrPort(place)},
+		assert.Equal(t, []any{uint64(bornLater), directory.TargetReady, netip.MustParseAddrPort(wantAddress)},
 			[]any{latest.Born, latest.State, latest.Address})
 		previous, known := m.core.State().TargetByToken(first.Token)
 		require.True(t, known)
@@ -98,12 +98,11 @@
 	c.run(livenessInterval)
 	assert.Equal(t, directory.CodeTaken, c.register(leader, startCommand(bornLater, "10.1.1.2:1", directory.TargetReady)).Result.Code)
 	assert.Equal(t, directory.CodeDone, c.register(leader, startCommand(bornLater, "10.1.1.1:1", directory.TargetReady)).Result.Code,
-		"its own address is free: it has ended itself")
+		"a new start may keep its own address")
 }
 
 // With long heartbeat intervals the holder's last heartbeat may be older than
-// addressHoldTime;
-// requests of processes started before the holder must still be refused.
+// addressHoldTime; requests of processes started before the holder must still be refused.
 func TestOlderProcessCannotTakeAddressOfRecentHolder(t *testing.T) {
 	for _, test := range []struct {
 		born  uint64
@@ -140,16 +139,16 @@
 	c := newCluster(t, 1, 3)
 	leader := c.waitForLeader()
 	_, _, err := leader.core.Register(c.now, putTarget("i-0", "10.1.1.9:1", directory.TargetReady).Target)
-	require.NoError(t, err, "before the first configuration any service is taken")
+	require.NoError(t, err, "any service is accepted before the first configuration")
 	next := directory.Configuration{Version: 1, Services: []directory.Service{{Name: "booking"}}}
 	edit := directory.Difference(leader.core.State().Configuration(), next)
 	require.NoError(t, c.submit(leader, directory.Command{Kind: directory.CommandPublish, Edit: edit}).Err)
-	word := putTarget("i-1", "10.1.1.1:1", directory.TargetReady).Target
-	word.Service = "other"
-	_, _, err = leader.core.Register(c.now, word)
+	target := putTarget("i-1", "10.1.1.1:1", directory.TargetReady).Target
+	target.Service = "other"
+	_, _, err = leader.core.Register(c.now, target)
 	require.ErrorContains(t, err, `service: other: is not in the configuration`)
 	known := putTarget("i-0", "10.1.1.9:1", directory.TargetDraining).Target
 	known.Service = "other"
 	_, _, err = leader.core.Register(c.now, known)
-	assert.NoError(t, err, "its drain is taken")
+	assert.NoError(t, err, "a registered target may still drain")
 }
--- a/internal/registry/startfaults_test.go
+++ b/internal/registry/startfaults_test.go
@@ -28,8 +28,7 @@
 type startRun struct {
 	*faultRun
 	// newestStarts is the latest start of each target, and sentCommands all commands sent
-	// so far,
-	// any of which may be repeated late.
+	// so far, any of which may be repeated late.
 	newestStarts map[string]directory.Target
 	sentCommands []directory.Command
 	pending      []submittedCommand
@@ -63,13 +62,13 @@
 // step starts, drains or ends a random target, or repeats an old command.
 func (r *startRun) step(m *machine) {
 	id := fmt.Sprint("i-", r.random.IntN(4))
-	target, lives := r.newestStarts[id]
+	target, exists := r.newestStarts[id]
 	command := directory.Command{Kind: directory.CommandPutTarget}
 	switch choice := r.random.IntN(8); {
 	case choice < 2 && len(r.sentCommands) > 0:
 		r.submitAsProcess(m, r.sentCommands[r.random.IntN(len(r.sentCommands))])
 		return
-	case choice < 4 || !lives:
+	case choice < 4 || !exists:
 		r.lastBorn += uint64(1 + r.random.IntN(3))
 		target = putTarget(id, fmt.Sprintf("10.1.1.%d:1", 1+r.random.IntN(3)), directory.TargetReady).Target
 		target.Born = r.lastBorn
@@ -86,29 +85,29 @@
 
 // collectAcknowledged records the acknowledged commands.
 func (r *startRun) collectAcknowledged() {
-	var open []submittedCommand
-	for _, w := range r.pending {
-		outcome, done := w.machine.outcomes[w.ticket]
-		alive := w.machine.core == w.core && w.machine.up
+	var remaining []submittedCommand
+	for _, submitted := range r.pending {
+		outcome, done := submitted.machine.outcomes[submitted.ticket]
+		sameRun := submitted.machine.core == submitted.core && submitted.machine.up
 		switch {
-		case !done && alive:
-			open = append(open, w)
-		case done && alive && outcome.Err == nil && outcome.Result.Code == directory.CodeDone:
-			known := r.acknowledged[w.command.Target.ID]
-			if w.command.Kind == directory.CommandPutTarget && (known.Born < w.command.Target.Born || known.Born == w.command.Target.Born && known.State < w.command.Target.State) {
-				r.acknowledged[w.command.Target.ID] = w.command.Target
+		case !done && sameRun:
+			remaining = append(remaining, submitted)
+		case done && sameRun && outcome.Err == nil && outcome.Result.Code == directory.CodeDone:
+			known := r.acknowledged[submitted.command.Target.ID]
+			if submitted.command.Kind == directory.CommandPutTarget && (known.Born < submitted.command.Target.Born || known.Born == submitted.command.Target.Born && known.State < submitted.command.Target.State) {
+				r.acknowledged[submitted.command.Target.ID] = submitted.command.Target
 			}
 		}
 	}
-	r.pending = open
+	r.pending = remaining
 }
 
 // checkMember compares a member's state with what was acknowledged.
 func (r *startRun) checkMember(m *machine, context string) {
 	for id, acknowledged := range r.acknowledged {
 		latest, known := m.core.State().Target(id)
-		require.True(r, known, "%s: %s is gone; %s", m.address, id, context)
-		require.GreaterOrEqual(r, latest.Born, acknowledged.Born, "%s: %s went back; %s", m.address, id, context)
+		require.True(r, known, "%s: %s is missing; %s", m.address, id, context)
+		require.GreaterOrEqual(r, latest.Born, acknowledged.Born, "%s: an acknowledged start of %s was lost; %s", m.address, id, context)
 		if latest.Born == acknowledged.Born {
 			require.GreaterOrEqual(r, latest.State, acknowledged.State, "%s: %s; %s", m.address, id, context)
 		}
@@ -116,7 +115,7 @@
 	for _, target := range m.core.State().Targets() {
 		latest, _ := m.core.State().Target(target.ID)
 		if target.Born < latest.Born {
-			require.Equal(r, directory.TargetEnded, target.State, "%s: an earlier start of %s lives; %s", m.address, target.ID, context)
+			require.Equal(r, directory.TargetEnded, target.State, "%s: an earlier start of %s has not ended; %s", m.address, target.ID, context)
 		}
 	}
 }
@@ -162,8 +161,7 @@
 }
 
 // Checks under random faults that all members hold each target's acknowledged newest start,
-// and
-// that late commands revive no earlier start.
+// and that late commands revive no earlier start.
 func TestStartsUnderRandomFaults(t *testing.T) {
 	seeds := startSeeds
 	if text := os.Getenv("BEAMDOOR_START_SEEDS"); text != "" {
--- a/internal/registry/streams.go
+++ b/internal/registry/streams.go
@@ -129,12 +129,12 @@
 // receiveSpeeds processes a node's report of target response times. It may be dropped under
 // load, since the next report replaces it.
 func (p *Process) receiveSpeeds(connection ConnectionID, frame wire.Frame) {
-	message, err := speed.Decode(frame.Payload)
+	report, err := speed.Decode(frame.Payload)
 	if err != nil {
 		p.logger.Sampled(eventlog.BadFrame, "connection", connection, "kind", frame.Kind, "err", err)
 		return
 	}
-	p.inputs.TryPush(speedsInput{connection: connection, words: message.Words})
+	p.inputs.TryPush(speedsInput{connection: connection, words: report.Words})
 }
 
 type speedsInput struct {
@@ -166,9 +166,9 @@
 	var batch []wire.Frame
 	var buffer []byte
 	for {
-		var open bool
-		batch, open = queue.PopBatch(batch[:0], inputBatch)
-		if !open {
+		var ok bool
+		batch, ok = queue.PopBatch(batch[:0], inputBatch)
+		if !ok {
 			return
 		}
 		buffer = buffer[:0]
