--- a/internal/registry/addressconflict.go
+++ b/internal/registry/addressconflict.go
@@ -14,7 +14,8 @@
 // legitimate successor retries and gets the address after the holder has missed one.
 
 // addressHoldTime is how long after its holder's last heartbeat an address is not
-// reassigned. It covers the heartbeat interval and the delay of reports to the leader.
+// reassigned. It covers the heartbeat interval and the delay of reports to the leader, and
+// is shorter than the 2 s after which a deployment may reuse an address.
 const addressHoldTime = 1500 * time.Millisecond
 
 // isAddressTaken reports whether a command would register a target at the address of
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -77,7 +77,7 @@
 // heartbeats that change the state return "".
 func (p *Process) HandleHeartbeat(ctx context.Context, heartbeat Heartbeat) (address string, err error) {
 	if p.heartbeats.Acknowledge(heartbeat.Target.Start(), heartbeat.Target.State) {
-		return p.heartbeatSpread.Assign(heartbeat.Target.Zone, heartbeat.Target.ID), nil
+		return p.heartbeatDistributor.Assign(heartbeat.Target.Zone, heartbeat.Target.ID), nil
 	}
 	var refusal error
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
--- a/internal/registry/inputs.go
+++ b/internal/registry/inputs.go
@@ -57,8 +57,8 @@
 		return Output{}
 	}
 	p.nodeQueues[i.connection] = i.queue
-	p.heartbeatSpread.AddNode(uint64(i.connection), i.subscribe.Zone, i.subscribe.HeartbeatAddress)
-	p.heartbeatSpread.SetStrength(uint64(i.connection), i.subscribe.Strength)
+	p.heartbeatDistributor.AddNode(uint64(i.connection), i.subscribe.Zone, i.subscribe.HeartbeatAddress)
+	p.heartbeatDistributor.SetStrength(uint64(i.connection), i.subscribe.Strength)
 	p.announcer.addSubscriber(i.subscribe.AnnouncementAddress)
 	return p.core.Subscribe(now, i.connection, i.subscribe)
 }
--- a/internal/registry/liveness.go
+++ b/internal/registry/liveness.go
@@ -179,15 +179,15 @@
 
 func formatTokens(tokens []directory.Token) string {
 	const limit = 8
-	var words []string
+	var texts []string
 	for _, token := range tokens {
-		if len(words) == limit {
-			words = append(words, "...")
+		if len(texts) == limit {
+			texts = append(texts, "...")
 			break
 		}
-		words = append(words, token.String())
+		texts = append(texts, token.String())
 	}
-	return strings.Join(words, ",")
+	return strings.Join(texts, ",")
 }
 
 func (c *Core) receiveLiveness(now kernel.Instant, payload []byte) error {
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -60,14 +60,14 @@
 	inputs   *ring.Ring[input]
 	links    *peerlink.Links
 	// core is nil while the disk cannot be used.
-	core            *Core
-	disk            *wal.Log
-	reopenAt        time.Time
-	pendingCalls    map[Ticket]chan Outcome
-	nodeQueues      map[ConnectionID]*ring.Ring[wire.Frame]
-	metrics         *metrics
-	heartbeats      *heartbeat.Cache
-	heartbeatSpread *heartbeat.Distributor
+	core                 *Core
+	disk                 *wal.Log
+	reopenAt             time.Time
+	pendingCalls         map[Ticket]chan Outcome
+	nodeQueues           map[ConnectionID]*ring.Ring[wire.Frame]
+	metrics              *metrics
+	heartbeats           *heartbeat.Cache
+	heartbeatDistributor *heartbeat.Distributor
 	// heartbeatsRevision is the revision up to which the heartbeat cache has been updated.
 	heartbeatsRevision uint64
 	// referralRevision is the member revision that the referral table was built from. The
@@ -94,16 +94,16 @@
 // NewProcess returns a member that has not started to listen.
 func NewProcess(settings Settings, logger *eventlog.Logger) *Process {
 	process := &Process{
-		settings:        settings,
-		logger:          logger,
-		started:         time.Now(),
-		inputs:          ring.New[input](inputQueueCapacity),
-		pendingCalls:    map[Ticket]chan Outcome{},
-		nodeQueues:      map[ConnectionID]*ring.Ring[wire.Frame]{},
-		metrics:         newMetrics(),
-		heartbeats:      heartbeat.NewCache(),
-		heartbeatSpread: heartbeat.NewDistributor(append([]heartbeat.DistributorOption{heartbeat.WithZone(settings.Core.Zone)}, settings.HeartbeatOptions...)...),
-		stopped:         make(chan struct{}),
+		settings:             settings,
+		logger:               logger,
+		started:              time.Now(),
+		inputs:               ring.New[input](inputQueueCapacity),
+		pendingCalls:         map[Ticket]chan Outcome{},
+		nodeQueues:           map[ConnectionID]*ring.Ring[wire.Frame]{},
+		metrics:              newMetrics(),
+		heartbeats:           heartbeat.NewCache(),
+		heartbeatDistributor: heartbeat.NewDistributor(append([]heartbeat.DistributorOption{heartbeat.WithZone(settings.Core.Zone)}, settings.HeartbeatOptions...)...),
+		stopped:              make(chan struct{}),
 	}
 	process.links = peerlink.New(process.logLink, peerlink.WithEchoes())
 	process.announcer = newAnnouncer(process)
@@ -356,7 +356,7 @@
 	if queue, connected := p.nodeQueues[connection]; connected {
 		queue.Close()
 		delete(p.nodeQueues, connection)
-		p.heartbeatSpread.RemoveNode(uint64(connection))
+		p.heartbeatDistributor.RemoveNode(uint64(connection))
 	}
 	if p.core != nil {
 		p.core.Unsubscribe(connection)
--- a/internal/registry/referral.go
+++ b/internal/registry/referral.go
@@ -77,17 +77,17 @@
 	p.referralRevision = revision
 	members := core.referralMembers()
 	p.referrals.Store(newReferralTable(p.settings.Core.Address, p.settings.Core.Zone, members))
-	p.heartbeatSpread.SetMembers(p.apiAddressesByZone(members))
+	p.heartbeatDistributor.SetMembers(p.apiAddressesByZone(members))
 }
 
 // apiAddressesByZone returns the addresses where targets call the members of each zone.
 func (p *Process) apiAddressesByZone(members []directory.Member) map[string][]string {
-	homes := map[string][]string{}
+	addresses := map[string][]string{}
 	if p.settings.APIAddress == nil {
-		return homes
+		return addresses
 	}
 	for _, member := range members {
-		homes[member.Zone] = append(homes[member.Zone], p.settings.APIAddress(member.Address))
+		addresses[member.Zone] = append(addresses[member.Zone], p.settings.APIAddress(member.Address))
 	}
-	return homes
+	return addresses
 }
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -120,7 +120,7 @@
 }
 
 func (i strengthInput) handle(p *Process, _ kernel.Instant) Output {
-	p.heartbeatSpread.SetStrength(uint64(i.connection), i.stated)
+	p.heartbeatDistributor.SetStrength(uint64(i.connection), i.stated)
 	if p.core == nil {
 		return Output{}
 	}
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -163,12 +163,12 @@
 func TestAChangedStrengthComesOverTheConnection(t *testing.T) {
 	process := NewProcess(Settings{Name: "core-1", HeartbeatOptions: []heartbeat.DistributorOption{heartbeat.WithLocalRate(0)}}, eventlog.Discard())
 	for connection, address := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
-		process.heartbeatSpread.AddNode(uint64(connection), "north", address)
-		process.heartbeatSpread.SetStrength(uint64(connection), strength.Strength{Share: 0.1})
+		process.heartbeatDistributor.AddNode(uint64(connection), "north", address)
+		process.heartbeatDistributor.SetStrength(uint64(connection), strength.Strength{Share: 0.1})
 	}
 	second := func(call int) (count int) {
 		for number := range 400 {
-			if process.heartbeatSpread.Assign("north", fmt.Sprint("i-", call, number)) == "10.0.0.2:1" {
+			if process.heartbeatDistributor.Assign("north", fmt.Sprint("i-", call, number)) == "10.0.0.2:1" {
 				count++
 			}
 		}
