--- a/internal/egress/admission_test.go
+++ b/internal/egress/admission_test.go
@@ -19,17 +19,17 @@
 		Kind:      directory.RouteUpload,
 		Objective: time.Second,
 	}
-	wideLink   = LinkLoad{Rate: modelStated, ConfiguredRate: modelStated}
-	narrowLink = LinkLoad{Rate: modelStated / 4, ConfiguredRate: modelStated}
-	// fullNode is a node that is full while others are idle.
-	fullNode = LinkLoad{Rate: modelStated, ConfiguredRate: modelStated, Utilization: 0.75, PeersKnown: true, RetryWait: time.Millisecond, RefusalFraction: 1}
-	// refusablePort and takenPort are ports of openings that may be refused and that
+	fullRateLink = LinkLoad{Rate: modelStated, ConfiguredRate: modelStated}
+	narrowLink   = LinkLoad{Rate: modelStated / 4, ConfiguredRate: modelStated}
+	// busyNode is a node that is full while others are idle.
+	busyNode = LinkLoad{Rate: modelStated, ConfiguredRate: modelStated, Utilization: 0.75, PeersKnown: true, RetryWait: time.Millisecond, RefusalFraction: 1}
+	// refusablePort and acceptedPort are ports of openings that may be refused and that
 	// are always taken.
-	refusablePort, takenPort = uint16(1), uint16(callerTries)
+	refusablePort, acceptedPort = uint16(1), uint16(callerTries)
 )
 
 // loaded returns an admission that has promised uploads of a known size.
-func loaded(uploads int) *AdmissionController {
+func controllerWithUploads(uploads int) *AdmissionController {
 	a := NewAdmissionController()
 	first := modelFlow(60000)
 	a.RecordAccepted(modelStart, first, uploadRoute)
@@ -42,29 +42,29 @@
 }
 
 // all returns the first of two values.
-func all(promised, _ float64) float64 { return promised }
+func totalPending(promised, _ float64) float64 { return promised }
 
-func TestAnOpeningIsHeldForNoLongerThanItsCallerWaits(t *testing.T) {
+func TestDecideCapsHoldTime(t *testing.T) {
 	patient := uploadRoute
 	patient.Objective = time.Hour
-	assert.Equal(t, longestHold, loaded(1).Decide(modelStart, modelFlow(takenPort), patient, wideLink).MaxHold)
-	assert.Equal(t, time.Second/2, loaded(1).Decide(modelStart, modelFlow(takenPort), uploadRoute, wideLink).MaxHold)
+	assert.Equal(t, maxHoldTime, controllerWithUploads(1).Decide(modelStart, modelFlow(acceptedPort), patient, fullRateLink).MaxHold)
+	assert.Equal(t, time.Second/2, controllerWithUploads(1).Decide(modelStart, modelFlow(acceptedPort), uploadRoute, fullRateLink).MaxHold)
 }
 
-func TestOpeningsAreDecidedByTheLinkAndTheOthers(t *testing.T) {
+func TestDecideByLinkAndPeerLoad(t *testing.T) {
 	urgent := uploadRoute
 	urgent.Kind = directory.RouteOnce
 	without := uploadRoute
 	without.Objective = 0
-	fullest := fullNode
+	fullest := busyNode
 	fullest.Utilization = 0.95
 	alike := fullest
 	alike.RefusalFraction = 0
-	crowded := fullNode
+	crowded := busyNode
 	crowded.QueuedBytes = modelStated / 4
 	fullSite := crowded
-	fullSite.RetryWait = 2 * fullOffer
-	late := fullNode
+	fullSite.RetryWait = 2 * saturatedRetryWait
+	late := busyNode
 	late.QueuedBytes = modelStated
 	cases := []struct {
 		name    string
@@ -77,25 +77,25 @@
 	}{
 		{"a narrow link with nothing promised", uploadRoute, narrowLink, 0, refusablePort, ActionAccept, ReasonNone},
 		{"a narrow link with one upload promised", uploadRoute, narrowLink, 1, refusablePort, ActionRefuse, ReasonNarrowLink},
-		{"the third try of a caller", uploadRoute, narrowLink, 1, takenPort, ActionHold, ReasonPaced},
-		{"a link as wide as stated, of which others are not known", uploadRoute, wideLink, 1, refusablePort, ActionHold, ReasonPaced},
+		{"the third try of a caller", uploadRoute, narrowLink, 1, acceptedPort, ActionHold, ReasonPaced},
+		{"a link as wide as stated, of which others are not known", uploadRoute, fullRateLink, 1, refusablePort, ActionHold, ReasonPaced},
 		{"a request without a long body", urgent, narrowLink, 20, refusablePort, ActionAccept, ReasonNone},
 		{"a route without an objective", without, narrowLink, 20, refusablePort, ActionAccept, ReasonNone},
-		{"an upload at a full node while others are idle", uploadRoute, fullNode, 0, refusablePort, ActionRefuse, ReasonCapacityElsewhere},
-		{"the third try at a full node", uploadRoute, fullNode, 0, takenPort, ActionAccept, ReasonNone},
+		{"an upload at a full node while others are idle", uploadRoute, busyNode, 0, refusablePort, ActionRefuse, ReasonCapacityElsewhere},
+		{"the third try at a full node", uploadRoute, busyNode, 0, acceptedPort, ActionAccept, ReasonNone},
 		{"a small request at a full node that makes it late", urgent, fullest, 0, refusablePort, ActionRefuse, ReasonCapacityElsewhere},
-		{"the third try of that", urgent, fullest, 0, takenPort, ActionAccept, ReasonNone},
-		{"a small request that is in time all the same", urgent, fullNode, 0, refusablePort, ActionAccept, ReasonNone},
+		{"the third try of that", urgent, fullest, 0, acceptedPort, ActionAccept, ReasonNone},
+		{"a small request that is in time all the same", urgent, busyNode, 0, refusablePort, ActionAccept, ReasonNone},
 		{"a node that is as full as others", urgent, alike, 0, refusablePort, ActionAccept, ReasonNone},
-		{"an upload that would be late", uploadRoute, late, 0, takenPort, ActionRefuse, ReasonLate},
-		{"the last try of an upload that can be in time", uploadRoute, crowded, 0, takenPort, ActionHold, ReasonPaced},
-		{"the same where all nodes are full", uploadRoute, fullSite, 0, takenPort, ActionRefuse, ReasonLate},
-		{"a small request where all nodes are full", urgent, fullSite, 0, takenPort, ActionAccept, ReasonNone},
+		{"an upload that would be late", uploadRoute, late, 0, acceptedPort, ActionRefuse, ReasonLate},
+		{"the last try of an upload that can be in time", uploadRoute, crowded, 0, acceptedPort, ActionHold, ReasonPaced},
+		{"the same where all nodes are full", uploadRoute, fullSite, 0, acceptedPort, ActionRefuse, ReasonLate},
+		{"a small request where all nodes are full", urgent, fullSite, 0, acceptedPort, ActionAccept, ReasonNone},
 		{"an unstated link", uploadRoute, LinkLoad{Utilization: 1, PeersKnown: true}, 20, refusablePort, ActionAccept, ReasonNone},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			decision := loaded(c.uploads).Decide(modelStart, modelFlow(c.port), c.route, c.load)
+			decision := controllerWithUploads(c.uploads).Decide(modelStart, modelFlow(c.port), c.route, c.load)
 			assert.Equal(t, c.action, decision.Action)
 			assert.Equal(t, c.reason, decision.Reason)
 		})
@@ -104,18 +104,18 @@
 
 // Whatever is known of others, a caller whose ports go by one or two has one of its tries
 // taken, but for uploads that would be late here.
-func TestACallerIsNotRefusedThrice(t *testing.T) {
+func TestDecideAcceptsOneOfThreeTries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := loaded(100)
+		a := controllerWithUploads(100)
 		step := rapid.Uint16Range(1, 2).Draw(t, "step")
 		first := rapid.Uint16Range(1024, 49_000).Draw(t, "first")
-		load := rapid.SampledFrom([]LinkLoad{narrowLink, fullNode, {Rate: modelStated, ConfiguredRate: modelStated, Utilization: 0.95, PeersKnown: true}}).Draw(t, "load")
+		load := rapid.SampledFrom([]LinkLoad{narrowLink, busyNode, {Rate: modelStated, ConfiguredRate: modelStated, Utilization: 0.95, PeersKnown: true}}).Draw(t, "load")
 		load.RefusalFraction = rapid.Float64Range(0, 1).Draw(t, "refused")
 		route := uploadRoute
 		route.Kind = rapid.SampledFrom([]directory.RouteKind{directory.RouteRepeatable, directory.RouteOnce, directory.RouteUpload}).Draw(t, "kind")
 		refused := 0
 		for try := range uint16(callerTries) {
-			now := modelStart.Add(time.Duration(try) * comebackTime)
+			now := modelStart.Add(time.Duration(try) * retryWindow)
 			decision := a.Decide(now, modelFlow(first+step*try), route, load)
 			if decision.Action == ActionRefuse && decision.Reason != ReasonLate {
 				refused++
@@ -127,29 +127,29 @@
 
 // Whatever ports a caller's tries take: one node refuses no more than one of them for
 // room elsewhere.
-func TestANodeDoesNotRefuseACallerTwiceAtOnce(t *testing.T) {
-	a := loaded(100)
+func TestDecideRefusesCallerOncePerRetryWindow(t *testing.T) {
+	a := controllerWithUploads(100)
 	patient := uploadRoute
 	patient.Objective = time.Hour
 	admits := func(after time.Duration, flow steer.FlowKey) bool {
 		return a.Decide(modelStart.Add(after), flow, patient, narrowLink).Action != ActionRefuse
 	}
 	assert.False(t, admits(0, flowKey(9, int(refusablePort))))
-	soon := comebackTime - 1
+	soon := retryWindow - 1
 	assert.True(t, admits(soon, flowKey(9, int(refusablePort+callerTries))))
 	other := flowKey(9, int(refusablePort))
 	other.Caller = netip.AddrPortFrom(netip.MustParseAddr("100.64.9.9"), refusablePort)
 	assert.False(t, admits(soon, other), "another caller")
-	assert.False(t, admits(comebackTime, flowKey(9, int(refusablePort+2*callerTries))), "another request")
+	assert.False(t, admits(retryWindow, flowKey(9, int(refusablePort+2*callerTries))), "another request")
 }
 
-func TestCallersThatWereRefusedAreBounded(t *testing.T) {
-	a := loaded(100)
+func TestRefusedCallersAreBounded(t *testing.T) {
+	a := controllerWithUploads(100)
 	caller := netip.MustParseAddr("100.64.0.0")
 	patient := uploadRoute
 	patient.Objective = time.Hour
 	refused := 0
-	for range 2 * comebackLimit {
+	for range 2 * maxRefusedCallers {
 		caller = caller.Next()
 		flow := flowKey(9, int(refusablePort))
 		flow.Caller = netip.AddrPortFrom(caller, refusablePort)
@@ -157,70 +157,70 @@
 			refused++
 		}
 	}
-	assert.Equal(t, comebackLimit, refused, "who cannot be remembered is taken")
-	assert.Len(t, a.refused, comebackLimit)
-	assert.Equal(t, ActionRefuse, a.Decide(modelStart.Add(comebackTime), flowKey(9, int(refusablePort)), patient, narrowLink).Action)
-	assert.Len(t, a.refused, 1)
+	assert.Equal(t, maxRefusedCallers, refused, "who cannot be remembered is taken")
+	assert.Len(t, a.refusedAt, maxRefusedCallers)
+	assert.Equal(t, ActionRefuse, a.Decide(modelStart.Add(retryWindow), flowKey(9, int(refusablePort)), patient, narrowLink).Action)
+	assert.Len(t, a.refusedAt, 1)
 }
 
 // A copy of an opening packet that the network made must not reset the flow.
-func TestAFlowThatWasTakenIsNotRefusedLater(t *testing.T) {
-	a := loaded(0)
+func TestDecideAcceptsDuplicateOpening(t *testing.T) {
+	a := controllerWithUploads(0)
 	flow := modelFlow(refusablePort)
-	assert.Equal(t, ActionAccept, a.Decide(modelStart, flow, uploadRoute, wideLink).Action)
+	assert.Equal(t, ActionAccept, a.Decide(modelStart, flow, uploadRoute, fullRateLink).Action)
 	for port := range uint16(20) {
 		a.RecordAccepted(modelStart, modelFlow(50000+port), uploadRoute)
 	}
 	assert.Equal(t, ActionAccept, a.Decide(modelStart, flow, uploadRoute, narrowLink).Action)
 }
 
-func TestSizesAreBounded(t *testing.T) {
+func TestUploadSizesAreBounded(t *testing.T) {
 	a := NewAdmissionController()
-	for number := range 3 * sizeLimit {
+	for number := range 3 * maxTrackedRoutes {
 		route := uploadRoute
 		route.Address = netip.AddrPortFrom(route.Address.Addr(), uint16(number+1))
 		a.RecordAccepted(modelStart, modelFlow(1), route)
 		a.RecordData(modelStart, modelFlow(1), 1, 1200)
 		a.RecordEnd(modelFlow(1), true)
-		assert.InDelta(t, 1200, a.sizeOf(route.Address), 0)
+		assert.InDelta(t, 1200, a.expectedSize(route.Address), 0)
 	}
-	assert.LessOrEqual(t, len(a.sizes), sizeLimit)
+	assert.LessOrEqual(t, len(a.uploadSizes), maxTrackedRoutes)
 }
 
-func TestWhatWasSentIsPromisedNoMore(t *testing.T) {
-	a := loaded(1)
-	assert.InDelta(t, 40_000, all(a.promised(modelStart)), 0)
+func TestPendingBytesExcludeSentData(t *testing.T) {
+	a := controllerWithUploads(1)
+	assert.InDelta(t, 40_000, totalPending(a.pendingBytes(modelStart)), 0)
 	a.RecordData(modelStart, modelFlow(50000), 1, 1200)
 	a.RecordData(modelStart, modelFlow(50000), 12_001, 1200)
 	a.RecordData(modelStart, modelFlow(50000), 1, 1200)
-	assert.InDelta(t, 40_000-13_200, all(a.promised(modelStart)), 0)
+	assert.InDelta(t, 40_000-13_200, totalPending(a.pendingBytes(modelStart)), 0)
 	a.RecordEnd(modelFlow(50000), false)
-	assert.Zero(t, all(a.promised(modelStart)))
-	assert.InDelta(t, 40_000, a.sizeOf(uploadRoute.Address), 0, "a broken upload tells no size")
+	assert.Zero(t, totalPending(a.pendingBytes(modelStart)))
+	assert.InDelta(t, 40_000, a.expectedSize(uploadRoute.Address), 0, "a broken upload tells no size")
 }
 
-func TestASilentUploadIsPromisedNoMore(t *testing.T) {
-	a := loaded(1)
-	assert.Zero(t, all(a.promised(modelStart.Add(promiseLifetime+1))))
+func TestPendingBytesExcludeIdleUploads(t *testing.T) {
+	a := controllerWithUploads(1)
+	assert.Zero(t, totalPending(a.pendingBytes(modelStart.Add(uploadIdleTimeout+1))))
 }
 
-func TestPromisesAreBounded(t *testing.T) {
+func TestTrackedUploadsAreBounded(t *testing.T) {
 	a := NewAdmissionController()
 	for port := range uint16(5000) {
 		a.RecordAccepted(modelStart, modelFlow(port), uploadRoute)
 	}
-	assert.Len(t, a.promises, promiseLimit)
-	later := modelStart.Add(promiseLifetime + 1)
+	assert.Len(t, a.uploads, maxTrackedUploads)
+	later := modelStart.Add(uploadIdleTimeout + 1)
 	a.RecordAccepted(later, modelFlow(6000), uploadRoute)
-	assert.Len(t, a.promises, 1, "what is silent makes room")
+	assert.Len(t, a.uploads, 1, "what is silent makes room")
 }
 
-func TestSizesAreLearnedByRoute(t *testing.T) {
-	a := loaded(0)
+func TestUploadSizesAreLearnedPerRoute(t *testing.T) {
+	a := controllerWithUploads(0)
 	flow := modelFlow(1)
 	a.RecordAccepted(modelStart, flow, uploadRoute)
 	a.RecordData(modelStart, flow, 1, 8_000)
 	a.RecordEnd(flow, true)
-	assert.InDelta(t, 36_000, a.sizeOf(uploadRoute.Address), 0)
-	assert.InDelta(t, windowData, a.sizeOf(netip.MustParseAddrPort("198.18.0.2:80")), 0)
+	assert.InDelta(t, 36_000, a.expectedSize(uploadRoute.Address), 0)
+	assert.InDelta(t, windowDataBytes, a.expectedSize(netip.MustParseAddrPort("198.18.0.2:80")), 0)
 }
--- a/internal/egress/bench_test.go
+++ b/internal/egress/bench_test.go
@@ -11,12 +11,12 @@
 const queuedFlows = 1000
 
 // packetTime is the time in which the link carries one full datagram.
-var packetTime = time.Duration(fullSize / (narrow.BytesPerSecond() * linkShare) * float64(time.Second))
+var packetTime = time.Duration(fullSize / (narrow.BytesPerSecond() * linkFraction) * float64(time.Second))
 
 // crowd returns a scheduler in which many flows wait, and the link takes what it has
 // carried within a step.
-func crowd(t *testing.T) *lab {
-	l := newLab(t, WithMemoryLimit(1<<30))
+func newLoadedFixture(t *testing.T) *fixture {
+	l := newFixture(t, WithMemoryLimit(1<<30))
 	for number := range queuedFlows {
 		l.offer(bulk(flowKey(number%100, number), 0))
 	}
@@ -24,7 +24,7 @@
 }
 
 // step is a packet that comes while one leaves.
-func (l *lab) step(number int) {
+func (l *fixture) step(number int) {
 	item := bulk(flowKey(number%100, number%queuedFlows), number)
 	l.Offer(l.now, item)
 	l.now = l.now.Add(packetTime)
@@ -32,8 +32,8 @@
 	l.TimeUntilNext(l.now)
 }
 
-func TestAQueuedPacketAllocatesNothing(t *testing.T) {
-	l := crowd(t)
+func TestQueuedPacketDoesNotAllocate(t *testing.T) {
+	l := newLoadedFixture(t)
 	number := 0
 	allocations := testing.AllocsPerRun(5000, func() {
 		number++
@@ -42,7 +42,7 @@
 	assert.Zero(t, allocations)
 }
 
-func BenchmarkPass(b *testing.B) {
+func BenchmarkAllow(b *testing.B) {
 	s := New(WithLink(Link{Mbps: 1000}))
 	now := start
 	flow := flowKey(1, 1)
@@ -54,7 +54,7 @@
 }
 
 func BenchmarkQueuedPacket(b *testing.B) {
-	l := crowd(&testing.T{})
+	l := newLoadedFixture(&testing.T{})
 	number := 0
 	b.ReportAllocs()
 	for b.Loop() {
@@ -67,11 +67,11 @@
 
 // BenchmarkUploadOpening decides on an upload while as many as can be are followed.
 func BenchmarkUploadOpening(b *testing.B) {
-	a := loaded(promiseLimit)
+	a := controllerWithUploads(maxTrackedUploads)
 	number := 0
 	b.ReportAllocs()
 	for b.Loop() {
 		number++
-		a.Decide(modelStart, flowKey(number%1000, number%60_000), uploadRoute, fullNode)
+		a.Decide(modelStart, flowKey(number%1000, number%60_000), uploadRoute, busyNode)
 	}
 }
--- a/internal/egress/classes.go
+++ b/internal/egress/classes.go
@@ -8,8 +8,8 @@
 
 // The levels of flows of one urgency, in the order in which they go.
 const (
-	// levelLittle holds flows that have sent little; callers take turns.
-	levelLittle = iota
+	// levelSmall holds flows that have sent little; callers take turns.
+	levelSmall = iota
 	// levelBulk holds flows that can still be in time, the one that is due first going
 	// first: of flows of like size that share a link, whole ones are in time sooner
 	// than all of them at once.
@@ -21,18 +21,18 @@
 
 // classes hold the flows that wait, by urgency and level; the lowest class goes first.
 type classes struct {
-	little [UrgencyCount]turns
+	small [UrgencyCount]roundRobin
 	// bulk holds two heaps for each urgency.
-	bulk [UrgencyCount * levelCount]dueHeap
+	bulk [UrgencyCount * levelCount]deadlineHeap
 	// busy has a bit for each class in which something waits.
-	busy  uint32
-	turns pool[turn]
+	occupied  uint32
+	queuePool pool[callerQueue]
 }
 
 func newClasses() classes {
 	var c classes
-	for urgency := range c.little {
-		c.little[urgency].callers.linksOf = turnRingOf
+	for urgency := range c.small {
+		c.small[urgency].callers.linksOf = callerRingLinksOf
 	}
 	return c
 }
@@ -42,10 +42,10 @@
 // add puts a flow into a class.
 func (c *classes) add(f *flow, class int) {
 	f.class = class
-	f.placed = true
-	c.busy |= 1 << class
-	if levelOf(class) == levelLittle {
-		c.little[class/levelCount].add(f, &c.turns)
+	f.scheduled = true
+	c.occupied |= 1 << class
+	if levelOf(class) == levelSmall {
+		c.small[class/levelCount].add(f, &c.queuePool)
 		return
 	}
 	c.bulk[class].add(f)
@@ -53,32 +53,32 @@
 
 // remove takes a flow out of its class.
 func (c *classes) remove(f *flow) {
-	f.placed = false
-	if levelOf(f.class) == levelLittle {
-		c.little[f.class/levelCount].remove(f, &c.turns)
+	f.scheduled = false
+	if levelOf(f.class) == levelSmall {
+		c.small[f.class/levelCount].remove(f, &c.queuePool)
 	} else {
 		c.bulk[f.class].remove(f)
 	}
 	if c.isEmpty(f.class) {
-		c.busy &^= 1 << f.class
+		c.occupied &^= 1 << f.class
 	}
 }
 
 func (c *classes) isEmpty(class int) bool {
-	if levelOf(class) == levelLittle {
-		return c.little[class/levelCount].isEmpty()
+	if levelOf(class) == levelSmall {
+		return c.small[class/levelCount].isEmpty()
 	}
 	return c.bulk[class].isEmpty()
 }
 
 // first returns the flow that goes first, or nil when none waits.
 func (c *classes) first() *flow {
-	if c.busy == 0 {
+	if c.occupied == 0 {
 		return nil
 	}
-	class := bits.TrailingZeros32(c.busy)
-	if levelOf(class) == levelLittle {
-		return c.little[class/levelCount].first()
+	class := bits.TrailingZeros32(c.occupied)
+	if levelOf(class) == levelSmall {
+		return c.small[class/levelCount].first()
 	}
 	return c.bulk[class].first()
 }
@@ -86,12 +86,12 @@
 // last returns a flow of the last class, one of those that help least, or nil when none
 // waits.
 func (c *classes) last() *flow {
-	if c.busy == 0 {
+	if c.occupied == 0 {
 		return nil
 	}
-	class := bits.Len32(c.busy) - 1
-	if levelOf(class) == levelLittle {
-		return c.little[class/levelCount].last()
+	class := bits.Len32(c.occupied) - 1
+	if levelOf(class) == levelSmall {
+		return c.small[class/levelCount].last()
 	}
 	return c.bulk[class].last()
 }
--- a/internal/egress/congestion_test.go
+++ b/internal/egress/congestion_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCongestionIsToldAtItsOnsetAndItsEnd(t *testing.T) {
+func TestCongestionDetectorReportsOnsetAndEnd(t *testing.T) {
 	var watch CongestionDetector
 	changes := 0
 	for step := range 100 {
--- a/internal/egress/dueheap.go
+++ b/internal/egress/dueheap.go
@@ -1,52 +1,52 @@
 package egress
 
-// dueHeap holds flows by the instant at which they are due, the earliest first.
-type dueHeap struct{ flows []*flow }
+// deadlineHeap holds flows by the instant at which they are due, the earliest first.
+type deadlineHeap struct{ flows []*flow }
 
-func (h *dueHeap) isEmpty() bool { return len(h.flows) == 0 }
+func (h *deadlineHeap) isEmpty() bool { return len(h.flows) == 0 }
 
-func (h *dueHeap) first() *flow { return h.flows[0] }
+func (h *deadlineHeap) first() *flow { return h.flows[0] }
 
-func (h *dueHeap) add(f *flow) {
-	f.position = len(h.flows)
+func (h *deadlineHeap) add(f *flow) {
+	f.heapIndex = len(h.flows)
 	h.flows = append(h.flows, f)
-	h.rise(f.position)
+	h.siftUp(f.heapIndex)
 }
 
-func (h *dueHeap) remove(f *flow) {
-	position := f.position
+func (h *deadlineHeap) remove(f *flow) {
+	position := f.heapIndex
 	last := len(h.flows) - 1
 	h.swap(position, last)
 	h.flows[last] = nil
 	h.flows = h.flows[:last]
 	if position < last {
-		h.sink(position)
-		h.rise(position)
+		h.siftDown(position)
+		h.siftUp(position)
 	}
 }
 
 // last returns, of the last flows in the heap, the one that is due last.
-func (h *dueHeap) last() *flow {
+func (h *deadlineHeap) last() *flow {
 	end := len(h.flows)
 	found := h.flows[end-1]
-	for _, f := range h.flows[max(0, end-longestLook):] {
-		if f.due > found.due {
+	for _, f := range h.flows[max(0, end-maxScan):] {
+		if f.deadline > found.deadline {
 			found = f
 		}
 	}
 	return found
 }
 
-func (h *dueHeap) swap(one, other int) {
+func (h *deadlineHeap) swap(one, other int) {
 	h.flows[one], h.flows[other] = h.flows[other], h.flows[one]
-	h.flows[one].position = one
-	h.flows[other].position = other
+	h.flows[one].heapIndex = one
+	h.flows[other].heapIndex = other
 }
 
-func (h *dueHeap) rise(position int) {
+func (h *deadlineHeap) siftUp(position int) {
 	for position > 0 {
 		parent := (position - 1) / 2
-		if h.flows[parent].due <= h.flows[position].due {
+		if h.flows[parent].deadline <= h.flows[position].deadline {
 			return
 		}
 		h.swap(parent, position)
@@ -54,16 +54,16 @@
 	}
 }
 
-func (h *dueHeap) sink(position int) {
+func (h *deadlineHeap) siftDown(position int) {
 	for {
 		child := 2*position + 1
 		if child >= len(h.flows) {
 			return
 		}
-		if child+1 < len(h.flows) && h.flows[child+1].due < h.flows[child].due {
+		if child+1 < len(h.flows) && h.flows[child+1].deadline < h.flows[child].deadline {
 			child++
 		}
-		if h.flows[position].due <= h.flows[child].due {
+		if h.flows[position].deadline <= h.flows[child].deadline {
 			return
 		}
 		h.swap(position, child)
--- a/internal/egress/fleet_test.go
+++ b/internal/egress/fleet_test.go
@@ -17,15 +17,15 @@
 	fleetSeconds, fleetSettled = 40, 20
 	// fleetRounds are the rounds of a hundred drawn fleets each.
 	fleetRounds = 10
-	// longestLag is the greatest age in seconds of what nodes know of each other.
-	longestLag = 3
-	// largestExcess is how much fuller a node may be than the fullest is without refusals.
-	largestExcess = 0.05
+	// maxLag is the greatest age in seconds of what nodes know of each other.
+	maxLag = 3
+	// maxUtilizationExcess is how much fuller a node may be than the fullest is without refusals.
+	maxUtilizationExcess = 0.05
 )
 
 // steadiness says up to which use of all links a node's use may change by how much once
 // the fleet has settled.
-type steadiness struct{ use, swing float64 }
+type stability struct{ utilization, swing float64 }
 
 // fleetNode is a node to which a router hashes a share of all flows.
 type fleetNode struct {
@@ -42,7 +42,7 @@
 }
 
 func drawFleet(t *rapid.T) *fleet {
-	f := &fleet{lag: rapid.IntRange(1, longestLag).Draw(t, "lag")}
+	f := &fleet{lag: rapid.IntRange(1, maxLag).Draw(t, "lag")}
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 	strongest := rapid.Float64Range(1, 10).Draw(t, "strongest")
 	strongShare := rapid.Float64Range(0, 1).Draw(t, "strong share")
@@ -66,7 +66,7 @@
 
 // carry spreads flows that come to so many bytes a second. Of three successive ports one
 // is always taken; at the others a node refuses its part. A refused caller is hashed anew.
-func (f *fleet) carry(bytes float64, admits bool) {
+func (f *fleet) distribute(bytes float64, admits bool) {
 	parts := make([]float64, len(f.nodes))
 	refused := 0.0
 	for number, node := range f.nodes {
@@ -81,11 +81,11 @@
 		tries := 1 + (taken + refused*taken + refused*refused) + (taken + refused)
 		node.load.Utilization = bytes * node.share * tries / callerTries / node.load.Rate
 	}
-	f.learn()
+	f.exchangeLoads()
 }
 
 // learn lets nodes know what others were like some seconds ago.
-func (f *fleet) learn() {
+func (f *fleet) exchangeLoads() {
 	table := room.NewTable[*fleetNode]()
 	for _, node := range f.nodes {
 		table.RecordReport(0, node, "north", room.LinkReport{WaitStep: room.WaitToStep(node.load.ExpectedWait())})
@@ -106,14 +106,14 @@
 	// wait is the wait in seconds that a byte meets on average.
 	wait float64
 	// fullest is the largest use of a node, and swing the largest change of one's use.
-	fullest, swing float64
+	maxUtilization, swing float64
 }
 
 func (f *fleet) run(bytes float64, admits bool) outcome {
 	var o outcome
 	lowest, highest := map[*fleetNode]float64{}, map[*fleetNode]float64{}
 	for second := range fleetSeconds {
-		f.carry(bytes, admits)
+		f.distribute(bytes, admits)
 		if second < fleetSettled {
 			continue
 		}
@@ -124,7 +124,7 @@
 				lowest[node], highest[node] = use, use
 			}
 			lowest[node], highest[node] = min(lowest[node], use), max(highest[node], use)
-			o.fullest = max(o.fullest, use)
+			o.maxUtilization = max(o.maxUtilization, use)
 			o.swing = max(o.swing, highest[node]-lowest[node])
 		}
 	}
@@ -133,31 +133,31 @@
 
 // Refusals among nodes of unequal strengths or shares make no wait longer and herd onto
 // nobody, though nodes know of each other late.
-func TestRefusalsMakeNoWaitLonger(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { checkFleet(t, steadiness{use: 0.8, swing: 1}) })
+func TestRefusalsDoNotIncreaseWait(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.8, swing: 1}) })
 }
 
 // They settle, too (see KNOWN-RED.txt).
 func TestRefusalsSpreadFlowsByStrengthWithoutHerds(t *testing.T) {
 	for range fleetRounds {
-		rapid.Check(t, func(t *rapid.T) { checkFleet(t, steadiness{use: 0.8, swing: 0.25}) })
+		rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.8, swing: 0.25}) })
 	}
 }
 
 // The same nearly up to what all links carry, and steadier (see KNOWN-RED.txt).
 func TestRefusalsSettleInNearlyFullFleets(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { checkFleet(t, steadiness{use: 0.95, swing: 0.15}) })
+	rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.95, swing: 0.15}) })
 }
 
-func checkFleet(t *rapid.T, aim steadiness) {
+func checkFleet(t *rapid.T, aim stability) {
 	f := drawFleet(t)
 	rate := 0.0
 	for _, node := range f.nodes {
 		rate += node.load.Rate
 	}
-	bytes := rate * rapid.Float64Range(0.05, aim.use).Draw(t, "use")
+	bytes := rate * rapid.Float64Range(0.05, aim.utilization).Draw(t, "use")
 	without, with := f.run(bytes, false), f.run(bytes, true)
-	require.LessOrEqual(t, with.wait, without.wait+leastWait.Seconds()/10)
-	require.LessOrEqual(t, with.fullest, without.fullest+largestExcess)
+	require.LessOrEqual(t, with.wait, without.wait+minRefusalWait.Seconds()/10)
+	require.LessOrEqual(t, with.maxUtilization, without.maxUtilization+maxUtilizationExcess)
 	require.LessOrEqual(t, with.swing, aim.swing)
 }
--- a/internal/egress/flowhash.go
+++ b/internal/egress/flowhash.go
@@ -22,10 +22,10 @@
 
 // flowHash names a flow in the tables. Two flows of one name only spoil a count.
 func flowHash(flow steer.FlowKey) uint64 {
-	return mix(mix(endHash(flow.Caller)) ^ endHash(flow.Virtual))
+	return mix(mix(endpointHash(flow.Caller)) ^ endpointHash(flow.Virtual))
 }
 
-func endHash(end netip.AddrPort) uint64 {
+func endpointHash(end netip.AddrPort) uint64 {
 	address := end.Addr()
 	if address.Is4() {
 		four := address.As4()
--- a/internal/egress/fuzz_test.go
+++ b/internal/egress/fuzz_test.go
@@ -19,7 +19,7 @@
 	now       kernel.Instant
 	waiting   []Item
 	// offered, through, sent, dropped, refused and repeated count bytes.
-	offered, through, sent, dropped, refused, repeated int
+	offered, sentNow, sent, dropped, refused, repeated int
 }
 
 // fuzzPackets is the bound of the queue, small enough to be reached.
@@ -88,13 +88,13 @@
 		if before > 0 {
 			o.Fatalf("%+v went past what waits", *item)
 		}
-		o.through += item.Size
+		o.sentNow += item.Size
 	case OutcomeQueued:
 		o.waiting = append(o.waiting, *item)
 	case OutcomeDuplicate:
 		o.repeated += item.Size
 	case OutcomeFull:
-		if before < fuzzPackets && o.countShort() < fuzzPackets/controlPart {
+		if before < fuzzPackets && o.countControl() < fuzzPackets/controlDivisor {
 			o.Fatalf("full with %d", before)
 		}
 		o.refused += item.Size
@@ -116,8 +116,8 @@
 	}
 }
 
-// countShort returns the number of items that wait and are no data.
-func (o *oracle) countShort() int {
+// countControl returns the number of items that wait and are no data.
+func (o *oracle) countControl() int {
 	count := 0
 	for _, item := range o.waiting {
 		if item.Kind != KindData {
@@ -137,7 +137,7 @@
 	if position < 0 {
 		o.Fatalf("sent what did not wait: %+v", item)
 	}
-	if item.isPast(o.now) {
+	if item.hasExpired(o.now) {
 		o.Fatalf("sent what had expired: %+v", item)
 	}
 	o.checkOrder(item, position)
@@ -145,7 +145,7 @@
 	o.sent += item.Size
 }
 
-func (i *Item) isPast(now kernel.Instant) bool { return i.ExpiresAt > 0 && now >= i.ExpiresAt }
+func (i *Item) hasExpired(now kernel.Instant) bool { return i.ExpiresAt > 0 && now >= i.ExpiresAt }
 
 // checkOrder checks the order within a flow, and that what is more urgent or goes before
 // all flows was not left behind, but for what was overdue and the oldest.
@@ -159,11 +159,11 @@
 		return
 	}
 	for _, other := range o.waiting {
-		if other.isPast(o.now) {
+		if other.hasExpired(o.now) {
 			continue
 		}
 		switch {
-		case item.Kind == KindData && isShort(other.Kind):
+		case item.Kind == KindData && isControl(other.Kind):
 			o.Fatalf("data before %+v", other)
 		case item.Kind == KindData && other.Kind == KindData && other.Urgency < item.Urgency:
 			o.Fatalf("%+v before the more urgent %+v", item, other)
@@ -171,10 +171,10 @@
 	}
 }
 
-// isShort reports whether a kind goes before all flows in any case.
-func isShort(kind ItemKind) bool { return kind != KindData && kind != KindClosing }
+// isControl reports whether a kind goes before all flows in any case.
+func isControl(kind ItemKind) bool { return kind != KindData && kind != KindClosing }
 
-func (o *oracle) pass(*rapid.T) {
+func (o *oracle) advance(*rapid.T) {
 	o.now = o.now.Add(time.Duration(rapid.IntRange(0, 30_000).Draw(o.T, "microseconds")) * time.Microsecond)
 }
 
@@ -215,27 +215,27 @@
 	if o.scheduler.Len() != len(o.waiting) || o.scheduler.Bytes() != bytes {
 		o.Fatalf("%d packets, %d bytes; the oracle has %d, %d", o.scheduler.Len(), o.scheduler.Bytes(), len(o.waiting), bytes)
 	}
-	if o.offered != o.through+o.sent+o.dropped+o.refused+o.repeated+bytes {
+	if o.offered != o.sentNow+o.sent+o.dropped+o.refused+o.repeated+bytes {
 		o.Fatalf("bytes are lost or made")
 	}
 	if len(o.waiting) > fuzzPackets {
 		o.Fatalf("%d packets wait", len(o.waiting))
 	}
-	rate := narrow.BytesPerSecond() * linkShare
-	if most := minBurst + rate*o.now.Sub(start).Seconds(); float64(o.through+o.sent) > most+1 {
-		o.Fatalf("%d bytes sent, the link carries %v", o.through+o.sent, most)
+	rate := narrow.BytesPerSecond() * linkFraction
+	if most := minBurst + rate*o.now.Sub(start).Seconds(); float64(o.sentNow+o.sent) > most+1 {
+		o.Fatalf("%d bytes sent, the link carries %v", o.sentNow+o.sent, most)
 	}
 	if len(o.waiting) > 0 && o.scheduler.QueueDelay(o.now) != o.now.Sub(o.waiting[0].OfferedAt) {
 		o.Fatalf("delay is %v", o.scheduler.QueueDelay(o.now))
 	}
 }
 
-func TestTheSchedulerAgainstAnOracle(t *testing.T) {
+func TestSchedulerMatchesOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOracle(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": o.offer, "offerMore": o.offer, "flood": o.flood,
-			"next": o.next, "pass": o.pass, "sendAll": o.sendAll,
+			"next": o.next, "pass": o.advance, "sendAll": o.sendAll,
 			"cancel": o.cancel, "tick": o.tick,
 			"": o.check,
 		})
@@ -243,11 +243,11 @@
 }
 
 // Whatever comes, and in whatever order, nothing waits longer than the bound that
-// overdueShare states.
-func TestNothingStarvesWhateverComes(t *testing.T) {
+// overdueDivisor states.
+func TestRandomTrafficIsNotStarved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOracle(t)
-		rate := narrow.BytesPerSecond() * linkShare
+		rate := narrow.BytesPerSecond() * linkFraction
 		due := map[steer.FlowKey]kernel.Instant{}
 		port := 0
 		for range 300 {
@@ -258,7 +258,7 @@
 				if o.scheduler.Len() >= fuzzPackets || o.scheduler.Offer(o.now, item) != OutcomeQueued {
 					continue
 				}
-				ahead := float64(overdueShare * (o.scheduler.Bytes() + quantum))
+				ahead := float64(overdueDivisor * (o.scheduler.Bytes() + quantum))
 				due[item.Flow] = o.now.Add(overdueAfter + time.Duration(ahead/rate*float64(time.Second)))
 			}
 			o.now = o.now.Add(5 * time.Millisecond)
--- a/internal/egress/held.go
+++ b/internal/egress/held.go
@@ -8,9 +8,9 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// heldLimit is the largest number of openings that are held: more than a narrow link
+// maxHeldOpenings is the largest number of openings that are held: more than a narrow link
 // begins within the time that they are held.
-const heldLimit = 128
+const maxHeldOpenings = 128
 
 // HeldOpening is the opening packet of a flow that waits for its data to have room.
 type HeldOpening struct {
@@ -26,62 +26,62 @@
 // not begun sends nothing, so that neither the queue nor the incoming link fills with
 // what callers send again.
 type HeldOpenings struct {
-	order []*HeldOpening
-	spare []*HeldOpening
+	queue []*HeldOpening
+	free  []*HeldOpening
 }
 
 // Len returns the number of openings that are held.
-func (h *HeldOpenings) Len() int { return len(h.order) }
+func (h *HeldOpenings) Len() int { return len(h.queue) }
 
 // IsFull reports whether no more can be held.
-func (h *HeldOpenings) IsFull() bool { return len(h.order) >= heldLimit }
+func (h *HeldOpenings) IsFull() bool { return len(h.queue) >= maxHeldOpenings }
 
 // Contains reports whether the opening packet of a flow is held.
 func (h *HeldOpenings) Contains(flow steer.FlowKey) bool {
-	return slices.ContainsFunc(h.order, func(held *HeldOpening) bool { return held.Packet.Flow == flow })
+	return slices.ContainsFunc(h.queue, func(held *HeldOpening) bool { return held.Packet.Flow == flow })
 }
 
 // Add holds an opening packet, which is copied.
 func (h *HeldOpenings) Add(now kernel.Instant, packet steer.Packet, datagram []byte, urgency uint8, bound time.Duration) {
-	held := h.takeSpare()
+	held := h.takeFree()
 	held.Packet = packet
 	held.Datagram = append(held.Datagram[:0], datagram...)
 	held.Urgency = urgency
 	held.HeldAt = now
 	held.Deadline = now.Add(bound)
-	position, _ := slices.BinarySearchFunc(h.order, held, func(other, held *HeldOpening) int {
+	position, _ := slices.BinarySearchFunc(h.queue, held, func(other, held *HeldOpening) int {
 		if other.Urgency > held.Urgency {
 			return 1
 		}
 		return -1
 	})
-	h.order = slices.Insert(h.order, position, held)
+	h.queue = slices.Insert(h.queue, position, held)
 }
 
 // Pop returns the first opening that begins now: one whose time is up, or the first one
 // when it fits. The caller hands it back by Give.
 func (h *HeldOpenings) Pop(now kernel.Instant, fits bool) (*HeldOpening, bool) {
-	position := slices.IndexFunc(h.order, func(held *HeldOpening) bool { return !now.Before(held.Deadline) })
+	position := slices.IndexFunc(h.queue, func(held *HeldOpening) bool { return !now.Before(held.Deadline) })
 	if position < 0 {
-		if !fits || len(h.order) == 0 {
+		if !fits || len(h.queue) == 0 {
 			return nil, false
 		}
 		position = 0
 	}
-	held := h.order[position]
-	h.order = slices.Delete(h.order, position, position+1)
+	held := h.queue[position]
+	h.queue = slices.Delete(h.queue, position, position+1)
 	return held, true
 }
 
 // Recycle hands an opening back whose datagram is needed no more.
-func (h *HeldOpenings) Recycle(held *HeldOpening) { h.spare = append(h.spare, held) }
+func (h *HeldOpenings) Recycle(held *HeldOpening) { h.free = append(h.free, held) }
 
-func (h *HeldOpenings) takeSpare() *HeldOpening {
-	last := len(h.spare) - 1
+func (h *HeldOpenings) takeFree() *HeldOpening {
+	last := len(h.free) - 1
 	if last < 0 {
 		return &HeldOpening{}
 	}
-	held := h.spare[last]
-	h.spare = h.spare[:last]
+	held := h.free[last]
+	h.free = h.free[:last]
 	return held
 }
--- a/internal/egress/held_test.go
+++ b/internal/egress/held_test.go
@@ -14,7 +14,7 @@
 	h.Add(modelStart.Add(after), steer.Packet{Flow: modelFlow(port)}, []byte{byte(port)}, urgency, time.Second)
 }
 
-func TestHeldOpeningsLeaveByUrgencyThenAge(t *testing.T) {
+func TestHeldOpeningsAreOrderedByUrgencyThenAge(t *testing.T) {
 	var h HeldOpenings
 	hold(&h, 0, 1, 2)
 	hold(&h, 1, 2, 1)
@@ -34,7 +34,7 @@
 	assert.Equal(t, []uint16{2, 4, 1, 3}, ports)
 }
 
-func TestAnOpeningIsHeldNoLongerThanItsBound(t *testing.T) {
+func TestHeldOpeningIsReleasedAtDeadline(t *testing.T) {
 	var h HeldOpenings
 	hold(&h, 0, 1, 2)
 	hold(&h, time.Millisecond, 2, 1)
@@ -47,7 +47,7 @@
 
 func TestHeldOpeningsAreBounded(t *testing.T) {
 	var h HeldOpenings
-	for port := range uint16(heldLimit) {
+	for port := range uint16(maxHeldOpenings) {
 		assert.False(t, h.IsFull())
 		hold(&h, 0, port, 0)
 	}
--- a/internal/egress/link.go
+++ b/internal/egress/link.go
@@ -12,9 +12,9 @@
 // times the fastest links of a small machine.
 const maxLinkMbps = 1_000_000
 
-// leastLinkMbps is the least rate in Mbit/s: with less a caller's window of 16 packets
+// minLinkMbps is the least rate in Mbit/s: with less a caller's window of 16 packets
 // does not get through within its longest pause of 1.6 s.
-const leastLinkMbps = 0.1
+const minLinkMbps = 0.1
 
 // Link is what is stated of a machine's own link.
 type Link struct {
@@ -24,7 +24,7 @@
 
 // Validate returns a directory.Problem when the rate cannot be meant.
 func (l Link) Validate(field string) error {
-	if l.Mbps != 0 && !(l.Mbps >= leastLinkMbps && l.Mbps <= maxLinkMbps) {
+	if l.Mbps != 0 && !(l.Mbps >= minLinkMbps && l.Mbps <= maxLinkMbps) {
 		return directory.NewProblem(field, l.Mbps, "must be 0 (not stated) or from 0.1 to 1000000 Mbit/s")
 	}
 	return nil
--- a/internal/egress/link_test.go
+++ b/internal/egress/link_test.go
@@ -11,21 +11,21 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-func TestALinkThatCannotBeMeantIsNamed(t *testing.T) {
-	for _, mbps := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1), 2 * maxLinkMbps, 1e-12, leastLinkMbps / 2} {
+func TestValidateRejectsInvalidRate(t *testing.T) {
+	for _, mbps := range []float64{-1, math.NaN(), math.Inf(1), math.Inf(-1), 2 * maxLinkMbps, 1e-12, minLinkMbps / 2} {
 		err := Link{Mbps: mbps}.Validate("limits.linkMbps")
 		var problem *directory.Problem
 		assert.True(t, errors.As(err, &problem), "%v: %v", mbps, err)
 		assert.ErrorContains(t, err, "limits.linkMbps")
 	}
-	for _, mbps := range []float64{0, leastLinkMbps, 2, maxLinkMbps} {
+	for _, mbps := range []float64{0, minLinkMbps, 2, maxLinkMbps} {
 		assert.NoError(t, Link{Mbps: mbps}.Validate("limits.linkMbps"))
 	}
 }
 
 // The narrowest link still gives waits that a clock can hold.
-func TestTheNarrowestLinkHasASoundWait(t *testing.T) {
-	s := New(WithLink(Link{Mbps: leastLinkMbps}))
+func TestSlowestLinkHasFiniteWait(t *testing.T) {
+	s := New(WithLink(Link{Mbps: minLinkMbps}))
 	item := Item{Flow: modelFlow(1), Size: quantum}
 	for range 3 {
 		s.Offer(modelStart, &item)
--- a/internal/egress/linkmodel_test.go
+++ b/internal/egress/linkmodel_test.go
@@ -15,17 +15,17 @@
 // The model: times of callers as on the users' protocol page, a link that holds about
 // as much as that of a small machine.
 const (
-	modelStep    = time.Millisecond
-	modelPacket  = 1200
-	modelSize    = modelPacket + 68
-	modelQueue   = 6000
-	modelWindow  = 16
-	modelBurst   = 3000
-	modelTrip    = 4 * time.Millisecond
-	modelWait    = 200 * time.Millisecond
-	modelMaxWait = 1600 * time.Millisecond
-	modelStated  = 250_000.0
-	modelStart   = kernel.Instant(time.Minute)
+	modelStep      = time.Millisecond
+	modelPacket    = 1200
+	modelSize      = modelPacket + 68
+	modelQueue     = 6000
+	modelWindow    = 16
+	modelBurst     = 3000
+	modelDelay     = 4 * time.Millisecond
+	modelResend    = 200 * time.Millisecond
+	modelMaxResend = 1600 * time.Millisecond
+	modelStated    = 250_000.0
+	modelStart     = kernel.Instant(time.Minute)
 )
 
 // modelUpload is an upload of a caller. The caller knows up to where the target has
@@ -40,15 +40,15 @@
 	answers uint32
 	// acked packets are acknowledged, next is the first that was never sent.
 	acked, next int
-	copyAt      kernel.Instant
+	resendAt    kernel.Instant
 	wait        time.Duration
 	recovering  bool
 	ended       bool
 }
 
 type modelPacketState struct {
-	sentAt  kernel.Instant
-	takenAt kernel.Instant
+	sentAt     kernel.Instant
+	receivedAt kernel.Instant
 }
 
 type modelWaiting struct {
@@ -90,7 +90,7 @@
 		m.now = m.now.Add(modelStep)
 		m.startUploads()
 		for _, upload := range m.active {
-			m.drive(upload)
+			m.sendDue(upload)
 		}
 		m.send()
 		m.backlog = max(m.backlog-m.link*modelStep.Seconds(), 0)
@@ -159,34 +159,34 @@
 		flow:    m.flowOf(m.ports),
 		packets: make([]modelPacketState, 20+m.random.IntN(30)),
 		dead:    m.random.Float64() < m.deadShare,
-		wait:    modelWait,
+		wait:    modelResend,
 		answers: 1,
 	}
 }
 
-// flowOf returns the flow of a port.
+// flowRecord returns the flow of a port.
 func (*linkModel) flowOf(port uint16) steer.FlowKey {
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, 0, byte(port % 7)}), port)
 	return steer.FlowKey{Caller: caller, Virtual: netip.MustParseAddrPort("198.18.0.1:80")}
 }
 
 // drive lets a caller send what it may send now.
-func (m *linkModel) drive(u *modelUpload) {
+func (m *linkModel) sendDue(u *modelUpload) {
 	if u == nil || u.ended {
 		return
 	}
 	before := u.acked
-	for u.acked < len(u.packets) && u.packets[u.acked].takenAt > 0 && !m.now.Before(u.packets[u.acked].takenAt) {
+	for u.acked < len(u.packets) && u.packets[u.acked].receivedAt > 0 && !m.now.Before(u.packets[u.acked].receivedAt) {
 		u.acked++
 	}
 	if u.acked > before || u.next == 0 {
-		m.moveOn(u)
+		m.sendNew(u)
 	}
-	if u.acked < u.next && !m.now.Before(u.copyAt) {
+	if u.acked < u.next && !m.now.Before(u.resendAt) {
 		m.sendPacket(u, u.acked)
 		u.recovering = true
-		u.wait = min(2*u.wait, modelMaxWait)
-		u.copyAt = m.now.Add(u.wait)
+		u.wait = min(2*u.wait, modelMaxResend)
+		u.resendAt = m.now.Add(u.wait)
 	}
 	u.ended = u.acked == len(u.packets) || (u.dead && m.now.Sub(u.packets[0].sentAt) > 2*time.Second)
 	if u.ended && !u.dead {
@@ -195,13 +195,13 @@
 	}
 }
 
-// moveOn lets a caller send more after the target has acknowledged some.
-func (m *linkModel) moveOn(u *modelUpload) {
-	u.wait = modelWait
-	u.copyAt = m.now.Add(u.wait)
+// sendNew lets a caller send more after the target has acknowledged some.
+func (m *linkModel) sendNew(u *modelUpload) {
+	u.wait = modelResend
+	u.resendAt = m.now.Add(u.wait)
 	var numbers []int
 	for number := u.acked; u.recovering && number < u.next; number++ {
-		if m.now.Sub(u.packets[number].sentAt) >= modelWait {
+		if m.now.Sub(u.packets[number].sentAt) >= modelResend {
 			numbers = append(numbers, number)
 		}
 	}
@@ -245,12 +245,12 @@
 		m.queue = m.queue[1:]
 		m.tokens -= modelSize
 		m.learner.RecordSent(m.now, SentDatagram{Flow: next.upload.flow, Sequence: uint32(next.number * modelPacket), Data: modelPacket, Size: modelSize})
-		m.carry(next)
+		m.transmit(next)
 	}
 }
 
 // carry puts a datagram on the link, which drops it when its queue is full.
-func (m *linkModel) carry(packet modelWaiting) {
+func (m *linkModel) transmit(packet modelWaiting) {
 	m.sent++
 	if m.backlog+modelSize > modelQueue || m.random.Float64() < m.lossShare {
 		m.lost++
@@ -262,7 +262,7 @@
 	}
 	m.delivered += modelSize
 	state := &packet.upload.packets[packet.number]
-	if state.takenAt == 0 {
-		state.takenAt = m.now.Add(modelTrip + time.Duration(m.backlog/m.link*float64(time.Second)))
+	if state.receivedAt == 0 {
+		state.receivedAt = m.now.Add(modelDelay + time.Duration(m.backlog/m.link*float64(time.Second)))
 	}
 }
--- a/internal/egress/list.go
+++ b/internal/egress/list.go
@@ -52,7 +52,7 @@
 // pool keeps elements for reuse.
 type pool[T any] struct{ free []*T }
 
-func (p *pool[T]) take() *T {
+func (p *pool[T]) get() *T {
 	last := len(p.free) - 1
 	if last < 0 {
 		return new(T)
@@ -62,7 +62,7 @@
 	return element
 }
 
-func (p *pool[T]) give(element *T) {
+func (p *pool[T]) put(element *T) {
 	var zero T
 	*element = zero
 	p.free = append(p.free, element)
--- a/internal/egress/load.go
+++ b/internal/egress/load.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// alikeShare is the part of the stated rate from which on a link counts as no
+	// fullRateFraction is the part of the stated rate from which on a link counts as no
 	// narrower than the others, where nothing is known of these.
-	alikeShare = 0.8
-	// leastWait is the wait up to which a node has room: a quarter of the 200 ms after
+	fullRateFraction = 0.8
+	// minRefusalWait is the wait up to which a node has room: a quarter of the 200 ms after
 	// which callers send data again.
-	leastWait = 50 * time.Millisecond
-	// fullExcess is how many times longer than elsewhere the wait must be for all that
+	minRefusalWait = 50 * time.Millisecond
+	// fullRefusalRatio is how many times longer than elsewhere the wait must be for all that
 	// may be refused to be refused; between one and that a part is.
-	fullExcess = 3
-	// followShare is the part of the way that the refused share follows in a second. Nodes
+	fullRefusalRatio = 3
+	// refusalGain is the part of the way that the refused share follows in a second. Nodes
 	// learn of each other some seconds late: followed at once, all would turn from taking
 	// to refusing and back.
-	followShare = 0.2
-	// fullestUse bounds the wait that a use stands for.
-	fullestUse = 0.98
+	refusalGain = 0.2
+	// maxUtilization bounds the wait that a use stands for.
+	maxUtilization = 0.98
 )
 
 // Action is what is done with a new flow.
@@ -96,8 +96,8 @@
 	RetryWait  time.Duration
 }
 
-// timeOf returns the time in which the link carries so many bytes.
-func (l LinkLoad) timeOf(bytes float64) time.Duration {
+// transmitTime returns the time in which the link carries so many bytes.
+func (l LinkLoad) transmitTime(bytes float64) time.Duration {
 	if l.Rate <= 0 {
 		return 0
 	}
@@ -107,19 +107,19 @@
 // ExpectedWait returns the wait that a window of data meets on average at the link's use, as in a
 // queue with random arrivals.
 func (l LinkLoad) ExpectedWait() time.Duration {
-	use := min(l.Utilization, fullestUse)
-	return l.timeOf(use / (1 - use) * windowBytes)
+	use := min(l.Utilization, maxUtilization)
+	return l.transmitTime(use / (1 - use) * windowBytes)
 }
 
 // excess tells why a flow whose data waits so long is better off elsewhere, or ReasonNone.
-func (l LinkLoad) excess(flow steer.FlowKey, wait time.Duration) DecisionReason {
+func (l LinkLoad) refusalReason(flow steer.FlowKey, wait time.Duration) DecisionReason {
 	if !l.PeersKnown {
-		if l.Rate < alikeShare*l.ConfiguredRate && wait > pacedWait {
+		if l.Rate < fullRateFraction*l.ConfiguredRate && wait > pacingWait {
 			return ReasonNarrowLink
 		}
 		return ReasonNone
 	}
-	if drawOf(flow) < max(l.RefusalFraction, l.refusedShare(wait)) {
+	if flowFraction(flow) < max(l.RefusalFraction, l.refusalFractionAt(wait)) {
 		return ReasonCapacityElsewhere
 	}
 	return ReasonNone
@@ -127,28 +127,28 @@
 
 // RefusalFraction is the share of new flows that a node refuses for the wait at its use. The
 // zero value refuses none.
-type RefusalFraction struct{ share float64 }
+type RefusalFraction struct{ fraction float64 }
 
 // Value returns the share.
-func (r *RefusalFraction) Value() float64 { return r.share }
+func (r *RefusalFraction) Value() float64 { return r.fraction }
 
 // Update lets the share follow how the link stands for a time. Where the others are not
 // known there is none.
 func (r *RefusalFraction) Update(load LinkLoad, elapsed time.Duration) {
 	if !load.PeersKnown {
-		r.share = 0
+		r.fraction = 0
 		return
 	}
-	way := 1 - math.Pow(1-followShare, elapsed.Seconds())
-	r.share += way * (load.refusedShare(load.ExpectedWait()) - r.share)
+	way := 1 - math.Pow(1-refusalGain, elapsed.Seconds())
+	r.fraction += way * (load.refusalFractionAt(load.ExpectedWait()) - r.fraction)
 }
 
-// refusedShare returns the share of flows that are better off elsewhere for a wait.
-func (l LinkLoad) refusedShare(wait time.Duration) float64 {
-	ratio := float64(wait) / float64(max(l.RetryWait, leastWait))
-	return min(max((ratio-1)/(fullExcess-1), 0), 1)
+// refusalFractionAt returns the share of flows that are better off elsewhere for a wait.
+func (l LinkLoad) refusalFractionAt(wait time.Duration) float64 {
+	ratio := float64(wait) / float64(max(l.RetryWait, minRefusalWait))
+	return min(max((ratio-1)/(fullRefusalRatio-1), 0), 1)
 }
 
-// drawOf returns a number from 0 to below 1 that a flow's ends decide, so that a copy of
+// flowFraction returns a number from 0 to below 1 that a flow's ends decide, so that a copy of
 // its opening packet meets the same decision.
-func drawOf(flow steer.FlowKey) float64 { return float64(flowHash(flow)>>11) / (1 << 53) }
+func flowFraction(flow steer.FlowKey) float64 { return float64(flowHash(flow)>>11) / (1 << 53) }
--- a/internal/egress/queue.go
+++ b/internal/egress/queue.go
@@ -1,78 +1,78 @@
 package egress
 
-func (s *Scheduler) queue(f *flow, item *Item) {
-	p := s.packets.take()
+func (s *Scheduler) enqueue(f *flow, item *Item) {
+	p := s.packetPool.get()
 	p.Item = *item
 	p.flow = f
-	p.first = goesFirst(f, item.Kind)
-	s.age.pushBack(p)
+	p.priority = hasPriority(f, item.Kind)
+	s.byAge.pushBack(p)
 	f.waiting++
 	s.length++
 	s.bytes += item.Size
-	if p.first {
+	if p.priority {
 		s.control.pushBack(p)
-		s.controls++
+		s.controlCount++
 		if item.Kind == KindOpening {
 			f.opening = p
 		}
 		return
 	}
-	f.line.pushBack(p)
-	s.place(f, item.Size)
+	f.packets.pushBack(p)
+	s.reclassify(f, item.Size)
 }
 
-// goesFirst reports whether a packet goes before all flows. The end of a flow stays
+// hasPriority reports whether a packet goes before all flows. The end of a flow stays
 // behind its data.
-func goesFirst(f *flow, kind ItemKind) bool {
-	return kind != KindData && (kind != KindClosing || f.line.isEmpty())
+func hasPriority(f *flow, kind ItemKind) bool {
+	return kind != KindData && (kind != KindClosing || f.packets.isEmpty())
 }
 
 // place puts a flow, in which so many bytes more wait, into the class that it belongs
 // to now.
-func (s *Scheduler) place(f *flow, bytes int) {
-	class := f.classAt(f.seen)
-	if f.placed && f.class == class {
-		f.bytes += bytes
-		if f.turn != nil {
-			f.turn.bytes += bytes
+func (s *Scheduler) reclassify(f *flow, bytes int) {
+	class := f.classAt(f.lastActive)
+	if f.scheduled && f.class == class {
+		f.queuedBytes += bytes
+		if f.queue != nil {
+			f.queue.bytes += bytes
 		}
 		return
 	}
-	if f.placed {
+	if f.scheduled {
 		s.classes.remove(f)
 	}
-	f.bytes += bytes
+	f.queuedBytes += bytes
 	s.classes.add(f, class)
 }
 
 // take removes a packet and returns its item.
-func (s *Scheduler) take(p *packet) Item {
+func (s *Scheduler) dequeue(p *packet) Item {
 	item := p.Item
 	f := p.flow
-	s.age.remove(p)
+	s.byAge.remove(p)
 	f.waiting--
 	s.length--
 	s.bytes -= p.Size
-	if p.first {
+	if p.priority {
 		s.control.remove(p)
-		s.controls--
+		s.controlCount--
 		if f.opening == p {
 			f.opening = nil
 		}
 	} else {
-		s.takeFromLine(f, p)
+		s.dequeueFromFlow(f, p)
 	}
-	s.packets.give(p)
+	s.packetPool.put(p)
 	return item
 }
 
-func (s *Scheduler) takeFromLine(f *flow, p *packet) {
-	f.line.remove(p)
-	f.bytes -= p.Size
-	if f.turn != nil {
-		f.turn.bytes -= p.Size
+func (s *Scheduler) dequeueFromFlow(f *flow, p *packet) {
+	f.packets.remove(p)
+	f.queuedBytes -= p.Size
+	if f.queue != nil {
+		f.queue.bytes -= p.Size
 	}
-	if f.line.isEmpty() {
+	if f.packets.isEmpty() {
 		s.classes.remove(f)
 	}
 }
--- a/internal/egress/rate_test.go
+++ b/internal/egress/rate_test.go
@@ -32,13 +32,13 @@
 // fixedRate keeps the stated rate, to compare with.
 func fixedRate() RatePolicy {
 	return RatePolicy{
-		Reduced: func(rate, _, _ float64) float64 { return rate },
-		Grown:   func(reduced, _ float64, _ time.Duration) float64 { return reduced },
+		Decrease: func(rate, _, _ float64) float64 { return rate },
+		Increase: func(reduced, _ float64, _ time.Duration) float64 { return reduced },
 	}
 }
 
 // squeezed returns the mean share that is lost from a second after the link narrowed.
-func squeezed(load modelLoad, link float64, policy RatePolicy) float64 {
+func lossOnNarrowLink(load modelLoad, link float64, policy RatePolicy) float64 {
 	total := 0.0
 	for seed := range uint64(modelSeeds) {
 		m := load.model(seed, WithPolicy(policy))
@@ -50,13 +50,13 @@
 	return total / modelSeeds
 }
 
-func TestOnANarrowerLinkLittleIsLostAfterASecond(t *testing.T) {
+func TestNarrowLinkLossFallsWithinASecond(t *testing.T) {
 	loads := []modelLoad{{uploads: 6}, {uploads: 4}, {uploads: 3, pause: time.Second}, {uploads: 1, pause: time.Second}}
 	for _, load := range loads {
 		for _, link := range []float64{modelStated / 2, modelStated / 4} {
-			fixed := squeezed(load, link, fixedRate())
-			additive := squeezed(load, link, AdditiveIncrease())
-			delivered := squeezed(load, link, DeliveredRate())
+			fixed := lossOnNarrowLink(load, link, fixedRate())
+			additive := lossOnNarrowLink(load, link, AdditiveIncrease())
+			delivered := lossOnNarrowLink(load, link, DeliveredRate())
 			t.Logf("%v, link %.0f B/s: lost %.3f at the stated rate, %.3f by additive increase, %.3f by what is delivered",
 				load, link, fixed, additive, delivered)
 			assert.Less(t, delivered, 0.65*fixed)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestTheRateIsBackTwoSecondsAfterTheLink(t *testing.T) {
+func TestRateRecoversWithinTwoSeconds(t *testing.T) {
 	for _, link := range []float64{modelStated / 2, modelStated / 4} {
 		for seed := range uint64(modelSeeds) {
 			m := modelLoad{uploads: 6}.model(seed)
@@ -80,7 +80,7 @@
 
 // Just after a verdict it takes longest: what was lost before the return is seen up to
 // 0.7 s later.
-func TestTheRateIsBackTwoSecondsAfterTheLinkAlsoJustAfterAVerdict(t *testing.T) {
+func TestRateRecoversAfterRecentReduction(t *testing.T) {
 	for _, link := range []float64{modelStated / 2, modelStated / 4} {
 		var total time.Duration
 		for seed := range uint64(modelSeeds) {
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestWithoutTrafficTheRateComesBackAsWell(t *testing.T) {
+func TestRateRecoversWithoutTraffic(t *testing.T) {
 	m := modelLoad{uploads: 6}.model(1)
 	m.link = modelStated / 4
 	m.run(6 * time.Second)
@@ -106,7 +106,7 @@
 	assert.LessOrEqual(t, m.timeUntil(1, time.Minute), 10*time.Second)
 }
 
-func TestAnUncongestedLinkKeepsItsRate(t *testing.T) {
+func TestUncongestedLinkKeepsRate(t *testing.T) {
 	for _, share := range []float64{0, 0.01} {
 		for _, load := range []modelLoad{{uploads: 4}, {uploads: 1, pause: time.Second}} {
 			for seed := range uint64(modelSeeds) {
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestRandomLossLeavesFourFifthsOfTheRate(t *testing.T) {
+func TestRandomLossKeepsMostOfRate(t *testing.T) {
 	for _, share := range []float64{0.01, 0.03, 0.1} {
 		for _, load := range []modelLoad{{uploads: 4}, {uploads: 1, pause: 300 * time.Millisecond}} {
 			total := 0.0
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestDeadTargetsDoNotLowerTheRate(t *testing.T) {
+func TestDeadTargetsDoNotReduceRate(t *testing.T) {
 	for _, share := range []float64{0.2, 0.5, 1} {
 		for seed := range uint64(modelSeeds) {
 			m := modelLoad{uploads: 8}.model(seed)
@@ -151,27 +151,27 @@
 	}
 }
 
-func TestADeadLinkLeavesTheFloor(t *testing.T) {
+func TestDeadLinkKeepsMinRate(t *testing.T) {
 	r := NewRateEstimator(modelStated)
 	now := modelStart
 	for range 2000 {
 		now = now.Add(5 * time.Millisecond)
 		r.RecordWriteError(now)
-		require.GreaterOrEqual(t, r.Rate(now), float64(leastRate))
+		require.GreaterOrEqual(t, r.Rate(now), float64(minRate))
 	}
-	assert.InDelta(t, leastRate, r.Rate(now), 0.6*leastRate)
+	assert.InDelta(t, minRate, r.Rate(now), 0.6*minRate)
 }
 
-func TestWriteErrorsLowerTheRate(t *testing.T) {
+func TestWriteErrorsReduceRate(t *testing.T) {
 	r := NewRateEstimator(modelStated)
-	for range leastLost {
+	for range minLostPackets {
 		r.RecordWriteError(modelStart)
 	}
 	assert.InDelta(t, modelStated, r.Rate(modelStart), 0)
-	assert.Less(t, r.Rate(modelStart.Add(settleTime)), modelStated)
+	assert.Less(t, r.Rate(modelStart.Add(evaluationDelay)), modelStated)
 }
 
-func TestALinkWithoutARateLearnsNothing(t *testing.T) {
+func TestUnsetRateIsNotEstimated(t *testing.T) {
 	r := NewRateEstimator(0)
 	flow := modelFlow(1)
 	r.RecordSent(modelStart, SentDatagram{Flow: flow, Data: 1, Size: 1})
@@ -180,28 +180,28 @@
 	assert.Zero(t, r.Rate(modelStart.Add(time.Second)))
 }
 
-func TestALinkTooFastToLearnOfKeepsItsRate(t *testing.T) {
-	r := NewRateEstimator(fastestRate + 1)
-	for range leastLost {
+func TestLinkAboveMaxRateKeepsRate(t *testing.T) {
+	r := NewRateEstimator(maxEstimatedRate + 1)
+	for range minLostPackets {
 		r.RecordWriteError(modelStart)
 	}
-	assert.InDelta(t, fastestRate+1, r.Rate(modelStart.Add(settleTime)), 0)
+	assert.InDelta(t, maxEstimatedRate+1, r.Rate(modelStart.Add(evaluationDelay)), 0)
 }
 
-func TestALinkBelowTheFloorIsNotRaised(t *testing.T) {
-	r := NewRateEstimator(leastRate / 2)
-	for range leastLost {
+func TestLinkBelowMinRateIsNotRaised(t *testing.T) {
+	r := NewRateEstimator(minRate / 2)
+	for range minLostPackets {
 		r.RecordWriteError(modelStart)
 	}
-	assert.InDelta(t, leastRate/2, r.Rate(modelStart.Add(settleTime)), 0)
+	assert.InDelta(t, minRate/2, r.Rate(modelStart.Add(evaluationDelay)), 0)
 }
 
 func modelFlow(port uint16) steer.FlowKey {
 	return (&linkModel{}).flowOf(port)
 }
 
-// TestTheRateStaysInBounds feeds a learner with anything, in any order.
-func TestTheRateStaysInBounds(t *testing.T) {
+// TestRateStaysInBounds feeds a learner with anything, in any order.
+func TestRateStaysInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stated := rapid.Float64Range(1, 1e9).Draw(t, "stated")
 		policies := []RatePolicy{AdditiveIncrease(), DeliveredRate()}
@@ -227,11 +227,11 @@
 			"time":  step,
 			"": func(t *rapid.T) {
 				rate := r.Rate(now)
-				if !(rate >= min(leastRate, stated) && rate <= stated) || stated > fastestRate && rate != stated {
+				if !(rate >= min(minRate, stated) && rate <= stated) || stated > maxEstimatedRate && rate != stated {
 					t.Fatalf("rate %v of %v", rate, stated)
 				}
-				if !(r.background >= 0 && r.background <= largestBackground) {
-					t.Fatalf("background %v", r.background)
+				if !(r.backgroundLoss >= 0 && r.backgroundLoss <= maxBackground) {
+					t.Fatalf("background %v", r.backgroundLoss)
 				}
 			},
 		})
@@ -246,33 +246,33 @@
 	return uint32(rapid.IntRange(-5, 40).Draw(t, "position") * modelPacket)
 }
 
-func TestLearningAllocatesNothing(t *testing.T) {
+func TestRateEstimatorDoesNotAllocate(t *testing.T) {
 	r := NewRateEstimator(modelStated)
 	now := modelStart
 	flow := modelFlow(1)
 	position := uint32(0)
 	allocations := testing.AllocsPerRun(1000, func() {
-		learnPacket(r, now, flow, position)
+		recordExchange(r, now, flow, position)
 		now = now.Add(time.Millisecond)
 		position += modelPacket
 	})
 	assert.Zero(t, allocations)
 }
 
-func learnPacket(r *RateEstimator, now kernel.Instant, flow steer.FlowKey, position uint32) {
+func recordExchange(r *RateEstimator, now kernel.Instant, flow steer.FlowKey, position uint32) {
 	r.RecordPacket(now, ReceivedPacket{Flow: flow, Sequence: position, Acknowledged: 1, Data: modelPacket})
 	r.RecordSent(now, SentDatagram{Flow: flow, Sequence: position, Data: modelPacket, Size: modelSize})
 	r.Rate(now)
 }
 
-func BenchmarkLearnedRate(b *testing.B) {
+func BenchmarkRateEstimator(b *testing.B) {
 	r := NewRateEstimator(modelStated)
 	now := modelStart
 	flow := modelFlow(1)
 	position := uint32(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		learnPacket(r, now, flow, position)
+		recordExchange(r, now, flow, position)
 		now = now.Add(time.Millisecond)
 		position += modelPacket
 	}
--- a/internal/egress/ratesigns.go
+++ b/internal/egress/ratesigns.go
@@ -2,20 +2,20 @@
 
 import "github.com/beamdoor/beamdoor/internal/kernel"
 
-// lookForOutage lowers the rate when next to nothing gets through of much that was sent:
+// detectOutage lowers the rate when next to nothing gets through of much that was sent:
 // when most is lost, so are the copies that would tell.
-func (r *RateEstimator) lookForOutage(now kernel.Instant) {
-	seen := slotNumber(now.Add(-outageAge))
-	first := max(slotNumber(now.Add(-outageAge-outageTime)), slotNumber(r.reducedAt)+1, 0)
+func (r *RateEstimator) detectOutage(now kernel.Instant) {
+	seen := slotNumber(now.Add(-outageDelay))
+	first := max(slotNumber(now.Add(-outageDelay-outageWindow)), slotNumber(r.reducedAt)+1, 0)
 	var before, since rateSlot
-	for number := first; number <= r.newest; number++ {
+	for number := first; number <= r.newestSlot; number++ {
 		if number < seen {
 			before.add(r.slots[number%slotCount])
 		}
 		since.add(r.slots[number%slotCount])
 	}
 	before.delivered = since.delivered
-	if before.sent < outageBytes || !before.isOutage() {
+	if before.sent < minOutageBytes || !before.isOutage() {
 		return
 	}
 	r.reduce(now, r.slots[first%slotCount].rate, 1-float64(before.delivered)/float64(before.sent))
@@ -25,23 +25,23 @@
 // a number: those sent at the stated rate, or soon after it was lowered to what gets
 // through.
 func (r *RateEstimator) learnBackground(last int64) {
-	for number := max(r.matured+1, r.newest-slotCount+1, 0); number <= min(last, r.newest); number++ {
-		r.learnFrom(number)
+	for number := max(r.maturedSlot+1, r.newestSlot-slotCount+1, 0); number <= min(last, r.newestSlot); number++ {
+		r.learnFromSlot(number)
 	}
-	r.matured = max(r.matured, last)
+	r.maturedSlot = max(r.maturedSlot, last)
 }
 
-func (r *RateEstimator) learnFrom(number int64) {
+func (r *RateEstimator) learnFromSlot(number int64) {
 	slot := &r.slots[number%slotCount]
 	begin := kernel.Instant(number * int64(slotTime))
 	learned := slot.lost + slot.delivered
 	if learned == 0 || begin.Before(r.reducedAt) {
 		return
 	}
-	if slot.rate < r.stated && slot.rate > r.reduced {
+	if slot.rate < r.configured && slot.rate > r.reducedRate {
 		return
 	}
 	part := min(float64(learned)/backgroundBytes, 1)
-	share := min(slot.lostShare(), largestBackground)
-	r.background += (share - r.background) * part
+	share := min(slot.lossFraction(), maxBackground)
+	r.backgroundLoss += (share - r.backgroundLoss) * part
 }
--- a/internal/egress/room.go
+++ b/internal/egress/room.go
@@ -2,14 +2,14 @@
 
 // drop removes a packet that is not sent.
 func (s *Scheduler) drop(p *packet, reason DropReason) {
-	item := s.take(p)
+	item := s.dequeue(p)
 	s.OnDrop(&item, reason)
 }
 
 // cancel drops all data of a flow, and its opening packet.
-func (s *Scheduler) cancel(f *flow, reason DropReason) {
-	for !f.line.isEmpty() {
-		s.drop(f.line.first, reason)
+func (s *Scheduler) cancelFlow(f *flow, reason DropReason) {
+	for !f.packets.isEmpty() {
+		s.drop(f.packets.first, reason)
 	}
 	if f.opening != nil {
 		s.drop(f.opening, reason)
@@ -20,8 +20,8 @@
 // when the item itself helps least, or when there is so much that goes before all flows
 // that it would crowd them out.
 func (s *Scheduler) makeRoom(f *flow, item *Item) bool {
-	first := goesFirst(f, item.Kind)
-	if first && s.controls >= s.settings.maxPackets/controlPart {
+	first := hasPriority(f, item.Kind)
+	if first && s.controlCount >= s.settings.maxPackets/controlDivisor {
 		return false
 	}
 	for s.length >= s.settings.maxPackets || s.bytes+item.Size > s.settings.maxBytes() {
@@ -29,25 +29,25 @@
 		if last == nil {
 			return false
 		}
-		if !first && f.helpsLess(last) {
+		if !first && f.ranksBehind(last) {
 			return false
 		}
-		s.drop(last.line.last, DropFull)
+		s.drop(last.packets.last, DropFull)
 	}
 	return true
 }
 
-// helpsLess reports whether another packet of a flow helps less than the last one of
+// ranksBehind reports whether another packet of a flow helps less than the last one of
 // another flow, which is of the last class: it is behind it, or of a caller with no
 // fewer bytes there.
-func (f *flow) helpsLess(other *flow) bool {
-	class := f.classAt(f.seen)
+func (f *flow) ranksBehind(other *flow) bool {
+	class := f.classAt(f.lastActive)
 	if class != other.class {
 		return class > other.class
 	}
-	if levelOf(class) != levelLittle {
-		return f.due >= other.due
+	if levelOf(class) != levelSmall {
+		return f.deadline >= other.deadline
 	}
-	own := f.caller.turnIn(class)
-	return own != nil && own.bytes >= other.turn.bytes
+	own := f.caller.queueIn(class)
+	return own != nil && own.bytes >= other.queue.bytes
 }
--- a/internal/egress/scheduler.go
+++ b/internal/egress/scheduler.go
@@ -21,20 +21,20 @@
 	OnDrop func(item *Item, reason DropReason)
 
 	settings settings
-	bucket   bucket
+	bucket   tokenBucket
 	classes  classes
 	// control holds the packets that go before all flows, and controls is their number.
-	control  list[packet]
-	controls int
-	age      list[packet]
-	flows    map[steer.FlowKey]*flow
-	callers  map[netip.Addr]*caller
+	control      list[packet]
+	controlCount int
+	byAge        list[packet]
+	flows        map[steer.FlowKey]*flow
+	callers      map[netip.Addr]*caller
 	// resting holds all flows, the one seen longest ago first.
-	resting list[flow]
-	packets pool[packet]
-	records pool[flow]
-	length  int
-	bytes   int
+	byActivity list[flow]
+	packetPool pool[packet]
+	flowPool   pool[flow]
+	length     int
+	bytes      int
 	// overdueCredit is the number of bytes that what has waited too long may send.
 	overdueCredit int
 }
@@ -42,19 +42,19 @@
 // New returns a scheduler in which nothing waits.
 func New(opts ...Option) *Scheduler {
 	s := &Scheduler{
-		settings: defaultSettings(),
-		classes:  newClasses(),
-		control:  list[packet]{linksOf: lineOf},
-		age:      list[packet]{linksOf: ageOf},
-		flows:    map[steer.FlowKey]*flow{},
-		callers:  map[netip.Addr]*caller{},
-		resting:  list[flow]{linksOf: restOf},
-		OnDrop:   func(*Item, DropReason) {},
+		settings:   defaultSettings(),
+		classes:    newClasses(),
+		control:    list[packet]{linksOf: queueLinksOf},
+		byAge:      list[packet]{linksOf: ageLinksOf},
+		flows:      map[steer.FlowKey]*flow{},
+		callers:    map[netip.Addr]*caller{},
+		byActivity: list[flow]{linksOf: activityLinksOf},
+		OnDrop:     func(*Item, DropReason) {},
 	}
 	for _, opt := range opts {
 		opt(&s.settings)
 	}
-	rate := s.settings.link.BytesPerSecond() * linkShare
+	rate := s.settings.link.BytesPerSecond() * linkFraction
 	s.Rate = func(kernel.Instant) float64 { return rate }
 	s.bucket.rate = rate
 	s.bucket.tokens = s.bucket.burst()
@@ -69,25 +69,25 @@
 
 // QueueDelay returns how long the oldest item has waited; 0 while none waits.
 func (s *Scheduler) QueueDelay(now kernel.Instant) time.Duration {
-	if s.age.isEmpty() {
+	if s.byAge.isEmpty() {
 		return 0
 	}
-	return now.Sub(s.age.first.OfferedAt)
+	return now.Sub(s.byAge.first.OfferedAt)
 }
 
 // Allow reports whether an item can leave at once, since nothing waits and the link
 // takes it. Its size is then spent.
 func (s *Scheduler) Allow(now kernel.Instant, key steer.FlowKey, size int) bool {
-	s.bucket.fill(now, s.Rate(now))
+	s.bucket.refill(now, s.Rate(now))
 	if s.length > 0 || !s.bucket.has(size) {
 		return false
 	}
-	s.bucket.spend(size)
+	s.bucket.consume(size)
 	if len(s.flows) == 0 {
 		return true
 	}
 	if f, known := s.flows[key]; known {
-		s.noteOffered(now, f, size)
+		s.recordOffered(now, f, size)
 	}
 	return true
 }
@@ -99,26 +99,26 @@
 		return OutcomeSendNow
 	}
 	item.OfferedAt = now
-	f := s.flowOf(now, item)
-	if f.holds(item) != nil {
+	f := s.flowRecord(now, item)
+	if f.findQueued(item) != nil {
 		return OutcomeDuplicate
 	}
 	if item.Kind == KindAbort {
-		s.cancel(f, DropAborted)
+		s.cancelFlow(f, DropAborted)
 	}
-	s.noteOffered(now, f, item.Size)
+	s.recordOffered(now, f, item.Size)
 	if !s.makeRoom(f, item) {
 		return OutcomeFull
 	}
-	s.queue(f, item)
+	s.enqueue(f, item)
 	return OutcomeQueued
 }
 
 // Next returns the item that leaves now, and its payload with it.
 func (s *Scheduler) Next(now kernel.Instant) (Item, bool) {
-	s.bucket.fill(now, s.Rate(now))
+	s.bucket.refill(now, s.Rate(now))
 	for {
-		next, overdue := s.pick(now)
+		next, overdue := s.nextPacket(now)
 		if next == nil {
 			return Item{}, false
 		}
@@ -129,14 +129,14 @@
 		if !s.bucket.has(next.Size) {
 			return Item{}, false
 		}
-		s.bucket.spend(next.Size)
-		s.earn(next.Size, overdue)
+		s.bucket.consume(next.Size)
+		s.updateOverdueCredit(next.Size, overdue)
 		f := next.flow
-		if !next.first && f.turn != nil {
-			f.turn.spend(f, next.Size)
+		if !next.priority && f.queue != nil {
+			f.queue.consume(f, next.Size)
 		}
-		item := s.take(next)
-		item.WaitedLong = f.noteWait(now.Sub(item.OfferedAt))
+		item := s.dequeue(next)
+		item.WaitedLong = f.isFirstLongWait(now.Sub(item.OfferedAt))
 		return item, true
 	}
 }
@@ -144,16 +144,16 @@
 // TimeUntilNext returns the time until something can leave; false while nothing waits. Bulk
 // waits until several packets can leave at once.
 func (s *Scheduler) TimeUntilNext(now kernel.Instant) (time.Duration, bool) {
-	next, _ := s.pick(now)
+	next, _ := s.nextPacket(now)
 	if next == nil {
 		return 0, false
 	}
-	s.bucket.fill(now, s.Rate(now))
+	s.bucket.refill(now, s.Rate(now))
 	bytes := next.Size
-	if !next.first && levelOf(next.flow.class) != levelLittle {
+	if !next.priority && levelOf(next.flow.class) != levelSmall {
 		bytes = max(bytes, min(s.bytes, s.bucket.wakeBytes()))
 	}
-	return s.bucket.until(bytes), true
+	return s.bucket.timeUntil(bytes), true
 }
 
 // HasQueuedOpening reports whether the opening packet of a flow waits.
@@ -165,20 +165,20 @@
 // CancelFlow drops what waits of a flow whose target is lost or has ended.
 func (s *Scheduler) CancelFlow(key steer.FlowKey) {
 	if f, known := s.flows[key]; known {
-		s.cancel(f, DropTargetLost)
+		s.cancelFlow(f, DropTargetLost)
 	}
 }
 
 // Tick drops what is of no use any more and forgets flows that have rested. It is
 // called a few times a second.
 func (s *Scheduler) Tick(now kernel.Instant) {
-	for f := s.resting.first; f != nil; {
-		next := f.rest.next
-		for f.line.first != nil && f.line.first.isExpired(now) {
-			s.drop(f.line.first, DropExpired)
+	for f := s.byActivity.first; f != nil; {
+		next := f.activityLinks.next
+		for f.packets.first != nil && f.packets.first.isExpired(now) {
+			s.drop(f.packets.first, DropExpired)
 		}
-		if !f.isBusy() && now.Sub(f.seen) >= restTime {
-			s.forget(f)
+		if !f.hasWaiting() && now.Sub(f.lastActive) >= flowIdleTimeout {
+			s.removeFlow(f)
 		}
 		f = next
 	}
--- a/internal/egress/scheduler_test.go
+++ b/internal/egress/scheduler_test.go
@@ -38,35 +38,35 @@
 	return &Item{Flow: flow, Kind: KindData, Urgency: 2, Sequence: uint32(number * fullData), Data: fullData, Size: fullSize}
 }
 
-func short(flow steer.FlowKey, kind ItemKind) *Item {
+func control(flow steer.FlowKey, kind ItemKind) *Item {
 	return &Item{Flow: flow, Kind: kind, Urgency: 2, Size: smallSize}
 }
 
 // lab is a scheduler whose link has just carried a burst.
-type lab struct {
+type fixture struct {
 	*testing.T
 	*Scheduler
 	now     kernel.Instant
 	dropped map[DropReason][]Item
 }
 
-func newLab(t *testing.T, opts ...Option) *lab {
-	l := &lab{
+func newFixture(t *testing.T, opts ...Option) *fixture {
+	l := &fixture{
 		T: t, now: start, dropped: map[DropReason][]Item{},
 		Scheduler: New(append([]Option{WithLink(narrow)}, opts...)...),
 	}
 	l.OnDrop = func(item *Item, reason DropReason) { l.dropped[reason] = append(l.dropped[reason], *item) }
-	l.use()
+	l.spendBurst()
 	return l
 }
 
 // use lets the link carry all that it takes at once.
-func (l *lab) use() {
-	l.bucket.fill(l.now, l.Rate(l.now))
+func (l *fixture) spendBurst() {
+	l.bucket.refill(l.now, l.Rate(l.now))
 	l.bucket.tokens = 0
 }
 
-func (l *lab) offer(items ...*Item) {
+func (l *fixture) offer(items ...*Item) {
 	l.Helper()
 	for _, item := range items {
 		require.Equal(l, OutcomeQueued, l.Offer(l.now, item))
@@ -74,7 +74,7 @@
 }
 
 // drain sends for a time, in the order of the scheduler, with a timer that is exact.
-func (l *lab) drain(span time.Duration) []Item {
+func (l *fixture) drain(span time.Duration) []Item {
 	var sent []Item
 	end := l.now.Add(span)
 	for {
@@ -90,7 +90,7 @@
 	}
 }
 
-func describe(items []Item) []string {
+func formatItems(items []Item) []string {
 	var list []string
 	for _, item := range items {
 		list = append(list, fmt.Sprintf("%d:%d", item.Flow.Caller.Port(), item.Sequence/fullData))
@@ -98,7 +98,7 @@
 	return list
 }
 
-func TestAnIdleLinkTakesADatagramAtOnce(t *testing.T) {
+func TestIdleLinkSendsImmediately(t *testing.T) {
 	s := New(WithLink(narrow))
 	for range 2 {
 		assert.Equal(t, OutcomeSendNow, s.Offer(start, bulk(flowKey(1, 1), 0)))
@@ -108,7 +108,7 @@
 	assert.Equal(t, fullSize, s.Bytes())
 }
 
-func TestALinkWithoutAStatedRateIsNeverScheduled(t *testing.T) {
+func TestUnsetRateNeverQueues(t *testing.T) {
 	s := New()
 	for number := range 1000 {
 		require.True(t, s.Allow(start, flowKey(1, 1), fullSize), number)
@@ -116,8 +116,8 @@
 	assert.Zero(t, s.Len())
 }
 
-func TestAWindowLeavesWholeAndPaced(t *testing.T) {
-	l := newLab(t)
+func TestWindowIsSentCompletely(t *testing.T) {
+	l := newFixture(t)
 	for number := range 16 {
 		l.offer(bulk(flowKey(1, 1), number))
 	}
@@ -129,8 +129,8 @@
 	assert.False(t, waits)
 }
 
-func TestTheRateIsKept(t *testing.T) {
-	l := newLab(t)
+func TestSchedulerKeepsRate(t *testing.T) {
+	l := newFixture(t)
 	for number := range 400 {
 		l.offer(bulk(flowKey(1, number), 0))
 	}
@@ -138,13 +138,13 @@
 	for _, item := range l.drain(time.Second) {
 		bytes += item.Size
 	}
-	rate := narrow.BytesPerSecond() * linkShare
+	rate := narrow.BytesPerSecond() * linkFraction
 	assert.LessOrEqual(t, float64(bytes), rate+minBurst)
-	assert.Greater(t, float64(bytes), rate-2*wakeShare*minBurst, "nor is the link left unused")
+	assert.Greater(t, float64(bytes), rate-2*wakeFraction*minBurst, "nor is the link left unused")
 }
 
-func TestTheRateMayChange(t *testing.T) {
-	l := newLab(t)
+func TestSchedulerFollowsRateChange(t *testing.T) {
+	l := newFixture(t)
 	l.Rate = func(now kernel.Instant) float64 { return 50_000 }
 	for number := range 100 {
 		l.offer(bulk(flowKey(1, number), 0))
@@ -157,8 +157,8 @@
 
 // A timer that comes late finds several packets' worth of tokens, never more than the
 // burst.
-func TestAWakeUpSendsSeveralPackets(t *testing.T) {
-	l := newLab(t)
+func TestLateWakeUpSendsBurst(t *testing.T) {
+	l := newFixture(t)
 	for number := range 16 {
 		l.offer(bulk(flowKey(1, 1), number))
 	}
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestDataThatWaitsIsNotQueuedAgain(t *testing.T) {
+func TestQueuedDataIsNotDuplicated(t *testing.T) {
 	flow := flowKey(1, 1)
 	part := bulk(flow, 0)
 	part.Sequence += 100
@@ -197,24 +197,24 @@
 		{"the one before", bulk(flow, 1), bulk(flow, 0), OutcomeQueued},
 		{"the same over the end of the numbers", wrapped, wrapped, OutcomeDuplicate},
 		{"another flow", bulk(flow, 0), bulk(flowKey(1, 2), 0), OutcomeQueued},
-		{"an opening", short(flow, KindOpening), short(flow, KindOpening), OutcomeDuplicate},
-		{"an end", short(flow, KindClosing), short(flow, KindAcknowledgement), OutcomeQueued},
+		{"an opening", control(flow, KindOpening), control(flow, KindOpening), OutcomeDuplicate},
+		{"an end", control(flow, KindClosing), control(flow, KindAcknowledgement), OutcomeQueued},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			l := newLab(t)
+			l := newFixture(t)
 			l.offer(test.first)
 			assert.Equal(t, test.want, l.Offer(l.now, test.again))
 		})
 	}
-	l := newLab(t)
+	l := newFixture(t)
 	l.offer(bulk(flow, 0))
 	l.drain(time.Second)
-	l.use()
+	l.spendBurst()
 	assert.Equal(t, OutcomeQueued, l.Offer(l.now, bulk(flow, 0)), "what has left may be sent again")
 }
 
-func TestRecordsOfFlowsAreBounded(t *testing.T) {
-	l := newLab(t, WithMemoryLimit(1))
+func TestFlowRecordsAreBounded(t *testing.T) {
+	l := newFixture(t, WithMemoryLimit(1))
 	for number := range 10 * minPackets * flowsPerPacket {
 		l.Offer(l.now, bulk(flowKey(number>>8, number&0xff), 0))
 		l.now = l.now.Add(10 * time.Millisecond)
@@ -222,7 +222,7 @@
 	}
 	assert.LessOrEqual(t, len(l.flows), minPackets*flowsPerPacket)
 	l.drain(time.Second)
-	l.now = l.now.Add(restTime)
+	l.now = l.now.Add(flowIdleTimeout)
 	l.Tick(l.now)
 	assert.Empty(t, l.flows)
 	assert.Empty(t, l.callers)
--- a/internal/egress/turns.go
+++ b/internal/egress/turns.go
@@ -6,9 +6,9 @@
 	// quantum is the number of bytes that a caller sends before the next one of its
 	// class: no less than the largest datagram, so that each look finds one.
 	quantum = bufferBytes + HeaderBytes
-	// longestLook is the number of callers or flows among which the one that helps
+	// maxScan is the number of callers or flows among which the one that helps
 	// least is sought when the queue is full. It bounds the cost of a drop.
-	longestLook = 16
+	maxScan = 16
 )
 
 // caller is an address from which flows that are remembered come.
@@ -19,62 +19,62 @@
 	flows int
 	bulk  int
 	// turns are its turns, no more than one an urgency.
-	turns []*turn
+	queues []*callerQueue
 }
 
 // turn is the place of one caller among those whose flows have sent little.
-type turn struct {
+type callerQueue struct {
 	caller *caller
 	class  int
 	flows  list[flow]
 	// bytes are those of its flows that wait.
 	bytes int
 	// deficit is the number of bytes that it may send before the next caller.
-	deficit int
-	ring    links[turn]
+	deficit   int
+	ringLinks links[callerQueue]
 }
 
-func turnRingOf(t *turn) *links[turn] { return &t.ring }
+func callerRingLinksOf(t *callerQueue) *links[callerQueue] { return &t.ringLinks }
 
 // turns let callers take turns (deficit round robin), and the flows of a caller within
 // its turn.
-type turns struct{ callers list[turn] }
+type roundRobin struct{ callers list[callerQueue] }
 
-func (t *turns) isEmpty() bool { return t.callers.isEmpty() }
+func (t *roundRobin) isEmpty() bool { return t.callers.isEmpty() }
 
 // add puts a flow at the end of its caller's turn.
-func (t *turns) add(f *flow, pool *pool[turn]) {
-	f.turn = f.caller.turnIn(f.class)
-	if f.turn == nil {
-		f.turn = pool.take()
-		f.turn.caller = f.caller
-		f.turn.class = f.class
-		f.turn.flows.linksOf = ringOf
-		f.caller.turns = append(f.caller.turns, f.turn)
-		t.callers.pushBack(f.turn)
+func (t *roundRobin) add(f *flow, pool *pool[callerQueue]) {
+	f.queue = f.caller.queueIn(f.class)
+	if f.queue == nil {
+		f.queue = pool.get()
+		f.queue.caller = f.caller
+		f.queue.class = f.class
+		f.queue.flows.linksOf = ringLinksOf
+		f.caller.queues = append(f.caller.queues, f.queue)
+		t.callers.pushBack(f.queue)
 	}
-	f.turn.flows.pushBack(f)
-	f.turn.bytes += f.bytes
+	f.queue.flows.pushBack(f)
+	f.queue.bytes += f.queuedBytes
 }
 
-func (t *turns) remove(f *flow, pool *pool[turn]) {
-	own := f.turn
-	f.turn = nil
+func (t *roundRobin) remove(f *flow, pool *pool[callerQueue]) {
+	own := f.queue
+	f.queue = nil
 	own.flows.remove(f)
-	own.bytes -= f.bytes
+	own.bytes -= f.queuedBytes
 	if own.flows.isEmpty() {
 		t.callers.remove(own)
-		own.caller.endTurn(own)
-		pool.give(own)
+		own.caller.removeQueue(own)
+		pool.put(own)
 	}
 }
 
 // first returns the flow whose turn it is.
-func (t *turns) first() *flow {
+func (t *roundRobin) first() *flow {
 	for {
 		own := t.callers.first
 		next := own.flows.first
-		if own.deficit >= next.line.first.Size {
+		if own.deficit >= next.packets.first.Size {
 			return next
 		}
 		own.deficit += quantum
@@ -83,10 +83,10 @@
 }
 
 // last returns, of the first callers, the newest flow of the one with the most bytes.
-func (t *turns) last() *flow {
+func (t *roundRobin) last() *flow {
 	found := t.callers.first
 	looked := 0
-	for own := t.callers.first; own != nil && looked < longestLook; own = own.ring.next {
+	for own := t.callers.first; own != nil && looked < maxScan; own = own.ringLinks.next {
 		looked++
 		if own.bytes > found.bytes {
 			found = own
@@ -97,14 +97,14 @@
 
 // spend notes that the flow whose turn it is sends bytes; the next one of the turn goes
 // first then.
-func (t *turn) spend(f *flow, bytes int) {
+func (t *callerQueue) consume(f *flow, bytes int) {
 	t.deficit -= bytes
 	t.flows.moveBack(f)
 }
 
-// turnIn returns the turn of the caller in a class, or nil.
-func (c *caller) turnIn(class int) *turn {
-	for _, own := range c.turns {
+// queueIn returns the turn of the caller in a class, or nil.
+func (c *caller) queueIn(class int) *callerQueue {
+	for _, own := range c.queues {
 		if own.class == class {
 			return own
 		}
@@ -112,13 +112,13 @@
 	return nil
 }
 
-// endTurn forgets a turn in which nothing waits.
-func (c *caller) endTurn(ended *turn) {
-	last := len(c.turns) - 1
-	for position, own := range c.turns {
+// removeQueue forgets a turn in which nothing waits.
+func (c *caller) removeQueue(ended *callerQueue) {
+	last := len(c.queues) - 1
+	for position, own := range c.queues {
 		if own == ended {
-			c.turns[position] = c.turns[last]
-			c.turns = c.turns[:last]
+			c.queues[position] = c.queues[last]
+			c.queues = c.queues[:last]
 			return
 		}
 	}
--- a/internal/egress/usage_test.go
+++ b/internal/egress/usage_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestUseIsThatOfTheLastSecond(t *testing.T) {
+func TestUtilizationCoversLastSecond(t *testing.T) {
 	const rate = 1000.0
 	var u LinkUsage
 	in, out := u.Utilization(rate)
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -22,21 +22,21 @@
 const (
 	// WaitSteps is the number of steps in which waits for a link are told.
 	WaitSteps = 12
-	// leastWait is the wait of the first step; each further one is twice as long.
-	leastWait = time.Millisecond
+	// minWait is the wait of the first step; each further one is twice as long.
+	minWait = time.Millisecond
 )
 
 // WaitToStep returns the step of a wait.
 func WaitToStep(wait time.Duration) uint8 {
 	step := uint8(0)
-	for limit := leastWait; wait > limit && step < WaitSteps-1; limit *= 2 {
+	for limit := minWait; wait > limit && step < WaitSteps-1; limit *= 2 {
 		step++
 	}
 	return step
 }
 
 // StepToWait returns the longest wait of a step.
-func StepToWait(step uint8) time.Duration { return leastWait << min(step, WaitSteps-1) }
+func StepToWait(step uint8) time.Duration { return minWait << min(step, WaitSteps-1) }
 
 // LinkReport is what a node tells of its own link.
 type LinkReport struct {
@@ -51,7 +51,7 @@
 }
 
 // use returns the used share of the busier direction in hundredths.
-func (w LinkReport) use() uint8 { return max(w.InPercent, w.OutPercent) }
+func (w LinkReport) utilization() uint8 { return max(w.InPercent, w.OutPercent) }
 
 // ZoneSummary sums up the words of the nodes of a zone. Routers hash within a zone and
 // evenly, so that nodes are counted by their waits as they are met.
@@ -74,10 +74,10 @@
 	return int(nodes)
 }
 
-// addWord adds the word of a node. One that is out of range counts as full.
-func (z *ZoneSummary) addWord(word LinkReport) {
+// addReport adds the word of a node. One that is out of range counts as full.
+func (z *ZoneSummary) addReport(word LinkReport) {
 	z.Rate += uint64(word.Rate)
-	z.UsedRate += uint64(word.Rate) * uint64(min(word.use(), 100)) / 100
+	z.UsedRate += uint64(word.Rate) * uint64(min(word.utilization(), 100)) / 100
 	z.NodesByWait[min(word.WaitStep, WaitSteps-1)]++
 	if word.Refusing {
 		z.RefusingNodes++
@@ -95,10 +95,10 @@
 }
 
 // form tells what a frame of room holds.
-type form uint8
+type messageForm uint8
 
 const (
-	formWord form = iota + 1
+	formReport messageForm = iota + 1
 	formMember
 	formFleet
 )
@@ -119,7 +119,7 @@
 	var encoder wire.Encoder
 	switch {
 	case m.Report != nil:
-		encoder.Uint8(uint8(formWord))
+		encoder.Uint8(uint8(formReport))
 		m.Report.encode(&encoder)
 	case m.Member != "":
 		encoder.Uint8(uint8(formMember))
@@ -137,9 +137,9 @@
 func Decode(payload []byte) (Message, error) {
 	decoder := wire.NewDecoder(payload)
 	var message Message
-	switch form(decoder.Uint8()) {
-	case formWord:
-		word := decodeWord(decoder)
+	switch messageForm(decoder.Uint8()) {
+	case formReport:
+		word := decodeReport(decoder)
 		message.Report = &word
 	case formMember:
 		message.Member = decoder.String()
@@ -159,7 +159,7 @@
 	encoder.Bool(w.Refusing)
 }
 
-func decodeWord(decoder *wire.Decoder) LinkReport {
+func decodeReport(decoder *wire.Decoder) LinkReport {
 	return LinkReport{
 		Rate:       decoder.Uint32(),
 		InPercent:  decoder.Uint8(),
@@ -169,8 +169,8 @@
 	}
 }
 
-// smallestZone is the encoded size in bytes of the sum of a zone without a name.
-const smallestZone = 24 + 4*WaitSteps
+// minZoneSize is the encoded size in bytes of the sum of a zone without a name.
+const minZoneSize = 24 + 4*WaitSteps
 
 func encodeZones(encoder *wire.Encoder, zones []ZoneSummary) {
 	encoder.Uint32(uint32(len(zones)))
@@ -187,7 +187,7 @@
 
 func decodeZones(decoder *wire.Decoder) []ZoneSummary {
 	var zones []ZoneSummary
-	for count := decoder.Count(smallestZone); count > 0; count-- {
+	for count := decoder.Count(minZoneSize); count > 0; count-- {
 		zone := ZoneSummary{Zone: decoder.String(), RefusingNodes: decoder.Uint32(), Rate: decoder.Uint64(), UsedRate: decoder.Uint64()}
 		for step := range zone.NodesByWait {
 			zone.NodesByWait[step] = decoder.Uint32()
--- a/internal/room/room_test.go
+++ b/internal/room/room_test.go
@@ -14,25 +14,25 @@
 
 const start = kernel.Instant(time.Minute)
 
-func drawWord(t *rapid.T) LinkReport {
+func drawReport(t *rapid.T) LinkReport {
 	return LinkReport{
 		Rate: rapid.Uint32().Draw(t, "rate"), InPercent: rapid.Uint8().Draw(t, "in"), OutPercent: rapid.Uint8().Draw(t, "out"),
 		WaitStep: rapid.Uint8().Draw(t, "wait"), Refusing: rapid.Bool().Draw(t, "refuses"),
 	}
 }
 
-func sumOf(zone string, words ...LinkReport) ZoneSummary {
+func summaryOf(zone string, words ...LinkReport) ZoneSummary {
 	sum := ZoneSummary{Zone: zone}
 	for _, word := range words {
-		sum.addWord(word)
+		sum.addReport(word)
 	}
 	return sum
 }
 
-func TestMessagesAreReadAsWritten(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		word := drawWord(t)
-		zones := []ZoneSummary{sumOf("north", word, drawWord(t)), sumOf("south", word)}
+		word := drawReport(t)
+		zones := []ZoneSummary{summaryOf("north", word, drawReport(t)), summaryOf("south", word)}
 		for _, message := range []Message{{Report: &word}, {Member: "10.0.0.1:7000", Zones: zones}, {Term: 7, Zones: zones}} {
 			read, err := Decode(message.Frame().Payload)
 			require.NoError(t, err)
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestBadMessagesAreRefusedAndLaterFormsLeftOut(t *testing.T) {
+func TestDecodeRejectsMalformedAndIgnoresUnknownForms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		payload := rapid.SliceOf(rapid.Byte()).Draw(t, "payload")
 		message, err := Decode(payload)
@@ -49,28 +49,28 @@
 			require.Equal(t, Message{}, message)
 		}
 	})
-	whole := Message{Term: 1, Zones: []ZoneSummary{sumOf("north", LinkReport{Rate: 1})}}.Frame().Payload
+	whole := Message{Term: 1, Zones: []ZoneSummary{summaryOf("north", LinkReport{Rate: 1})}}.Frame().Payload
 	_, err := Decode(whole[:len(whole)-1])
 	assert.Error(t, err)
 }
 
-func TestAWordIsSmallAndAZoneToo(t *testing.T) {
+func TestMessageSizes(t *testing.T) {
 	assert.LessOrEqual(t, wire.FrameSize(Message{Report: &LinkReport{}}.Frame()), 16)
 	assert.LessOrEqual(t, wire.FrameSize(Message{Zones: []ZoneSummary{{Zone: "lv-riga-a"}}}.Frame()), 100)
 }
 
-func TestWaitsAreToldInSteps(t *testing.T) {
+func TestWaitSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wait := time.Duration(rapid.Int64Range(0, int64(StepToWait(WaitSteps-1))).Draw(t, "wait"))
 		told := StepToWait(WaitToStep(wait))
 		require.GreaterOrEqual(t, told, wait)
-		require.True(t, told == leastWait || told < 2*wait)
+		require.True(t, told == minWait || told < 2*wait)
 	})
 	assert.Equal(t, uint8(WaitSteps-1), WaitToStep(time.Hour))
 }
 
 // Words that are lost, late or doubled: the newest one counts, and none beyond Lifetime.
-func TestTheNewestWordCountsUntilItAgesOut(t *testing.T) {
+func TestNewestReportCountsUntilItExpires(t *testing.T) {
 	table := NewTable[int]()
 	table.RecordReport(start, 1, "north", LinkReport{Rate: 100, InPercent: 90})
 	table.RecordReport(start, 1, "north", LinkReport{Rate: 100, InPercent: 10, OutPercent: 20})
@@ -86,35 +86,35 @@
 	assert.Empty(t, table.Summaries(start.Add(ReportLifetime)))
 }
 
-func TestAViewAgesOutAndKeepsToTheNewerLeader(t *testing.T) {
+func TestZoneViewExpiresAndIgnoresOlderTerms(t *testing.T) {
 	idle, full := LinkReport{}, LinkReport{WaitStep: WaitSteps - 1}
 	var view ZoneView
 	assert.False(t, view.IsCurrent(start))
-	view.Update(start, "north", Message{Term: 3, Zones: []ZoneSummary{sumOf("south", idle, idle), sumOf("north", full, full)}})
+	view.Update(start, "north", Message{Term: 3, Zones: []ZoneSummary{summaryOf("south", idle, idle), summaryOf("north", full, full)}})
 	assert.True(t, view.IsCurrent(start))
 	assert.Equal(t, StepToWait(WaitSteps-1), view.RetryWait())
-	view.Update(start.Add(time.Second), "north", Message{Term: 2, Zones: []ZoneSummary{sumOf("north", idle, idle)}})
+	view.Update(start.Add(time.Second), "north", Message{Term: 2, Zones: []ZoneSummary{summaryOf("north", idle, idle)}})
 	assert.Equal(t, StepToWait(WaitSteps-1), view.RetryWait(), "a leader that was replaced")
 	assert.False(t, view.IsCurrent(start.Add(ReportLifetime)), "members are gone")
-	view.Update(start.Add(ReportLifetime), "north", Message{Term: 2, Zones: []ZoneSummary{sumOf("north", idle, idle)}})
-	assert.Equal(t, leastWait, view.RetryWait())
+	view.Update(start.Add(ReportLifetime), "north", Message{Term: 2, Zones: []ZoneSummary{summaryOf("north", idle, idle)}})
+	assert.Equal(t, minWait, view.RetryWait())
 }
 
-func TestANodeAloneKnowsNothingOfOthers(t *testing.T) {
+func TestZoneViewOfSingleNodeIsNotCurrent(t *testing.T) {
 	var view ZoneView
-	view.Update(start, "north", Message{Zones: []ZoneSummary{sumOf("north", LinkReport{})}})
+	view.Update(start, "north", Message{Zones: []ZoneSummary{summaryOf("north", LinkReport{})}})
 	assert.False(t, view.IsCurrent(start))
 }
 
 // A node that lies about its use changes what an eighth of the nodes offer only where
 // there are fewer than two such eighths.
-func TestOneLiarDoesNotMoveTheOfferOfManyNodes(t *testing.T) {
-	words := make([]LinkReport, 2*offeredShare)
+func TestOneFalseReportDoesNotChangeRetryWait(t *testing.T) {
+	words := make([]LinkReport, 2*retryNodeDivisor)
 	for number := range words {
 		words[number].WaitStep = 6
 	}
 	words[0].WaitStep = 0
 	var view ZoneView
-	view.Update(start, "north", Message{Zones: []ZoneSummary{sumOf("north", words...)}})
+	view.Update(start, "north", Message{Zones: []ZoneSummary{summaryOf("north", words...)}})
 	assert.Equal(t, StepToWait(6), view.RetryWait())
 }
--- a/internal/room/table.go
+++ b/internal/room/table.go
@@ -9,40 +9,40 @@
 )
 
 // heard is what a node or a member told last.
-type heard struct {
+type entry struct {
 	zones []ZoneSummary
 	at    kernel.Instant
 }
 
 // Table sums up the newest words of nodes, or the newest sums of members, by zone.
 type Table[K comparable] struct {
-	newest map[K]heard
+	entries map[K]entry
 }
 
 // NewTable returns a table that knows nothing.
-func NewTable[K comparable]() Table[K] { return Table[K]{newest: map[K]heard{}} }
+func NewTable[K comparable]() Table[K] { return Table[K]{entries: map[K]entry{}} }
 
 // RecordReport notes a node's word.
 func (t *Table[K]) RecordReport(now kernel.Instant, from K, zone string, word LinkReport) {
 	sum := ZoneSummary{Zone: zone}
-	sum.addWord(word)
+	sum.addReport(word)
 	t.RecordSummaries(now, from, []ZoneSummary{sum})
 }
 
 // RecordSummaries notes the sums of a member.
 func (t *Table[K]) RecordSummaries(now kernel.Instant, from K, zones []ZoneSummary) {
-	t.newest[from] = heard{zones: zones, at: now}
+	t.entries[from] = entry{zones: zones, at: now}
 }
 
 // Remove forgets who is gone.
-func (t *Table[K]) Remove(from K) { delete(t.newest, from) }
+func (t *Table[K]) Remove(from K) { delete(t.entries, from) }
 
 // Summaries returns the sums by zone of all that has not aged out, in the order of the zones.
 func (t *Table[K]) Summaries(now kernel.Instant) []ZoneSummary {
 	sums := map[string]*ZoneSummary{}
-	for from, told := range t.newest {
+	for from, told := range t.entries {
 		if now.Sub(told.at) >= ReportLifetime {
-			delete(t.newest, from)
+			delete(t.entries, from)
 			continue
 		}
 		for _, zone := range told.zones {
--- a/internal/speed/estimate.go
+++ b/internal/speed/estimate.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	// leastVariance bounds the variance of single samples from below: equal requests on
+	// minVariance bounds the variance of single samples from below: equal requests on
 	// an idle machine still differ by a few percent.
-	leastVariance = 0.01
-	// countForSpread is the number of samples of a target from which on it tells how far
+	minVariance = 0.01
+	// minCountForSpread is the number of samples of a target from which on it tells how far
 	// the targets of its service differ.
-	countForSpread = 2
+	minCountForSpread = 2
 )
 
 // Estimate returns the logarithm of the relative time of each target of a service, less
@@ -18,7 +18,7 @@
 func Estimate(targets []Sums) []float64 {
 	estimates := make([]float64, len(targets))
 	noise := variance(targets)
-	mean, spread := spreadOf(targets, noise)
+	mean, spread := meanAndSpread(targets, noise)
 	if spread <= 0 {
 		return estimates
 	}
@@ -27,34 +27,34 @@
 			estimates[position] = (target.Mean() - mean) * spread / (spread + noise/target.Count)
 		}
 	}
-	return centred(estimates)
+	return center(estimates)
 }
 
 // variance returns the variance of single samples about the mean of their target.
 func variance(targets []Sums) float64 {
 	squares, freedom := 0.0, 0.0
 	for _, target := range targets {
-		if target.Count >= countForSpread {
+		if target.Count >= minCountForSpread {
 			// A word may claim fewer squares than its mean makes.
 			squares += max(target.Squares-target.Total*target.Mean(), 0)
 			freedom += target.Count - 1
 		}
 	}
 	if freedom <= 0 {
-		return leastVariance
+		return minVariance
 	}
-	return max(squares/freedom, leastVariance)
+	return max(squares/freedom, minVariance)
 }
 
 // doubt is the number of standard errors that targets must differ by beyond chance.
-const doubt = 2
+const spreadStandardErrors = 2
 
-// spreadOf returns the mean over the targets and the variance of what is true of them:
+// meanAndSpread returns the mean over the targets and the variance of what is true of them:
 // that of their means, less what chance explains.
-func spreadOf(targets []Sums, noise float64) (mean, spread float64) {
+func meanAndSpread(targets []Sums, noise float64) (mean, spread float64) {
 	known := 0.0
 	for _, target := range targets {
-		if target.Count >= countForSpread {
+		if target.Count >= minCountForSpread {
 			mean += target.Mean()
 			known++
 		}
@@ -65,17 +65,17 @@
 	mean /= known
 	squares, errors := 0.0, 0.0
 	for _, target := range targets {
-		if target.Count >= countForSpread {
+		if target.Count >= minCountForSpread {
 			chance := noise / target.Count
 			squares += (target.Mean()-mean)*(target.Mean()-mean) - chance
 			errors += 2 * chance * chance
 		}
 	}
-	return mean, (squares - doubt*math.Sqrt(errors)) / (known - 1)
+	return mean, (squares - spreadStandardErrors*math.Sqrt(errors)) / (known - 1)
 }
 
 // centred moves the estimates so that their mean is 0.
-func centred(estimates []float64) []float64 {
+func center(estimates []float64) []float64 {
 	mean := 0.0
 	for _, estimate := range estimates {
 		mean += estimate
--- a/internal/speed/speed_test.go
+++ b/internal/speed/speed_test.go
@@ -16,7 +16,7 @@
 )
 
 // sampled returns the sums of a target with a relative time, whose requests' work differs.
-func sampled(random *rand.Rand, relative float64, samples int) Sums {
+func sampleSums(random *rand.Rand, relative float64, samples int) Sums {
 	const spread = 0.6
 	var sums Sums
 	for range samples {
@@ -25,12 +25,12 @@
 	return sums
 }
 
-func TestEqualTargetsComeOutEqual(t *testing.T) {
+func TestEstimateOfEqualTargets(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		var targets []Sums
 		for range 120 {
-			targets = append(targets, sampled(random, 1, 1+random.IntN(60)))
+			targets = append(targets, sampleSums(random, 1, 1+random.IntN(60)))
 		}
 		told := 0
 		for _, estimate := range Estimate(targets) {
@@ -42,13 +42,13 @@
 	}
 }
 
-func TestUnequalTargetsAreTold(t *testing.T) {
+func TestEstimateOfUnequalTargets(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	times := []float64{1 / 1.6, 1, 1 / 0.6}
 	var targets []Sums
 	mean := 0.0
 	for number := range 120 {
-		targets = append(targets, sampled(random, times[number%3], 100))
+		targets = append(targets, sampleSums(random, times[number%3], 100))
 		mean += math.Log(times[number%3]) / 120
 	}
 	for number, estimate := range Estimate(targets) {
@@ -56,11 +56,11 @@
 	}
 }
 
-func TestLittleKnowledgeIsShrunk(t *testing.T) {
+func TestEstimateShrinksSparseSamples(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
 	var targets []Sums
 	for number := range 40 {
-		targets = append(targets, sampled(random, []float64{0.5, 2}[number%2], 50))
+		targets = append(targets, sampleSums(random, []float64{0.5, 2}[number%2], 50))
 	}
 	targets = append(targets, Sums{Count: 1, Total: 2, Squares: 4}, Sums{})
 	estimates := Estimate(targets)
@@ -68,17 +68,17 @@
 	assert.InDelta(t, 0, estimates[41], 0.1, "none")
 }
 
-func TestAServiceOfOneTargetHasNoOthers(t *testing.T) {
+func TestEstimateOfSingleTarget(t *testing.T) {
 	assert.Equal(t, []float64{0}, Estimate([]Sums{{Count: 50, Total: 70, Squares: 110}}))
 	assert.Empty(t, Estimate(nil))
 }
 
 // Words that claim no squares at all do not make the others' samples more certain.
-func TestWordsWithoutSquaresDoNotHideChance(t *testing.T) {
+func TestVarianceIgnoresUnderstatedSquares(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 1))
 	var targets []Sums
 	for range 40 {
-		targets = append(targets, sampled(random, 1, 20))
+		targets = append(targets, sampleSums(random, 1, 20))
 	}
 	honest := variance(targets)
 	for range 40 {
@@ -89,7 +89,7 @@
 
 // A table's total is that of the newest words, whatever was told before, how often and in
 // which order.
-func TestATotalIsThatOfTheNewestWords(t *testing.T) {
+func TestTotalMatchesNewestReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable[int](HalfLife)
 		newest := map[int]timedSums{}
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestSilenceFades(t *testing.T) {
+func TestTotalDecays(t *testing.T) {
 	table := NewTable[string](HalfLife)
 	table.Record(0, "a", 7, Sums{Count: 8, Total: 8, Squares: 8})
 	later := kernel.Instant(0).Add(HalfLife)
@@ -130,7 +130,7 @@
 	assert.Empty(t, table.Tokens())
 }
 
-func TestWordsKeepTheirMeaning(t *testing.T) {
+func TestReportRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var sums Sums
 		for range rapid.IntRange(1, 50).Draw(t, "samples") {
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestWhatTheLeaderTellsKeepsItsMeaning(t *testing.T) {
+func TestTargetStepRoundTrip(t *testing.T) {
 	list := []TargetStep{{Token: 7, Step: -32}, {Token: 8, Step: 0}, {Token: 9, Step: 32}}
 	message, err := Decode(StepFrame(5, list).Payload)
 	require.NoError(t, err)
@@ -176,7 +176,7 @@
 	})
 }
 
-func TestASmallChangeIsNotTold(t *testing.T) {
+func TestStepHysteresis(t *testing.T) {
 	assert.Equal(t, Step(0), Step(0).Next(1.0/stepsPerUnit))
 	assert.Equal(t, Step(8), Step(0).Next(0.5))
 	assert.Equal(t, Step(8), Step(8).Next(0.45))
--- a/internal/speed/table.go
+++ b/internal/speed/table.go
@@ -16,7 +16,7 @@
 // Table adds up the newest words of many sources by target.
 type Table[Source comparable] struct {
 	halfLife time.Duration
-	words    map[Source]map[directory.Token]timedSums
+	reports  map[Source]map[directory.Token]timedSums
 	// totals are the sums over all sources. Words fade alike, so that a total is kept
 	// up by the difference of a word and the one that it replaces.
 	totals map[directory.Token]timedSums
@@ -24,48 +24,48 @@
 
 // NewTable returns an empty table whose words count half after a time.
 func NewTable[Source comparable](halfLife time.Duration) Table[Source] {
-	return Table[Source]{halfLife: halfLife, words: map[Source]map[directory.Token]timedSums{}, totals: map[directory.Token]timedSums{}}
+	return Table[Source]{halfLife: halfLife, reports: map[Source]map[directory.Token]timedSums{}, totals: map[directory.Token]timedSums{}}
 }
 
-func (t *Table[Source]) faded(now kernel.Instant, sums timedSums) Sums {
+func (t *Table[Source]) decayed(now kernel.Instant, sums timedSums) Sums {
 	return sums.Decayed(now.Sub(sums.at), t.halfLife)
 }
 
 // Record replaces a source's last word on a target.
 func (t *Table[Source]) Record(now kernel.Instant, source Source, token directory.Token, sums Sums) {
-	words, known := t.words[source]
+	words, known := t.reports[source]
 	if !known {
 		words = map[directory.Token]timedSums{}
-		t.words[source] = words
+		t.reports[source] = words
 	}
-	replaced := t.faded(now, words[token])
+	replaced := t.decayed(now, words[token])
 	words[token] = timedSums{Sums: sums, at: now}
-	t.add(now, token, sums.Plus(replaced.Scaled(-1)))
+	t.addToTotal(now, token, sums.Plus(replaced.Scaled(-1)))
 }
 
-func (t *Table[Source]) add(now kernel.Instant, token directory.Token, sums Sums) {
-	t.totals[token] = timedSums{Sums: t.faded(now, t.totals[token]).Plus(sums), at: now}
+func (t *Table[Source]) addToTotal(now kernel.Instant, token directory.Token, sums Sums) {
+	t.totals[token] = timedSums{Sums: t.decayed(now, t.totals[token]).Plus(sums), at: now}
 }
 
 // RetainSources forgets all words of the sources that are not kept, and returns their targets.
 func (t *Table[Source]) RetainSources(now kernel.Instant, isKept func(source Source) bool) []directory.Token {
 	var changed []directory.Token
-	for source, words := range t.words {
+	for source, words := range t.reports {
 		if isKept(source) {
 			continue
 		}
 		for token, word := range words {
-			t.add(now, token, t.faded(now, word).Scaled(-1))
+			t.addToTotal(now, token, t.decayed(now, word).Scaled(-1))
 			changed = append(changed, token)
 		}
-		delete(t.words, source)
+		delete(t.reports, source)
 	}
 	return changed
 }
 
 // Total returns the sums of a target over all sources.
 func (t *Table[Source]) Total(now kernel.Instant, token directory.Token) Sums {
-	return t.faded(now, t.totals[token])
+	return t.decayed(now, t.totals[token])
 }
 
 // Tokens returns the targets with words, in no order.
@@ -81,16 +81,16 @@
 // left, so that errors of rounding do not add up.
 func (t *Table[Source]) Sweep(now kernel.Instant) {
 	clear(t.totals)
-	for source, words := range t.words {
+	for source, words := range t.reports {
 		for token, word := range words {
-			if sums := t.faded(now, word); sums.Count >= MinCount {
-				t.add(now, token, sums)
+			if sums := t.decayed(now, word); sums.Count >= MinCount {
+				t.addToTotal(now, token, sums)
 			} else {
 				delete(words, token)
 			}
 		}
 		if len(words) == 0 {
-			delete(t.words, source)
+			delete(t.reports, source)
 		}
 	}
 }
--- a/internal/strength/strength.go
+++ b/internal/strength/strength.go
@@ -39,14 +39,14 @@
 }
 
 // Range bounds what a quantity can be meant to be; 0 stands for one that is not stated.
-type Range struct{ least, most float64 }
+type Range struct{ min, max float64 }
 
 // ReservedDescriptors is the number of descriptors that are kept for files.
 const ReservedDescriptors = 200
 
-// leastDescriptors leaves a process the sockets without which it cannot work: for
+// minDescriptors leaves a process the sockets without which it cannot work: for
 // packets, peers, probes and a caller.
-const leastDescriptors = ReservedDescriptors + 16
+const minDescriptors = ReservedDescriptors + 16
 
 // The ranges of the quantities, in the units of the settings. More processor than
 // machines have is a mistake in its unit. Of the others any number is taken, since
@@ -55,31 +55,31 @@
 	CPUShareRange    = Range{0.001, 1024}
 	CPUCoresRange    = Range{0.01, 1024}
 	MegabytesRange   = Range{1, math.MaxInt64}
-	DescriptorsRange = Range{leastDescriptors, math.MaxInt64}
+	DescriptorsRange = Range{minDescriptors, math.MaxInt64}
 )
 
 // What is stated counts for no more than these, far above what machines have, so that
 // parts and multiples of it are numbers too.
 const (
-	mostMegabytes   = 1 << 30
-	mostDescriptors = 1 << 31
-	megabyte        = 1 << 20
+	maxMegabytes   = 1 << 30
+	maxDescriptors = 1 << 31
+	megabyte       = 1 << 20
 )
 
 // MegabytesToBytes returns a stated size in bytes.
-func MegabytesToBytes(stated int64) int64 { return min(stated, mostMegabytes) * megabyte }
+func MegabytesToBytes(stated int64) int64 { return min(stated, maxMegabytes) * megabyte }
 
 // ClampDescriptors returns the number of descriptors that a stated one counts for.
-func ClampDescriptors(stated int64) int64 { return min(stated, mostDescriptors) }
+func ClampDescriptors(stated int64) int64 { return min(stated, maxDescriptors) }
 
 // Validate returns a directory.Problem when a value cannot be meant.
 func (r Range) Validate(field string, value float64) error {
-	if value == 0 || value >= r.least && value <= r.most {
+	if value == 0 || value >= r.min && value <= r.max {
 		return nil
 	}
-	bounds := fmt.Sprintf("from %.15g to %.15g", r.least, r.most)
-	if r.most == math.MaxInt64 {
-		bounds = fmt.Sprintf("at least %.15g", r.least)
+	bounds := fmt.Sprintf("from %.15g to %.15g", r.min, r.max)
+	if r.max == math.MaxInt64 {
+		bounds = fmt.Sprintf("at least %.15g", r.min)
 	}
 	return directory.NewProblem(field, value, "must be 0 (not stated) or "+bounds)
 }
@@ -94,40 +94,40 @@
 
 // Encode appends the strength to a message: 32 bytes.
 func (s Resources) Encode(encoder *wire.Encoder) {
-	encoder.Uint32(rounded(s.CPUShare * millionths))
-	encoder.Uint32(rounded(s.CPUCores * thousandths))
+	encoder.Uint32(saturatingUint32(s.CPUShare * millionths))
+	encoder.Uint32(saturatingUint32(s.CPUCores * thousandths))
 	encoder.Uint64(uint64(s.Memory / kilobyte))
-	encoder.Uint32(rounded(float64(s.Descriptors)))
-	encoder.Uint32(rounded(s.LinkMbps * thousandths))
+	encoder.Uint32(saturatingUint32(float64(s.Descriptors)))
+	encoder.Uint32(saturatingUint32(s.LinkMbps * thousandths))
 	encoder.Uint64(uint64(s.Disk / kilobyte))
 }
 
 // rounded returns a number as it travels; one that does not fit is the largest.
-func rounded(value float64) uint32 { return uint32(min(math.Round(value), math.MaxUint32)) }
+func saturatingUint32(value float64) uint32 { return uint32(min(math.Round(value), math.MaxUint32)) }
 
 // Decode reads a strength.
 func Decode(decoder *wire.Decoder) Resources {
 	s := Resources{CPUShare: float64(decoder.Uint32()) / millionths, CPUCores: float64(decoder.Uint32()) / thousandths}
-	s.Memory = bytesOf(decoder.Uint64())
+	s.Memory = kilobytesToBytes(decoder.Uint64())
 	s.Descriptors = int64(decoder.Uint32())
 	s.LinkMbps = float64(decoder.Uint32()) / thousandths
-	s.Disk = bytesOf(decoder.Uint64())
+	s.Disk = kilobytesToBytes(decoder.Uint64())
 	return s
 }
 
-// bytesOf returns a size in bytes, the largest one for a false number.
-func bytesOf(kilobytes uint64) int64 {
+// kilobytesToBytes returns a size in bytes, the largest one for a false number.
+func kilobytesToBytes(kilobytes uint64) int64 {
 	return int64(min(kilobytes, math.MaxInt64/kilobyte)) * kilobyte
 }
 
-// maxMultiple bounds a node's weight to so many times the median: more than machines of
+// maxMedianMultiple bounds a node's weight to so many times the median: more than machines of
 // one fleet differ, and little enough that a node that states too much is one of many.
-const maxMultiple = 8
+const maxMedianMultiple = 8
 
 // Weights returns the parts of nodes by the strength of their processors. A node that
 // states none counts as the median of those that do.
 func Weights(nodes []Resources) []float64 {
-	reference := median(nodes)
+	reference := medianCPU(nodes)
 	weights := make([]float64, len(nodes))
 	for position, node := range nodes {
 		weights[position] = weight(node.CPU(), reference)
@@ -142,13 +142,13 @@
 	if stated == 0 {
 		return reference
 	}
-	return min(stated, maxMultiple*reference)
+	return min(stated, maxMedianMultiple*reference)
 }
 
 // median returns the processor of the node in the middle of those that state one, the
 // lower one of two, and 1 where none does. It is one that a node has, so that it stays
 // the same while another one changes by little.
-func median(nodes []Resources) float64 {
+func medianCPU(nodes []Resources) float64 {
 	var stated []float64
 	for _, node := range nodes {
 		if processor := node.CPU(); processor > 0 {
--- a/internal/strength/strength_test.go
+++ b/internal/strength/strength_test.go
@@ -13,7 +13,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-func processors(shares ...float64) []Resources {
+func nodesWithCPU(shares ...float64) []Resources {
 	var nodes []Resources
 	for _, share := range shares {
 		nodes = append(nodes, Resources{CPUShare: share})
@@ -21,7 +21,7 @@
 	return nodes
 }
 
-func TestWeightsByTheProcessor(t *testing.T) {
+func TestWeightsFollowCPU(t *testing.T) {
 	cases := []struct {
 		shares, weights []float64
 		bounded         int
@@ -35,7 +35,7 @@
 		{[]float64{0.001, 0.1, 0.1}, []float64{0.001, 0.1, 0.1}, 0},
 	}
 	for _, test := range cases {
-		nodes := processors(test.shares...)
+		nodes := nodesWithCPU(test.shares...)
 		weights := Weights(nodes)
 		assert.Equal(t, test.weights, weights, test.shares)
 		bounded := 0
@@ -65,18 +65,18 @@
 // Of keys that change hands, one side is the node that changed or, where the median
 // has moved, one whose weight rests on it. However much a node states, it gets no more
 // than so many of the middle one.
-func TestAChangeOfOneStrengthMovesOnlyWhatRestsOnIt(t *testing.T) {
+func TestResourceChangeMovesOnlyAffectedKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := rapid.SampledFrom([]float64{0, 0.045, 0.152, 0.3, 1024})
 		shares := rapid.OneOf(classes, rapid.Float64Range(0.01, 4000))
-		before := processors(rapid.SliceOfN(shares, 2, 50).Draw(t, "shares")...)
+		before := nodesWithCPU(rapid.SliceOfN(shares, 2, 50).Draw(t, "shares")...)
 		changed := rapid.IntRange(0, len(before)-1).Draw(t, "changed")
 		after := append([]Resources{}, before...)
 		after[changed] = Resources{CPUShare: shares.Draw(t, "other share"), CPUCores: rapid.SampledFrom([]float64{0, 1, 1000}).Draw(t, "cores")}
 		heavier := Weights(before)
 		later := Weights(after)
 		for _, weight := range later {
-			assert.LessOrEqual(t, weight, maxMultiple*median(after))
+			assert.LessOrEqual(t, weight, maxMedianMultiple*medianCPU(after))
 		}
 		movable := func(position int) bool { return position == changed || heavier[position] != later[position] }
 		was, is := owners(before), owners(after)
@@ -85,7 +85,7 @@
 				assert.True(t, movable(was[number]) || movable(is[number]))
 			}
 		}
-		if median(before) != median(after) {
+		if medianCPU(before) != medianCPU(after) {
 			return
 		}
 		for position := range before {
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestAStrengthTravels(t *testing.T) {
+func TestResourcesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stated := Resources{
 			CPUShare:    float64(rapid.IntRange(0, 1_000_000_000).Draw(t, "share")) / millionths,
@@ -113,7 +113,7 @@
 	})
 }
 
-func TestWhateverTravelsIsAStrength(t *testing.T) {
+func TestDecodeArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Decode(wire.NewDecoder(rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "bytes")))
 		assert.GreaterOrEqual(t, s.CPU(), 0.0)
@@ -127,7 +127,7 @@
 	assert.InDelta(t, math.MaxUint32/millionths, Decode(wire.NewDecoder(encoder.Buffer)).CPUShare, 1)
 }
 
-func TestWhatCannotBeMeantNamesFieldAndReason(t *testing.T) {
+func TestValidateNamesFieldAndRange(t *testing.T) {
 	assert.EqualError(t, CPUShareRange.Validate("share", -1), "share: -1: must be 0 (not stated) or from 0.001 to 1024")
 	assert.EqualError(t, DescriptorsRange.Validate("fds", 215), "fds: 215: must be 0 (not stated) or at least 216")
 	assert.Error(t, CPUCoresRange.Validate("cores", math.NaN()))
@@ -137,7 +137,7 @@
 	assert.NoError(t, CPUShareRange.Validate("share", 0.045))
 }
 
-func TestBoundsFollowTheMachine(t *testing.T) {
+func TestLimitsFollowResources(t *testing.T) {
 	small := Resources{Memory: 144 * megabyte, Descriptors: 3075, Disk: 100}
 	assert.Equal(t, 94371, small.MaxFlows(200_000, 400))
 	assert.Equal(t, 1024, small.MaxQueuedPackets(1024, 2048))
