--- a/internal/egress/admission.go
+++ b/internal/egress/admission.go
@@ -10,55 +10,59 @@
 )
 
 const (
-	// callerTries is the number of tries that a caller has in all. Each takes another
-	// port; systems mostly take the next one or the one after it.
+	// callerTries is the number of connection attempts a caller makes, each from
+	// another source port, usually one or two above the last.
 	callerTries = 3
-	// retryWindow is the time within which a caller that was refused has come back:
-	// it does so at once, and the way there and back takes 10 ms where all is in use.
+	// retryWindow is the time in which a refused caller retries. Retries are immediate,
+	// so it only has to cover a round trip on a loaded link.
 	retryWindow = 250 * time.Millisecond
-	// maxRefusedCallers is the largest number of callers that are remembered as refused:
-	// more than a link of 2 Mbit/s has openings in that time (68 bytes each).
+	// maxRefusedCallers bounds the refused callers that are remembered: more than a 2
+	// Mbit/s link receives openings (68 bytes each) within retryWindow.
 	maxRefusedCallers = 1024
-	// maxTrackedRoutes is the largest number of routes whose sizes are learned, many times
-	// those of a usual configuration; dropped routes leave their places only then.
+	// maxTrackedRoutes bounds the routes whose upload sizes are estimated. The table is
+	// cleared when it is full; removed routes stay in it until then.
 	maxTrackedRoutes = 1024
-	// sizeSmoothing weighs a flow's size in the usual one of its route, as a part of one.
+	// sizeSmoothing is the divisor of the moving average of upload sizes.
 	sizeSmoothing = 8
-	// maxTrackedUploads is the largest number of flows under way that are followed: more
-	// than a link of 2 Mbit/s carries within an objective of some seconds.
+	// maxTrackedUploads bounds the uploads tracked at once: more than a 2 Mbit/s link
+	// carries within an objective of a few seconds.
 	maxTrackedUploads = 256
-	// uploadIdleTimeout is how long a flow that sends nothing counts as under way: some
-	// pauses of its caller. For pacing it counts no longer than uploadActiveTime: its caller has
-	// passed the 200 ms after which it sends again what is lost.
+	// uploadIdleTimeout is how long an upload that sends nothing stays tracked. Pacing
+	// counts it only for uploadActiveTime, which is longer than the caller's initial
+	// retransmission timeout of 200 ms.
 	uploadIdleTimeout = 3 * time.Second
 	uploadActiveTime  = 300 * time.Millisecond
-	// pacingWait is the wait to which openings of uploads are paced. The data of one follows
-	// its opening by some 10 ms, so that the link rests little between two. Two windows
-	// at once fill the incoming link of a small machine for longer than the 200 ms after
-	// which callers send again, and what they send again fills it further.
+	// pacingWait is the backlog, as transmission time, up to which new uploads are
+	// admitted. It covers the round trip between an opening and its data, so the link
+	// does not go idle. Two windows at once would take a slow incoming link longer than
+	// the retransmission timeout of 200 ms, and the retransmissions would add to the
+	// overload.
 	pacingWait = 25 * time.Millisecond
-	// holdFraction is the part of a route's objective for which an opening is held at most.
-	// An upload that would wait longer is refused at once, at a caller's last try one that
-	// would wait for lastTryFraction of the objective: the rest is left to send it.
+	// holdFraction is the fraction of a route's objective for which an opening is held
+	// at most. Uploads that would wait longer are refused, on a caller's last try those
+	// that would wait longer than lastTryFraction. The remaining time is needed to send
+	// the data.
 	holdFraction    = 0.5
 	lastTryFraction = 0.75
-	// saturatedRetryWait is the offered wait from which on all nodes are full: half the 200 ms after
-	// which callers send data again. Uploads, of which one takes the room of many other
-	// requests, are refused beyond saturatedFraction of the objective then.
+	// saturatedRetryWait is the wait at the best other nodes above which the zone
+	// counts as saturated: half the callers' retransmission timeout. Uploads take the
+	// capacity of many small requests, so they are then refused above saturatedFraction
+	// of the objective.
 	saturatedRetryWait = 100 * time.Millisecond
 	saturatedFraction  = 0.2
-	// maxHoldTime bounds that: half the 1.4 s after which callers give an opening up.
+	// maxHoldTime caps the hold time: half the 1.4 s after which callers abandon an
+	// opening.
 	maxHoldTime = 700 * time.Millisecond
 )
 
-// uploadSize is what is learned of the size of a route's uploads: a window until one has
-// ended.
+// uploadSize is the average size of a route's uploads, one window of data until the
+// first upload has completed.
 type uploadSize struct {
 	bytes   float64
 	learned bool
 }
 
-// note takes the size of an upload that has ended.
+// add updates the average with the size of a completed upload.
 func (u *uploadSize) add(bytes float64) {
 	if !u.learned {
 		u.learned, u.bytes = true, bytes
@@ -67,7 +71,7 @@
 	u.bytes += (bytes - u.bytes) / sizeSmoothing
 }
 
-// promise is an upload under way.
+// trackedUpload is an upload in progress.
 type trackedUpload struct {
 	size          *uploadSize
 	started       bool
@@ -76,21 +80,20 @@
 	lastActive    kernel.Instant
 }
 
-// AdmissionController tells whether a new flow is taken, held or refused. It answers two patterns:
-// nodes of unequal strengths among which routers spread flows evenly, and nodes of equal
-// strengths among which an even hash leaves some with more than others. A refused caller
-// comes back at once, mostly by another node: refusals turn the even hash into one by
-// strength (rejection sampling). A refusal before the flow opens says truly that nothing
-// ran; an open flow is never refused.
+// AdmissionController decides whether a new flow is accepted, held or refused. It
+// balances load where routers hash flows evenly over nodes of unequal capacity, or
+// unevenly over equal ones. A refused caller retries at once, mostly through another
+// node, so refusals turn the hash into one weighted by capacity (rejection sampling).
+// Only unopened flows are refused, so the caller knows that no request has run.
 type AdmissionController struct {
-	// sizes are the usual sizes of uploads by the address of the route.
+	// uploadSizes holds the average upload sizes by route address.
 	uploadSizes map[netip.AddrPort]*uploadSize
 	uploads     map[steer.FlowKey]*trackedUpload
-	// refused are the callers that were refused, with the time of it.
+	// refusedAt holds the time of the latest refusal by caller.
 	refusedAt map[netip.Addr]kernel.Instant
 }
 
-// NewAdmissionController returns an admission that has promised nothing.
+// NewAdmissionController returns a controller that tracks no uploads.
 func NewAdmissionController() *AdmissionController {
 	return &AdmissionController{
 		uploadSizes: map[netip.AddrPort]*uploadSize{},
@@ -99,13 +102,13 @@
 	}
 }
 
-// Decide tells what is done with a new flow. Two rules keep callers from running out of
-// tries for room elsewhere. Among the ports of a caller's tries one always is taken
-// (isRefusablePort). And whatever the ports, no node refuses a caller twice within
-// retryWindow. An upload that would wait for most of its objective is refused in any
-// case, where the others are known: taken, it would be late and make others late. Flows of other
-// routes are refused for room elsewhere only where the node's wait makes them late: each
-// try that they lose is one less for a target that is full.
+// Decide decides on a new flow. Two rules keep a caller from having all its tries
+// refused for load: one of three successive source ports is always accepted
+// (isRefusablePort), and a node refuses a caller only once within retryWindow. Uploads
+// that would spend most of their objective in the queue are refused regardless if the
+// load of other nodes is known, since they would be late and delay others. Flows of
+// other routes are refused for load only if the expected wait exceeds their objective,
+// because each refusal leaves one try less for a target that is full.
 func (a *AdmissionController) Decide(now kernel.Instant, flow steer.FlowKey, route directory.Route, load LinkLoad) Decision {
 	if load.Rate <= 0 {
 		return Decision{}
@@ -136,9 +139,9 @@
 	return Decision{}
 }
 
-// isRefusablePort reports whether a flow may be refused at all: one of three successive ports
-// is always taken, so that a caller whose first two tries were refused has the next one
-// taken.
+// isRefusablePort reports whether the flow's source port permits a refusal. One of
+// three successive ports does not, so a caller whose first two tries were refused is
+// accepted on the third.
 func isRefusablePort(flow steer.FlowKey, route directory.Route) bool {
 	if route.Objective <= 0 {
 		return false
@@ -146,17 +149,17 @@
 	return flow.Caller.Port()%callerTries != 0
 }
 
-// holdLimit returns how long an opening of a route is held at most.
+// holdLimit returns the longest time for which an opening of the route is held.
 func holdLimit(route directory.Route) time.Duration {
 	return min(fractionOfObjective(route, holdFraction), maxHoldTime)
 }
 
-func fractionOfObjective(route directory.Route, share float64) time.Duration {
-	return time.Duration(share * float64(route.Objective))
+func fractionOfObjective(route directory.Route, fraction float64) time.Duration {
+	return time.Duration(fraction * float64(route.Objective))
 }
 
-// lateLimit returns the wait beyond which an upload is refused in any case. At the port
-// that is taken otherwise, which may be a caller's last try, it is longer.
+// lateLimit returns the wait above which an upload is refused in any case. It is longer
+// on ports that are otherwise accepted, which may be the caller's last try.
 func lateLimit(flow steer.FlowKey, route directory.Route, load LinkLoad) time.Duration {
 	if load.RetryWait > saturatedRetryWait {
 		return fractionOfObjective(route, saturatedFraction)
@@ -167,21 +170,23 @@
 	return fractionOfObjective(route, lastTryFraction)
 }
 
-// CanStartUpload reports whether an upload that begins now has its data sent without a long wait.
+// CanStartUpload reports whether the data of an upload that starts now would be sent
+// without a long wait.
 func (a *AdmissionController) CanStartUpload(now kernel.Instant, load LinkLoad) bool {
 	_, active := a.pendingBytes(now)
 	return load.transmitTime(load.QueuedBytes+active) <= pacingWait
 }
 
-// uploadWaits returns the time that the link needs for what waits, is promised or held,
-// and that for what waits and is on its way here.
+// uploadWaits returns two transmission times: that of all queued, pending and held
+// data, and that of the queued data and the pending data of active uploads.
 func (a *AdmissionController) uploadWaits(now kernel.Instant, route directory.Route, load LinkLoad) (wait, pace time.Duration) {
 	held := float64(load.HeldUploads) * a.expectedSize(route.Address)
 	all, active := a.pendingBytes(now)
 	return load.transmitTime(load.QueuedBytes + all + held), load.transmitTime(load.QueuedBytes + active)
 }
 
-// RecordAccepted notes a flow that is taken.
+// RecordAccepted starts tracking an accepted upload. Flows of other routes are not
+// tracked.
 func (a *AdmissionController) RecordAccepted(now kernel.Instant, flow steer.FlowKey, route directory.Route) {
 	if route.Kind != directory.RouteUpload {
 		return
@@ -194,8 +199,8 @@
 	}
 }
 
-// refuse notes that a caller is refused. It returns false when the caller was refused
-// just before, or cannot be remembered.
+// recordRefusal records a refusal of the flow's caller. It returns false if the caller
+// was refused within retryWindow or the table is full.
 func (a *AdmissionController) recordRefusal(now kernel.Instant, flow steer.FlowKey) bool {
 	caller := flow.Caller.Addr()
 	if at, known := a.refusedAt[caller]; known && now.Sub(at) < retryWindow {
@@ -219,75 +224,77 @@
 	}
 }
 
-// RecordData notes data of a flow that has come.
+// RecordData records data received on a flow.
 func (a *AdmissionController) RecordData(now kernel.Instant, flow steer.FlowKey, sequence uint32, data int) {
-	p, known := a.uploads[flow]
+	upload, known := a.uploads[flow]
 	if !known || data == 0 {
 		return
 	}
-	if !p.started {
-		p.started, p.firstSequence = true, sequence
+	if !upload.started {
+		upload.started, upload.firstSequence = true, sequence
 	}
-	p.lastActive = now
-	p.sentBytes = max(p.sentBytes, int(int32(sequence-p.firstSequence))+data)
+	upload.lastActive = now
+	upload.sentBytes = max(upload.sentBytes, int(int32(sequence-upload.firstSequence))+data)
 }
 
-// RecordEnd notes that a flow has ended; whole tells that its caller has sent all.
+// RecordEnd records the end of a flow; whole reports whether the caller sent all its
+// data.
 func (a *AdmissionController) RecordEnd(flow steer.FlowKey, whole bool) {
-	p, known := a.uploads[flow]
+	upload, known := a.uploads[flow]
 	if !known {
 		return
 	}
 	delete(a.uploads, flow)
-	if !whole || p.sentBytes == 0 {
+	if !whole || upload.sentBytes == 0 {
 		return
 	}
-	p.size.add(float64(p.sentBytes))
+	upload.size.add(float64(upload.sentBytes))
 }
 
-// expectedSize returns the usual size of a route's uploads.
+// expectedSize returns the average size of a route's uploads.
 func (a *AdmissionController) expectedSize(route netip.AddrPort) float64 {
-	if usual, known := a.uploadSizes[route]; known {
-		return usual.bytes
+	if size, known := a.uploadSizes[route]; known {
+		return size.bytes
 	}
 	return windowDataBytes
 }
 
-// sizeRecord returns what is learned of a route.
+// sizeRecord returns the upload size record of a route, which it creates if needed.
 func (a *AdmissionController) sizeRecord(route netip.AddrPort) *uploadSize {
-	if usual, known := a.uploadSizes[route]; known {
-		return usual
+	if size, known := a.uploadSizes[route]; known {
+		return size
 	}
 	if len(a.uploadSizes) >= maxTrackedRoutes {
 		clear(a.uploadSizes)
 	}
-	usual := &uploadSize{bytes: windowDataBytes}
-	a.uploadSizes[route] = usual
-	return usual
+	size := &uploadSize{bytes: windowDataBytes}
+	a.uploadSizes[route] = size
+	return size
 }
 
-// promised returns the bytes that uploads under way have yet to send, and how many of
-// these are of uploads that have sent something within uploadActiveTime.
+// pendingBytes returns the bytes that uploads in progress have yet to send, and the
+// part that belongs to uploads active within uploadActiveTime.
 func (a *AdmissionController) pendingBytes(now kernel.Instant) (all, active float64) {
-	for flow, p := range a.uploads {
-		silent := now.Sub(p.lastActive)
-		if silent > uploadIdleTimeout {
+	for flow, upload := range a.uploads {
+		idle := now.Sub(upload.lastActive)
+		if idle > uploadIdleTimeout {
 			delete(a.uploads, flow)
 			continue
 		}
-		owed := max(p.size.bytes-float64(p.sentBytes), 0)
-		all += owed
-		if silent <= uploadActiveTime {
-			active += owed
+		remaining := max(upload.size.bytes-float64(upload.sentBytes), 0)
+		all += remaining
+		if idle <= uploadActiveTime {
+			active += remaining
 		}
 	}
 	return all, active
 }
 
-// clean forgets the uploads that have sent nothing for long.
+// expireUploads removes the uploads that have been idle for longer than
+// uploadIdleTimeout.
 func (a *AdmissionController) expireUploads(now kernel.Instant) {
-	for flow, p := range a.uploads {
-		if now.Sub(p.lastActive) > uploadIdleTimeout {
+	for flow, upload := range a.uploads {
+		if now.Sub(upload.lastActive) > uploadIdleTimeout {
 			delete(a.uploads, flow)
 		}
 	}
--- a/internal/egress/admission_test.go
+++ b/internal/egress/admission_test.go
@@ -19,16 +19,15 @@
 		Kind:      directory.RouteUpload,
 		Objective: time.Second,
 	}
-	fullRateLink = LinkLoad{Rate: modelStated, ConfiguredRate: modelStated}
-	narrowLink   = LinkLoad{Rate: modelStated / 4, ConfiguredRate: modelStated}
-	// busyNode is a node that is full while others are idle.
-	busyNode = LinkLoad{Rate: modelStated, ConfiguredRate: modelStated, Utilization: 0.75, PeersKnown: true, RetryWait: time.Millisecond, RefusalFraction: 1}
-	// refusablePort and acceptedPort are ports of openings that may be refused and that
-	// are always taken.
+	fullRateLink = LinkLoad{Rate: modelRate, ConfiguredRate: modelRate}
+	narrowLink   = LinkLoad{Rate: modelRate / 4, ConfiguredRate: modelRate}
+	// busyNode is a node under load while other nodes are idle.
+	busyNode = LinkLoad{Rate: modelRate, ConfiguredRate: modelRate, Utilization: 0.75, PeersKnown: true, RetryWait: time.Millisecond, RefusalFraction: 1}
+	// refusablePort permits a refusal; acceptedPort is always accepted.
 	refusablePort, acceptedPort = uint16(1), uint16(callerTries)
 )
 
-// loaded returns an admission that has promised uploads of a known size.
+// controllerWithUploads returns a controller that tracks uploads of a known size.
 func controllerWithUploads(uploads int) *AdmissionController {
 	a := NewAdmissionController()
 	first := modelFlow(60000)
@@ -41,8 +40,8 @@
 	return a
 }
 
-// all returns the first of two values.
-func totalPending(promised, _ float64) float64 { return promised }
+// totalPending returns the first result of pendingBytes.
+func totalPending(pending, _ float64) float64 { return pending }
 
 func TestDecideCapsHoldTime(t *testing.T) {
 	patient := uploadRoute
@@ -54,18 +53,18 @@
 func TestDecideByLinkAndPeerLoad(t *testing.T) {
 	urgent := uploadRoute
 	urgent.Kind = directory.RouteOnce
-	without := uploadRoute
-	without.Objective = 0
-	fullest := busyNode
-	fullest.Utilization = 0.95
-	alike := fullest
-	alike.RefusalFraction = 0
-	crowded := busyNode
-	crowded.QueuedBytes = modelStated / 4
-	fullSite := crowded
-	fullSite.RetryWait = 2 * saturatedRetryWait
+	noObjective := uploadRoute
+	noObjective.Objective = 0
+	lateNode := busyNode
+	lateNode.Utilization = 0.95
+	peersBusy := lateNode
+	peersBusy.RefusalFraction = 0
+	backlogged := busyNode
+	backlogged.QueuedBytes = modelRate / 4
+	saturated := backlogged
+	saturated.RetryWait = 2 * saturatedRetryWait
 	late := busyNode
-	late.QueuedBytes = modelStated
+	late.QueuedBytes = modelRate
 	cases := []struct {
 		name    string
 		route   directory.Route
@@ -75,23 +74,23 @@
 		action  Action
 		reason  DecisionReason
 	}{
-		{"a narrow link with nothing promised", uploadRoute, narrowLink, 0, refusablePort, ActionAccept, ReasonNone},
-		{"a narrow link with one upload promised", uploadRoute, narrowLink, 1, refusablePort, ActionRefuse, ReasonNarrowLink},
-		{"the third try of a caller", uploadRoute, narrowLink, 1, acceptedPort, ActionHold, ReasonPaced},
-		{"a link as wide as stated, of which others are not known", uploadRoute, fullRateLink, 1, refusablePort, ActionHold, ReasonPaced},
-		{"a request without a long body", urgent, narrowLink, 20, refusablePort, ActionAccept, ReasonNone},
-		{"a route without an objective", without, narrowLink, 20, refusablePort, ActionAccept, ReasonNone},
-		{"an upload at a full node while others are idle", uploadRoute, busyNode, 0, refusablePort, ActionRefuse, ReasonCapacityElsewhere},
-		{"the third try at a full node", uploadRoute, busyNode, 0, acceptedPort, ActionAccept, ReasonNone},
-		{"a small request at a full node that makes it late", urgent, fullest, 0, refusablePort, ActionRefuse, ReasonCapacityElsewhere},
-		{"the third try of that", urgent, fullest, 0, acceptedPort, ActionAccept, ReasonNone},
-		{"a small request that is in time all the same", urgent, busyNode, 0, refusablePort, ActionAccept, ReasonNone},
-		{"a node that is as full as others", urgent, alike, 0, refusablePort, ActionAccept, ReasonNone},
-		{"an upload that would be late", uploadRoute, late, 0, acceptedPort, ActionRefuse, ReasonLate},
-		{"the last try of an upload that can be in time", uploadRoute, crowded, 0, acceptedPort, ActionHold, ReasonPaced},
-		{"the same where all nodes are full", uploadRoute, fullSite, 0, acceptedPort, ActionRefuse, ReasonLate},
-		{"a small request where all nodes are full", urgent, fullSite, 0, acceptedPort, ActionAccept, ReasonNone},
-		{"an unstated link", uploadRoute, LinkLoad{Utilization: 1, PeersKnown: true}, 20, refusablePort, ActionAccept, ReasonNone},
+		{"slow link without uploads", uploadRoute, narrowLink, 0, refusablePort, ActionAccept, ReasonNone},
+		{"slow link with one upload", uploadRoute, narrowLink, 1, refusablePort, ActionRefuse, ReasonNarrowLink},
+		{"third try on a slow link", uploadRoute, narrowLink, 1, acceptedPort, ActionHold, ReasonPaced},
+		{"full-rate link, load of peers unknown", uploadRoute, fullRateLink, 1, refusablePort, ActionHold, ReasonPaced},
+		{"request without a long body", urgent, narrowLink, 20, refusablePort, ActionAccept, ReasonNone},
+		{"route without an objective", noObjective, narrowLink, 20, refusablePort, ActionAccept, ReasonNone},
+		{"upload at a busy node, others idle", uploadRoute, busyNode, 0, refusablePort, ActionRefuse, ReasonCapacityElsewhere},
+		{"third try of an upload at a busy node", uploadRoute, busyNode, 0, acceptedPort, ActionAccept, ReasonNone},
+		{"small request that would be late, others idle", urgent, lateNode, 0, refusablePort, ActionRefuse, ReasonCapacityElsewhere},
+		{"third try of a small request that would be late", urgent, lateNode, 0, acceptedPort, ActionAccept, ReasonNone},
+		{"small request that would be in time", urgent, busyNode, 0, refusablePort, ActionAccept, ReasonNone},
+		{"small request that would be late, others as busy", urgent, peersBusy, 0, refusablePort, ActionAccept, ReasonNone},
+		{"upload that would be late", uploadRoute, late, 0, acceptedPort, ActionRefuse, ReasonLate},
+		{"last try of an upload that can be in time", uploadRoute, backlogged, 0, acceptedPort, ActionHold, ReasonPaced},
+		{"last try of an upload in a saturated zone", uploadRoute, saturated, 0, acceptedPort, ActionRefuse, ReasonLate},
+		{"small request in a saturated zone", urgent, saturated, 0, acceptedPort, ActionAccept, ReasonNone},
+		{"link without a configured rate", uploadRoute, LinkLoad{Utilization: 1, PeersKnown: true}, 20, refusablePort, ActionAccept, ReasonNone},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -102,14 +101,14 @@
 	}
 }
 
-// Whatever is known of others, a caller whose ports go by one or two has one of its tries
-// taken, but for uploads that would be late here.
+// Whatever the load, a caller whose source ports advance by one or two has one of three
+// tries accepted, except for uploads that would be late.
 func TestDecideAcceptsOneOfThreeTries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := controllerWithUploads(100)
 		step := rapid.Uint16Range(1, 2).Draw(t, "step")
 		first := rapid.Uint16Range(1024, 49_000).Draw(t, "first")
-		load := rapid.SampledFrom([]LinkLoad{narrowLink, busyNode, {Rate: modelStated, ConfiguredRate: modelStated, Utilization: 0.95, PeersKnown: true}}).Draw(t, "load")
+		load := rapid.SampledFrom([]LinkLoad{narrowLink, busyNode, {Rate: modelRate, ConfiguredRate: modelRate, Utilization: 0.95, PeersKnown: true}}).Draw(t, "load")
 		load.RefusalFraction = rapid.Float64Range(0, 1).Draw(t, "refused")
 		route := uploadRoute
 		route.Kind = rapid.SampledFrom([]directory.RouteKind{directory.RouteRepeatable, directory.RouteOnce, directory.RouteUpload}).Draw(t, "kind")
@@ -125,8 +124,7 @@
 	})
 }
 
-// Whatever ports a caller's tries take: one node refuses no more than one of them for
-// room elsewhere.
+// Whatever the source ports, a node refuses a caller only once within retryWindow.
 func TestDecideRefusesCallerOncePerRetryWindow(t *testing.T) {
 	a := controllerWithUploads(100)
 	patient := uploadRoute
@@ -139,8 +137,8 @@
 	assert.True(t, admits(soon, flowKey(9, int(refusablePort+callerTries))))
 	other := flowKey(9, int(refusablePort))
 	other.Caller = netip.AddrPortFrom(netip.MustParseAddr("100.64.9.9"), refusablePort)
-	assert.False(t, admits(soon, other), "another caller")
-	assert.False(t, admits(retryWindow, flowKey(9, int(refusablePort+2*callerTries))), "another request")
+	assert.False(t, admits(soon, other), "different caller")
+	assert.False(t, admits(retryWindow, flowKey(9, int(refusablePort+2*callerTries))), "after the retry window")
 }
 
 func TestRefusedCallersAreBounded(t *testing.T) {
@@ -157,13 +155,13 @@
 			refused++
 		}
 	}
-	assert.Equal(t, maxRefusedCallers, refused, "who cannot be remembered is taken")
+	assert.Equal(t, maxRefusedCallers, refused, "accepted if the refusal cannot be recorded")
 	assert.Len(t, a.refusedAt, maxRefusedCallers)
 	assert.Equal(t, ActionRefuse, a.Decide(modelStart.Add(retryWindow), flowKey(9, int(refusablePort)), patient, narrowLink).Action)
 	assert.Len(t, a.refusedAt, 1)
 }
 
-// A copy of an opening packet that the network made must not reset the flow.
+// A duplicate of an opening packet must not reset the flow.
 func TestDecideAcceptsDuplicateOpening(t *testing.T) {
 	a := controllerWithUploads(0)
 	flow := modelFlow(refusablePort)
@@ -196,7 +194,7 @@
 	assert.InDelta(t, 40_000-13_200, totalPending(a.pendingBytes(modelStart)), 0)
 	a.RecordEnd(modelFlow(50000), false)
 	assert.Zero(t, totalPending(a.pendingBytes(modelStart)))
-	assert.InDelta(t, 40_000, a.expectedSize(uploadRoute.Address), 0, "a broken upload tells no size")
+	assert.InDelta(t, 40_000, a.expectedSize(uploadRoute.Address), 0, "incomplete uploads do not count")
 }
 
 func TestPendingBytesExcludeIdleUploads(t *testing.T) {
@@ -212,7 +210,7 @@
 	assert.Len(t, a.uploads, maxTrackedUploads)
 	later := modelStart.Add(uploadIdleTimeout + 1)
 	a.RecordAccepted(later, modelFlow(6000), uploadRoute)
-	assert.Len(t, a.uploads, 1, "what is silent makes room")
+	assert.Len(t, a.uploads, 1, "idle uploads are removed")
 }
 
 func TestUploadSizesAreLearnedPerRoute(t *testing.T) {
--- a/internal/egress/bench_test.go
+++ b/internal/egress/bench_test.go
@@ -7,37 +7,35 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// queuedFlows is the number of flows that wait in the benchmarks.
 const queuedFlows = 1000
 
-// packetTime is the time in which the link carries one full datagram.
+// packetTime is the transmission time of a full datagram.
 var packetTime = time.Duration(fullSize / (narrow.BytesPerSecond() * linkFraction) * float64(time.Second))
 
-// crowd returns a scheduler in which many flows wait, and the link takes what it has
-// carried within a step.
+// newLoadedFixture returns a fixture with many queued flows.
 func newLoadedFixture(t *testing.T) *fixture {
-	l := newFixture(t, WithMemoryLimit(1<<30))
+	f := newFixture(t, WithMemoryLimit(1<<30))
 	for number := range queuedFlows {
-		l.offer(bulk(flowKey(number%100, number), 0))
+		f.offer(bulk(flowKey(number%100, number), 0))
 	}
-	return l
+	return f
 }
 
-// step is a packet that comes while one leaves.
-func (l *fixture) step(number int) {
+// step offers a packet, and sends one.
+func (f *fixture) step(number int) {
 	item := bulk(flowKey(number%100, number%queuedFlows), number)
-	l.Offer(l.now, item)
-	l.now = l.now.Add(packetTime)
-	l.Next(l.now)
-	l.TimeUntilNext(l.now)
+	f.Offer(f.now, item)
+	f.now = f.now.Add(packetTime)
+	f.Next(f.now)
+	f.TimeUntilNext(f.now)
 }
 
 func TestQueuedPacketDoesNotAllocate(t *testing.T) {
-	l := newLoadedFixture(t)
+	f := newLoadedFixture(t)
 	number := 0
 	allocations := testing.AllocsPerRun(5000, func() {
 		number++
-		l.step(number)
+		f.step(number)
 	})
 	assert.Zero(t, allocations)
 }
@@ -54,18 +52,18 @@
 }
 
 func BenchmarkQueuedPacket(b *testing.B) {
-	l := newLoadedFixture(&testing.T{})
+	f := newLoadedFixture(&testing.T{})
 	number := 0
 	b.ReportAllocs()
 	for b.Loop() {
 		number++
-		l.step(number)
+		f.step(number)
 	}
 	b.StopTimer()
-	assert.InDelta(b, queuedFlows, l.Len(), queuedFlows/10)
+	assert.InDelta(b, queuedFlows, f.Len(), queuedFlows/10)
 }
 
-// BenchmarkUploadOpening decides on an upload while as many as can be are followed.
+// BenchmarkUploadOpening decides on uploads with the largest number of tracked uploads.
 func BenchmarkUploadOpening(b *testing.B) {
 	a := controllerWithUploads(maxTrackedUploads)
 	number := 0
--- a/internal/egress/classes.go
+++ b/internal/egress/classes.go
@@ -2,29 +2,31 @@
 
 import "math/bits"
 
-// UrgencyCount is the number of urgencies that are told apart, from 0 on; what is beyond
-// counts as the last one.
+// UrgencyCount is the number of urgency levels, 0 being the most urgent. Higher values
+// are treated as the last level.
 const UrgencyCount = 8
 
-// The levels of flows of one urgency, in the order in which they go.
+// Levels of flows within one urgency, in the order of service.
 const (
-	// levelSmall holds flows that have sent little; callers take turns.
+	// levelSmall holds flows that have sent little; they are served round robin by
+	// caller.
 	levelSmall = iota
-	// levelBulk holds flows that can still be in time, the one that is due first going
-	// first: of flows of like size that share a link, whole ones are in time sooner
-	// than all of them at once.
+	// levelBulk holds larger flows that can still meet their objective, served by
+	// earliest deadline first: of flows of similar size, more meet their deadline when
+	// they are sent one after the other.
 	levelBulk
-	// levelLate holds flows that can no longer be in time.
+	// levelLate holds flows that can no longer meet their objective.
 	levelLate
 	levelCount
 )
 
-// classes hold the flows that wait, by urgency and level; the lowest class goes first.
+// classes holds the backlogged flows by urgency and level; the lowest class is served
+// first.
 type classes struct {
 	small [UrgencyCount]roundRobin
-	// bulk holds two heaps for each urgency.
+	// bulk holds the deadline heaps, indexed by class.
 	bulk [UrgencyCount * levelCount]deadlineHeap
-	// busy has a bit for each class in which something waits.
+	// occupied is a bit mask of the classes that are not empty.
 	occupied  uint32
 	queuePool pool[callerQueue]
 }
@@ -39,7 +41,7 @@
 
 func levelOf(class int) int { return class % levelCount }
 
-// add puts a flow into a class.
+// add adds a flow to a class.
 func (c *classes) add(f *flow, class int) {
 	f.class = class
 	f.scheduled = true
@@ -51,7 +53,7 @@
 	c.bulk[class].add(f)
 }
 
-// remove takes a flow out of its class.
+// remove removes a flow from its class.
 func (c *classes) remove(f *flow) {
 	f.scheduled = false
 	if levelOf(f.class) == levelSmall {
@@ -71,7 +73,7 @@
 	return c.bulk[class].isEmpty()
 }
 
-// first returns the flow that goes first, or nil when none waits.
+// first returns the flow to serve next, or nil if all classes are empty.
 func (c *classes) first() *flow {
 	if c.occupied == 0 {
 		return nil
@@ -83,8 +85,8 @@
 	return c.bulk[class].first()
 }
 
-// last returns a flow of the last class, one of those that help least, or nil when none
-// waits.
+// last returns a flow of the highest occupied class, the candidate for drops, or nil if
+// all classes are empty.
 func (c *classes) last() *flow {
 	if c.occupied == 0 {
 		return nil
--- a/internal/egress/congestion.go
+++ b/internal/egress/congestion.go
@@ -7,43 +7,44 @@
 )
 
 const (
-	// congestedAfter is the wait for the link from which it counts as congested: half
-	// the 200 ms after which callers send data again.
+	// congestedAfter is the queueing delay at which the link counts as congested: half
+	// the callers' initial retransmission timeout of 200 ms.
 	congestedAfter = 100 * time.Millisecond
-	// relievedAfter is how long the wait must have been shorter before the link counts
-	// as relieved, so that there is at most one change each way a second.
+	// relievedAfter is how long the delay must stay below congestedAfter before
+	// congestion ends. It limits how often the state changes.
 	relievedAfter = time.Second
 )
 
-// CongestionDetector tells when a link becomes congested and when it is relieved. The zero
-// value is one that is not congested.
+// CongestionDetector detects when a link becomes congested and when the congestion
+// ends. The zero value is not congested.
 type CongestionDetector struct {
 	congested bool
 	since     kernel.Instant
-	// lastLong is when the wait was last long.
+	// lastLong is the time of the last delay of at least congestedAfter.
 	lastLong kernel.Instant
 }
 
-// Update takes the longest wait of late, and tells what changed.
-func (w *CongestionDetector) Update(now kernel.Instant, delay time.Duration) (began, ended bool) {
+// Update takes the longest recent queueing delay and reports whether congestion began
+// or ended.
+func (d *CongestionDetector) Update(now kernel.Instant, delay time.Duration) (began, ended bool) {
 	if delay >= congestedAfter {
-		w.lastLong = now
-		began = !w.congested
+		d.lastLong = now
+		began = !d.congested
 		if began {
-			w.congested = true
-			w.since = now
+			d.congested = true
+			d.since = now
 		}
 		return began, false
 	}
-	if w.congested && now.Sub(w.lastLong) >= relievedAfter {
-		w.congested = false
+	if d.congested && now.Sub(d.lastLong) >= relievedAfter {
+		d.congested = false
 		return false, true
 	}
 	return false, false
 }
 
 // IsCongested reports whether the link is congested.
-func (w *CongestionDetector) IsCongested() bool { return w.congested }
+func (d *CongestionDetector) IsCongested() bool { return d.congested }
 
-// Duration returns how long the congestion has lasted until its last long wait.
-func (w *CongestionDetector) Duration() time.Duration { return w.lastLong.Sub(w.since) }
+// Duration returns the time from the start of the congestion to its last long delay.
+func (d *CongestionDetector) Duration() time.Duration { return d.lastLong.Sub(d.since) }
--- a/internal/egress/congestion_test.go
+++ b/internal/egress/congestion_test.go
@@ -8,21 +8,21 @@
 )
 
 func TestCongestionDetectorReportsOnsetAndEnd(t *testing.T) {
-	var watch CongestionDetector
+	var detector CongestionDetector
 	changes := 0
 	for step := range 100 {
 		delay := time.Duration(0)
 		if step%5 == 0 {
 			delay = congestedAfter
 		}
-		began, ended := watch.Update(start.Add(time.Duration(step)*100*time.Millisecond), delay)
+		began, ended := detector.Update(start.Add(time.Duration(step)*100*time.Millisecond), delay)
 		if began || ended {
 			changes++
 		}
 	}
-	assert.Equal(t, 1, changes, "what comes and goes is one congestion")
-	assert.True(t, watch.IsCongested())
-	_, ended := watch.Update(start.Add(time.Minute), 0)
+	assert.Equal(t, 1, changes, "intermittent delays are one congestion")
+	assert.True(t, detector.IsCongested())
+	_, ended := detector.Update(start.Add(time.Minute), 0)
 	assert.True(t, ended)
-	assert.Equal(t, 9500*time.Millisecond, watch.Duration())
+	assert.Equal(t, 9500*time.Millisecond, detector.Duration())
 }
--- a/internal/egress/dueheap.go
+++ b/internal/egress/dueheap.go
@@ -1,6 +1,6 @@
 package egress
 
-// deadlineHeap holds flows by the instant at which they are due, the earliest first.
+// deadlineHeap is a binary heap of flows ordered by deadline, earliest first.
 type deadlineHeap struct{ flows []*flow }
 
 func (h *deadlineHeap) isEmpty() bool { return len(h.flows) == 0 }
@@ -25,7 +25,8 @@
 	}
 }
 
-// last returns, of the last flows in the heap, the one that is due last.
+// last returns the flow with the latest deadline among the last maxScan entries of the
+// heap.
 func (h *deadlineHeap) last() *flow {
 	end := len(h.flows)
 	found := h.flows[end-1]
--- a/internal/egress/fleet_test.go
+++ b/internal/egress/fleet_test.go
@@ -12,49 +12,49 @@
 )
 
 const (
-	// fleetSeconds is how long a fleet is followed, and fleetSettled from when on it is
-	// compared.
+	// fleetSeconds is the simulated time, and fleetSettled the start of the measured
+	// part.
 	fleetSeconds, fleetSettled = 40, 20
-	// fleetRounds are the rounds of a hundred drawn fleets each.
+	// fleetRounds is the number of runs of the property.
 	fleetRounds = 10
-	// maxLag is the greatest age in seconds of what nodes know of each other.
+	// maxLag is the largest age of the load reports in seconds.
 	maxLag = 3
-	// maxUtilizationExcess is how much fuller a node may be than the fullest is without refusals.
+	// maxUtilizationExcess is how much the highest utilization of a node may rise
+	// through refusals.
 	maxUtilizationExcess = 0.05
 )
 
-// steadiness says up to which use of all links a node's use may change by how much once
-// the fleet has settled.
+// stability bounds the swing of a node's utilization, up to a utilization of all links.
 type stability struct{ utilization, swing float64 }
 
-// fleetNode is a node to which a router hashes a share of all flows.
+// fleetNode is a node that receives a fixed share of all flows.
 type fleetNode struct {
 	share   float64
 	load    LinkLoad
 	refused RefusalFraction
 }
 
-// fleet is a zone of nodes that know each other's waits of some seconds ago.
+// fleet is a zone of nodes that know each other's waits with a lag.
 type fleet struct {
-	nodes []*fleetNode
-	lag   int
-	sums  []room.ZoneSummary
+	nodes     []*fleetNode
+	lag       int
+	summaries []room.ZoneSummary
 }
 
 func drawFleet(t *rapid.T) *fleet {
 	f := &fleet{lag: rapid.IntRange(1, maxLag).Draw(t, "lag")}
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-	strongest := rapid.Float64Range(1, 10).Draw(t, "strongest")
-	strongShare := rapid.Float64Range(0, 1).Draw(t, "strong share")
+	maxCapacity := rapid.Float64Range(1, 10).Draw(t, "strongest")
+	largeShare := rapid.Float64Range(0, 1).Draw(t, "strong share")
 	uneven := rapid.Float64Range(0, 0.6).Draw(t, "uneven")
 	total := 0.0
 	for range rapid.IntRange(8, 1000).Draw(t, "nodes") {
-		strength := 1.0
-		if random.Float64() < strongShare {
-			strength = 1 + (strongest-1)*random.Float64()
+		capacity := 1.0
+		if random.Float64() < largeShare {
+			capacity = 1 + (maxCapacity-1)*random.Float64()
 		}
 		node := &fleetNode{share: 1 + uneven*(2*random.Float64()-1)}
-		node.load = LinkLoad{Rate: strength * 180_000, ConfiguredRate: strength * 180_000}
+		node.load = LinkLoad{Rate: capacity * 180_000, ConfiguredRate: capacity * 180_000}
 		f.nodes = append(f.nodes, node)
 		total += node.share
 	}
@@ -64,13 +64,14 @@
 	return f
 }
 
-// carry spreads flows that come to so many bytes a second. Of three successive ports one
-// is always taken; at the others a node refuses its part. A refused caller is hashed anew.
-func (f *fleet) distribute(bytes float64, admits bool) {
+// distribute applies a load in bytes per second. One of three successive ports is
+// always accepted, on the others nodes refuse their fraction, and refused callers are
+// hashed again.
+func (f *fleet) distribute(bytes float64, refusals bool) {
 	parts := make([]float64, len(f.nodes))
 	refused := 0.0
 	for number, node := range f.nodes {
-		if admits {
+		if refusals {
 			node.refused.Update(node.load, time.Second)
 			parts[number] = node.refused.Value()
 		}
@@ -84,36 +85,37 @@
 	f.exchangeLoads()
 }
 
-// learn lets nodes know what others were like some seconds ago.
+// exchangeLoads distributes the load reports, delayed by the lag.
 func (f *fleet) exchangeLoads() {
 	table := room.NewTable[*fleetNode]()
 	for _, node := range f.nodes {
 		table.RecordReport(0, node, "north", room.LinkReport{WaitStep: room.WaitToStep(node.load.ExpectedWait())})
 	}
-	f.sums = append(f.sums, table.Summaries(0)...)
-	if len(f.sums) <= f.lag {
+	f.summaries = append(f.summaries, table.Summaries(0)...)
+	if len(f.summaries) <= f.lag {
 		return
 	}
 	var view room.ZoneView
-	view.Update(0, "north", room.Message{Zones: f.sums[len(f.sums)-1-f.lag:][:1]})
+	view.Update(0, "north", room.Message{Zones: f.summaries[len(f.summaries)-1-f.lag:][:1]})
 	for _, node := range f.nodes {
 		node.load.PeersKnown, node.load.RetryWait = view.IsCurrent(0), view.RetryWait()
 	}
 }
 
-// outcome is what a fleet was like once it had settled.
+// outcome is the state of a settled fleet.
 type outcome struct {
-	// wait is the wait in seconds that a byte meets on average.
+	// wait is the mean wait per byte in seconds.
 	wait float64
-	// fullest is the largest use of a node, and swing the largest change of one's use.
+	// maxUtilization is the highest utilization of a node, and swing the largest
+	// variation of one node.
 	maxUtilization, swing float64
 }
 
-func (f *fleet) run(bytes float64, admits bool) outcome {
+func (f *fleet) run(bytes float64, refusals bool) outcome {
 	var o outcome
 	lowest, highest := map[*fleetNode]float64{}, map[*fleetNode]float64{}
 	for second := range fleetSeconds {
-		f.distribute(bytes, admits)
+		f.distribute(bytes, refusals)
 		if second < fleetSettled {
 			continue
 		}
@@ -131,20 +133,20 @@
 	return o
 }
 
-// Refusals among nodes of unequal strengths or shares make no wait longer and herd onto
-// nobody, though nodes know of each other late.
+// With unequal nodes and delayed reports, refusals must not lengthen the mean wait or
+// overload single nodes.
 func TestRefusalsDoNotIncreaseWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.8, swing: 1}) })
 }
 
-// They settle, too (see KNOWN-RED.txt).
+// The fleet must also settle (see KNOWN-RED.txt).
 func TestRefusalsSpreadFlowsByStrengthWithoutHerds(t *testing.T) {
 	for range fleetRounds {
 		rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.8, swing: 0.25}) })
 	}
 }
 
-// The same nearly up to what all links carry, and steadier (see KNOWN-RED.txt).
+// The fleet must settle near full load, with less swing (see KNOWN-RED.txt).
 func TestRefusalsSettleInNearlyFullFleets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.95, swing: 0.15}) })
 }
--- a/internal/egress/flow.go
+++ b/internal/egress/flow.go
@@ -8,23 +8,23 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// flowIdleTimeout is the rest after which a flow counts as one that has sent nothing: its
-// caller begins another request. It is longer than the longest pause before a caller
-// sends data again, 1.6 s.
+// flowIdleTimeout is the idle time after which a flow's next packet counts as a new
+// request. It is longer than the callers' longest retransmission timeout, 1.6 s.
 const flowIdleTimeout = 1700 * time.Millisecond
 
-// resendTimeout is the wait by which a caller has sent its data again.
+// resendTimeout is the callers' initial retransmission timeout.
 const resendTimeout = 200 * time.Millisecond
 
-// packet is an item that waits.
+// packet is a queued item.
 type packet struct {
 	Item
 	flow *flow
-	// first is set when it goes before all flows.
+	// priority is set if the packet is in the control queue, which is served before all
+	// flows.
 	priority bool
-	// line links the packets of a flow, or those that go before all flows.
+	// queueLinks links the packets of a flow, or those of the control queue.
 	queueLinks links[packet]
-	// age links all packets in the order in which they came.
+	// ageLinks links all packets in order of arrival.
 	ageLinks links[packet]
 }
 
@@ -35,48 +35,50 @@
 	return p.ExpiresAt > 0 && !now.Before(p.ExpiresAt)
 }
 
-// flow is a flow that has waited for the link lately.
+// flow is the scheduling state of a flow that recently had to queue.
 type flow struct {
 	key     steer.FlowKey
 	caller  *caller
 	urgency uint8
-	// objective is the time within which the answer is of full use; 0 states none.
+	// objective is the time within which the request should complete; 0 means none.
 	objective time.Duration
-	// began is when the flow first waited since it last rested.
+	// startedAt is when the current request of the flow first had to queue.
 	startedAt kernel.Instant
-	// bulk is set once the flow has sent much; due is when it is to be done then.
+	// bulk is set once the request has exceeded bulkThreshold; deadline is then the
+	// time by which it should complete.
 	bulk     bool
 	deadline kernel.Instant
-	// offered is the number of bytes that were offered since the flow last rested.
+	// offeredBytes is the number of bytes offered for the current request.
 	offeredBytes int
-	// told is set once an item of the flow that waited long has left.
+	// waitReported is set once a long wait was reported for the current request.
 	waitReported bool
-	// line holds the packets that wait in order, but for those that go before all
-	// flows.
+	// packets holds the flow's queued packets in order, without those in the control
+	// queue.
 	packets list[packet]
-	// bytes are those in line.
+	// queuedBytes is the size of packets.
 	queuedBytes int
-	// waiting is the number of all its packets that wait.
+	// waiting is the number of all queued packets of the flow.
 	waiting int
-	// opening is the opening packet that waits, or nil.
+	// opening is the queued opening packet, or nil.
 	opening *packet
-	// placed is set while line is not empty; the flow is in class then.
+	// scheduled is set while packets is not empty; class then holds the flow.
 	scheduled bool
 	class     int
-	// turn is the turn of the flow's caller, or nil where there are none.
+	// queue is the caller's queue that holds the flow, or nil if the flow is not in
+	// levelSmall.
 	queue     *callerQueue
 	ringLinks links[flow]
-	// position is the place in a heap.
+	// heapIndex is the flow's index in its deadline heap.
 	heapIndex     int
 	activityLinks links[flow]
-	// seen is when its last packet came or left.
+	// lastActive is when a packet of the flow was last offered.
 	lastActive kernel.Instant
 }
 
 func ringLinksOf(f *flow) *links[flow]     { return &f.ringLinks }
 func activityLinksOf(f *flow) *links[flow] { return &f.activityLinks }
 
-// begin forgets what the flow has sent.
+// reset starts a new request on the flow.
 func (f *flow) reset(now kernel.Instant) {
 	f.startedAt = now
 	f.offeredBytes = 0
@@ -89,7 +91,7 @@
 
 func (f *flow) objectiveOrDefault() time.Duration { return cmp.Or(f.objective, defaultObjective) }
 
-// classAt returns the class that the flow belongs to at an instant.
+// classAt returns the class of the flow at the given time.
 func (f *flow) classAt(now kernel.Instant) int {
 	level := levelSmall
 	switch {
@@ -101,10 +103,10 @@
 	return int(f.urgency)*levelCount + level
 }
 
-// hasWaiting reports whether something of the flow waits.
+// hasWaiting reports whether the flow has queued packets.
 func (f *flow) hasWaiting() bool { return f.waiting > 0 }
 
-// holds returns the packet that holds all data of an item, or nil.
+// findQueued returns the queued packet that contains all data of the item, or nil.
 func (f *flow) findQueued(item *Item) *packet {
 	if item.Kind == KindOpening {
 		return f.opening
@@ -117,8 +119,8 @@
 	return nil
 }
 
-// isFirstLongWait notes the wait of an item that leaves, and reports whether it is the first
-// long one.
+// isFirstLongWait reports whether the wait is the first of the current request to reach
+// resendTimeout.
 func (f *flow) isFirstLongWait(waited time.Duration) bool {
 	if waited < resendTimeout || f.waitReported {
 		return false
--- a/internal/egress/flowhash.go
+++ b/internal/egress/flowhash.go
@@ -8,8 +8,8 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// The odd factors of the hash: the fractional part of the golden ratio, and the first
-// factor of a known mixing function with good avalanche (SplitMix64).
+// The multipliers of the hash: the fractional part of the golden ratio, and the first
+// multiplier of SplitMix64.
 const (
 	goldenFactor = 0x9e3779b97f4a7c15
 	mixFactor    = 0xbf58476d1ce4e5b9
@@ -20,7 +20,8 @@
 	return high ^ low
 }
 
-// flowHash names a flow in the tables. Two flows of one name only spoil a count.
+// flowHash returns the key of a flow in the loss tables. A collision only distorts a
+// loss count.
 func flowHash(flow steer.FlowKey) uint64 {
 	return mix(mix(endpointHash(flow.Caller)) ^ endpointHash(flow.Virtual))
 }
--- a/internal/egress/fuzz_test.go
+++ b/internal/egress/fuzz_test.go
@@ -11,18 +11,17 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// oracle is a slow scheduler that only knows the rules: it checks each step of the real
-// one against a plain list of what waits.
+// oracle checks each step of a scheduler against a plain list of the queued items.
 type oracle struct {
 	*rapid.T
 	scheduler *Scheduler
 	now       kernel.Instant
 	waiting   []Item
-	// offered, through, sent, dropped, refused and repeated count bytes.
+	// Byte counts of all items by outcome.
 	offered, sentNow, sent, dropped, refused, repeated int
 }
 
-// fuzzPackets is the bound of the queue, small enough to be reached.
+// fuzzPackets is the queue limit, small enough to be reached.
 const fuzzPackets = 12
 
 func newOracle(t *rapid.T) *oracle {
@@ -34,7 +33,7 @@
 	return o
 }
 
-// find returns the position of an item that waits.
+// find returns the index of a queued item.
 func (o *oracle) find(item *Item) int {
 	return slices.IndexFunc(o.waiting, func(other Item) bool {
 		return other.Flow == item.Flow && other.Kind == item.Kind && other.Sequence == item.Sequence &&
@@ -45,7 +44,7 @@
 func (o *oracle) dropOne(item *Item, _ DropReason) {
 	position := o.find(item)
 	if position < 0 {
-		o.Fatalf("dropped what did not wait: %+v", *item)
+		o.Fatalf("dropped an item that was not queued: %+v", *item)
 	}
 	o.waiting = slices.Delete(o.waiting, position, position+1)
 	o.dropped += item.Size
@@ -81,12 +80,12 @@
 	dropped := o.dropped
 	outcome := o.scheduler.Offer(o.now, item)
 	if item.Kind != KindClosing && (outcome == OutcomeDuplicate) != (repeated && outcome != OutcomeSendNow) {
-		o.Fatalf("outcome %d, repeated %v", outcome, repeated)
+		o.Fatalf("outcome %d, but duplicate is %v", outcome, repeated)
 	}
 	switch outcome {
 	case OutcomeSendNow:
 		if before > 0 {
-			o.Fatalf("%+v went past what waits", *item)
+			o.Fatalf("%+v overtook queued items", *item)
 		}
 		o.sentNow += item.Size
 	case OutcomeQueued:
@@ -95,28 +94,28 @@
 		o.repeated += item.Size
 	case OutcomeFull:
 		if before < fuzzPackets && o.countControl() < fuzzPackets/controlDivisor {
-			o.Fatalf("full with %d", before)
+			o.Fatalf("full with %d items", before)
 		}
 		o.refused += item.Size
 	}
 	if item.Kind == KindAbort && outcome == OutcomeQueued && slices.ContainsFunc(o.waiting, func(other Item) bool {
 		return other.Flow == item.Flow && other.Kind == KindData
 	}) {
-		o.Fatalf("data of a broken flow waits")
+		o.Fatalf("data of an aborted flow is queued")
 	}
 	if o.dropped > dropped && item.Kind != KindAbort && before < fuzzPackets {
-		o.Fatalf("dropped with %d waiting", before)
+		o.Fatalf("dropped with %d items queued", before)
 	}
 }
 
-// flood offers more than the queue holds.
+// flood offers more items than the queue holds.
 func (o *oracle) flood(t *rapid.T) {
 	for range fuzzPackets + 3 {
 		o.offer(t)
 	}
 }
 
-// countControl returns the number of items that wait and are no data.
+// countControl returns the number of queued items that carry no data.
 func (o *oracle) countControl() int {
 	count := 0
 	for _, item := range o.waiting {
@@ -127,7 +126,7 @@
 	return count
 }
 
-// next sends one item, if the link takes one, and checks that it was the right one.
+// next sends an item if the link has capacity, and checks the order.
 func (o *oracle) next(*rapid.T) {
 	item, ready := o.scheduler.Next(o.now)
 	if !ready {
@@ -135,10 +134,10 @@
 	}
 	position := o.find(&item)
 	if position < 0 {
-		o.Fatalf("sent what did not wait: %+v", item)
+		o.Fatalf("sent an item that was not queued: %+v", item)
 	}
 	if item.hasExpired(o.now) {
-		o.Fatalf("sent what had expired: %+v", item)
+		o.Fatalf("sent an expired item: %+v", item)
 	}
 	o.checkOrder(item, position)
 	o.waiting = slices.Delete(o.waiting, position, position+1)
@@ -147,12 +146,12 @@
 
 func (i *Item) hasExpired(now kernel.Instant) bool { return i.ExpiresAt > 0 && now >= i.ExpiresAt }
 
-// checkOrder checks the order within a flow, and that what is more urgent or goes before
-// all flows was not left behind, but for what was overdue and the oldest.
+// checkOrder checks the order within the flow, and that no more urgent or control item
+// was overtaken, except by the oldest item when overdue.
 func (o *oracle) checkOrder(item Item, position int) {
 	for _, other := range o.waiting[:position] {
 		if other.Flow == item.Flow && other.Kind == KindData && item.Kind == KindData {
-			o.Fatalf("%+v before %+v of its flow", item, other)
+			o.Fatalf("%+v sent before %+v of its flow", item, other)
 		}
 	}
 	if position == 0 && o.now.Sub(item.OfferedAt) > overdueAfter {
@@ -164,21 +163,21 @@
 		}
 		switch {
 		case item.Kind == KindData && isControl(other.Kind):
-			o.Fatalf("data before %+v", other)
+			o.Fatalf("data sent before %+v", other)
 		case item.Kind == KindData && other.Kind == KindData && other.Urgency < item.Urgency:
-			o.Fatalf("%+v before the more urgent %+v", item, other)
+			o.Fatalf("%+v sent before the more urgent %+v", item, other)
 		}
 	}
 }
 
-// isControl reports whether a kind goes before all flows in any case.
+// isControl reports whether a kind always goes to the control queue.
 func isControl(kind ItemKind) bool { return kind != KindData && kind != KindClosing }
 
 func (o *oracle) advance(*rapid.T) {
 	o.now = o.now.Add(time.Duration(rapid.IntRange(0, 30_000).Draw(o.T, "microseconds")) * time.Microsecond)
 }
 
-// sendAll sends as a process does: it wakes when the scheduler says so.
+// sendAll sends items whenever the scheduler allows it.
 func (o *oracle) sendAll(*rapid.T) {
 	for range fuzzPackets {
 		wait, waits := o.scheduler.TimeUntilNext(o.now)
@@ -189,7 +188,7 @@
 		before := len(o.waiting)
 		o.next(o.T)
 		if len(o.waiting) == before {
-			o.Fatalf("nothing left after the wait")
+			o.Fatalf("nothing was sent after the wait")
 		}
 	}
 }
@@ -199,34 +198,34 @@
 	o.scheduler.CancelFlow(flow)
 	for _, other := range o.waiting {
 		if other.Flow == flow && other.Kind == KindData {
-			o.Fatalf("data of a cancelled flow waits: %+v", other)
+			o.Fatalf("data of a cancelled flow is queued: %+v", other)
 		}
 	}
 }
 
 func (o *oracle) tick(*rapid.T) { o.scheduler.Tick(o.now) }
 
-// check holds after each step.
+// check verifies the invariants after each step.
 func (o *oracle) check(*rapid.T) {
 	bytes := 0
 	for _, item := range o.waiting {
 		bytes += item.Size
 	}
 	if o.scheduler.Len() != len(o.waiting) || o.scheduler.Bytes() != bytes {
-		o.Fatalf("%d packets, %d bytes; the oracle has %d, %d", o.scheduler.Len(), o.scheduler.Bytes(), len(o.waiting), bytes)
+		o.Fatalf("%d packets, %d bytes; want %d, %d", o.scheduler.Len(), o.scheduler.Bytes(), len(o.waiting), bytes)
 	}
 	if o.offered != o.sentNow+o.sent+o.dropped+o.refused+o.repeated+bytes {
-		o.Fatalf("bytes are lost or made")
+		o.Fatalf("byte counts do not add up")
 	}
 	if len(o.waiting) > fuzzPackets {
-		o.Fatalf("%d packets wait", len(o.waiting))
+		o.Fatalf("%d packets queued", len(o.waiting))
 	}
 	rate := narrow.BytesPerSecond() * linkFraction
 	if most := minBurst + rate*o.now.Sub(start).Seconds(); float64(o.sentNow+o.sent) > most+1 {
-		o.Fatalf("%d bytes sent, the link carries %v", o.sentNow+o.sent, most)
+		o.Fatalf("%d bytes sent, the link carries at most %v", o.sentNow+o.sent, most)
 	}
 	if len(o.waiting) > 0 && o.scheduler.QueueDelay(o.now) != o.now.Sub(o.waiting[0].OfferedAt) {
-		o.Fatalf("delay is %v", o.scheduler.QueueDelay(o.now))
+		o.Fatalf("queue delay is %v", o.scheduler.QueueDelay(o.now))
 	}
 }
 
@@ -242,8 +241,7 @@
 	})
 }
 
-// Whatever comes, and in whatever order, nothing waits longer than the bound that
-// overdueDivisor states.
+// Under random traffic no packet waits longer than the bound given at overdueDivisor.
 func TestRandomTrafficIsNotStarved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOracle(t)
--- a/internal/egress/held.go
+++ b/internal/egress/held.go
@@ -8,32 +8,33 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// maxHeldOpenings is the largest number of openings that are held: more than a narrow link
-// begins within the time that they are held.
+// maxHeldOpenings bounds the held openings: more than arrive on a slow link within the
+// hold time.
 const maxHeldOpenings = 128
 
-// HeldOpening is the opening packet of a flow that waits for its data to have room.
+// HeldOpening is the opening packet of a flow that is delayed until the link has
+// capacity for its data.
 type HeldOpening struct {
 	Packet   steer.Packet
 	Datagram []byte
 	Urgency  uint8
 	HeldAt   kernel.Instant
-	// Deadline is when the flow begins in any case.
+	// Deadline is when the opening is forwarded regardless of the load.
 	Deadline kernel.Instant
 }
 
-// HeldOpenings holds opening packets, the most urgent and oldest first. A flow that has
-// not begun sends nothing, so that neither the queue nor the incoming link fills with
-// what callers send again.
+// HeldOpenings is a queue of opening packets, ordered by urgency and then by age. A
+// flow that has not been opened sends no data, so holding its opening keeps
+// retransmissions off the queue and the incoming link.
 type HeldOpenings struct {
 	queue []*HeldOpening
 	free  []*HeldOpening
 }
 
-// Len returns the number of openings that are held.
+// Len returns the number of held openings.
 func (h *HeldOpenings) Len() int { return len(h.queue) }
 
-// IsFull reports whether no more can be held.
+// IsFull reports whether the queue is full.
 func (h *HeldOpenings) IsFull() bool { return len(h.queue) >= maxHeldOpenings }
 
 // Contains reports whether the opening packet of a flow is held.
@@ -41,7 +42,7 @@
 	return slices.ContainsFunc(h.queue, func(held *HeldOpening) bool { return held.Packet.Flow == flow })
 }
 
-// Add holds an opening packet, which is copied.
+// Add adds a copy of an opening packet, to be held for no longer than bound.
 func (h *HeldOpenings) Add(now kernel.Instant, packet steer.Packet, datagram []byte, urgency uint8, bound time.Duration) {
 	held := h.takeFree()
 	held.Packet = packet
@@ -58,8 +59,8 @@
 	h.queue = slices.Insert(h.queue, position, held)
 }
 
-// Pop returns the first opening that begins now: one whose time is up, or the first one
-// when it fits. The caller hands it back by Give.
+// Pop removes and returns an opening that has reached its deadline or, if fits is set,
+// the first of the queue. The caller returns it by Recycle.
 func (h *HeldOpenings) Pop(now kernel.Instant, fits bool) (*HeldOpening, bool) {
 	position := slices.IndexFunc(h.queue, func(held *HeldOpening) bool { return !now.Before(held.Deadline) })
 	if position < 0 {
@@ -73,7 +74,7 @@
 	return held, true
 }
 
-// Recycle hands an opening back whose datagram is needed no more.
+// Recycle takes back an opening whose datagram is no longer needed.
 func (h *HeldOpenings) Recycle(held *HeldOpening) { h.free = append(h.free, held) }
 
 func (h *HeldOpenings) takeFree() *HeldOpening {
--- a/internal/egress/held_test.go
+++ b/internal/egress/held_test.go
@@ -22,7 +22,7 @@
 	hold(&h, 3, 4, 1)
 	assert.True(t, h.Contains(modelFlow(3)))
 	_, due := h.Pop(modelStart.Add(4), false)
-	assert.False(t, due, "nothing fits")
+	assert.False(t, due, "no capacity")
 	var ports []uint16
 	for h.Len() > 0 {
 		held, due := h.Pop(modelStart.Add(4), true)
--- a/internal/egress/item.go
+++ b/internal/egress/item.go
@@ -8,93 +8,93 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// ItemKind tells what a datagram is for.
+// ItemKind is the purpose of a datagram.
 type ItemKind uint8
 
-// The kinds of datagrams.
+// Kinds of datagrams.
 const (
-	// KindData carries data of a caller.
+	// KindData carries data from a caller.
 	KindData ItemKind = iota
-	// KindOpening is the first packet of a flow, or a copy of it.
+	// KindOpening is the first packet of a flow, or a duplicate of it.
 	KindOpening
-	// KindAcknowledgement carries an acknowledgement and nothing else.
+	// KindAcknowledgement carries only an acknowledgement.
 	KindAcknowledgement
-	// KindClosing ends the caller's side without data. It stays behind the data of
-	// its flow.
+	// KindClosing closes the caller's side and carries no data. It stays behind the
+	// flow's data.
 	KindClosing
-	// KindAbort is the caller's reset: what waits of its flow is wanted no more.
+	// KindAbort is a reset from the caller, which discards the flow's queued data.
 	KindAbort
-	// KindReset is the node's own reset to a caller.
+	// KindReset is a reset that the node sends to a caller.
 	KindReset
 )
 
-// Item is a datagram that leaves the node.
+// Item is an outgoing datagram.
 type Item struct {
 	Flow steer.FlowKey
 	Kind ItemKind
-	// Urgency is that of the flow's route; 0 is the most urgent one.
+	// Urgency is that of the flow's route; 0 is the most urgent.
 	Urgency uint8
-	// Objective is the time from the beginning of a request within which its answer is
-	// of full use to the caller; 0 states none.
+	// Objective is the time from the start of a request within which it should
+	// complete; 0 means none.
 	Objective time.Duration
-	// Sequence is the position of the data in the caller's stream.
+	// Sequence is the offset of the data in the caller's stream.
 	Sequence uint32
-	// Data is the number of bytes of data.
+	// Data is the number of payload bytes.
 	Data int
-	// Size is the number of bytes on the link, with all headers.
+	// Size is the number of bytes on the link, including all headers.
 	Size    int
 	Address netip.AddrPort
-	// Payload is owned by the scheduler from Offer, when it is queued, until Next or
-	// Dropped hands it back.
+	// Payload is owned by the scheduler from the time Offer queues it until Next or
+	// OnDrop hands it back.
 	Payload []byte
 	// OfferedAt is when the item was offered.
 	OfferedAt kernel.Instant
-	// WaitedLong is set by Next on the first item of a flow, since the flow last rested,
-	// that waited so long that its caller has sent its data again.
+	// WaitedLong is set by Next on the first item of a request that waited for the
+	// caller's retransmission timeout or longer.
 	WaitedLong bool
-	// ExpiresAt is when the caller has surely given up; 0 tells nothing.
+	// ExpiresAt is when the caller has given up; 0 means never.
 	ExpiresAt kernel.Instant
 }
 
-// covers reports whether the item holds all data of another one.
+// covers reports whether the item contains all data of another.
 func (i *Item) covers(other *Item) bool {
 	offset := int64(int32(other.Sequence - i.Sequence))
 	return offset >= 0 && offset+int64(other.Data) <= int64(i.Data)
 }
 
-// Outcome tells what became of an offered item.
+// Outcome is the result of offering an item.
 type Outcome uint8
 
-// The outcomes of an offer.
+// Outcomes of an offer.
 const (
-	// OutcomeSendNow is an item that the caller of Offer sends now: nothing waits and
-	// the link takes it.
+	// OutcomeSendNow means that the caller of Offer sends the item now: the queue is
+	// empty and the link has capacity.
 	OutcomeSendNow Outcome = iota
-	// OutcomeQueued is an item that waits; Next returns it later.
+	// OutcomeQueued means that the item was queued; Next returns it later.
 	OutcomeQueued
-	// OutcomeDuplicate is an item whose data waits already.
+	// OutcomeDuplicate means that the item's data is queued already.
 	OutcomeDuplicate
-	// OutcomeFull is an item that found no room.
+	// OutcomeFull means that the queue has no room for the item.
 	OutcomeFull
 )
 
-// DropReason tells why something that waited was not sent.
+// DropReason is the reason why a queued item was dropped.
 type DropReason uint8
 
-// The reasons why what waited is not sent.
+// Reasons for dropping a queued item.
 const (
-	// DropFull made room for what helps more.
+	// DropFull makes room for an item of higher rank.
 	DropFull DropReason = iota
-	// DropExpired belongs to a caller that has given up.
+	// DropExpired is for items whose caller has given up.
 	DropExpired
-	// DropTargetLost belongs to a flow whose target is lost or has ended.
+	// DropTargetLost is for flows whose target was lost or has ended.
 	DropTargetLost
-	// DropAborted belongs to a flow that its caller has broken off.
+	// DropAborted is for flows that the caller has reset.
 	DropAborted
 	dropReasonCount
 )
 
-// DropReasons returns all reasons, for counters.
+// DropReasons returns all reasons, for the metrics.
 func DropReasons() []DropReason {
 	list := make([]DropReason, 0, dropReasonCount)
 	for reason := range dropReasonCount {
@@ -103,5 +103,5 @@
 	return list
 }
 
-// String returns the reason as a word for logs and counters.
+// String returns the reason as it appears in logs and metrics.
 func (r DropReason) String() string { return [...]string{"full", "expired", "lost", "broken_off"}[r] }
--- a/internal/egress/link.go
+++ b/internal/egress/link.go
@@ -1,28 +1,28 @@
-// Package egress schedules the datagrams that leave a node over its own link: what
-// is urgent first, fair between flows and callers, and no faster than the link
-// carries. It decides without a clock, a socket or a goroutine of its own.
+// Package egress schedules the datagrams that a node sends over its own link: by
+// urgency, fairly between callers and flows, and no faster than the link carries. It
+// uses no clock, socket or goroutine of its own.
 package egress
 
 import "github.com/beamdoor/beamdoor/internal/directory"
 
-// HeaderBytes are those of the IP and the UDP header of a datagram on the link.
+// HeaderBytes is the size of the IP and UDP headers of a datagram.
 const HeaderBytes = 28
 
-// maxLinkMbps is the largest rate in Mbit/s that a settings file can mean: a hundred
-// times the fastest links of a small machine.
+// maxLinkMbps is the largest rate accepted in settings. A larger one is taken for a
+// mistaken unit.
 const maxLinkMbps = 1_000_000
 
-// minLinkMbps is the least rate in Mbit/s: with less a caller's window of 16 packets
-// does not get through within its longest pause of 1.6 s.
+// minLinkMbps is the smallest rate accepted in settings. Below it, a caller's window of
+// 16 packets takes longer than the longest retransmission timeout of 1.6 s.
 const minLinkMbps = 0.1
 
-// Link is what is stated of a machine's own link.
+// Link is the configuration of a machine's own link.
 type Link struct {
-	// Mbps is its rate in Mbit/s; 0 states none.
+	// Mbps is the rate in Mbit/s; 0 means not configured.
 	Mbps float64
 }
 
-// Validate returns a directory.Problem when the rate cannot be meant.
+// Validate returns a directory.Problem if the rate is out of range.
 func (l Link) Validate(field string) error {
 	if l.Mbps != 0 && !(l.Mbps >= minLinkMbps && l.Mbps <= maxLinkMbps) {
 		return directory.NewProblem(field, l.Mbps, "must be 0 (not stated) or from 0.1 to 1000000 Mbit/s")
@@ -30,5 +30,5 @@
 	return nil
 }
 
-// BytesPerSecond returns the rate in bytes a second; 0 states none.
+// BytesPerSecond returns the rate in bytes per second; 0 means not configured.
 func (l Link) BytesPerSecond() float64 { return l.Mbps * 1e6 / 8 }
--- a/internal/egress/link_test.go
+++ b/internal/egress/link_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// The narrowest link still gives waits that a clock can hold.
+// The smallest rate must not overflow the wait.
 func TestSlowestLinkHasFiniteWait(t *testing.T) {
 	s := New(WithLink(Link{Mbps: minLinkMbps}))
 	item := Item{Flow: modelFlow(1), Size: quantum}
--- a/internal/egress/linkmodel_test.go
+++ b/internal/egress/linkmodel_test.go
@@ -12,8 +12,8 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// The model: times of callers as on the users' protocol page, a link that holds about
-// as much as that of a small machine.
+// Parameters of the model: the callers' protocol timing and the link of a small
+// machine.
 const (
 	modelStep      = time.Millisecond
 	modelPacket    = 1200
@@ -24,21 +24,21 @@
 	modelDelay     = 4 * time.Millisecond
 	modelResend    = 200 * time.Millisecond
 	modelMaxResend = 1600 * time.Millisecond
-	modelStated    = 250_000.0
+	modelRate      = 250_000.0
 	modelStart     = kernel.Instant(time.Minute)
 )
 
-// modelUpload is an upload of a caller. The caller knows up to where the target has
-// all. When that rests it sends the first packet that is missing again, after a time
-// that doubles, and once it moves on, all that it sent before and is not acknowledged,
-// also what the target has.
+// modelUpload is an upload of a caller, which knows the offset up to which the target
+// has all data. Without progress it retransmits the first missing packet with
+// exponential backoff; on progress it then retransmits the rest of its window.
 type modelUpload struct {
 	flow    steer.FlowKey
 	dead    bool
 	packets []modelPacketState
-	// answers is the caller's acknowledgement.
+	// answers is the caller's acknowledgement of answers.
 	answers uint32
-	// acked packets are acknowledged, next is the first that was never sent.
+	// acked is the number of acknowledged packets, and next the first packet never
+	// sent.
 	acked, next int
 	resendAt    kernel.Instant
 	wait        time.Duration
@@ -56,17 +56,17 @@
 	number int
 }
 
-// linkModel is a node whose link is paced by a learner, with uploads over it.
+// linkModel simulates a node that paces uploads by a RateEstimator.
 type linkModel struct {
-	random  *rand.Rand
-	learner *RateEstimator
-	now     kernel.Instant
-	// link is the rate of the link, and lossShare what is lost on it by chance.
+	random    *rand.Rand
+	estimator *RateEstimator
+	now       kernel.Instant
+	// link is the rate of the link, and lossShare the fraction lost at random.
 	link      float64
 	lossShare float64
-	// deadShare is the share of uploads whose targets are dead.
+	// deadShare is the fraction of uploads whose targets are dead.
 	deadShare float64
-	// uploads is the number of uploads at once, and pause that between two.
+	// uploads is the number of concurrent uploads, and pause the time between two.
 	uploads    int
 	pause      time.Duration
 	active     []*modelUpload
@@ -79,12 +79,12 @@
 	delivered  int
 }
 
-func newLinkModel(seed uint64, learner *RateEstimator) *linkModel {
-	m := &linkModel{random: rand.New(rand.NewPCG(seed, 1)), learner: learner, now: modelStart, link: modelStated, uploads: 4}
+func newLinkModel(seed uint64, estimator *RateEstimator) *linkModel {
+	m := &linkModel{random: rand.New(rand.NewPCG(seed, 1)), estimator: estimator, now: modelStart, link: modelRate, uploads: 4}
 	return m
 }
 
-// run lets time pass.
+// run advances the simulation.
 func (m *linkModel) run(span time.Duration) {
 	for end := m.now.Add(span); m.now.Before(end); {
 		m.now = m.now.Add(modelStep)
@@ -97,7 +97,7 @@
 	}
 }
 
-// lossesDuring returns the share of datagrams that were lost while time passed.
+// lossesDuring advances the simulation and returns the fraction of lost datagrams.
 func (m *linkModel) lossesDuring(span time.Duration) float64 {
 	sent, lost := m.sent, m.lost
 	m.run(span)
@@ -107,34 +107,35 @@
 	return float64(m.lost-lost) / float64(m.sent-sent)
 }
 
-// meanRate returns the mean rate while time passes.
+// meanRate advances the simulation and returns the mean rate.
 func (m *linkModel) meanRate(span time.Duration) float64 {
 	total, steps := 0.0, 0
 	for end := m.now.Add(span); m.now.Before(end); steps++ {
 		m.run(modelStep)
-		total += m.learner.Rate(m.now)
+		total += m.estimator.Rate(m.now)
 	}
 	return total / float64(steps)
 }
 
-// runUntilReduced lets time pass until the rate has just been lowered, from when on it
-// takes longest until it is back.
+// runUntilReduced advances the simulation until the rate is reduced, from when recovery
+// takes longest.
 func (m *linkModel) runUntilReduced(t *testing.T) {
 	t.Helper()
-	before := m.learner.Reductions()
-	for end := m.now.Add(4 * time.Second); m.learner.Reductions() == before; {
-		require.True(t, m.now.Before(end), "the rate is lowered within 4 s")
+	before := m.estimator.Reductions()
+	for end := m.now.Add(4 * time.Second); m.estimator.Reductions() == before; {
+		require.True(t, m.now.Before(end), "the rate was not reduced within 4 s")
 		m.run(modelStep)
 	}
 }
 
-// timeUntil lets time pass until the learned rate is a share of the stated one.
+// timeUntil returns the simulated time until the rate reaches a fraction of the
+// configured one.
 func (m *linkModel) timeUntil(share float64, limit time.Duration) time.Duration {
-	begin := m.now
-	for m.now.Sub(begin) < limit && m.learner.Rate(m.now) < share*modelStated {
+	start := m.now
+	for m.now.Sub(start) < limit && m.estimator.Rate(m.now) < share*modelRate {
 		m.run(modelStep)
 	}
-	return m.now.Sub(begin)
+	return m.now.Sub(start)
 }
 
 func (m *linkModel) startUploads() {
@@ -164,13 +165,13 @@
 	}
 }
 
-// flowRecord returns the flow of a port.
+// flowOf returns the flow of a caller's port.
 func (*linkModel) flowOf(port uint16) steer.FlowKey {
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, 0, byte(port % 7)}), port)
 	return steer.FlowKey{Caller: caller, Virtual: netip.MustParseAddrPort("198.18.0.1:80")}
 }
 
-// drive lets a caller send what it may send now.
+// sendDue sends the packets that are due for an upload.
 func (m *linkModel) sendDue(u *modelUpload) {
 	if u == nil || u.ended {
 		return
@@ -191,11 +192,11 @@
 	u.ended = u.acked == len(u.packets) || (u.dead && m.now.Sub(u.packets[0].sentAt) > 2*time.Second)
 	if u.ended && !u.dead {
 		u.answers++
-		m.learner.RecordPacket(m.now, ReceivedPacket{Flow: u.flow, Acknowledged: u.answers})
+		m.estimator.RecordPacket(m.now, ReceivedPacket{Flow: u.flow, Acknowledged: u.answers})
 	}
 }
 
-// sendNew lets a caller send more after the target has acknowledged some.
+// sendNew sends what the window allows after progress.
 func (m *linkModel) sendNew(u *modelUpload) {
 	u.wait = modelResend
 	u.resendAt = m.now.Add(u.wait)
@@ -220,13 +221,13 @@
 	m.arrive(u, number)
 }
 
-// arrive brings a packet to the node.
+// arrive delivers a packet to the node.
 func (m *linkModel) arrive(u *modelUpload, number int) {
 	duplicate := false
 	for _, waiting := range m.queue {
 		duplicate = duplicate || waiting.upload == u && waiting.number == number
 	}
-	m.learner.RecordPacket(m.now, ReceivedPacket{
+	m.estimator.RecordPacket(m.now, ReceivedPacket{
 		Flow:         u.flow,
 		Sequence:     uint32(number * modelPacket),
 		Acknowledged: u.answers,
@@ -237,19 +238,19 @@
 	}
 }
 
-// send lets the node send what the learned rate allows.
+// send sends queued packets at the estimated rate.
 func (m *linkModel) send() {
-	m.tokens = min(m.tokens+m.learner.Rate(m.now)*modelStep.Seconds(), modelBurst)
+	m.tokens = min(m.tokens+m.estimator.Rate(m.now)*modelStep.Seconds(), modelBurst)
 	for len(m.queue) > 0 && m.tokens >= modelSize {
 		next := m.queue[0]
 		m.queue = m.queue[1:]
 		m.tokens -= modelSize
-		m.learner.RecordSent(m.now, SentDatagram{Flow: next.upload.flow, Sequence: uint32(next.number * modelPacket), Data: modelPacket, Size: modelSize})
+		m.estimator.RecordSent(m.now, SentDatagram{Flow: next.upload.flow, Sequence: uint32(next.number * modelPacket), Data: modelPacket, Size: modelSize})
 		m.transmit(next)
 	}
 }
 
-// carry puts a datagram on the link, which drops it when its queue is full.
+// transmit puts a datagram on the link, which drops it if its queue is full.
 func (m *linkModel) transmit(packet modelWaiting) {
 	m.sent++
 	if m.backlog+modelSize > modelQueue || m.random.Float64() < m.lossShare {
--- a/internal/egress/list.go
+++ b/internal/egress/list.go
@@ -1,13 +1,13 @@
 package egress
 
-// links are an element's neighbours in one list.
+// links holds the neighbours of an element in one list.
 type links[T any] struct{ next, previous *T }
 
-// list is a doubly linked list whose links lie in its elements, so that it
-// allocates nothing. An element is in a list at most once.
+// list is an intrusive doubly linked list, which does not allocate. An element is in a
+// list at most once.
 type list[T any] struct {
 	first, last *T
-	// linksOf returns the links that belong to this list.
+	// linksOf returns the element's links for this list.
 	linksOf func(*T) *links[T]
 }
 
@@ -40,7 +40,7 @@
 	*own = links[T]{}
 }
 
-// moveBack puts an element behind all others.
+// moveBack moves an element to the end of the list.
 func (l *list[T]) moveBack(element *T) {
 	if l.last == element {
 		return
@@ -49,7 +49,7 @@
 	l.pushBack(element)
 }
 
-// pool keeps elements for reuse.
+// pool is a free list.
 type pool[T any] struct{ free []*T }
 
 func (p *pool[T]) get() *T {
--- a/internal/egress/load.go
+++ b/internal/egress/load.go
@@ -8,55 +8,59 @@
 )
 
 const (
-	// fullRateFraction is the part of the stated rate from which on a link counts as no
-	// narrower than the others, where nothing is known of these.
+	// fullRateFraction is the fraction of the configured rate from which on a link
+	// counts as running at its full rate.
 	fullRateFraction = 0.8
-	// minRefusalWait is the wait up to which a node has room: a quarter of the 200 ms after
-	// which callers send data again.
+	// minRefusalWait is the wait up to which a node refuses no flows: a quarter of the
+	// callers' retransmission timeout of 200 ms.
 	minRefusalWait = 50 * time.Millisecond
-	// fullRefusalRatio is how many times longer than elsewhere the wait must be for all that
-	// may be refused to be refused; between one and that a part is.
+	// fullRefusalRatio is the ratio of the node's wait to that of other nodes at which
+	// all refusable flows are refused. From a ratio of 1 the fraction grows linearly.
 	fullRefusalRatio = 3
-	// refusalGain is the part of the way that the refused share follows in a second. Nodes
-	// learn of each other some seconds late: followed at once, all would turn from taking
-	// to refusing and back.
+	// refusalGain is the fraction of the way to its target value that the refusal
+	// fraction moves in a second. Load reports arrive seconds late, so nodes that
+	// reacted at once would oscillate.
 	refusalGain = 0.2
-	// maxUtilization bounds the wait that a use stands for.
+	// maxUtilization caps the utilization in ExpectedWait, which would otherwise
+	// diverge.
 	maxUtilization = 0.98
 )
 
 // Action is what is done with a new flow.
 type Action uint8
 
-// What is done with a new flow.
+// Actions for a new flow.
 const (
-	// ActionAccept forwards its opening packet.
+	// ActionAccept forwards the opening packet.
 	ActionAccept Action = iota
-	// ActionHold lets its opening packet wait until its data has room.
+	// ActionHold delays the opening packet until the link has capacity for its data.
 	ActionHold
-	// ActionRefuse resets it: its caller comes back by another node.
+	// ActionRefuse resets the flow, so that the caller retries through another node.
 	ActionRefuse
 )
 
-// DecisionReason tells why a new flow is not taken at once.
+// DecisionReason is the reason why a new flow is not accepted at once.
 type DecisionReason uint8
 
-// The reasons why a new flow is not taken at once.
+// Reasons for holding or refusing a new flow.
 const (
-	// ReasonNone is a flow that is taken.
+	// ReasonNone means that the flow is accepted.
 	ReasonNone DecisionReason = iota
-	// ReasonNarrowLink is a link narrower than stated, where nothing is known of others.
+	// ReasonNarrowLink means that the link is slower than configured, while the load of
+	// other nodes is unknown.
 	ReasonNarrowLink
-	// ReasonCapacityElsewhere is a longer wait than other nodes of the zone have.
+	// ReasonCapacityElsewhere means that the wait is longer than at other nodes of the
+	// zone.
 	ReasonCapacityElsewhere
-	// ReasonPaced is an upload that begins once those before it have sent their data.
+	// ReasonPaced means that the upload starts once those before it have sent their
+	// data.
 	ReasonPaced
-	// ReasonLate is an upload whose data would wait for most of its objective.
+	// ReasonLate means that the upload's data would wait for most of its objective.
 	ReasonLate
 	reasonCount
 )
 
-// DecisionReasons returns all reasons, for counters.
+// DecisionReasons returns all reasons, for the metrics.
 func DecisionReasons() []DecisionReason {
 	list := make([]DecisionReason, 0, reasonCount)
 	for reason := range reasonCount {
@@ -65,38 +69,40 @@
 	return list
 }
 
-// String returns the reason as a word for logs and counters.
+// String returns the reason as it appears in logs and metrics.
 func (r DecisionReason) String() string {
 	return [...]string{"taken", "narrow_link", "room_elsewhere", "paced", "late"}[r]
 }
 
-// Decision tells what is done with a new flow.
+// Decision is the decision on a new flow.
 type Decision struct {
 	Action Action
 	Reason DecisionReason
-	// MaxHold is how long an opening is held at most.
+	// MaxHold is the longest time for which the opening is held.
 	MaxHold time.Duration
 }
 
-// LinkLoad is how a node's own link stands, and what is known of others.
+// LinkLoad is the load of the node's own link and what is known of other nodes.
 type LinkLoad struct {
-	// Rate and ConfiguredRate are the learned and the stated rate in bytes a second; 0 bounds
-	// nothing.
+	// Rate and ConfiguredRate are the estimated and the configured rate in bytes per
+	// second; 0 means unlimited.
 	Rate, ConfiguredRate float64
-	// QueuedBytes are the bytes that wait, and Held the openings of uploads that are held.
+	// QueuedBytes is the size of the queue, and HeldUploads the number of held
+	// openings.
 	QueuedBytes float64
 	HeldUploads int
-	// Utilization is the used share of the busier direction.
+	// Utilization is that of the busier direction.
 	Utilization float64
-	// RefusalFraction is the share of new flows that are better off elsewhere (RefusedShare).
+	// RefusalFraction is the fraction of new flows to refuse, as smoothed by the type
+	// of that name.
 	RefusalFraction float64
-	// PeersKnown is set while the waits at other nodes of the zone are known. Offered is the
-	// wait at those that a refused caller may well find.
+	// PeersKnown is set while the waits at other nodes of the zone are known. RetryWait
+	// is the wait that a refused caller can expect to find on a retry.
 	PeersKnown bool
 	RetryWait  time.Duration
 }
 
-// transmitTime returns the time in which the link carries so many bytes.
+// transmitTime returns the time in which the link carries the number of bytes.
 func (l LinkLoad) transmitTime(bytes float64) time.Duration {
 	if l.Rate <= 0 {
 		return 0
@@ -104,14 +110,15 @@
 	return time.Duration(bytes / l.Rate * float64(time.Second))
 }
 
-// ExpectedWait returns the wait that a window of data meets on average at the link's use, as in a
-// queue with random arrivals.
+// ExpectedWait returns the mean queueing time of a window of data at the link's
+// utilization, by the formula for random arrivals (M/M/1).
 func (l LinkLoad) ExpectedWait() time.Duration {
 	use := min(l.Utilization, maxUtilization)
 	return l.transmitTime(use / (1 - use) * windowBytes)
 }
 
-// excess tells why a flow whose data waits so long is better off elsewhere, or ReasonNone.
+// refusalReason returns why a flow whose data would wait for the given time should go
+// to another node, or ReasonNone.
 func (l LinkLoad) refusalReason(flow steer.FlowKey, wait time.Duration) DecisionReason {
 	if !l.PeersKnown {
 		if l.Rate < fullRateFraction*l.ConfiguredRate && wait > pacingWait {
@@ -125,15 +132,15 @@
 	return ReasonNone
 }
 
-// RefusalFraction is the share of new flows that a node refuses for the wait at its use. The
-// zero value refuses none.
+// RefusalFraction is the smoothed fraction of new flows that a node refuses. The zero
+// value refuses none.
 type RefusalFraction struct{ fraction float64 }
 
-// Value returns the share.
+// Value returns the fraction.
 func (r *RefusalFraction) Value() float64 { return r.fraction }
 
-// Update lets the share follow how the link stands for a time. Where the others are not
-// known there is none.
+// Update moves the fraction towards the value for the current load. It is 0 while the
+// load of other nodes is unknown.
 func (r *RefusalFraction) Update(load LinkLoad, elapsed time.Duration) {
 	if !load.PeersKnown {
 		r.fraction = 0
@@ -143,12 +150,12 @@
 	r.fraction += way * (load.refusalFractionAt(load.ExpectedWait()) - r.fraction)
 }
 
-// refusalFractionAt returns the share of flows that are better off elsewhere for a wait.
+// refusalFractionAt returns the fraction of flows to refuse at the given wait.
 func (l LinkLoad) refusalFractionAt(wait time.Duration) float64 {
 	ratio := float64(wait) / float64(max(l.RetryWait, minRefusalWait))
 	return min(max((ratio-1)/(fullRefusalRatio-1), 0), 1)
 }
 
-// flowFraction returns a number from 0 to below 1 that a flow's ends decide, so that a copy of
-// its opening packet meets the same decision.
+// flowFraction hashes the flow to a number in [0, 1), so that a duplicate of its
+// opening packet gets the same decision.
 func flowFraction(flow steer.FlowKey) float64 { return float64(flowHash(flow)>>11) / (1 << 53) }
--- a/internal/egress/losses.go
+++ b/internal/egress/losses.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// minLossAge is the least time after which data that comes again was lost behind this
-	// node. Callers wait 200 ms before they send again, most of which the packet may have
-	// waited here. What comes again sooner was only overtaken on its way.
+	// minLossAge is the age from which data that arrives again counts as lost after it
+	// was sent. Callers retransmit after 200 ms, most of which the packet may have been
+	// queued here. Data that arrives again sooner was reordered in the network.
 	minLossAge = 40 * time.Millisecond
-	// markTimeout is how long what was sent is remembered: the caller's longest pause.
+	// markTimeout is how long data is remembered: the callers' longest retransmission
+	// timeout.
 	markTimeout = 1600 * time.Millisecond
-	// recoveryDelay is the time within which a caller's loss recovery goes on after its
-	// first copy: once the target has acknowledged that one, copies of all other data
-	// under way follow: some round trips.
+	// recoveryDelay is the time between a caller's first retransmission and those of
+	// the rest of its window, which follow once the target has acknowledged the first:
+	// a few round trips.
 	recoveryDelay = 100 * time.Millisecond
-	// recoveryBurst is the time within which all these copies come. They are sent at once,
-	// but a busy node reads them later.
+	// recoveryBurst is the time within which these retransmissions are received. They
+	// are sent at once, but a busy node reads them later.
 	recoveryBurst = 20 * time.Millisecond
-	// windowDataBytes is the most data that a caller has under way: 16 packets of 1,200
-	// bytes. What lies further shows that the target acknowledged the data before.
+	// windowDataBytes is a caller's largest window: 16 packets of 1200 bytes. Data
+	// further ahead shows that the target has acknowledged the data before it.
 	windowDataBytes = 16 * 1200
-	// dataMarkCount is the number of packets that are remembered: 1.6 s of a link of
-	// 2 Mbit/s in packets of 100 bytes. On faster links older ones are forgotten sooner.
+	// dataMarkCount is the number of packets remembered: 1.6 s of a 2 Mbit/s link in
+	// packets of 100 bytes. On faster links packets are overwritten sooner.
 	dataMarkCount = 4096
-	// flowMarkCount is the number of flows that are followed, some times those that a small
+	// flowMarkCount is the number of flows tracked, several times those that a small
 	// node carries at once.
 	flowMarkCount = 1024
 )
 
-// SentDatagram is a datagram with data that has left the node.
+// SentDatagram is a datagram that the node has sent.
 type SentDatagram struct {
 	Flow steer.FlowKey
-	// Sequence is the position of the data in the caller's stream.
+	// Sequence is the offset of the data in the caller's stream.
 	Sequence uint32
-	// Data is the number of bytes of data, and Size that on the link.
+	// Data is the number of payload bytes, and Size the number of bytes on the link.
 	Data, Size int
 }
 
-// ReceivedPacket is a packet that has come from a caller.
+// ReceivedPacket is a packet received from a caller.
 type ReceivedPacket struct {
 	Flow         steer.FlowKey
 	Sequence     uint32
@@ -49,47 +50,48 @@
 	Data         int
 }
 
-// loss is a datagram that left the node and was lost behind it.
+// loss is a datagram that was lost after the node sent it.
 type loss struct {
 	sentAt kernel.Instant
 	size   int
 }
 
-// observer is told what became of what the node has sent, as far as callers show it.
+// observer is notified of losses and deliveries that are inferred from the callers'
+// packets.
 type observer struct {
 	lost      func(now kernel.Instant, lost loss)
 	delivered func(now kernel.Instant, bytes int)
 }
 
-// dataMark remembers data that came at a time, or that left then with so many bytes.
+// dataMark records when data was received or, if size is set, when it was sent.
 type dataMark struct {
 	key  uint64
 	at   kernel.Instant
 	size int
 }
 
-// flowMark remembers of a flow what shows that its target lives.
+// flowMark is the delivery state of a flow.
 type flowMark struct {
 	key          uint64
 	acknowledged uint32
-	// known is set once data of the flow has come: up to end, of which all before
-	// delivered has surely got through.
+	// known is set once data of the flow was received. The data received ends at end,
+	// and all before delivered has reached the target.
 	known          bool
 	delivered, end uint32
-	// moved is set once something was delivered: what comes before that position later
-	// is a copy. Until then the first packets may come in any order.
+	// progressed is set once data was delivered: an earlier offset is then a
+	// retransmission. Until then the first packets may arrive out of order.
 	progressed bool
-	// suspect is data that came again, while nothing shows yet that the target lives.
+	// suspected is a loss that is not yet confirmed by progress of the flow.
 	suspected    loss
 	copyPosition uint32
 	copiedAt     kernel.Instant
-	// recoveryUntil is until when further copies belong to the same recovery.
+	// recoveryUntil is the end of the current burst of retransmissions.
 	recoveryUntil kernel.Instant
 }
 
-// lossDetector finds the datagrams that were lost on the node's own link, or behind it.
-// A dead target also makes callers send again, but nothing of its flows moves on: so a
-// loss counts once its flow does. The memory is fixed; what is overwritten is forgotten.
+// lossDetector detects datagrams that were lost on the node's own link or beyond it.
+// Callers also retransmit to a dead target, so a loss counts only once the flow makes
+// progress. The tables have a fixed size; overwritten entries are forgotten.
 type lossDetector struct {
 	marks    []dataMark
 	flows    []flowMark
@@ -100,56 +102,58 @@
 	return lossDetector{marks: make([]dataMark, dataMarkCount), flows: make([]flowMark, flowMarkCount), observer: observer}
 }
 
-// recordSent remembers when data left. It reports whether the flow's target is known to
-// have lived: it had acknowledged data of the flow before.
-func (w *lossDetector) recordSent(now kernel.Instant, sent SentDatagram) (lived bool) {
+// recordSent records when data was sent. It reports whether the flow's target is known
+// to be alive, having acknowledged earlier data of the flow.
+func (d *lossDetector) recordSent(now kernel.Instant, sent SentDatagram) (alive bool) {
 	if sent.Data == 0 {
 		return false
 	}
 	name := flowHash(sent.Flow)
 	key := dataHash(name, sent.Sequence)
-	w.marks[key%dataMarkCount] = dataMark{key: key, at: now, size: sent.Size}
-	flow := &w.flows[name%flowMarkCount]
+	d.marks[key%dataMarkCount] = dataMark{key: key, at: now, size: sent.Size}
+	flow := &d.flows[name%flowMarkCount]
 	return flow.key == name && flow.progressed
 }
 
-// recordPacket looks at a packet of an open flow.
-func (w *lossDetector) recordPacket(now kernel.Instant, packet ReceivedPacket) {
+// recordPacket processes a packet of an open flow.
+func (d *lossDetector) recordPacket(now kernel.Instant, packet ReceivedPacket) {
 	key := flowHash(packet.Flow)
-	flow := &w.flows[key%flowMarkCount]
+	flow := &d.flows[key%flowMarkCount]
 	if flow.key != key {
 		*flow = flowMark{key: key, acknowledged: packet.Acknowledged}
 	}
-	if position, moved := flow.deliveredUpTo(packet); moved {
-		w.recordDelivered(now, flow, position)
-		w.confirmLoss(now, flow)
+	if position, advanced := flow.deliveredUpTo(packet); advanced {
+		d.recordDelivered(now, flow, position)
+		d.confirmLoss(now, flow)
 	}
 	if packet.Data == 0 {
 		return
 	}
-	w.recordData(now, flow, packet.Sequence)
+	d.recordData(now, flow, packet.Sequence)
 }
 
-// recordData looks whether data has come before, and whether it had left by then.
-func (w *lossDetector) recordData(now kernel.Instant, flow *flowMark, position uint32) {
+// recordData checks whether data was received before, and whether it had been sent by
+// then.
+func (d *lossDetector) recordData(now kernel.Instant, flow *flowMark, position uint32) {
 	key := dataHash(flow.key, position)
-	mark := &w.marks[key%dataMarkCount]
+	mark := &d.marks[key%dataMarkCount]
 	if mark.key != key || now.Sub(mark.at) > markTimeout {
 		*mark = dataMark{key: key, at: now}
 		return
 	}
-	var again loss
+	var lost loss
 	if mark.size > 0 && now.Sub(mark.at) >= minLossAge {
-		again = loss{sentAt: mark.at, size: mark.size}
+		lost = loss{sentAt: mark.at, size: mark.size}
 		*mark = dataMark{key: key, at: now}
 	}
-	w.recordRetransmission(now, flow, position, again)
+	d.recordRetransmission(now, flow, position, lost)
 }
 
-// follow returns up to where a packet shows that data was delivered, if further than
-// before: all before it when the caller has got an answer since, else what lies a window
-// back.
-func (f *flowMark) deliveredUpTo(packet ReceivedPacket) (position uint32, moved bool) {
+// deliveredUpTo returns the offset up to which data is shown to have been delivered,
+// and whether it advanced. A new acknowledgement by the caller confirms all data
+// received so far, or all before the packet if that carries data. Otherwise all but the
+// last window is confirmed.
+func (f *flowMark) deliveredUpTo(packet ReceivedPacket) (position uint32, advanced bool) {
 	if packet.Data > 0 {
 		f.extend(packet)
 	}
@@ -164,17 +168,17 @@
 	return position, f.known && int32(position-f.delivered) > 0
 }
 
-// deliver notes up to where data of a flow was delivered.
-func (w *lossDetector) recordDelivered(now kernel.Instant, flow *flowMark, position uint32) {
+// recordDelivered records the offset up to which data of a flow was delivered.
+func (d *lossDetector) recordDelivered(now kernel.Instant, flow *flowMark, position uint32) {
 	bytes := int(int32(position - flow.delivered))
 	if bytes <= 0 {
 		return
 	}
 	flow.delivered, flow.progressed = position, true
-	w.observer.delivered(now, bytes)
+	d.observer.delivered(now, bytes)
 }
 
-// extend notes where a flow's data begins and ends.
+// extend updates the range of the flow's data.
 func (f *flowMark) extend(packet ReceivedPacket) {
 	end := packet.Sequence + uint32(packet.Data)
 	if !f.known {
@@ -189,35 +193,36 @@
 	}
 }
 
-// recordRetransmission notes data that came again, and its loss if it had left before. The first
-// copy is of what the target is missing first; it may be dead. Once it has acknowledged
-// that, copies of all that is under way follow, also of what it has: of these, too, only
-// the first position is surely missing.
-func (w *lossDetector) recordRetransmission(now kernel.Instant, flow *flowMark, position uint32, again loss) {
+// recordRetransmission processes data that was received again, with its loss if it had
+// been sent. The first retransmission is of the first missing packet, and the target
+// may be dead. Once the target has acknowledged it, the caller retransmits the rest of
+// its window, including data that has arrived; of that burst only the lowest offset is
+// certainly missing.
+func (d *lossDetector) recordRetransmission(now kernel.Instant, flow *flowMark, position uint32, lost loss) {
 	switch {
 	case now.Before(flow.recoveryUntil):
 		if int32(position-flow.copyPosition) < 0 {
-			flow.copyPosition, flow.suspected = position, again
+			flow.copyPosition, flow.suspected = position, lost
 		}
 	case position != flow.copyPosition && now.Sub(flow.copiedAt) <= recoveryDelay:
-		w.confirmLoss(now, flow)
+		d.confirmLoss(now, flow)
 		flow.recoveryUntil = now.Add(recoveryBurst)
-		flow.copyPosition, flow.suspected = position, again
+		flow.copyPosition, flow.suspected = position, lost
 	default:
 		flow.copyPosition, flow.copiedAt = position, now
-		if again.size > 0 {
-			flow.suspected = again
+		if lost.size > 0 {
+			flow.suspected = lost
 		}
 	}
 }
 
-// confirm counts the suspected loss of a flow whose target lives, once no copy of an
-// earlier position can follow.
-func (w *lossDetector) confirmLoss(now kernel.Instant, flow *flowMark) {
+// confirmLoss reports the suspected loss of a flow that has made progress, once no
+// retransmission of a lower offset can follow.
+func (d *lossDetector) confirmLoss(now kernel.Instant, flow *flowMark) {
 	if flow.suspected.size == 0 || now.Before(flow.recoveryUntil) {
 		return
 	}
 	suspect := flow.suspected
 	flow.suspected = loss{}
-	w.observer.lost(now, suspect)
+	d.observer.lost(now, suspect)
 }
--- a/internal/egress/order.go
+++ b/internal/egress/order.go
@@ -2,8 +2,8 @@
 
 import "github.com/beamdoor/beamdoor/internal/kernel"
 
-// pick returns the packet that leaves next, or nil when none waits. What has waited
-// too long goes before all others as far as its credit reaches.
+// nextPacket returns the packet to send next, or nil if the queue is empty. Overdue
+// packets are sent first as long as there is credit for them.
 func (s *Scheduler) nextPacket(now kernel.Instant) (next *packet, overdue bool) {
 	if oldest := s.byAge.first; oldest != nil && now.Sub(oldest.OfferedAt) > overdueAfter && s.overdueCredit >= min(oldest.Size, maxOverdueCredit) {
 		return oldest, true
@@ -14,8 +14,8 @@
 	return s.nextFlowPacket(now), false
 }
 
-// nextFlowPacket returns the packet of the flow that goes first, or nil. A flow that can
-// no longer be in time goes behind those that can.
+// nextFlowPacket returns the first packet of the flow to serve next, or nil. It moves
+// flows that have become late to their new class.
 func (s *Scheduler) nextFlowPacket(now kernel.Instant) *packet {
 	for {
 		f := s.classes.first()
@@ -31,7 +31,8 @@
 	}
 }
 
-// earn gives what has waited too long its share of what leaves.
+// updateOverdueCredit charges overdue packets to the credit, which grows with all other
+// traffic.
 func (s *Scheduler) updateOverdueCredit(bytes int, overdue bool) {
 	if overdue {
 		s.overdueCredit -= bytes
--- a/internal/egress/order_test.go
+++ b/internal/egress/order_test.go
@@ -18,12 +18,12 @@
 		offer []*Item
 		want  []string
 	}{
-		{"a flow keeps its order", []*Item{bulk(flowKey(1, 1), 0), bulk(flowKey(1, 1), 1)}, []string{"1:0", "1:1"}},
+		{"packets of a flow keep their order", []*Item{bulk(flowKey(1, 1), 0), bulk(flowKey(1, 1), 1)}, []string{"1:0", "1:1"}},
 		{"openings go first", []*Item{bulk(flowKey(1, 1), 0), control(flowKey(2, 2), KindOpening)}, []string{"2:0", "1:0"}},
 		{"resets go first", []*Item{bulk(flowKey(1, 1), 0), control(flowKey(2, 2), KindReset)}, []string{"2:0", "1:0"}},
 		{"acknowledgements go first", []*Item{bulk(flowKey(1, 1), 4), control(flowKey(1, 1), KindAcknowledgement)}, []string{"1:0", "1:4"}},
-		{"the end of another flow goes first", []*Item{bulk(flowKey(1, 1), 0), control(flowKey(2, 2), KindClosing)}, []string{"2:0", "1:0"}},
-		{"the end stays behind its data", []*Item{bulk(flowKey(1, 1), 3), control(flowKey(1, 1), KindClosing)}, []string{"1:3", "1:0"}},
+		{"closing of another flow goes first", []*Item{bulk(flowKey(1, 1), 0), control(flowKey(2, 2), KindClosing)}, []string{"2:0", "1:0"}},
+		{"closing stays behind data of its flow", []*Item{bulk(flowKey(1, 1), 3), control(flowKey(1, 1), KindClosing)}, []string{"1:3", "1:0"}},
 		{"urgent data goes first", []*Item{bulk(flowKey(1, 1), 0), urgent}, []string{"9:0", "1:0"}},
 		{"callers take turns", []*Item{
 			bulk(flowKey(1, 1), 0), bulk(flowKey(1, 1), 1), bulk(flowKey(1, 1), 2), bulk(flowKey(2, 2), 0),
@@ -33,31 +33,31 @@
 		}, []string{"1:0", "2:0", "1:1"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			l := newFixture(t)
-			l.offer(test.offer...)
-			assert.Equal(t, test.want, formatItems(l.drain(time.Second)))
+			f := newFixture(t)
+			f.offer(test.offer...)
+			assert.Equal(t, test.want, formatItems(f.drain(time.Second)))
 		})
 	}
 }
 
 func TestSmallFlowsGoFirst(t *testing.T) {
-	l := newFixture(t)
+	f := newFixture(t)
 	for number := range 16 {
-		l.offer(bulk(flowKey(1, 1), number))
+		f.offer(bulk(flowKey(1, 1), number))
 	}
 	request := bulk(flowKey(2, 2), 0)
-	l.offer(request)
-	assert.Equal(t, "2:0", formatItems(l.drain(time.Second))[0])
-	l.now = l.now.Add(flowIdleTimeout)
-	l.spendBurst()
+	f.offer(request)
+	assert.Equal(t, "2:0", formatItems(f.drain(time.Second))[0])
+	f.now = f.now.Add(flowIdleTimeout)
+	f.spendBurst()
 	for number := range 16 {
-		l.offer(bulk(flowKey(3, 3), number))
+		f.offer(bulk(flowKey(3, 3), number))
 	}
-	l.offer(bulk(flowKey(1, 1), 16))
-	assert.Equal(t, "1:16", formatItems(l.drain(time.Second))[0], "a flow that has rested begins anew")
+	f.offer(bulk(flowKey(1, 1), 16))
+	assert.Equal(t, "1:16", formatItems(f.drain(time.Second))[0], "an idle flow counts as small again")
 }
 
-// bytesUntil returns the bytes that each caller sent until the last item of a flow left.
+// bytesUntil returns the bytes sent by caller until count items of the flow were sent.
 func bytesUntil(items []Item, flow steer.FlowKey, count int) map[netip.Addr]int {
 	bytes := map[netip.Addr]int{}
 	for _, item := range items {
@@ -74,122 +74,119 @@
 
 func TestCallersShareLinkEqually(t *testing.T) {
 	const packets = bulkThreshold / fullSize
-	l := newFixture(t)
+	f := newFixture(t)
 	for port := range 10 {
 		for number := range packets {
-			l.offer(bulk(flowKey(1, port), number))
+			f.offer(bulk(flowKey(1, port), number))
 		}
 	}
 	few := flowKey(2, 100)
 	for number := range packets {
-		l.offer(bulk(few, number))
+		f.offer(bulk(few, number))
 	}
-	bytes := bytesUntil(l.drain(time.Second), few, packets)
+	bytes := bytesUntil(f.drain(time.Second), few, packets)
 	assert.InDelta(t, packets*fullSize, bytes[flowKey(1, 0).Caller.Addr()], quantum)
 }
 
-// A caller with many uploads at once does not make another caller's only one wait for
-// all of them.
+// A caller with many uploads must not delay the only upload of another by all of them.
 func TestManyBulkFlowsDoNotStarveOtherCallers(t *testing.T) {
 	const packets = 40
-	l := newFixture(t)
+	f := newFixture(t)
 	few := flowKey(2, 100)
 	for number := range packets {
 		for port := range 10 {
-			l.offer(bulk(flowKey(1, port), number))
+			f.offer(bulk(flowKey(1, port), number))
 		}
-		l.offer(bulk(few, number))
+		f.offer(bulk(few, number))
 	}
-	bytes := bytesUntil(l.drain(10*time.Second), few, packets)
+	bytes := bytesUntil(f.drain(10*time.Second), few, packets)
 	upload := packets * fullSize
 	assert.LessOrEqual(t, bytes[flowKey(1, 0).Caller.Addr()], upload+2*upload/overdueDivisor+windowBytes)
 }
 
 func TestEarliestDeadlineGoesFirst(t *testing.T) {
-	window := func(l *fixture, flow steer.FlowKey, objective time.Duration) {
+	window := func(f *fixture, flow steer.FlowKey, objective time.Duration) {
 		for number := range 16 {
 			item := bulk(flow, number)
 			item.Objective = objective
-			l.offer(item)
+			f.offer(item)
 		}
 	}
-	// firstDone returns the port of the flow whose last packet leaves first.
-	firstDone := func(l *fixture) uint16 {
-		for _, item := range l.drain(time.Second) {
+	// firstDone returns the port of the flow whose last packet is sent first.
+	firstDone := func(f *fixture) uint16 {
+		for _, item := range f.drain(time.Second) {
 			if item.Sequence == 15*fullData {
 				return item.Flow.Caller.Port()
 			}
 		}
 		return 0
 	}
-	t.Run("the one with the shorter objective", func(t *testing.T) {
-		l := newFixture(t)
-		window(l, flowKey(1, 1), 2*time.Second)
-		window(l, flowKey(2, 2), time.Second)
-		assert.EqualValues(t, 2, firstDone(l))
+	t.Run("shorter objective", func(t *testing.T) {
+		f := newFixture(t)
+		window(f, flowKey(1, 1), 2*time.Second)
+		window(f, flowKey(2, 2), time.Second)
+		assert.EqualValues(t, 2, firstDone(f))
 	})
-	t.Run("the one that began first", func(t *testing.T) {
-		l := newFixture(t)
-		window(l, flowKey(1, 1), time.Second)
-		l.now = l.now.Add(10 * time.Millisecond)
-		l.spendBurst()
-		window(l, flowKey(2, 2), time.Second)
-		assert.EqualValues(t, 1, firstDone(l))
+	t.Run("earlier start", func(t *testing.T) {
+		f := newFixture(t)
+		window(f, flowKey(1, 1), time.Second)
+		f.now = f.now.Add(10 * time.Millisecond)
+		f.spendBurst()
+		window(f, flowKey(2, 2), time.Second)
+		assert.EqualValues(t, 1, firstDone(f))
 	})
-	t.Run("but not one that can no longer be in time", func(t *testing.T) {
-		l := newFixture(t)
-		window(l, flowKey(1, 1), 40*time.Millisecond)
-		l.now = l.now.Add(50 * time.Millisecond)
-		l.spendBurst()
-		window(l, flowKey(2, 2), time.Second)
-		assert.EqualValues(t, 2, firstDone(l))
+	t.Run("late flows go last", func(t *testing.T) {
+		f := newFixture(t)
+		window(f, flowKey(1, 1), 40*time.Millisecond)
+		f.now = f.now.Add(50 * time.Millisecond)
+		f.spendBurst()
+		window(f, flowKey(2, 2), time.Second)
+		assert.EqualValues(t, 2, firstDone(f))
 	})
 }
 
-// Urgent traffic that never ends leaves an eighth of the link to what has waited longer
-// than overdueAfter.
+// Under constant urgent traffic, overdue packets get 1/overdueDivisor of the link.
 func TestOverdueDataIsNotStarvedByUrgentData(t *testing.T) {
-	l := newFixture(t)
+	f := newFixture(t)
 	victims := 4
 	for number := range victims {
-		l.offer(bulk(flowKey(1, 1), number))
+		f.offer(bulk(flowKey(1, 1), number))
 	}
 	rate := narrow.BytesPerSecond() * linkFraction
 	bound := overdueAfter + time.Duration(overdueDivisor*float64(victims*fullSize+quantum)/rate*float64(time.Second))
-	began := l.now
+	startedAt := f.now
 	port := 0
 	found := 0
-	for found < victims && l.now.Sub(began) < 2*bound {
-		for l.Len() < 40 {
+	for found < victims && f.now.Sub(startedAt) < 2*bound {
+		for f.Len() < 40 {
 			port++
 			item := bulk(flowKey(2, port), 0)
 			item.Urgency = 0
-			l.offer(item)
+			f.offer(item)
 		}
-		for _, item := range l.drain(time.Millisecond) {
+		for _, item := range f.drain(time.Millisecond) {
 			if item.Flow == flowKey(1, 1) {
 				found++
-				assert.Greater(t, l.now.Sub(began), overdueAfter, "not before it is overdue")
+				assert.Greater(t, f.now.Sub(startedAt), overdueAfter, "sent before it was overdue")
 			}
 		}
 	}
 	assert.Equal(t, victims, found)
-	assert.LessOrEqual(t, l.now.Sub(began), bound)
+	assert.LessOrEqual(t, f.now.Sub(startedAt), bound)
 }
 
-// A datagram may be larger than what can be saved up for the overdue: a target's head
-// stands before the largest one that a node reads.
+// A datagram with a header of the target may exceed maxOverdueCredit.
 func TestLargestDatagramIsNotStarved(t *testing.T) {
-	l := newFixture(t)
+	f := newFixture(t)
 	large := bulk(flowKey(1, 1), 0)
 	large.Size = quantum + smallSize
-	l.offer(large, bulk(flowKey(1, 1), 1))
+	f.offer(large, bulk(flowKey(1, 1), 1))
 	left := 0
 	for port := 0; port < 4000; port++ {
 		item := bulk(flowKey(2, port), 0)
 		item.Urgency = 0
-		l.offer(item)
-		for _, item := range l.drain(time.Millisecond) {
+		f.offer(item)
+		for _, item := range f.drain(time.Millisecond) {
 			if item.Flow == flowKey(1, 1) {
 				left++
 			}
--- a/internal/egress/queue.go
+++ b/internal/egress/queue.go
@@ -21,14 +21,13 @@
 	s.reclassify(f, item.Size)
 }
 
-// hasPriority reports whether a packet goes before all flows. The end of a flow stays
-// behind its data.
+// hasPriority reports whether a packet belongs in the control queue. A closing packet
+// stays behind the data of its flow.
 func hasPriority(f *flow, kind ItemKind) bool {
 	return kind != KindData && (kind != KindClosing || f.packets.isEmpty())
 }
 
-// place puts a flow, in which so many bytes more wait, into the class that it belongs
-// to now.
+// reclassify adds bytes to a flow's backlog and moves the flow to its current class.
 func (s *Scheduler) reclassify(f *flow, bytes int) {
 	class := f.classAt(f.lastActive)
 	if f.scheduled && f.class == class {
@@ -45,7 +44,7 @@
 	s.classes.add(f, class)
 }
 
-// take removes a packet and returns its item.
+// dequeue removes a packet and returns its item.
 func (s *Scheduler) dequeue(p *packet) Item {
 	item := p.Item
 	f := p.flow
--- a/internal/egress/rate.go
+++ b/internal/egress/rate.go
@@ -7,83 +7,88 @@
 )
 
 const (
-	// lossWindow is how far back a verdict looks: a caller's window takes so long on a
-	// link of half a Mbit/s.
+	// lossWindow is the time over which losses are evaluated: a caller's window takes
+	// that long at half a Mbit/s.
 	lossWindow = 400 * time.Millisecond
-	// evaluationDelay is the time from the first signs of loss to the verdict: callers send
-	// all that is missing within a few milliseconds.
+	// evaluationDelay is the time from the first loss to the evaluation. Callers
+	// retransmit all missing data within a few milliseconds.
 	evaluationDelay = 25 * time.Millisecond
-	// maturityAge is the age of packets whose losses have been seen.
+	// maturityAge is the age at which all losses of a slot have been detected.
 	maturityAge = 500 * time.Millisecond
-	// busyFraction is the part of the rate from which on what is sent tests it.
+	// busyFraction is the fraction of the rate above which traffic is a valid test of
+	// it.
 	busyFraction = 0.5
-	// idleWeight is the part with which time counts that does not test the rate: bursts
-	// with pauses lose less, and a rate is not kept low for ever for lack of tests.
+	// idleWeight is the weight of time with too little traffic to test the rate. It
+	// lets a reduced rate recover without traffic.
 	idleWeight = 0.3
-	// backgroundBytes is the number of bytes over which the usual share is averaged:
-	// about a second of a link of half a Mbit/s.
+	// backgroundBytes is the number of bytes over which the background loss is
+	// averaged: about a second at half a Mbit/s.
 	backgroundBytes = 64 * 1024
-	// maxBackground is the largest usual share; beyond it a link is of no use, and
-	// taking it for usual would hide any congestion.
+	// maxBackground caps the background loss. A higher loss is unusable in any case and
+	// would mask congestion.
 	maxBackground = 0.3
-	// writeErrorSize is the size in bytes of a datagram that the system did not take: it
-	// tells no size, and full ones are what fills its queue.
+	// writeErrorSize is the size counted for a datagram that the system rejected with
+	// its send queue full: a full datagram.
 	writeErrorSize = 1240
-	// ingressWindow is the time over which the incoming link is looked at: callers wait 200 ms
-	// before they send again. ingressBusyFraction is the part of the stated rate from which on it
-	// counts as busy.
+	// ingressWindow is the time over which the load of the incoming link is measured.
+	// It is longer than the callers' initial retransmission timeout of 200 ms.
+	// ingressBusyFraction is the fraction of the configured rate from which on the
+	// incoming link counts as busy.
 	ingressWindow       = 250 * time.Millisecond
 	ingressBusyFraction = 0.7
-	// minRate is the floor in bytes a second: a caller's whole window of 16 packets
-	// gets through within its longest pause of 1.6 s, so that it never gives up a
-	// flow for the rate alone.
+	// minRate is the lowest rate in bytes per second. It carries a caller's window of
+	// 16 packets within the longest retransmission timeout of 1.6 s, so that no caller
+	// gives up for the rate alone.
 	minRate = 16 * writeErrorSize / 1.6
 )
 
-// maxEstimatedRate is the rate in bytes a second beyond which nothing is learned: packets
-// would be forgotten within the 250 ms until callers send them again.
+// maxEstimatedRate is the rate in bytes per second above which no rate is estimated:
+// sent data would be overwritten in the loss table within 250 ms, before callers
+// retransmit it.
 const maxEstimatedRate = dataMarkCount * writeErrorSize / 0.25
 
-// RateOption changes how a rate is learned.
+// RateOption configures a RateEstimator.
 type RateOption func(r *RateEstimator)
 
-// WithPolicy sets how the rate follows losses; DeliveredRate when not given.
+// WithPolicy sets how the rate follows losses. The default is DeliveredRate.
 func WithPolicy(policy RatePolicy) RateOption {
 	return func(r *RateEstimator) { r.policy = policy }
 }
 
-// RateEstimator learns the rate that a node's own link carries now. It answers links
-// that are narrower than stated, for a while or since others share them: it lowers the
-// rate when callers send again what has left the node, and raises it up to the stated
-// one. It has no clock. One goroutine owns it.
+// RateEstimator estimates the rate that the node's own link currently carries, for
+// links that are shared or temporarily slower than configured. It lowers the rate when
+// callers retransmit data that the node has sent, and raises it again up to the
+// configured rate. It has no clock and must be used by one goroutine.
 type RateEstimator struct {
 	configured float64
-	// idle is set where nothing is learned.
+	// disabled is set if no rate is estimated.
 	disabled bool
 	policy   RatePolicy
 	detector lossDetector
 	slots    [slotCount]rateSlot
-	// newest is the number of the newest slot, and matured that of the newest one
-	// whose losses have been seen.
+	// newestSlot is the number of the current slot, and maturedSlot that of the newest
+	// one whose losses have been detected.
 	newestSlot, maturedSlot int64
-	// reduced is the rate after the last verdict, at reducedAt; 0 when there was none.
+	// reducedRate is the rate after the last reduction, at reducedAt; 0 if there was
+	// none.
 	reducedRate float64
 	reducedAt   kernel.Instant
-	// borne is the time since then for which the link has borne the rate.
+	// lossFreeTime is the weighted time since then without excessive loss.
 	lossFreeTime time.Duration
-	// lastLostSentAt is when the newest packet was sent that was lost.
+	// lastLostSentAt is when the most recently sent of the lost packets was sent.
 	lastLostSentAt kernel.Instant
-	// evaluateAt is when the next verdict is due; 0 while there are no signs.
+	// evaluateAt is when the next evaluation is due; 0 if no losses are pending.
 	evaluateAt kernel.Instant
-	// background is the usual share of bytes that are lost without congestion.
+	// backgroundLoss is the fraction of bytes that is lost without congestion.
 	backgroundLoss float64
 	reductions     uint64
 }
 
-// NewRateEstimator returns a learner for a link of a stated rate in bytes a second. One
-// of 0 bounds nothing and learns nothing; one beyond maxEstimatedRate keeps its rate.
-func NewRateEstimator(stated float64, opts ...RateOption) *RateEstimator {
-	r := &RateEstimator{configured: stated, disabled: stated <= 0 || stated > maxEstimatedRate, policy: DeliveredRate()}
+// NewRateEstimator returns an estimator for a link with a configured rate in bytes per
+// second. A rate of 0 means unlimited. A rate of 0 or above maxEstimatedRate is
+// returned unchanged.
+func NewRateEstimator(configured float64, opts ...RateOption) *RateEstimator {
+	r := &RateEstimator{configured: configured, disabled: configured <= 0 || configured > maxEstimatedRate, policy: DeliveredRate()}
 	r.detector = newLossDetector(observer{lost: r.recordLoss, delivered: r.recordDelivered})
 	for _, opt := range opts {
 		opt(r)
@@ -91,13 +96,13 @@
 	return r
 }
 
-// ConfiguredRate returns the stated rate in bytes a second.
+// ConfiguredRate returns the configured rate in bytes per second.
 func (r *RateEstimator) ConfiguredRate() float64 { return r.configured }
 
 // Reductions returns how often the rate was lowered.
 func (r *RateEstimator) Reductions() uint64 { return r.reductions }
 
-// Rate returns the rate in bytes a second.
+// Rate returns the estimated rate in bytes per second.
 func (r *RateEstimator) Rate(now kernel.Instant) float64 {
 	if r.disabled {
 		return r.configured
@@ -106,7 +111,7 @@
 	return r.current()
 }
 
-// current returns the rate at the time of the last look.
+// current returns the rate as of the last call to advance.
 func (r *RateEstimator) current() float64 {
 	if r.reducedRate == 0 {
 		return r.configured
@@ -114,7 +119,7 @@
 	return min(r.policy.Increase(r.reducedRate, r.configured, r.lossFreeTime), r.configured)
 }
 
-// RecordSent notes a datagram that has left the node.
+// RecordSent records a datagram that the node has sent.
 func (r *RateEstimator) RecordSent(now kernel.Instant, sent SentDatagram) {
 	if r.disabled {
 		return
@@ -127,7 +132,7 @@
 	}
 }
 
-// RecordPacket notes a packet of an open flow that has come from a caller.
+// RecordPacket records a packet of an open flow received from a caller.
 func (r *RateEstimator) RecordPacket(now kernel.Instant, packet ReceivedPacket) {
 	if r.disabled {
 		return
@@ -136,7 +141,7 @@
 	r.detector.recordPacket(now, packet)
 }
 
-// RecordReceived notes a datagram that has come to the node.
+// RecordReceived records the size of a received datagram.
 func (r *RateEstimator) RecordReceived(now kernel.Instant, bytes int) {
 	if r.disabled {
 		return
@@ -145,8 +150,8 @@
 	r.slotAt(now).received += bytes
 }
 
-// isIngressBusy reports whether the incoming link was busy lately. What waits there is not
-// seen here, and its callers send it again though nothing was lost.
+// isIngressBusy reports whether the incoming link was recently busy. Data queued in
+// front of it is not visible here, and callers retransmit it although nothing was lost.
 func (r *RateEstimator) isIngressBusy() bool {
 	received := 0
 	first := max(r.newestSlot-int64(ingressWindow/slotTime), 0)
@@ -156,8 +161,8 @@
 	return float64(received) >= ingressBusyFraction*r.configured*ingressWindow.Seconds()
 }
 
-// RecordWriteError notes a datagram that the system did not take since its own queue for
-// the link is full.
+// RecordWriteError records a datagram that the system rejected because its send queue
+// was full.
 func (r *RateEstimator) RecordWriteError(now kernel.Instant) {
 	if r.disabled {
 		return
@@ -172,8 +177,8 @@
 	return &r.slots[slotNumber(at)%slotCount]
 }
 
-// recordLoss counts a loss that callers show. What was sent before the last verdict says nothing of the
-// rate since.
+// recordLoss records a loss inferred from a caller's retransmission, unless the
+// incoming link is busy.
 func (r *RateEstimator) recordLoss(now kernel.Instant, lost loss) {
 	if !r.isIngressBusy() {
 		r.countLoss(now, lost)
@@ -197,8 +202,8 @@
 	r.slotAt(now).delivered += bytes
 }
 
-// advance begins the slots up to now, learns from those whose losses have been seen
-// and gives a verdict when one is due.
+// advance starts the slots up to now, updates the background loss and evaluates pending
+// losses that are due.
 func (r *RateEstimator) advance(now kernel.Instant) {
 	if number := slotNumber(now); number > r.newestSlot {
 		r.learnBackground(number - int64(maturityAge/slotTime))
@@ -211,7 +216,7 @@
 	}
 }
 
-// begin begins the slots up to a number.
+// beginSlots starts the slots up to a number.
 func (r *RateEstimator) beginSlots(number int64) {
 	if passed := number - r.newestSlot - slotCount; passed > 0 {
 		r.lossFreeTime += time.Duration(idleWeight * float64(passed) * float64(slotTime))
@@ -223,8 +228,8 @@
 	r.newestSlot = number
 }
 
-// countLossFreeTime counts the time of a slot that is over, unless more than usual was lost
-// lately.
+// countLossFreeTime adds the time of a finished slot to lossFreeTime, unless recent
+// losses were excessive.
 func (r *RateEstimator) countLossFreeTime(slot *rateSlot) {
 	recent := r.recentTotals()
 	if recent.lossFraction() > toleratedLoss+r.backgroundLoss || recent.sent >= minOutageBytes/2 && recent.isOutage() {
@@ -237,7 +242,7 @@
 	r.lossFreeTime += time.Duration(weight * float64(slotTime))
 }
 
-// judge lowers the rate when more was lost than is due.
+// evaluate lowers the rate if recent losses were excessive.
 func (r *RateEstimator) evaluate(now kernel.Instant) {
 	sum := r.recentTotals()
 	if !sum.isExcessive(r.backgroundLoss) {
@@ -246,7 +251,7 @@
 	r.reduce(now, r.slots[slotNumber(r.lastLostSentAt)%slotCount].rate, sum.excessFraction(r.backgroundLoss))
 }
 
-// reduce lowers the rate after a share was lost at a rate.
+// reduce lowers the rate after a fraction of the data sent at the given rate was lost.
 func (r *RateEstimator) reduce(now kernel.Instant, rate, share float64) {
 	r.reducedRate = max(r.policy.Decrease(rate, r.configured, share), min(minRate, r.configured))
 	r.reducedAt = now
@@ -254,7 +259,7 @@
 	r.reductions++
 }
 
-// sum counts what was lately learned since the last verdict.
+// recentTotals sums up the slots of the loss window since the last reduction.
 func (r *RateEstimator) recentTotals() rateSlot {
 	var sum rateSlot
 	first := max(r.newestSlot-int64(lossWindow/slotTime), slotNumber(r.reducedAt), 0)
--- a/internal/egress/rate_test.go
+++ b/internal/egress/rate_test.go
@@ -15,7 +15,7 @@
 
 const modelSeeds = 10
 
-// modelLoad is a number of uploads at once, with pauses between them.
+// modelLoad is a number of concurrent uploads with pauses between them.
 type modelLoad struct {
 	uploads int
 	pause   time.Duration
@@ -24,12 +24,12 @@
 func (l modelLoad) String() string { return fmt.Sprintf("%d uploads, pause %v", l.uploads, l.pause) }
 
 func (l modelLoad) model(seed uint64, opts ...RateOption) *linkModel {
-	m := newLinkModel(seed, NewRateEstimator(modelStated, opts...))
+	m := newLinkModel(seed, NewRateEstimator(modelRate, opts...))
 	m.uploads, m.pause = l.uploads, l.pause
 	return m
 }
 
-// fixedRate keeps the stated rate, to compare with.
+// fixedRate is a policy that keeps the configured rate, for comparison.
 func fixedRate() RatePolicy {
 	return RatePolicy{
 		Decrease: func(rate, _, _ float64) float64 { return rate },
@@ -37,7 +37,7 @@
 	}
 }
 
-// squeezed returns the mean share that is lost from a second after the link narrowed.
+// lossOnNarrowLink returns the mean loss from one second after the link became slower.
 func lossOnNarrowLink(load modelLoad, link float64, policy RatePolicy) float64 {
 	total := 0.0
 	for seed := range uint64(modelSeeds) {
@@ -53,54 +53,54 @@
 func TestNarrowLinkLossFallsWithinASecond(t *testing.T) {
 	loads := []modelLoad{{uploads: 6}, {uploads: 4}, {uploads: 3, pause: time.Second}, {uploads: 1, pause: time.Second}}
 	for _, load := range loads {
-		for _, link := range []float64{modelStated / 2, modelStated / 4} {
+		for _, link := range []float64{modelRate / 2, modelRate / 4} {
 			fixed := lossOnNarrowLink(load, link, fixedRate())
 			additive := lossOnNarrowLink(load, link, AdditiveIncrease())
 			delivered := lossOnNarrowLink(load, link, DeliveredRate())
-			t.Logf("%v, link %.0f B/s: lost %.3f at the stated rate, %.3f by additive increase, %.3f by what is delivered",
+			t.Logf("%v, link %.0f B/s: loss %.3f at the configured rate, %.3f with AdditiveIncrease, %.3f with DeliveredRate",
 				load, link, fixed, additive, delivered)
 			assert.Less(t, delivered, 0.65*fixed)
-			assert.Less(t, delivered, additive, "the way that is kept is the better one")
+			assert.Less(t, delivered, additive, "the default policy must lose less")
 		}
 	}
 }
 
 func TestRateRecoversWithinTwoSeconds(t *testing.T) {
-	for _, link := range []float64{modelStated / 2, modelStated / 4} {
+	for _, link := range []float64{modelRate / 2, modelRate / 4} {
 		for seed := range uint64(modelSeeds) {
 			m := modelLoad{uploads: 6}.model(seed)
 			m.link = link
 			m.run(2 * time.Second)
-			assert.Less(t, m.meanRate(4*time.Second), 0.8*modelStated, "link %.0f seed %d", link, seed)
-			m.link = modelStated
+			assert.Less(t, m.meanRate(4*time.Second), 0.8*modelRate, "link %.0f seed %d", link, seed)
+			m.link = modelRate
 			assert.LessOrEqual(t, m.timeUntil(1, 5*time.Second), 2*time.Second, "link %.0f seed %d", link, seed)
 		}
 	}
 }
 
-// Just after a verdict it takes longest: what was lost before the return is seen up to
-// 0.7 s later.
+// Recovery is slowest just after a reduction, because earlier losses are still being
+// detected.
 func TestRateRecoversAfterRecentReduction(t *testing.T) {
-	for _, link := range []float64{modelStated / 2, modelStated / 4} {
+	for _, link := range []float64{modelRate / 2, modelRate / 4} {
 		var total time.Duration
 		for seed := range uint64(modelSeeds) {
 			m := modelLoad{uploads: 6}.model(seed)
 			m.link = link
 			m.run(6 * time.Second)
 			m.runUntilReduced(t)
-			m.link = modelStated
+			m.link = modelRate
 			took := m.timeUntil(1, 5*time.Second)
 			assert.LessOrEqual(t, took, 3500*time.Millisecond, "link %.0f seed %d", link, seed)
 			total += took
 		}
-		t.Logf("link %.0f B/s: back after %v on average", link, total/modelSeeds)
+		t.Logf("link %.0f B/s: mean recovery time %v", link, total/modelSeeds)
 		assert.LessOrEqual(t, total/modelSeeds, 2*time.Second)
 	}
 }
 
 func TestRateRecoversWithoutTraffic(t *testing.T) {
 	m := modelLoad{uploads: 6}.model(1)
-	m.link = modelStated / 4
+	m.link = modelRate / 4
 	m.run(6 * time.Second)
 	m.uploads, m.active, m.starts, m.queue = 0, nil, nil, nil
 	assert.LessOrEqual(t, m.timeUntil(1, time.Minute), 10*time.Second)
@@ -113,8 +113,8 @@
 				m := load.model(seed)
 				m.lossShare = share
 				m.run(20 * time.Second)
-				assert.Zero(t, m.learner.Reductions(), "%v loss %v seed %d", load, share, seed)
-				assert.InDelta(t, modelStated, m.learner.Rate(m.now), 0)
+				assert.Zero(t, m.estimator.Reductions(), "%v loss %v seed %d", load, share, seed)
+				assert.InDelta(t, modelRate, m.estimator.Rate(m.now), 0)
 			}
 		}
 	}
@@ -124,17 +124,17 @@
 	for _, share := range []float64{0.01, 0.03, 0.1} {
 		for _, load := range []modelLoad{{uploads: 4}, {uploads: 1, pause: 300 * time.Millisecond}} {
 			total := 0.0
-			const looks = 200
+			const samples = 200
 			for seed := range uint64(modelSeeds) {
 				m := load.model(seed)
 				m.lossShare = share
-				for range looks {
+				for range samples {
 					m.run(50 * time.Millisecond)
-					total += m.learner.Rate(m.now) / modelStated
+					total += m.estimator.Rate(m.now) / modelRate
 				}
 			}
-			mean := total / looks / modelSeeds
-			t.Logf("%v, %.0f%% lost: mean rate %.3f", load, 100*share, mean)
+			mean := total / samples / modelSeeds
+			t.Logf("%v, %.0f%% loss: mean rate %.3f", load, 100*share, mean)
 			assert.GreaterOrEqual(t, mean, 0.8)
 		}
 	}
@@ -146,13 +146,13 @@
 			m := modelLoad{uploads: 8}.model(seed)
 			m.deadShare = share
 			m.run(10 * time.Second)
-			assert.Zero(t, m.learner.Reductions(), "share %v seed %d", share, seed)
+			assert.Zero(t, m.estimator.Reductions(), "share %v seed %d", share, seed)
 		}
 	}
 }
 
 func TestDeadLinkKeepsMinRate(t *testing.T) {
-	r := NewRateEstimator(modelStated)
+	r := NewRateEstimator(modelRate)
 	now := modelStart
 	for range 2000 {
 		now = now.Add(5 * time.Millisecond)
@@ -163,12 +163,12 @@
 }
 
 func TestWriteErrorsReduceRate(t *testing.T) {
-	r := NewRateEstimator(modelStated)
+	r := NewRateEstimator(modelRate)
 	for range minLostPackets {
 		r.RecordWriteError(modelStart)
 	}
-	assert.InDelta(t, modelStated, r.Rate(modelStart), 0)
-	assert.Less(t, r.Rate(modelStart.Add(evaluationDelay)), modelStated)
+	assert.InDelta(t, modelRate, r.Rate(modelStart), 0)
+	assert.Less(t, r.Rate(modelStart.Add(evaluationDelay)), modelRate)
 }
 
 func TestUnsetRateIsNotEstimated(t *testing.T) {
@@ -200,12 +200,12 @@
 	return (&linkModel{}).flowOf(port)
 }
 
-// TestRateStaysInBounds feeds a learner with anything, in any order.
+// Arbitrary input in any order must keep the rate within its bounds.
 func TestRateStaysInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		stated := rapid.Float64Range(1, 1e9).Draw(t, "stated")
+		configured := rapid.Float64Range(1, 1e9).Draw(t, "stated")
 		policies := []RatePolicy{AdditiveIncrease(), DeliveredRate()}
-		r := NewRateEstimator(stated, WithPolicy(rapid.SampledFrom(policies).Draw(t, "policy")))
+		r := NewRateEstimator(configured, WithPolicy(rapid.SampledFrom(policies).Draw(t, "policy")))
 		now := modelStart
 		step := func(t *rapid.T) {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "pause")))
@@ -227,11 +227,11 @@
 			"time":  step,
 			"": func(t *rapid.T) {
 				rate := r.Rate(now)
-				if !(rate >= min(minRate, stated) && rate <= stated) || stated > maxEstimatedRate && rate != stated {
-					t.Fatalf("rate %v of %v", rate, stated)
+				if !(rate >= min(minRate, configured) && rate <= configured) || configured > maxEstimatedRate && rate != configured {
+					t.Fatalf("rate %v, configured %v", rate, configured)
 				}
 				if !(r.backgroundLoss >= 0 && r.backgroundLoss <= maxBackground) {
-					t.Fatalf("background %v", r.backgroundLoss)
+					t.Fatalf("background loss %v", r.backgroundLoss)
 				}
 			},
 		})
@@ -247,7 +247,7 @@
 }
 
 func TestRateEstimatorDoesNotAllocate(t *testing.T) {
-	r := NewRateEstimator(modelStated)
+	r := NewRateEstimator(modelRate)
 	now := modelStart
 	flow := modelFlow(1)
 	position := uint32(0)
@@ -266,7 +266,7 @@
 }
 
 func BenchmarkRateEstimator(b *testing.B) {
-	r := NewRateEstimator(modelStated)
+	r := NewRateEstimator(modelRate)
 	now := modelStart
 	flow := modelFlow(1)
 	position := uint32(0)
--- a/internal/egress/ratepolicy.go
+++ b/internal/egress/ratepolicy.go
@@ -3,69 +3,70 @@
 import "time"
 
 const (
-	// additiveDecreaseFactor is what the additive policy leaves of the rate: the part of the
-	// customary multiplicative decrease with which a link shared with others stays
-	// used (RFC 9438, section 4.6).
+	// additiveDecreaseFactor is the multiplicative decrease of the additive policy, the
+	// value of RFC 9438, section 4.6.
 	additiveDecreaseFactor = 0.7
-	// additiveIncreaseFraction is the part of the stated rate that the additive policy adds a
-	// second: from a quarter it is back in 1.5 s.
+	// additiveIncreaseFraction is the fraction of the configured rate that the additive
+	// policy adds per second.
 	additiveIncreaseFraction = 0.5
 
-	// deliveredMaxFactor is the largest part of a rate that a verdict leaves: only the first
-	// losses of each caller are known for sure, so a share is more often too small.
+	// deliveredMaxFactor is the largest factor of one reduction. Only the first loss of
+	// each caller is certain, so the loss is mostly underestimated.
 	deliveredMaxFactor = 0.7
-	// deliveredMinFactor is the least part of a rate that one verdict leaves: what a window
-	// under way has come to is not known in full, and the next verdict follows soon. It
-	// is what the first one leaves: while a link is far too fast, most signs are lost too.
+	// deliveredMinFactor is the smallest factor of one reduction. The fate of the
+	// window in flight is not fully known, and the next evaluation follows soon. The
+	// first reduction always uses it, because far above the link's rate most signs of
+	// loss are lost as well.
 	deliveredMinFactor = 0.5
-	// deliveredHoldTime is how long the rate that got through is kept before more is tried.
-	// What is tried in vain is lost, so it is as long as the 2 s allow within which the
-	// rate is to be back.
+	// deliveredHoldTime is how long a reduced rate is kept before it is raised. Probes
+	// above the link's rate cost losses, so it is as long as a recovery within 2 s
+	// permits.
 	deliveredHoldTime = 750 * time.Millisecond
-	// probeInterval is the time between two rises: the queue on the link fills first, then
-	// callers send again after 200 ms.
+	// probeInterval is the time between two increases: a link's queue has to fill
+	// first, and callers retransmit after 200 ms.
 	probeInterval = 425 * time.Millisecond
-	// firstProbeFactor is the factor of the first rise: enough to fill the queue within that
-	// time, so that losses show.
+	// firstProbeFactor is the first increase, enough to fill the link's queue within
+	// probeInterval so that losses show.
 	firstProbeFactor = 1.5
-	// nextProbeFactor is the factor of further ones: the link has taken more than before.
+	// nextProbeFactor is the further increases, which follow on successful ones.
 	nextProbeFactor = 2.5
 )
 
-// RatePolicy tells how a rate follows losses.
+// RatePolicy determines how the rate follows losses.
 type RatePolicy struct {
-	// Reduced returns the rate after an undue share of what was sent at a rate was lost.
-	Decrease func(rate, stated, share float64) float64
-	// Grown returns the rate after so long a time without undue losses since it was
-	// reduced.
-	Increase func(reduced, stated float64, since time.Duration) float64
+	// Decrease returns the rate after an excessive share of the data sent at rate was
+	// lost.
+	Decrease func(rate, configured, lost float64) float64
+	// Increase returns the rate after the given time without excessive loss.
+	Increase func(reduced, configured float64, since time.Duration) float64
 }
 
-// AdditiveIncrease cuts the rate by a fixed part and raises it steadily.
+// AdditiveIncrease returns a policy of additive increase and multiplicative decrease.
 func AdditiveIncrease() RatePolicy {
 	return RatePolicy{
 		Decrease: func(rate, _, _ float64) float64 { return rate * additiveDecreaseFactor },
-		Increase: func(reduced, stated float64, since time.Duration) float64 {
-			return reduced + stated*additiveIncreaseFraction*since.Seconds()
+		Increase: func(reduced, configured float64, since time.Duration) float64 {
+			return reduced + configured*additiveIncreaseFraction*since.Seconds()
 		},
 	}
 }
 
-// DeliveredRate takes what got through, keeps it for a while and probes upwards.
+// DeliveredRate returns a policy that lowers the rate to the delivered rate, holds it
+// for a while and then probes upwards.
 func DeliveredRate() RatePolicy {
 	return RatePolicy{
-		Decrease: func(rate, stated, share float64) float64 {
-			if rate >= stated {
+		Decrease: func(rate, configured, lost float64) float64 {
+			if rate >= configured {
 				return rate * deliveredMinFactor
 			}
-			return rate * max(min(1-share, deliveredMaxFactor), deliveredMinFactor)
+			return rate * max(min(1-lost, deliveredMaxFactor), deliveredMinFactor)
 		},
-		Increase: func(reduced, stated float64, since time.Duration) float64 {
+		Increase: func(reduced, configured float64, since time.Duration) float64 {
 			if since < deliveredHoldTime {
 				return reduced
 			}
 			rate := reduced * firstProbeFactor
-			for left := since - deliveredHoldTime; left >= probeInterval && rate < stated; left -= probeInterval {
+			for left := since - deliveredHoldTime; left >= probeInterval && rate < configured; left -= probeInterval {
 				rate *= nextProbeFactor
 			}
 			return rate
--- a/internal/egress/ratesigns.go
+++ b/internal/egress/ratesigns.go
@@ -2,8 +2,9 @@
 
 import "github.com/beamdoor/beamdoor/internal/kernel"
 
-// detectOutage lowers the rate when next to nothing gets through of much that was sent:
-// when most is lost, so are the copies that would tell.
+// detectOutage lowers the rate when almost nothing of a large amount sent was
+// delivered. In that case the retransmissions that would show the losses are lost as
+// well.
 func (r *RateEstimator) detectOutage(now kernel.Instant) {
 	seen := slotNumber(now.Add(-outageDelay))
 	first := max(slotNumber(now.Add(-outageDelay-outageWindow)), slotNumber(r.reducedAt)+1, 0)
@@ -21,9 +22,8 @@
 	r.reduce(now, r.slots[first%slotCount].rate, 1-float64(before.delivered)/float64(before.sent))
 }
 
-// learnBackground learns the share that is lost without congestion from the slots up to
-// a number: those sent at the stated rate, or soon after it was lowered to what gets
-// through.
+// learnBackground updates the background loss from the slots up to last. It uses those
+// sent at the configured rate or at most at the reduced one.
 func (r *RateEstimator) learnBackground(last int64) {
 	for number := max(r.maturedSlot+1, r.newestSlot-slotCount+1, 0); number <= min(last, r.newestSlot); number++ {
 		r.learnFromSlot(number)
--- a/internal/egress/rateslot.go
+++ b/internal/egress/rateslot.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	// slotTime is the resolution of what was sent and lost.
+	// slotTime is the length of a slot.
 	slotTime = 25 * time.Millisecond
-	// slotCount slots hold the caller's longest pause, after which losses are seen.
+	// slotCount is the number of slots, which cover the callers' longest retransmission
+	// timeout.
 	slotCount = 64
-	// minLostPackets is the number of lost packets below which there is no verdict: single
-	// ones are lost on any link, and a caller shows two at most at a time.
+	// minLostPackets is the number of lost packets below which the rate is kept. Any
+	// link loses single packets, and one caller shows at most two losses at a time.
 	minLostPackets = 2
-	// toleratedLoss is the share of packets whose loss is due to no congestion in any case:
-	// datagrams are lost now and then.
+	// toleratedLoss is the fraction of lost packets that is never taken for congestion.
 	toleratedLoss = 0.05
-	// outageWindow is how long what was sent is summed up, and outageDelay how much older it
-	// must be than what it is held against: callers show within it what got through, by
-	// more data or, after an answer, by their acknowledgement.
+	// outageWindow is the time over which sent data is summed up to detect an outage,
+	// and outageDelay its minimum age: within it callers show what was delivered by
+	// sending more data or by acknowledging an answer.
 	outageWindow = 400 * time.Millisecond
 	outageDelay  = 300 * time.Millisecond
-	// minOutageBytes is the least that was sent: two windows of data, so that a single
-	// dead target is no outage.
+	// minOutageBytes is the least data sent to detect an outage: two windows, so that
+	// one dead target is not taken for an outage.
 	minOutageBytes = 2 * 16 * writeErrorSize
-	// outageFraction is the part below which next to nothing got through.
+	// outageFraction is the delivered fraction below which the link counts as down.
 	outageFraction = 0.25
-	// lossDeviations is how many deviations of a count by chance lie above what is due.
+	// lossDeviations is the number of standard deviations above the expected count from
+	// which on losses are excessive.
 	lossDeviations = 1.25
 )
 
-// rateSlot counts what was sent in a short time, and what was learned in it of the
-// fate of what had been sent.
+// rateSlot counts the data sent in a short interval, and the losses and deliveries
+// detected in it.
 type rateSlot struct {
-	// rate is the rate at its begin.
+	// rate is the rate at the start of the slot.
 	rate float64
-	// sent, delivered, lost and received are bytes.
+	// sent, delivered, lost and received are in bytes.
 	sent, delivered, lost, received int
-	// proven are the bytes sent in flows whose targets had acknowledged data before.
-	sentToLive int
-	// lostPackets is the number of lost packets.
+	// sentToLive is the bytes sent in flows whose targets had acknowledged data before.
+	sentToLive  int
 	lostPackets int
 }
 
@@ -52,8 +52,8 @@
 	s.lostPackets += other.lostPackets
 }
 
-// isExcessive reports whether more packets were lost than chance explains, when a share is
-// usual.
+// isExcessive reports whether more packets were lost than the background loss and
+// chance explain.
 func (s *rateSlot) isExcessive(background float64) bool {
 	if s.lostPackets < minLostPackets {
 		return false
@@ -63,7 +63,7 @@
 	return lost > due+lossDeviations*math.Sqrt(due)
 }
 
-// lossFraction returns the share of bytes that were lost.
+// lossFraction returns the fraction of bytes lost.
 func (s *rateSlot) lossFraction() float64 {
 	if s.lost == 0 {
 		return 0
@@ -71,15 +71,16 @@
 	return float64(s.lost) / float64(s.lost+s.delivered)
 }
 
-// excessFraction returns the share of bytes that were lost, less what may be chance.
+// excessFraction returns the fraction of bytes lost, less a standard error and the
+// background loss.
 func (s *rateSlot) excessFraction(background float64) float64 {
 	lost := float64(s.lostPackets)
 	certain := (lost - math.Sqrt(lost)) / lost
 	return max(s.lossFraction()*certain-background, 0)
 }
 
-// isOutage reports whether next to nothing got through of what was sent, and not for
-// dead targets alone: a part went to some that had lived.
+// isOutage reports whether almost nothing was delivered although enough of it was sent
+// to live targets.
 func (s *rateSlot) isOutage() bool {
 	least := outageFraction * float64(s.sent)
 	return float64(s.delivered) < least && float64(s.sentToLive) >= least
--- a/internal/egress/records.go
+++ b/internal/egress/records.go
@@ -7,7 +7,8 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// recordOffered notes that so many bytes of a flow were offered. A flow that has rested begins anew.
+// recordOffered records bytes offered for a flow. After flowIdleTimeout they start a
+// new request.
 func (s *Scheduler) recordOffered(now kernel.Instant, f *flow, bytes int) {
 	if now.Sub(f.lastActive) >= flowIdleTimeout && !f.hasWaiting() {
 		f.reset(now)
@@ -20,9 +21,9 @@
 	s.byActivity.moveBack(f)
 }
 
-// markBulk notes that a flow has sent much. Each other such flow of its caller puts it
-// as far back as the link needs for a window: callers with many flows at once do not
-// take the place of those with few.
+// markBulk marks a flow as bulk and sets its deadline. Each other bulk flow of the
+// caller delays it by the transmission time of a window, so that callers with many
+// flows do not crowd out those with few.
 func (s *Scheduler) markBulk(f *flow) {
 	f.bulk = true
 	f.deadline = f.startedAt.Add(f.objectiveOrDefault())
@@ -33,7 +34,7 @@
 	f.caller.bulk++
 }
 
-// flowRecord returns the record of an item's flow.
+// flowRecord returns the record of the item's flow, which it creates if needed.
 func (s *Scheduler) flowRecord(now kernel.Instant, item *Item) *flow {
 	if f, known := s.flows[item.Flow]; known {
 		return f
@@ -52,19 +53,19 @@
 	return f
 }
 
-// callerRecord returns the record of a caller, which has one more flow now.
+// callerRecord returns the record of a caller for one more flow.
 func (s *Scheduler) callerRecord(address netip.Addr) *caller {
-	from, known := s.callers[address]
+	record, known := s.callers[address]
 	if !known {
-		from = &caller{address: address}
-		s.callers[address] = from
+		record = &caller{address: address}
+		s.callers[address] = record
 	}
-	from.flows++
-	return from
+	record.flows++
+	return record
 }
 
-// evictOldest makes room for a flow. There are flowsPerPacket times more records than
-// packets that wait, so most flows rest.
+// evictOldest makes room for a flow record. There are flowsPerPacket records per packet
+// in the queue, so most flows are idle.
 func (s *Scheduler) evictOldest() {
 	if len(s.flows) < s.settings.maxFlows() {
 		return
--- a/internal/egress/room.go
+++ b/internal/egress/room.go
@@ -1,12 +1,12 @@
 package egress
 
-// drop removes a packet that is not sent.
+// drop removes a queued packet without sending it.
 func (s *Scheduler) drop(p *packet, reason DropReason) {
 	item := s.dequeue(p)
 	s.OnDrop(&item, reason)
 }
 
-// cancel drops all data of a flow, and its opening packet.
+// cancelFlow drops a flow's queued data and its opening packet.
 func (s *Scheduler) cancelFlow(f *flow, reason DropReason) {
 	for !f.packets.isEmpty() {
 		s.drop(f.packets.first, reason)
@@ -16,9 +16,9 @@
 	}
 }
 
-// makeRoom drops what helps less than an item until the item fits. It returns false
-// when the item itself helps least, or when there is so much that goes before all flows
-// that it would crowd them out.
+// makeRoom drops packets that rank behind the item until it fits. It returns false if
+// the item itself ranks last, or if the control queue has reached its share of the
+// packets.
 func (s *Scheduler) makeRoom(f *flow, item *Item) bool {
 	first := hasPriority(f, item.Kind)
 	if first && s.controlCount >= s.settings.maxPackets/controlDivisor {
@@ -37,9 +37,9 @@
 	return true
 }
 
-// ranksBehind reports whether another packet of a flow helps less than the last one of
-// another flow, which is of the last class: it is behind it, or of a caller with no
-// fewer bytes there.
+// ranksBehind reports whether a further packet of the flow ranks behind those of
+// another flow, which is in the last class: it is in a later class, has no earlier
+// deadline, or its caller has no less data queued.
 func (f *flow) ranksBehind(other *flow) bool {
 	class := f.classAt(f.lastActive)
 	if class != other.class {
@@ -48,6 +48,6 @@
 	if levelOf(class) != levelSmall {
 		return f.deadline >= other.deadline
 	}
-	own := f.caller.queueIn(class)
-	return own != nil && own.bytes >= other.queue.bytes
+	queue := f.caller.queueIn(class)
+	return queue != nil && queue.bytes >= other.queue.bytes
 }
--- a/internal/egress/scheduler.go
+++ b/internal/egress/scheduler.go
@@ -8,38 +8,39 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// Scheduler holds the datagrams that wait for a node's own link and decides which
-// one leaves next. Openings, resets and short control go first; then the more urgent
-// routes, within one urgency flows that have sent little, by turns of their callers,
-// then those that have sent much and can be in time, the one due first, then the rest.
-// One goroutine owns it.
+// Scheduler queues the datagrams for the node's own link and decides the order in which
+// they are sent. Openings, resets and other control packets go first, then data by
+// urgency. Within an urgency, flows that have sent little go first, round robin by
+// caller, then larger flows that can meet their deadline, earliest first, then late
+// ones. It must be used by one goroutine.
 type Scheduler struct {
-	// Rate returns the bytes a second that the link carries; 0 bounds nothing.
+	// Rate returns the rate of the link in bytes per second; 0 means unlimited.
 	Rate func(now kernel.Instant) float64
-	// OnDrop is told of each item that waited and is not sent, and takes its payload
-	// back.
+	// OnDrop is called for each queued item that is dropped, and takes back its
+	// payload.
 	OnDrop func(item *Item, reason DropReason)
 
 	settings settings
 	bucket   tokenBucket
 	classes  classes
-	// control holds the packets that go before all flows, and controls is their number.
+	// control is the queue that is served before all flows, and controlCount its
+	// length.
 	control      list[packet]
 	controlCount int
 	byAge        list[packet]
 	flows        map[steer.FlowKey]*flow
 	callers      map[netip.Addr]*caller
-	// resting holds all flows, the one seen longest ago first.
+	// byActivity holds all flows, the least recently active first.
 	byActivity list[flow]
 	packetPool pool[packet]
 	flowPool   pool[flow]
 	length     int
 	bytes      int
-	// overdueCredit is the number of bytes that what has waited too long may send.
+	// overdueCredit is the number of bytes that overdue packets may send.
 	overdueCredit int
 }
 
-// New returns a scheduler in which nothing waits.
+// New returns an empty scheduler.
 func New(opts ...Option) *Scheduler {
 	s := &Scheduler{
 		settings:   defaultSettings(),
@@ -61,13 +62,14 @@
 	return s
 }
 
-// Len returns the number of items that wait.
+// Len returns the number of queued items.
 func (s *Scheduler) Len() int { return s.length }
 
-// Bytes returns the bytes that wait.
+// Bytes returns the number of queued bytes.
 func (s *Scheduler) Bytes() int { return s.bytes }
 
-// QueueDelay returns how long the oldest item has waited; 0 while none waits.
+// QueueDelay returns how long the oldest queued item has waited; 0 if the queue is
+// empty.
 func (s *Scheduler) QueueDelay(now kernel.Instant) time.Duration {
 	if s.byAge.isEmpty() {
 		return 0
@@ -75,8 +77,8 @@
 	return now.Sub(s.byAge.first.OfferedAt)
 }
 
-// Allow reports whether an item can leave at once, since nothing waits and the link
-// takes it. Its size is then spent.
+// Allow reports whether an item can be sent at once: the queue is empty and the link
+// has capacity, which is then consumed.
 func (s *Scheduler) Allow(now kernel.Instant, key steer.FlowKey, size int) bool {
 	s.bucket.refill(now, s.Rate(now))
 	if s.length > 0 || !s.bucket.has(size) {
@@ -92,8 +94,7 @@
 	return true
 }
 
-// Offer takes an item that is to leave. Its payload is the scheduler's own once it
-// is queued.
+// Offer sends or queues an item. Once queued, its payload belongs to the scheduler.
 func (s *Scheduler) Offer(now kernel.Instant, item *Item) Outcome {
 	if s.Allow(now, item.Flow, item.Size) {
 		return OutcomeSendNow
@@ -114,7 +115,7 @@
 	return OutcomeQueued
 }
 
-// Next returns the item that leaves now, and its payload with it.
+// Next removes and returns the next item to send, if the link has capacity.
 func (s *Scheduler) Next(now kernel.Instant) (Item, bool) {
 	s.bucket.refill(now, s.Rate(now))
 	for {
@@ -141,8 +142,8 @@
 	}
 }
 
-// TimeUntilNext returns the time until something can leave; false while nothing waits. Bulk
-// waits until several packets can leave at once.
+// TimeUntilNext returns the time until an item can be sent; false if the queue is
+// empty. Bulk data waits until several packets can be sent at once.
 func (s *Scheduler) TimeUntilNext(now kernel.Instant) (time.Duration, bool) {
 	next, _ := s.nextPacket(now)
 	if next == nil {
@@ -156,21 +157,21 @@
 	return s.bucket.timeUntil(bytes), true
 }
 
-// HasQueuedOpening reports whether the opening packet of a flow waits.
+// HasQueuedOpening reports whether the opening packet of a flow is queued.
 func (s *Scheduler) HasQueuedOpening(key steer.FlowKey) bool {
 	f, known := s.flows[key]
 	return known && f.opening != nil
 }
 
-// CancelFlow drops what waits of a flow whose target is lost or has ended.
+// CancelFlow drops the queued packets of a flow whose target was lost or has ended.
 func (s *Scheduler) CancelFlow(key steer.FlowKey) {
 	if f, known := s.flows[key]; known {
 		s.cancelFlow(f, DropTargetLost)
 	}
 }
 
-// Tick drops what is of no use any more and forgets flows that have rested. It is
-// called a few times a second.
+// Tick drops expired items and removes idle flows. It is called several times per
+// second.
 func (s *Scheduler) Tick(now kernel.Instant) {
 	for f := s.byActivity.first; f != nil; {
 		next := f.activityLinks.next
--- a/internal/egress/scheduler_test.go
+++ b/internal/egress/scheduler_test.go
@@ -15,10 +15,11 @@
 
 const (
 	start = kernel.Instant(time.Minute)
-	// fullSize and fullData are those of a full datagram of bulk.
+	// fullSize and fullData are the size on the link and the payload of a full
+	// datagram.
 	fullSize = 1268
 	fullData = 1200
-	// smallSize is that of a datagram without data.
+	// smallSize is the size on the link of a datagram without data.
 	smallSize = 68
 )
 
@@ -27,13 +28,13 @@
 
 var virtual = netip.MustParseAddrPort("198.18.0.1:8443")
 
-// flowKey names a flow of a caller by its port.
+// flowKey returns the flow of a caller's port.
 func flowKey(caller, port int) steer.FlowKey {
 	address := netip.AddrFrom4([4]byte{100, 64, byte(caller >> 8), byte(caller)})
 	return steer.FlowKey{Caller: netip.AddrPortFrom(address, uint16(port)), Virtual: virtual}
 }
 
-// bulk is the numbered datagram of data of a flow.
+// bulk returns the numbered data packet of a flow.
 func bulk(flow steer.FlowKey, number int) *Item {
 	return &Item{Flow: flow, Kind: KindData, Urgency: 2, Sequence: uint32(number * fullData), Data: fullData, Size: fullSize}
 }
@@ -42,7 +43,7 @@
 	return &Item{Flow: flow, Kind: kind, Urgency: 2, Size: smallSize}
 }
 
-// lab is a scheduler whose link has just carried a burst.
+// fixture is a scheduler with an empty token bucket.
 type fixture struct {
 	*testing.T
 	*Scheduler
@@ -51,42 +52,42 @@
 }
 
 func newFixture(t *testing.T, opts ...Option) *fixture {
-	l := &fixture{
+	f := &fixture{
 		T: t, now: start, dropped: map[DropReason][]Item{},
 		Scheduler: New(append([]Option{WithLink(narrow)}, opts...)...),
 	}
-	l.OnDrop = func(item *Item, reason DropReason) { l.dropped[reason] = append(l.dropped[reason], *item) }
-	l.spendBurst()
-	return l
+	f.OnDrop = func(item *Item, reason DropReason) { f.dropped[reason] = append(f.dropped[reason], *item) }
+	f.spendBurst()
+	return f
 }
 
-// use lets the link carry all that it takes at once.
-func (l *fixture) spendBurst() {
-	l.bucket.refill(l.now, l.Rate(l.now))
-	l.bucket.tokens = 0
+// spendBurst empties the token bucket.
+func (f *fixture) spendBurst() {
+	f.bucket.refill(f.now, f.Rate(f.now))
+	f.bucket.tokens = 0
 }
 
-func (l *fixture) offer(items ...*Item) {
-	l.Helper()
+func (f *fixture) offer(items ...*Item) {
+	f.Helper()
 	for _, item := range items {
-		require.Equal(l, OutcomeQueued, l.Offer(l.now, item))
+		require.Equal(f, OutcomeQueued, f.Offer(f.now, item))
 	}
 }
 
-// drain sends for a time, in the order of the scheduler, with a timer that is exact.
-func (l *fixture) drain(span time.Duration) []Item {
+// drain sends for the given time with an exact timer.
+func (f *fixture) drain(span time.Duration) []Item {
 	var sent []Item
-	end := l.now.Add(span)
+	end := f.now.Add(span)
 	for {
-		for item, ready := l.Next(l.now); ready; item, ready = l.Next(l.now) {
+		for item, ready := f.Next(f.now); ready; item, ready = f.Next(f.now) {
 			sent = append(sent, item)
 		}
-		wait, waits := l.TimeUntilNext(l.now)
-		if !waits || end.Before(l.now.Add(wait)) {
-			l.now = end
+		wait, waits := f.TimeUntilNext(f.now)
+		if !waits || end.Before(f.now.Add(wait)) {
+			f.now = end
 			return sent
 		}
-		l.now = l.now.Add(wait)
+		f.now = f.now.Add(wait)
 	}
 }
 
@@ -103,7 +104,7 @@
 	for range 2 {
 		assert.Equal(t, OutcomeSendNow, s.Offer(start, bulk(flowKey(1, 1), 0)))
 	}
-	assert.Equal(t, OutcomeQueued, s.Offer(start, bulk(flowKey(1, 1), 2)), "the burst is spent")
+	assert.Equal(t, OutcomeQueued, s.Offer(start, bulk(flowKey(1, 1), 2)), "the burst is used up")
 	assert.Equal(t, 1, s.Len())
 	assert.Equal(t, fullSize, s.Bytes())
 }
@@ -117,60 +118,59 @@
 }
 
 func TestWindowIsSentCompletely(t *testing.T) {
-	l := newFixture(t)
+	f := newFixture(t)
 	for number := range 16 {
-		l.offer(bulk(flowKey(1, 1), number))
+		f.offer(bulk(flowKey(1, 1), number))
 	}
-	sent := l.drain(time.Second)
+	sent := f.drain(time.Second)
 	require.Len(t, sent, 16)
-	assert.Zero(t, l.Len())
-	assert.Zero(t, l.Bytes())
-	_, waits := l.TimeUntilNext(l.now)
+	assert.Zero(t, f.Len())
+	assert.Zero(t, f.Bytes())
+	_, waits := f.TimeUntilNext(f.now)
 	assert.False(t, waits)
 }
 
 func TestSchedulerKeepsRate(t *testing.T) {
-	l := newFixture(t)
+	f := newFixture(t)
 	for number := range 400 {
-		l.offer(bulk(flowKey(1, number), 0))
+		f.offer(bulk(flowKey(1, number), 0))
 	}
 	bytes := 0
-	for _, item := range l.drain(time.Second) {
+	for _, item := range f.drain(time.Second) {
 		bytes += item.Size
 	}
 	rate := narrow.BytesPerSecond() * linkFraction
 	assert.LessOrEqual(t, float64(bytes), rate+minBurst)
-	assert.Greater(t, float64(bytes), rate-2*wakeFraction*minBurst, "nor is the link left unused")
+	assert.Greater(t, float64(bytes), rate-2*wakeFraction*minBurst, "the link must be used")
 }
 
 func TestSchedulerFollowsRateChange(t *testing.T) {
-	l := newFixture(t)
-	l.Rate = func(now kernel.Instant) float64 { return 50_000 }
+	f := newFixture(t)
+	f.Rate = func(now kernel.Instant) float64 { return 50_000 }
 	for number := range 100 {
-		l.offer(bulk(flowKey(1, number), 0))
+		f.offer(bulk(flowKey(1, number), 0))
 	}
-	assert.InDelta(t, 50_000/fullSize, len(l.drain(time.Second)), 3)
-	l.Rate = func(now kernel.Instant) float64 { return 0 }
-	l.drain(0)
-	assert.Zero(t, l.Len(), "no rate bounds nothing")
+	assert.InDelta(t, 50_000/fullSize, len(f.drain(time.Second)), 3)
+	f.Rate = func(now kernel.Instant) float64 { return 0 }
+	f.drain(0)
+	assert.Zero(t, f.Len(), "a rate of 0 is unlimited")
 }
 
-// A timer that comes late finds several packets' worth of tokens, never more than the
-// burst.
+// A late timer finds tokens for several packets, but no more than the burst.
 func TestLateWakeUpSendsBurst(t *testing.T) {
-	l := newFixture(t)
+	f := newFixture(t)
 	for number := range 16 {
-		l.offer(bulk(flowKey(1, 1), number))
+		f.offer(bulk(flowKey(1, 1), number))
 	}
-	for l.Len() > 1 {
-		wait, waits := l.TimeUntilNext(l.now)
+	for f.Len() > 1 {
+		wait, waits := f.TimeUntilNext(f.now)
 		require.True(t, waits)
-		l.now = l.now.Add(wait + 2*time.Millisecond)
+		f.now = f.now.Add(wait + 2*time.Millisecond)
 		count := 0
-		for _, ready := l.Next(l.now); ready; _, ready = l.Next(l.now) {
+		for _, ready := f.Next(f.now); ready; _, ready = f.Next(f.now) {
 			count++
 		}
-		assert.GreaterOrEqual(t, count, min(2, l.Len()+count))
+		assert.GreaterOrEqual(t, count, min(2, f.Len()+count))
 		assert.LessOrEqual(t, count, 3)
 	}
 }
@@ -190,40 +190,40 @@
 		again *Item
 		want  Outcome
 	}{
-		{"the same", bulk(flow, 0), bulk(flow, 0), OutcomeDuplicate},
-		{"a part of it", bulk(flow, 0), part, OutcomeDuplicate},
-		{"more than it", bulk(flow, 0), longer, OutcomeQueued},
-		{"the next", bulk(flow, 0), bulk(flow, 1), OutcomeQueued},
-		{"the one before", bulk(flow, 1), bulk(flow, 0), OutcomeQueued},
-		{"the same over the end of the numbers", wrapped, wrapped, OutcomeDuplicate},
-		{"another flow", bulk(flow, 0), bulk(flowKey(1, 2), 0), OutcomeQueued},
-		{"an opening", control(flow, KindOpening), control(flow, KindOpening), OutcomeDuplicate},
-		{"an end", control(flow, KindClosing), control(flow, KindAcknowledgement), OutcomeQueued},
+		{"same data", bulk(flow, 0), bulk(flow, 0), OutcomeDuplicate},
+		{"part of the data", bulk(flow, 0), part, OutcomeDuplicate},
+		{"more data", bulk(flow, 0), longer, OutcomeQueued},
+		{"next data", bulk(flow, 0), bulk(flow, 1), OutcomeQueued},
+		{"previous data", bulk(flow, 1), bulk(flow, 0), OutcomeQueued},
+		{"same data across a sequence wrap", wrapped, wrapped, OutcomeDuplicate},
+		{"different flow", bulk(flow, 0), bulk(flowKey(1, 2), 0), OutcomeQueued},
+		{"opening", control(flow, KindOpening), control(flow, KindOpening), OutcomeDuplicate},
+		{"closing and acknowledgement", control(flow, KindClosing), control(flow, KindAcknowledgement), OutcomeQueued},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			l := newFixture(t)
-			l.offer(test.first)
-			assert.Equal(t, test.want, l.Offer(l.now, test.again))
+			f := newFixture(t)
+			f.offer(test.first)
+			assert.Equal(t, test.want, f.Offer(f.now, test.again))
 		})
 	}
-	l := newFixture(t)
-	l.offer(bulk(flow, 0))
-	l.drain(time.Second)
-	l.spendBurst()
-	assert.Equal(t, OutcomeQueued, l.Offer(l.now, bulk(flow, 0)), "what has left may be sent again")
+	f := newFixture(t)
+	f.offer(bulk(flow, 0))
+	f.drain(time.Second)
+	f.spendBurst()
+	assert.Equal(t, OutcomeQueued, f.Offer(f.now, bulk(flow, 0)), "data may be queued again once sent")
 }
 
 func TestFlowRecordsAreBounded(t *testing.T) {
-	l := newFixture(t, WithMemoryLimit(1))
+	f := newFixture(t, WithMemoryLimit(1))
 	for number := range 10 * minPackets * flowsPerPacket {
-		l.Offer(l.now, bulk(flowKey(number>>8, number&0xff), 0))
-		l.now = l.now.Add(10 * time.Millisecond)
-		l.drain(0)
+		f.Offer(f.now, bulk(flowKey(number>>8, number&0xff), 0))
+		f.now = f.now.Add(10 * time.Millisecond)
+		f.drain(0)
 	}
-	assert.LessOrEqual(t, len(l.flows), minPackets*flowsPerPacket)
-	l.drain(time.Second)
-	l.now = l.now.Add(flowIdleTimeout)
-	l.Tick(l.now)
-	assert.Empty(t, l.flows)
-	assert.Empty(t, l.callers)
+	assert.LessOrEqual(t, len(f.flows), minPackets*flowsPerPacket)
+	f.drain(time.Second)
+	f.now = f.now.Add(flowIdleTimeout)
+	f.Tick(f.now)
+	assert.Empty(t, f.flows)
+	assert.Empty(t, f.callers)
 }
--- a/internal/egress/settings.go
+++ b/internal/egress/settings.go
@@ -3,44 +3,46 @@
 import "time"
 
 const (
-	// overdueAfter is the wait after which something goes before what is more urgent,
-	// as far as overdueDivisor allows: half the 200 ms after which callers send data
-	// again.
+	// overdueAfter is the wait after which a packet may overtake more urgent ones,
+	// within the limits of overdueDivisor: half the callers' retransmission timeout of
+	// 200 ms.
 	overdueAfter = 100 * time.Millisecond
-	// overdueDivisor is the part of the link, one in so many bytes, that what is overdue
-	// gets at least. Nothing waits longer than overdueAfter and the time in which the
-	// link carries so many times the bytes that waited before it.
+	// overdueDivisor is the inverse of the share of the link reserved for overdue
+	// packets. A packet waits at most overdueAfter plus overdueDivisor times the
+	// transmission time of the bytes queued before it.
 	overdueDivisor = 8
-	// maxOverdueCredit lets one largest datagram go first.
+	// maxOverdueCredit caps the credit of overdue packets. A larger datagram is sent
+	// once the cap is reached.
 	maxOverdueCredit = quantum
-	// bulkThreshold is the number of bytes up to which a flow has sent little: a request
-	// of some datagrams. A window of bulk is 16 of them.
+	// bulkThreshold is the number of bytes up to which a flow counts as small: a
+	// request of a few datagrams.
 	bulkThreshold = 6000
-	// windowBytes are those of a window of bulk: what one flow sends at once.
+	// windowBytes is the size on the link of a full window of one flow.
 	windowBytes = 16 * 1268
-	// defaultObjective orders flows whose route states no objective among others; they
-	// never count as late.
+	// defaultObjective orders flows whose route has no objective. They never count as
+	// late.
 	defaultObjective = time.Second
-	// memoryDivisor is the part of a process's memory, one in so many bytes, that may
-	// wait: 3.2 MB of 104 MB, 13 s of a link of 2 Mbit/s.
+	// memoryDivisor is the inverse of the share of the process memory that the queue
+	// may take.
 	memoryDivisor = 32
-	// defaultMemory is the memory in bytes where no limit is stated.
+	// defaultMemory is the memory in bytes that is assumed without a limit.
 	defaultMemory = 256 << 20
-	// bufferBytes is what a waiting packet holds at most.
+	// bufferBytes is the buffer size of a queued packet.
 	bufferBytes = 2048
-	// controlDivisor is the part of the packets, one in so many, that may go before all
-	// flows: a flood of openings leaves room for the flows that are open.
+	// controlDivisor is the inverse of the share of packets that may be in the control
+	// queue, so that a flood of openings leaves room for open flows.
 	controlDivisor = 4
-	// minPackets is the least bound: two windows of bulk.
+	// minPackets is the smallest queue limit: two full windows.
 	minPackets = 32
-	// flowsPerPacket bounds the flows that are remembered, most of which rest.
+	// flowsPerPacket is the number of flow records per packet in the queue. Most flows
+	// are idle.
 	flowsPerPacket = 4
 )
 
-// settings are the fixed settings of a scheduler.
+// settings is the configuration of a scheduler.
 type settings struct {
 	link Link
-	// maxPackets is the number of packets that may wait.
+	// maxPackets is the largest number of queued packets.
 	maxPackets int
 }
 
@@ -48,20 +50,20 @@
 	return settings{maxPackets: defaultMemory / memoryDivisor / bufferBytes}
 }
 
-// maxBytes is the number of bytes that may wait.
+// maxBytes returns the largest number of queued bytes.
 func (s settings) maxBytes() int { return s.maxPackets * bufferBytes }
 
-// maxFlows is the number of flows that are remembered.
+// maxFlows returns the largest number of flow records.
 func (s settings) maxFlows() int { return s.maxPackets * flowsPerPacket }
 
-// Option sets one setting of a scheduler.
+// Option configures a Scheduler.
 type Option func(*settings)
 
-// WithLink sets the link whose share the default rate is.
+// WithLink sets the link that determines the default rate.
 func WithLink(link Link) Option { return func(s *settings) { s.link = link } }
 
-// WithMemoryLimit sets the memory limit of the process in bytes, of which the queue takes a
-// fixed part; 0 states none.
+// WithMemoryLimit sets the memory limit of the process in bytes, which determines the
+// queue limit; 0 means not configured.
 func WithMemoryLimit(bytes int64) Option {
 	return func(s *settings) {
 		if bytes > 0 {
--- a/internal/egress/turns.go
+++ b/internal/egress/turns.go
@@ -3,46 +3,46 @@
 import "net/netip"
 
 const (
-	// quantum is the number of bytes that a caller sends before the next one of its
-	// class: no less than the largest datagram, so that each look finds one.
+	// quantum is the number of bytes that a caller may send per round: a full buffer
+	// with its headers.
 	quantum = bufferBytes + HeaderBytes
-	// maxScan is the number of callers or flows among which the one that helps
-	// least is sought when the queue is full. It bounds the cost of a drop.
+	// maxScan bounds the callers or flows examined to find a packet to drop when the
+	// queue is full.
 	maxScan = 16
 )
 
-// caller is an address from which flows that are remembered come.
+// caller is a source address with flow records.
 type caller struct {
 	address netip.Addr
-	// flows is the number of its flows that are remembered, bulk that of those among
-	// them that have sent much.
+	// flows is the number of the caller's flow records, and bulk the number of bulk
+	// flows among them.
 	flows int
 	bulk  int
-	// turns are its turns, no more than one an urgency.
+	// queues holds the caller's queues, at most one per urgency.
 	queues []*callerQueue
 }
 
-// turn is the place of one caller among those whose flows have sent little.
+// callerQueue holds a caller's small flows of one class.
 type callerQueue struct {
 	caller *caller
 	class  int
 	flows  list[flow]
-	// bytes are those of its flows that wait.
+	// bytes is the queued size of its flows.
 	bytes int
-	// deficit is the number of bytes that it may send before the next caller.
+	// deficit is the number of bytes that the caller may still send in this round.
 	deficit   int
 	ringLinks links[callerQueue]
 }
 
 func callerRingLinksOf(t *callerQueue) *links[callerQueue] { return &t.ringLinks }
 
-// turns let callers take turns (deficit round robin), and the flows of a caller within
-// its turn.
+// roundRobin schedules callers by deficit round robin, and the flows of a caller in
+// turn.
 type roundRobin struct{ callers list[callerQueue] }
 
 func (t *roundRobin) isEmpty() bool { return t.callers.isEmpty() }
 
-// add puts a flow at the end of its caller's turn.
+// add appends a flow to its caller's queue.
 func (t *roundRobin) add(f *flow, pool *pool[callerQueue]) {
 	f.queue = f.caller.queueIn(f.class)
 	if f.queue == nil {
@@ -58,65 +58,65 @@
 }
 
 func (t *roundRobin) remove(f *flow, pool *pool[callerQueue]) {
-	own := f.queue
+	queue := f.queue
 	f.queue = nil
-	own.flows.remove(f)
-	own.bytes -= f.queuedBytes
-	if own.flows.isEmpty() {
-		t.callers.remove(own)
-		own.caller.removeQueue(own)
-		pool.put(own)
+	queue.flows.remove(f)
+	queue.bytes -= f.queuedBytes
+	if queue.flows.isEmpty() {
+		t.callers.remove(queue)
+		queue.caller.removeQueue(queue)
+		pool.put(queue)
 	}
 }
 
-// first returns the flow whose turn it is.
+// first returns the flow to serve next.
 func (t *roundRobin) first() *flow {
 	for {
-		own := t.callers.first
-		next := own.flows.first
-		if own.deficit >= next.packets.first.Size {
+		queue := t.callers.first
+		next := queue.flows.first
+		if queue.deficit >= next.packets.first.Size {
 			return next
 		}
-		own.deficit += quantum
-		t.callers.moveBack(own)
+		queue.deficit += quantum
+		t.callers.moveBack(queue)
 	}
 }
 
-// last returns, of the first callers, the newest flow of the one with the most bytes.
+// last returns, from the first maxScan callers, the newest flow of the one with the
+// most queued bytes.
 func (t *roundRobin) last() *flow {
 	found := t.callers.first
 	looked := 0
-	for own := t.callers.first; own != nil && looked < maxScan; own = own.ringLinks.next {
+	for queue := t.callers.first; queue != nil && looked < maxScan; queue = queue.ringLinks.next {
 		looked++
-		if own.bytes > found.bytes {
-			found = own
+		if queue.bytes > found.bytes {
+			found = queue
 		}
 	}
 	return found.flows.last
 }
 
-// spend notes that the flow whose turn it is sends bytes; the next one of the turn goes
-// first then.
+// consume charges bytes to the caller and moves the flow to the end of its queue.
 func (t *callerQueue) consume(f *flow, bytes int) {
 	t.deficit -= bytes
 	t.flows.moveBack(f)
 }
 
-// queueIn returns the turn of the caller in a class, or nil.
+// queueIn returns the caller's queue in a class, or nil.
 func (c *caller) queueIn(class int) *callerQueue {
-	for _, own := range c.queues {
-		if own.class == class {
-			return own
+	for _, queue := range c.queues {
+		if queue.class == class {
+			return queue
 		}
 	}
 	return nil
 }
 
-// removeQueue forgets a turn in which nothing waits.
+// removeQueue removes an empty queue.
 func (c *caller) removeQueue(ended *callerQueue) {
 	last := len(c.queues) - 1
-	for position, own := range c.queues {
-		if own == ended {
+	for position, queue := range c.queues {
+		if queue == ended {
 			c.queues[position] = c.queues[last]
 			c.queues = c.queues[:last]
 			return
--- a/internal/egress/usage.go
+++ b/internal/egress/usage.go
@@ -1,31 +1,30 @@
 package egress
 
 const (
-	// usageSlots are the ticks over which the use of a link is taken: a second, in which
-	// a node gets enough flows that single ones do not show.
+	// usageSlots is the number of slots over which utilization is measured: about one
+	// second, long enough to average over many flows.
 	usageSlots = 10
-	// ticksPerSecond is the number of ticks in a second.
+	// ticksPerSecond is the rate at which Tick is called.
 	ticksPerSecond = 10
 )
 
-// traffic counts bytes in both directions of a link.
+// traffic counts the bytes in both directions of a link.
 type traffic struct{ in, out int }
 
-// LinkUsage measures how much of a link is used. The machine's incoming link is as wide
-// as its outgoing one, and nothing can be scheduled in front of it: the busier one of
-// both counts.
+// LinkUsage measures the utilization of a link. Both directions have the same rate, and
+// the incoming one cannot be scheduled, so the busier of both counts.
 type LinkUsage struct {
 	slots   [usageSlots]traffic
 	current int
-	// filled is the number of slots that have been closed, usageSlots at most.
+	// filled is the number of finished slots, at most usageSlots.
 	filled int
 	sum    traffic
 }
 
-// RecordReceived notes a datagram that has come, with all headers.
+// RecordReceived records the size of a received datagram, including all headers.
 func (u *LinkUsage) RecordReceived(bytes int) { u.slots[u.current].in += bytes }
 
-// RecordSent notes a datagram that has left, with all headers.
+// RecordSent records the size of a sent datagram, including all headers.
 func (u *LinkUsage) RecordSent(bytes int) { u.slots[u.current].out += bytes }
 
 // Tick ends a slot. It is called ticksPerSecond times a second.
@@ -39,8 +38,8 @@
 	u.slots[u.current] = traffic{}
 }
 
-// Utilization returns the used shares of a rate in bytes a second in both directions, 0 where
-// none is stated.
+// Utilization returns the utilization of both directions at a rate in bytes per second;
+// 0 if the rate is not configured.
 func (u *LinkUsage) Utilization(rate float64) (in, out float64) {
 	if rate <= 0 || u.filled == 0 {
 		return 0, 0
--- a/internal/egress/usage_test.go
+++ b/internal/egress/usage_test.go
@@ -30,5 +30,5 @@
 	in, out = u.Utilization(rate)
 	assert.Zero(t, in+out)
 	in, out = u.Utilization(0)
-	assert.Zero(t, in+out, "nothing is stated")
+	assert.Zero(t, in+out, "no configured rate")
 }
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -1,6 +1,6 @@
-// Package room tells nodes how the links of other nodes are used: each node's word, the
-// sums of words by zone, and what a node makes of them. Nothing here is replicated. All
-// of it are gauges: the newest one replaces the last one and ages out.
+// Package room shares the load of the nodes' links: each node reports its own, members
+// summarize the reports by zone, and each node keeps a view of its zone. Nothing is
+// replicated. Each report replaces the previous one and expires.
 package room
 
 import (
@@ -10,23 +10,23 @@
 )
 
 const (
-	// ReportInterval is the time between two words of a node, or two sums of a member, that
-	// differ.
+	// ReportInterval is the minimum time between two reports of a node, or two
+	// summaries of a member, that differ.
 	ReportInterval = time.Second
-	// RepeatInterval is the time after which one is told though it is the same.
+	// RepeatInterval is the time after which an unchanged report is sent again.
 	RepeatInterval = 2 * time.Second
-	// ReportLifetime is how long one counts: two that are lost change nothing.
+	// ReportLifetime is how long a report is valid: two lost reports have no effect.
 	ReportLifetime = 5 * time.Second
 )
 
 const (
-	// WaitSteps is the number of steps in which waits for a link are told.
+	// WaitSteps is the number of steps in which waits are reported.
 	WaitSteps = 12
-	// minWait is the wait of the first step; each further one is twice as long.
+	// minWait is the wait of the first step; each further step doubles it.
 	minWait = time.Millisecond
 )
 
-// WaitToStep returns the step of a wait.
+// WaitToStep returns the smallest step that covers the wait, or the last step.
 func WaitToStep(wait time.Duration) uint8 {
 	step := uint8(0)
 	for limit := minWait; wait > limit && step < WaitSteps-1; limit *= 2 {
@@ -38,30 +38,30 @@
 // StepToWait returns the longest wait of a step.
 func StepToWait(step uint8) time.Duration { return minWait << min(step, WaitSteps-1) }
 
-// LinkReport is what a node tells of its own link.
+// LinkReport is the load of a node's link.
 type LinkReport struct {
-	// Rate is in bytes a second; 0 is not stated.
+	// Rate is in bytes per second; 0 means not configured.
 	Rate uint32
-	// InPercent and OutPercent are the used shares in hundredths.
+	// InPercent and OutPercent are the utilization of both directions.
 	InPercent, OutPercent uint8
-	// WaitStep is the step of the wait that a new flow meets.
+	// WaitStep is the step of the wait that a new flow can expect.
 	WaitStep uint8
 	// Refusing is set while the node refuses new flows.
 	Refusing bool
 }
 
-// use returns the used share of the busier direction in hundredths.
-func (w LinkReport) utilization() uint8 { return max(w.InPercent, w.OutPercent) }
+// utilization returns the utilization of the busier direction in percent.
+func (r LinkReport) utilization() uint8 { return max(r.InPercent, r.OutPercent) }
 
-// ZoneSummary sums up the words of the nodes of a zone. Routers hash within a zone and
-// evenly, so that nodes are counted by their waits as they are met.
+// ZoneSummary summarizes the reports of a zone. Nodes are counted equally, whatever
+// their rate, because routers hash flows evenly over the nodes of a zone.
 type ZoneSummary struct {
 	Zone string
 	// RefusingNodes is the number of nodes that refuse new flows.
 	RefusingNodes uint32
-	// Rate and UsedRate are in bytes a second.
+	// Rate and UsedRate are in bytes per second.
 	Rate, UsedRate uint64
-	// NodesByWait counts nodes by the steps of their waits.
+	// NodesByWait counts nodes by wait step.
 	NodesByWait [WaitSteps]uint32
 }
 
@@ -74,17 +74,17 @@
 	return int(nodes)
 }
 
-// addReport adds the word of a node. One that is out of range counts as full.
-func (z *ZoneSummary) addReport(word LinkReport) {
-	z.Rate += uint64(word.Rate)
-	z.UsedRate += uint64(word.Rate) * uint64(min(word.utilization(), 100)) / 100
-	z.NodesByWait[min(word.WaitStep, WaitSteps-1)]++
-	if word.Refusing {
+// addReport adds the report of a node, capping values that are out of range.
+func (z *ZoneSummary) addReport(report LinkReport) {
+	z.Rate += uint64(report.Rate)
+	z.UsedRate += uint64(report.Rate) * uint64(min(report.utilization(), 100)) / 100
+	z.NodesByWait[min(report.WaitStep, WaitSteps-1)]++
+	if report.Refusing {
 		z.RefusingNodes++
 	}
 }
 
-// add adds another sum of the same zone.
+// add adds another summary of the same zone.
 func (z *ZoneSummary) add(other ZoneSummary) {
 	z.RefusingNodes += other.RefusingNodes
 	z.Rate += other.Rate
@@ -94,7 +94,7 @@
 	}
 }
 
-// form tells what a frame of room holds.
+// messageForm is the kind of a message.
 type messageForm uint8
 
 const (
@@ -103,18 +103,20 @@
 	formFleet
 )
 
-// Message is the payload of a frame: one of its parts is set.
+// Message is the payload of a frame: a node's report, a member's summaries or the
+// fleet's.
 type Message struct {
-	// Report is a node's own.
+	// Report is the report of a node.
 	Report *LinkReport
-	// Member is the address of the member whose sums these are, or "" for the fleet's.
+	// Member is the address of the member that made the summaries, or "" for those of
+	// the fleet.
 	Member string
-	// Term is the term of the leader that summed the fleet up.
+	// Term is the term of the leader that summarized the fleet.
 	Term  uint64
 	Zones []ZoneSummary
 }
 
-// Frame returns the frame of the message.
+// Frame encodes the message as a frame.
 func (m Message) Frame() wire.Frame {
 	var encoder wire.Encoder
 	switch {
@@ -133,14 +135,14 @@
 	return wire.Frame{Kind: wire.FrameRoom, Payload: encoder.Buffer}
 }
 
-// Decode reads the payload of a frame. A form of a later version is an empty message.
+// Decode decodes the payload of a frame. An unknown form yields an empty message.
 func Decode(payload []byte) (Message, error) {
 	decoder := wire.NewDecoder(payload)
 	var message Message
 	switch messageForm(decoder.Uint8()) {
 	case formReport:
-		word := decodeReport(decoder)
-		message.Report = &word
+		report := decodeReport(decoder)
+		message.Report = &report
 	case formMember:
 		message.Member = decoder.String()
 		message.Zones = decodeZones(decoder)
@@ -151,12 +153,12 @@
 	return message, decoder.Err("room.decode")
 }
 
-func (w LinkReport) encode(encoder *wire.Encoder) {
-	encoder.Uint32(w.Rate)
-	encoder.Uint8(w.InPercent)
-	encoder.Uint8(w.OutPercent)
-	encoder.Uint8(w.WaitStep)
-	encoder.Bool(w.Refusing)
+func (r LinkReport) encode(encoder *wire.Encoder) {
+	encoder.Uint32(r.Rate)
+	encoder.Uint8(r.InPercent)
+	encoder.Uint8(r.OutPercent)
+	encoder.Uint8(r.WaitStep)
+	encoder.Bool(r.Refusing)
 }
 
 func decodeReport(decoder *wire.Decoder) LinkReport {
@@ -169,7 +171,7 @@
 	}
 }
 
-// minZoneSize is the encoded size in bytes of the sum of a zone without a name.
+// minZoneSize is the encoded size in bytes of a summary with an empty zone name.
 const minZoneSize = 24 + 4*WaitSteps
 
 func encodeZones(encoder *wire.Encoder, zones []ZoneSummary) {
--- a/internal/room/room_test.go
+++ b/internal/room/room_test.go
@@ -21,19 +21,19 @@
 	}
 }
 
-func summaryOf(zone string, words ...LinkReport) ZoneSummary {
+func summaryOf(zone string, reports ...LinkReport) ZoneSummary {
 	sum := ZoneSummary{Zone: zone}
-	for _, word := range words {
-		sum.addReport(word)
+	for _, report := range reports {
+		sum.addReport(report)
 	}
 	return sum
 }
 
 func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		word := drawReport(t)
-		zones := []ZoneSummary{summaryOf("north", word, drawReport(t)), summaryOf("south", word)}
-		for _, message := range []Message{{Report: &word}, {Member: "10.0.0.1:7000", Zones: zones}, {Term: 7, Zones: zones}} {
+		report := drawReport(t)
+		zones := []ZoneSummary{summaryOf("north", report, drawReport(t)), summaryOf("south", report)}
+		for _, message := range []Message{{Report: &report}, {Member: "10.0.0.1:7000", Zones: zones}, {Term: 7, Zones: zones}} {
 			read, err := Decode(message.Frame().Payload)
 			require.NoError(t, err)
 			require.Equal(t, message, read)
@@ -62,14 +62,14 @@
 func TestWaitSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wait := time.Duration(rapid.Int64Range(0, int64(StepToWait(WaitSteps-1))).Draw(t, "wait"))
-		told := StepToWait(WaitToStep(wait))
-		require.GreaterOrEqual(t, told, wait)
-		require.True(t, told == minWait || told < 2*wait)
+		reported := StepToWait(WaitToStep(wait))
+		require.GreaterOrEqual(t, reported, wait)
+		require.True(t, reported == minWait || reported < 2*wait)
 	})
 	assert.Equal(t, uint8(WaitSteps-1), WaitToStep(time.Hour))
 }
 
-// Words that are lost, late or doubled: the newest one counts, and none beyond Lifetime.
+// Lost, late or duplicate reports: only the latest counts, until it expires.
 func TestNewestReportCountsUntilItExpires(t *testing.T) {
 	table := NewTable[int]()
 	table.RecordReport(start, 1, "north", LinkReport{Rate: 100, InPercent: 90})
@@ -94,8 +94,8 @@
 	assert.True(t, view.IsCurrent(start))
 	assert.Equal(t, StepToWait(WaitSteps-1), view.RetryWait())
 	view.Update(start.Add(time.Second), "north", Message{Term: 2, Zones: []ZoneSummary{summaryOf("north", idle, idle)}})
-	assert.Equal(t, StepToWait(WaitSteps-1), view.RetryWait(), "a leader that was replaced")
-	assert.False(t, view.IsCurrent(start.Add(ReportLifetime)), "members are gone")
+	assert.Equal(t, StepToWait(WaitSteps-1), view.RetryWait(), "older term")
+	assert.False(t, view.IsCurrent(start.Add(ReportLifetime)), "expired")
 	view.Update(start.Add(ReportLifetime), "north", Message{Term: 2, Zones: []ZoneSummary{summaryOf("north", idle, idle)}})
 	assert.Equal(t, minWait, view.RetryWait())
 }
@@ -106,15 +106,14 @@
 	assert.False(t, view.IsCurrent(start))
 }
 
-// A node that lies about its use changes what an eighth of the nodes offer only where
-// there are fewer than two such eighths.
+// A false report changes the retry wait only if the zone has few nodes.
 func TestOneFalseReportDoesNotChangeRetryWait(t *testing.T) {
-	words := make([]LinkReport, 2*retryNodeDivisor)
-	for number := range words {
-		words[number].WaitStep = 6
+	reports := make([]LinkReport, 2*retryNodeDivisor)
+	for number := range reports {
+		reports[number].WaitStep = 6
 	}
-	words[0].WaitStep = 0
+	reports[0].WaitStep = 0
 	var view ZoneView
-	view.Update(start, "north", Message{Zones: []ZoneSummary{summaryOf("north", words...)}})
+	view.Update(start, "north", Message{Zones: []ZoneSummary{summaryOf("north", reports...)}})
 	assert.Equal(t, StepToWait(6), view.RetryWait())
 }
--- a/internal/room/table.go
+++ b/internal/room/table.go
@@ -8,44 +8,45 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// heard is what a node or a member told last.
+// entry is the latest report or summaries of a sender.
 type entry struct {
 	zones []ZoneSummary
 	at    kernel.Instant
 }
 
-// Table sums up the newest words of nodes, or the newest sums of members, by zone.
+// Table keeps the latest reports of nodes, or the latest summaries of members, and sums
+// them up by zone.
 type Table[K comparable] struct {
 	entries map[K]entry
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable[K comparable]() Table[K] { return Table[K]{entries: map[K]entry{}} }
 
-// RecordReport notes a node's word.
-func (t *Table[K]) RecordReport(now kernel.Instant, from K, zone string, word LinkReport) {
+// RecordReport records the report of a node.
+func (t *Table[K]) RecordReport(now kernel.Instant, from K, zone string, report LinkReport) {
 	sum := ZoneSummary{Zone: zone}
-	sum.addReport(word)
+	sum.addReport(report)
 	t.RecordSummaries(now, from, []ZoneSummary{sum})
 }
 
-// RecordSummaries notes the sums of a member.
+// RecordSummaries records the summaries of a member.
 func (t *Table[K]) RecordSummaries(now kernel.Instant, from K, zones []ZoneSummary) {
 	t.entries[from] = entry{zones: zones, at: now}
 }
 
-// Remove forgets who is gone.
+// Remove removes the entry of a sender.
 func (t *Table[K]) Remove(from K) { delete(t.entries, from) }
 
-// Summaries returns the sums by zone of all that has not aged out, in the order of the zones.
+// Summaries returns the summaries of all entries that have not expired, sorted by zone.
 func (t *Table[K]) Summaries(now kernel.Instant) []ZoneSummary {
 	sums := map[string]*ZoneSummary{}
-	for from, told := range t.entries {
-		if now.Sub(told.at) >= ReportLifetime {
+	for from, latest := range t.entries {
+		if now.Sub(latest.at) >= ReportLifetime {
 			delete(t.entries, from)
 			continue
 		}
-		for _, zone := range told.zones {
+		for _, zone := range latest.zones {
 			sum, known := sums[zone.Zone]
 			if !known {
 				sum = &ZoneSummary{Zone: zone.Zone}
--- a/internal/room/view.go
+++ b/internal/room/view.go
@@ -6,11 +6,12 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// retryNodeDivisor is the share of nodes, one in so many, whose wait stands for what a
-// refused caller may find: of its two further tries one in four finds such a node.
+// retryNodeDivisor is the inverse of the share of nodes with the shortest waits that
+// determine RetryWait. With two retries, a refused caller reaches one of them with a
+// probability of about one in four.
 const retryNodeDivisor = 8
 
-// ZoneView is what a node knows of the links of its zone.
+// ZoneView is a node's view of the load in its zone.
 type ZoneView struct {
 	summary   ZoneSummary
 	term      uint64
@@ -18,8 +19,8 @@
 	valid     bool
 }
 
-// Update takes the fleet's sums as far as they are of the node's zone. Those of a leader
-// that has been replaced are left out while newer ones count.
+// Update takes the summary of the node's zone from the fleet's summaries. Summaries
+// from an older term are ignored while the view is current.
 func (v *ZoneView) Update(now kernel.Instant, zone string, message Message) {
 	if v.IsCurrent(now) && message.Term < v.term {
 		return
@@ -31,16 +32,16 @@
 	}
 }
 
-// IsCurrent reports whether the view counts still, and there are other nodes.
+// IsCurrent reports whether the view has not expired and includes other nodes.
 func (v *ZoneView) IsCurrent(now kernel.Instant) bool {
 	return v.valid && now.Sub(v.updatedAt) < ReportLifetime && v.summary.Nodes() > 1
 }
 
-// Summary returns the newest sum of the zone.
+// Summary returns the latest summary of the zone.
 func (v *ZoneView) Summary() ZoneSummary { return v.summary }
 
-// RetryWait returns the longest wait at the eighth of the nodes whose waits are shortest,
-// one at least.
+// RetryWait returns the longest wait among the eighth of the nodes with the shortest
+// waits, at least one node.
 func (v *ZoneView) RetryWait() time.Duration {
 	needed := max(1, v.summary.Nodes()/retryNodeDivisor)
 	for step, count := range v.summary.NodesByWait {
--- a/internal/speed/estimate.go
+++ b/internal/speed/estimate.go
@@ -3,18 +3,18 @@
 import "math"
 
 const (
-	// minVariance bounds the variance of single samples from below: equal requests on
-	// an idle machine still differ by a few percent.
+	// minVariance is the minimum variance of single samples: equal requests on an idle
+	// machine differ by a few percent.
 	minVariance = 0.01
-	// minCountForSpread is the number of samples of a target from which on it tells how far
-	// the targets of its service differ.
+	// minCountForSpread is the number of samples from which on a target counts in the
+	// spread of its service.
 	minCountForSpread = 2
 )
 
-// Estimate returns the logarithm of the relative time of each target of a service, less
-// their mean. Each is shrunk towards 0 by how far its samples can be off compared with
-// how far the targets differ (empirical Bayes): targets that are alike, and those of
-// which little was seen, come out at 0.
+// Estimate returns the logarithm of each target's time relative to its service,
+// centered on 0. Each is shrunk towards 0 by its sampling error compared with the
+// spread of the targets (empirical Bayes), so that similar targets and those with few
+// samples come out at 0.
 func Estimate(targets []Sums) []float64 {
 	estimates := make([]float64, len(targets))
 	noise := variance(targets)
@@ -35,7 +35,7 @@
 	squares, freedom := 0.0, 0.0
 	for _, target := range targets {
 		if target.Count >= minCountForSpread {
-			// A word may claim fewer squares than its mean makes.
+			// A received report may understate the squares.
 			squares += max(target.Squares-target.Total*target.Mean(), 0)
 			freedom += target.Count - 1
 		}
@@ -46,11 +46,12 @@
 	return max(squares/freedom, minVariance)
 }
 
-// doubt is the number of standard errors that targets must differ by beyond chance.
+// spreadStandardErrors is the number of standard errors by which the targets must
+// differ beyond chance.
 const spreadStandardErrors = 2
 
-// meanAndSpread returns the mean over the targets and the variance of what is true of them:
-// that of their means, less what chance explains.
+// meanAndSpread returns the mean of the targets' means and their variance, less the
+// part that chance explains.
 func meanAndSpread(targets []Sums, noise float64) (mean, spread float64) {
 	known := 0.0
 	for _, target := range targets {
@@ -74,7 +75,7 @@
 	return mean, (squares - spreadStandardErrors*math.Sqrt(errors)) / (known - 1)
 }
 
-// centred moves the estimates so that their mean is 0.
+// center shifts the estimates to a mean of 0.
 func center(estimates []float64) []float64 {
 	mean := 0.0
 	for _, estimate := range estimates {
@@ -87,19 +88,20 @@
 	return estimates
 }
 
-// stepsPerUnit is the precision of a told time: 6 percent.
+// stepsPerUnit is the resolution of a step: 6 percent.
 const stepsPerUnit = 16
 
-// maxStep bounds a told time to either side.
+// maxStep bounds a step in both directions.
 const maxStep = MaxSample * stepsPerUnit
 
-// hysteresis is how far an estimate must be from the told step, in steps, to change it.
+// hysteresis is the distance, in steps, that an estimate must have from the current
+// step to change it.
 const hysteresis = 1.25
 
-// Step is a relative time as it is told: its natural logarithm in steps of a sixteenth.
+// Step is the natural logarithm of a target's relative time, in units of one sixteenth.
 type Step int8
 
-// Next returns the step to tell where another one was told before.
+// Next returns the step for a new estimate, given the current one.
 func (s Step) Next(estimate float64) Step {
 	exact := min(max(estimate*stepsPerUnit, -maxStep), maxStep)
 	if math.Abs(exact-float64(s)) < hysteresis {
@@ -108,5 +110,5 @@
 	return Step(math.Round(exact))
 }
 
-// TimeRatio returns the time that a target takes as a multiple of what is usual.
+// TimeRatio returns the target's time as a multiple of what is usual for its service.
 func (s Step) TimeRatio() float64 { return math.Exp(float64(s) / stepsPerUnit) }
--- a/internal/speed/speed_test.go
+++ b/internal/speed/speed_test.go
@@ -15,7 +15,8 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// sampled returns the sums of a target with a relative time, whose requests' work differs.
+// sampleSums returns the sums of random samples of a target with the given relative
+// time.
 func sampleSums(random *rand.Rand, relative float64, samples int) Sums {
 	const spread = 0.6
 	var sums Sums
@@ -32,13 +33,13 @@
 		for range 120 {
 			targets = append(targets, sampleSums(random, 1, 1+random.IntN(60)))
 		}
-		told := 0
+		changed := 0
 		for _, estimate := range Estimate(targets) {
 			if Step(0).Next(estimate) != 0 {
-				told++
+				changed++
 			}
 		}
-		assert.LessOrEqual(t, told, 6, "a twentieth by chance, seed %d", seed)
+		assert.LessOrEqual(t, changed, 6, "at most a twentieth by chance, seed %d", seed)
 	}
 }
 
@@ -64,8 +65,8 @@
 	}
 	targets = append(targets, Sums{Count: 1, Total: 2, Squares: 4}, Sums{})
 	estimates := Estimate(targets)
-	assert.Less(t, estimates[40], 1.5, "one sample of two")
-	assert.InDelta(t, 0, estimates[41], 0.1, "none")
+	assert.Less(t, estimates[40], 1.5, "one sample with the value 2")
+	assert.InDelta(t, 0, estimates[41], 0.1, "no samples")
 }
 
 func TestEstimateOfSingleTarget(t *testing.T) {
@@ -73,22 +74,21 @@
 	assert.Empty(t, Estimate(nil))
 }
 
-// Words that claim no squares at all do not make the others' samples more certain.
+// Reports with understated squares must not reduce the variance of other samples.
 func TestVarianceIgnoresUnderstatedSquares(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 1))
 	var targets []Sums
 	for range 40 {
 		targets = append(targets, sampleSums(random, 1, 20))
 	}
-	honest := variance(targets)
+	before := variance(targets)
 	for range 40 {
 		targets = append(targets, Sums{Count: 16, Total: 16 * MaxSample})
 	}
-	assert.GreaterOrEqual(t, variance(targets), honest/2)
+	assert.GreaterOrEqual(t, variance(targets), before/2)
 }
 
-// A table's total is that of the newest words, whatever was told before, how often and in
-// which order.
+// A total must equal the sum of the latest reports, whatever was reported before.
 func TestTotalMatchesNewestReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable[int](HalfLife)
@@ -97,12 +97,12 @@
 		for range rapid.IntRange(1, 40).Draw(t, "words") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 			source := rapid.IntRange(0, 4).Draw(t, "source")
-			word := Sums{Count: rapid.Float64Range(0, 30).Draw(t, "count")}
-			word.Total = word.Count * rapid.Float64Range(-MaxSample, MaxSample).Draw(t, "mean")
+			report := Sums{Count: rapid.Float64Range(0, 30).Draw(t, "count")}
+			report.Total = report.Count * rapid.Float64Range(-MaxSample, MaxSample).Draw(t, "mean")
 			for range rapid.IntRange(1, 3).Draw(t, "times") {
-				table.Record(now, source, 7, word)
+				table.Record(now, source, 7, report)
 			}
-			newest[source] = timedSums{Sums: word, at: now}
+			newest[source] = timedSums{Sums: report, at: now}
 			if rapid.Bool().Draw(t, "sweep") {
 				table.Sweep(now)
 			}
@@ -110,8 +110,8 @@
 		table.RetainSources(now, func(source int) bool { return source > 0 })
 		delete(newest, 0)
 		var want Sums
-		for _, word := range newest {
-			want = want.Plus(word.Decayed(now.Sub(word.at), HalfLife))
+		for _, report := range newest {
+			want = want.Plus(report.Decayed(now.Sub(report.at), HalfLife))
 		}
 		total := table.Total(now, 7)
 		slack := MinCount*MaxSample*5 + 1e-6
@@ -141,11 +141,11 @@
 		message, err := Decode(frame.Payload)
 		require.NoError(t, err)
 		require.Len(t, message.Reports, 1)
-		word := message.Reports[0]
-		assert.Equal(t, token, word.Token)
-		assert.InDelta(t, sums.Count, word.Count, countUnit)
-		assert.InDelta(t, sums.Mean(), word.Mean(), meanUnit)
-		assert.InDelta(t, sums.Squares/sums.Count, word.Squares/word.Count, squareUnit)
+		report := message.Reports[0]
+		assert.Equal(t, token, report.Token)
+		assert.InDelta(t, sums.Count, report.Count, countUnit)
+		assert.InDelta(t, sums.Mean(), report.Mean(), meanUnit)
+		assert.InDelta(t, sums.Squares/sums.Count, report.Squares/report.Count, squareUnit)
 	})
 }
 
@@ -156,7 +156,7 @@
 	assert.Equal(t, Message{FromLeader: true, Term: 5, Steps: list}, message)
 }
 
-// Whatever a node or member sends, its words stay within bounds.
+// Decoded reports and steps must be within bounds, whatever the payload.
 func FuzzDecode(f *testing.F) {
 	f.Add(ReportFrame("m", []Report{{Token: 1, Sums: Sums{Count: 3, Total: 2, Squares: 2}}}).Payload)
 	f.Add(StepFrame(1, []TargetStep{{Token: 1, Step: 3}}).Payload)
@@ -166,12 +166,12 @@
 		if err != nil {
 			return
 		}
-		for _, word := range message.Reports {
-			assert.LessOrEqual(t, math.Abs(word.Total), word.Count*(MaxSample+2*meanUnit))
-			assert.GreaterOrEqual(t, word.Count, 0.0)
+		for _, report := range message.Reports {
+			assert.LessOrEqual(t, math.Abs(report.Total), report.Count*(MaxSample+2*meanUnit))
+			assert.GreaterOrEqual(t, report.Count, 0.0)
 		}
-		for _, told := range message.Steps {
-			assert.LessOrEqual(t, math.Abs(math.Log(told.Step.TimeRatio())), MaxSample+1e-9)
+		for _, changed := range message.Steps {
+			assert.LessOrEqual(t, math.Abs(math.Log(changed.Step.TimeRatio())), MaxSample+1e-9)
 		}
 	})
 }
