--- a/internal/speed/sums.go
+++ b/internal/speed/sums.go
@@ -1,10 +1,11 @@
-// Package speed learns how long targets take compared with the others of their service.
+// Package speed estimates how long targets take compared with the others of their
+// service.
 //
 // A sample is the natural logarithm of the time that a target took for a request, less
-// the usual one of its route at the same node, so that routes of different work and
-// nodes on different ways compare. Nodes, members and the leader each keep decayed sums
-// of samples by target. The newest word of a source replaces its last one and fades, so
-// that words that are lost, late or doubled change nothing for long.
+// the usual one of its route at the same node, so that routes with different work and
+// nodes with different paths are comparable. Nodes, members and the leader each keep
+// decaying sums of samples by target. The latest report of a source replaces its
+// previous one and decays, so lost, late or duplicate reports have no lasting effect.
 package speed
 
 import (
@@ -13,22 +14,22 @@
 )
 
 const (
-	// HalfLife is the time after which a sample counts half.
+	// HalfLife is the half-life of samples.
 	HalfLife = 10 * time.Second
-	// MemberHalfLife is the time after which a member's word counts half at the leader:
-	// where there are many targets a member tells of each of them once in minutes.
+	// MemberHalfLife is the half-life of a member's reports at the leader. It is longer
+	// because a member with many targets reports each of them only once in minutes.
 	MemberHalfLife = 2 * time.Minute
-	// MaxSample bounds a sample to either side: a time of a seventh or seven times the
-	// usual one. One request that rested or was lost says no more than that.
+	// MaxSample bounds a sample in both directions, to about a seventh and seven times
+	// the usual time. A single lost or stalled request carries no more information.
 	MaxSample = 2.0
-	// MinCount is the decayed number of samples below which sums are forgotten.
+	// MinCount is the decayed number of samples below which sums are removed.
 	MinCount = 0.1
 )
 
-// Sums are the samples of a target, older ones counting less.
+// Sums holds decaying sums of the samples of a target.
 type Sums struct {
-	// Count is the decayed number of samples, Total their sum and Squares that of their
-	// squares.
+	// Count is the decayed number of samples, Total their sum and Squares the sum of
+	// their squares.
 	Count, Total, Squares float64
 }
 
@@ -40,17 +41,17 @@
 	s.Squares += sample * sample
 }
 
-// Plus returns the sums of both.
+// Plus returns the combined sums.
 func (s Sums) Plus(other Sums) Sums {
 	return Sums{Count: s.Count + other.Count, Total: s.Total + other.Total, Squares: s.Squares + other.Squares}
 }
 
-// Scaled returns the sums with all samples counting as many times as much.
+// Scaled returns the sums with the weight of all samples multiplied by factor.
 func (s Sums) Scaled(factor float64) Sums {
 	return Sums{Count: s.Count * factor, Total: s.Total * factor, Squares: s.Squares * factor}
 }
 
-// Decayed returns what the sums count after some time.
+// Decayed returns the sums after the given time.
 func (s Sums) Decayed(age, halfLife time.Duration) Sums {
 	if age <= 0 {
 		return s
@@ -58,7 +59,7 @@
 	return s.Scaled(math.Exp2(-float64(age) / float64(halfLife)))
 }
 
-// Capped returns the sums with a count of no more than a limit.
+// Capped returns the sums scaled down to a count of at most limit.
 func (s Sums) Capped(limit float64) Sums {
 	if s.Count <= limit {
 		return s
@@ -66,7 +67,7 @@
 	return s.Scaled(limit / s.Count)
 }
 
-// Mean returns the mean of the samples, or 0 without any.
+// Mean returns the mean of the samples, or 0 if there are none.
 func (s Sums) Mean() float64 {
 	if s.Count <= 0 {
 		return 0
--- a/internal/speed/table.go
+++ b/internal/speed/table.go
@@ -7,22 +7,22 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// timedSums are sums as of an instant.
+// timedSums holds sums as of an instant.
 type timedSums struct {
 	Sums
 	at kernel.Instant
 }
 
-// Table adds up the newest words of many sources by target.
+// Table keeps the latest reports of many sources and their totals by target.
 type Table[Source comparable] struct {
 	halfLife time.Duration
 	reports  map[Source]map[directory.Token]timedSums
-	// totals are the sums over all sources. Words fade alike, so that a total is kept
-	// up by the difference of a word and the one that it replaces.
+	// totals holds the sums over all sources. All reports decay alike, so a total is
+	// updated by the difference between a report and the one that it replaces.
 	totals map[directory.Token]timedSums
 }
 
-// NewTable returns an empty table whose words count half after a time.
+// NewTable returns an empty table whose reports decay with the given half-life.
 func NewTable[Source comparable](halfLife time.Duration) Table[Source] {
 	return Table[Source]{halfLife: halfLife, reports: map[Source]map[directory.Token]timedSums{}, totals: map[directory.Token]timedSums{}}
 }
@@ -31,15 +31,15 @@
 	return sums.Decayed(now.Sub(sums.at), t.halfLife)
 }
 
-// Record replaces a source's last word on a target.
+// Record replaces the report of a source for a target.
 func (t *Table[Source]) Record(now kernel.Instant, source Source, token directory.Token, sums Sums) {
-	words, known := t.reports[source]
+	reports, known := t.reports[source]
 	if !known {
-		words = map[directory.Token]timedSums{}
-		t.reports[source] = words
+		reports = map[directory.Token]timedSums{}
+		t.reports[source] = reports
 	}
-	replaced := t.decayed(now, words[token])
-	words[token] = timedSums{Sums: sums, at: now}
+	replaced := t.decayed(now, reports[token])
+	reports[token] = timedSums{Sums: sums, at: now}
 	t.addToTotal(now, token, sums.Plus(replaced.Scaled(-1)))
 }
 
@@ -47,15 +47,16 @@
 	t.totals[token] = timedSums{Sums: t.decayed(now, t.totals[token]).Plus(sums), at: now}
 }
 
-// RetainSources forgets all words of the sources that are not kept, and returns their targets.
+// RetainSources removes the reports of all other sources and returns the affected
+// targets.
 func (t *Table[Source]) RetainSources(now kernel.Instant, isKept func(source Source) bool) []directory.Token {
 	var changed []directory.Token
-	for source, words := range t.reports {
+	for source, reports := range t.reports {
 		if isKept(source) {
 			continue
 		}
-		for token, word := range words {
-			t.addToTotal(now, token, t.decayed(now, word).Scaled(-1))
+		for token, report := range reports {
+			t.addToTotal(now, token, t.decayed(now, report).Scaled(-1))
 			changed = append(changed, token)
 		}
 		delete(t.reports, source)
@@ -68,7 +69,7 @@
 	return t.decayed(now, t.totals[token])
 }
 
-// Tokens returns the targets with words, in no order.
+// Tokens returns the targets that have reports, in no particular order.
 func (t *Table[Source]) Tokens() []directory.Token {
 	tokens := make([]directory.Token, 0, len(t.totals))
 	for token := range t.totals {
@@ -77,19 +78,19 @@
 	return tokens
 }
 
-// Sweep forgets words that count next to nothing. Totals are made anew from what is
-// left, so that errors of rounding do not add up.
+// Sweep removes reports with a negligible count and recomputes the totals, so that
+// rounding errors do not accumulate.
 func (t *Table[Source]) Sweep(now kernel.Instant) {
 	clear(t.totals)
-	for source, words := range t.reports {
-		for token, word := range words {
-			if sums := t.decayed(now, word); sums.Count >= MinCount {
+	for source, reports := range t.reports {
+		for token, report := range reports {
+			if sums := t.decayed(now, report); sums.Count >= MinCount {
 				t.addToTotal(now, token, sums)
 			} else {
-				delete(words, token)
+				delete(reports, token)
 			}
 		}
-		if len(words) == 0 {
+		if len(reports) == 0 {
 			delete(t.reports, source)
 		}
 	}
--- a/internal/speed/word.go
+++ b/internal/speed/word.go
@@ -7,85 +7,86 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Report is what a source tells of a target.
+// Report is what a source reports on a target.
 type Report struct {
 	Token directory.Token
 	Sums
 }
 
-// TargetStep is what the leader tells of a target.
+// TargetStep is the step that the leader has determined for a target.
 type TargetStep struct {
 	Token directory.Token
 	Step  Step
 }
 
-// The precision of sums in words: each in a byte or two.
+// Resolution of encoded sums.
 const (
 	countUnit  = 1.0 / 8
 	meanUnit   = MaxSample / math.MaxInt8
 	squareUnit = MaxSample * MaxSample / math.MaxUint8
-	// ReportSize and ToldSize are the encoded sizes in bytes.
+	// ReportSize and TargetStepSize are the encoded sizes in bytes.
 	ReportSize     = 8
 	TargetStepSize = 5
 )
 
-// EncodeReports appends words.
-func EncodeReports(encoder *wire.Encoder, words []Report) {
-	encoder.Uint32(uint32(len(words)))
-	for _, word := range words {
-		count := max(word.Count, countUnit)
-		encoder.Uint32(uint32(word.Token))
+// EncodeReports appends reports to a message.
+func EncodeReports(encoder *wire.Encoder, reports []Report) {
+	encoder.Uint32(uint32(len(reports)))
+	for _, report := range reports {
+		count := max(report.Count, countUnit)
+		encoder.Uint32(uint32(report.Token))
 		encoder.Uint16(uint16(min(math.Round(count/countUnit), math.MaxUint16)))
-		encoder.Uint8(uint8(int8(math.Round(clamp(word.Total/count, MaxSample) / meanUnit))))
-		encoder.Uint8(uint8(math.Round(clamp(word.Squares/count, MaxSample*MaxSample) / squareUnit)))
+		encoder.Uint8(uint8(int8(math.Round(clamp(report.Total/count, MaxSample) / meanUnit))))
+		encoder.Uint8(uint8(math.Round(clamp(report.Squares/count, MaxSample*MaxSample) / squareUnit)))
 	}
 }
 
 func clamp(value, limit float64) float64 { return min(max(value, -limit), limit) }
 
-// DecodeReports reads words.
+// DecodeReports reads reports from a message.
 func DecodeReports(decoder *wire.Decoder) []Report {
-	var words []Report
+	var reports []Report
 	for count := decoder.Count(ReportSize); count > 0; count-- {
-		word := Report{Token: directory.Token(decoder.Uint32())}
-		word.Count = float64(decoder.Uint16()) * countUnit
-		word.Total = float64(int8(decoder.Uint8())) * meanUnit * word.Count
-		word.Squares = float64(decoder.Uint8()) * squareUnit * word.Count
-		words = append(words, word)
+		report := Report{Token: directory.Token(decoder.Uint32())}
+		report.Count = float64(decoder.Uint16()) * countUnit
+		report.Total = float64(int8(decoder.Uint8())) * meanUnit * report.Count
+		report.Squares = float64(decoder.Uint8()) * squareUnit * report.Count
+		reports = append(reports, report)
 	}
-	return words
+	return reports
 }
 
-// EncodeSteps appends what the leader tells.
+// EncodeSteps appends target steps to a message.
 func EncodeSteps(encoder *wire.Encoder, list []TargetStep) {
 	encoder.Uint32(uint32(len(list)))
-	for _, told := range list {
-		encoder.Uint32(uint32(told.Token))
-		encoder.Uint8(uint8(told.Step))
+	for _, target := range list {
+		encoder.Uint32(uint32(target.Token))
+		encoder.Uint8(uint8(target.Step))
 	}
 }
 
-// DecodeSteps reads what the leader tells.
+// DecodeSteps reads target steps from a message.
 func DecodeSteps(decoder *wire.Decoder) []TargetStep {
 	var list []TargetStep
 	for count := decoder.Count(TargetStepSize); count > 0; count-- {
-		told := TargetStep{Token: directory.Token(decoder.Uint32()), Step: Step(decoder.Uint8())}
-		told.Step = min(max(told.Step, -maxStep), maxStep)
-		list = append(list, told)
+		target := TargetStep{Token: directory.Token(decoder.Uint32()), Step: Step(decoder.Uint8())}
+		target.Step = min(max(target.Step, -maxStep), maxStep)
+		list = append(list, target)
 	}
 	return list
 }
 
-// ReportFrame returns the frame of words from a source: a node, or the address of a member.
-func ReportFrame(source string, words []Report) wire.Frame {
+// ReportFrame returns a frame with the reports of a source: the address of a member, or
+// "" for a node.
+func ReportFrame(source string, reports []Report) wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(false)
 	encoder.String(source)
-	EncodeReports(&encoder, words)
+	EncodeReports(&encoder, reports)
 	return wire.Frame{Kind: wire.FrameSpeeds, Payload: encoder.Buffer}
 }
 
-// StepFrame returns the frame of what the leader of a term tells.
+// StepFrame returns a frame with the steps that the leader of a term has determined.
 func StepFrame(term uint64, list []TargetStep) wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(true)
@@ -94,7 +95,7 @@
 	return wire.Frame{Kind: wire.FrameSpeeds, Payload: encoder.Buffer}
 }
 
-// Message is the content of a frame: words of a source, or what a leader tells.
+// Message is the content of a frame: reports of a source, or steps from a leader.
 type Message struct {
 	FromLeader bool
 	Source     string
@@ -103,7 +104,7 @@
 	Steps      []TargetStep
 }
 
-// Decode reads the payload of a frame.
+// Decode decodes the payload of a frame.
 func Decode(payload []byte) (Message, error) {
 	decoder := wire.NewDecoder(payload)
 	message := Message{FromLeader: decoder.Bool()}
--- a/internal/strength/bounds.go
+++ b/internal/strength/bounds.go
@@ -1,64 +1,64 @@
 package strength
 
-// Parts of a process's memory that bounded things may take.
+// Inverse shares of the process memory for bounded tables.
 const (
-	// flowMemoryDivisor is that of the flows that a node keeps, as one of so many parts.
+	// flowMemoryDivisor is for the flow table of a node.
 	flowMemoryDivisor = 4
-	// queueMemoryDivisor is that of the packets that wait before a node is ready.
+	// queueMemoryDivisor is for the packets queued until a node is ready.
 	queueMemoryDivisor = 32
 )
 
-// MaxFlows returns the number of flows of so many bytes that a node keeps, and usual at
-// most.
-func (s Resources) MaxFlows(usual int, size int64) int {
-	return s.countFitting(usual, flowMemoryDivisor, size)
+// MaxFlows returns the number of flows of the given size in bytes that a node keeps, at
+// most usual.
+func (r Resources) MaxFlows(usual int, size int64) int {
+	return r.countFitting(usual, flowMemoryDivisor, size)
 }
 
-// MaxQueuedPackets returns the number of packets of so many bytes that wait before a node is
-// ready, and usual at most.
-func (s Resources) MaxQueuedPackets(usual int, size int64) int {
-	return s.countFitting(usual, queueMemoryDivisor, size)
+// MaxQueuedPackets returns the number of packets of the given size in bytes that are
+// queued until a node is ready, at most usual.
+func (r Resources) MaxQueuedPackets(usual int, size int64) int {
+	return r.countFitting(usual, queueMemoryDivisor, size)
 }
 
-// fitting returns how many things of a size fit into a part of the memory. One always
-// does: a bound of none would stop the node.
-func (s Resources) countFitting(usual int, part, size int64) int {
-	if s.Memory <= 0 {
+// countFitting returns how many entries of a size fit into a share of the memory. It is
+// at least one, since a limit of zero would stop the node.
+func (r Resources) countFitting(usual int, part, size int64) int {
+	if r.Memory <= 0 {
 		return usual
 	}
-	return int(max(1, min(int64(usual), s.Memory/part/size)))
+	return int(max(1, min(int64(usual), r.Memory/part/size)))
 }
 
 const (
-	// httpDescriptorPercent is the part in percent of the sockets that callers of HTTP may hold;
-	// the rest is for packets, peers and probes.
+	// httpDescriptorPercent is the share of the sockets available to HTTP callers; the
+	// rest is for packets, peers and probes.
 	httpDescriptorPercent = 75
 	percent               = 100
 )
 
-// MaxConnections returns the number of connections that callers of HTTP may hold at once;
-// 0 means any number.
-func (s Resources) MaxConnections() int {
-	if s.Descriptors <= 0 {
+// MaxConnections returns the largest number of concurrent HTTP connections; 0 means
+// unlimited.
+func (r Resources) MaxConnections() int {
+	if r.Descriptors <= 0 {
 		return 0
 	}
-	return int(max(1, (s.Descriptors-ReservedDescriptors)*httpDescriptorPercent/percent))
+	return int(max(1, (r.Descriptors-ReservedDescriptors)*httpDescriptorPercent/percent))
 }
 
-// Parts in percent of the disk: it counts as filling from diskFullPercent on until less than
-// diskRelievedPercent is held. A log that is rewritten falls to two thirds each time, which
-// relieves no disk.
+// Disk usage in percent from which on the disk counts as nearly full, and below which
+// it no longer does. The gap is wide so that rewriting a log, which leaves two thirds
+// of its size, does not end the state.
 const (
 	diskFullPercent     = 80
 	diskRelievedPercent = 52
 )
 
-// IsDiskNearlyFull reports whether so many bytes nearly fill the disk, which they did before or
-// not.
-func (s Resources) IsDiskNearlyFull(held int64, before bool) bool {
+// IsDiskNearlyFull reports whether held bytes nearly fill the disk; before is the
+// previous result.
+func (r Resources) IsDiskNearlyFull(held int64, before bool) bool {
 	share := float64(diskFullPercent)
 	if before {
 		share = diskRelievedPercent
 	}
-	return s.Disk > 0 && float64(held) >= float64(s.Disk)*share/percent
+	return r.Disk > 0 && float64(held) >= float64(r.Disk)*share/percent
 }
--- a/internal/strength/strength.go
+++ b/internal/strength/strength.go
@@ -1,6 +1,5 @@
-// Package strength provides what is stated of the machine that a process runs on, and
-// what follows from it: a node's part of the work that is shared out, and the bounds
-// that a process keeps for itself.
+// Package strength holds the configured resources of the machine that a process runs
+// on, and what is derived from them: the weight of a node and the limits of a process.
 package strength
 
 import (
@@ -12,45 +11,46 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Resources is what is stated of a machine. A field that is 0 is not stated.
+// Resources is the configuration of a machine's resources. A field of 0 is not
+// configured.
 type Resources struct {
-	// CPUShare is the share of a core that the process gets, and CPUCores how many times as
-	// fast as one core it is.
+	// CPUShare is the share of the processor that the process gets, and CPUCores the
+	// speed of the whole processor as a multiple of one core.
 	CPUShare, CPUCores float64
 	// Memory and Disk are in bytes.
 	Memory, Disk int64
-	// Descriptors is the number of files and sockets that the process may have open.
+	// Descriptors is the largest number of open files and sockets.
 	Descriptors int64
 	// LinkMbps is the rate of the machine's own link in Mbit/s.
 	LinkMbps float64
 }
 
-// CPU returns the strength of the processor in cores, or 0 when it is not stated.
-func (s Resources) CPU() float64 {
-	if s.CPUCores == 0 {
-		return s.CPUShare
+// CPU returns the processing capacity in cores, or 0 if it is not configured.
+func (r Resources) CPU() float64 {
+	if r.CPUCores == 0 {
+		return r.CPUShare
 	}
-	return s.CPUShare * s.CPUCores
+	return r.CPUShare * r.CPUCores
 }
 
-// String returns the fields as the log shows them.
-func (s Resources) String() string {
-	return fmt.Sprintf("processor=%g memory=%d descriptors=%d link_mbps=%g disk=%d", s.CPU(), s.Memory, s.Descriptors, s.LinkMbps, s.Disk)
+// String returns the resources as they appear in logs.
+func (r Resources) String() string {
+	return fmt.Sprintf("processor=%g memory=%d descriptors=%d link_mbps=%g disk=%d", r.CPU(), r.Memory, r.Descriptors, r.LinkMbps, r.Disk)
 }
 
-// Range bounds what a quantity can be meant to be; 0 stands for one that is not stated.
+// Range is the valid range of a setting; 0 is always valid and means not configured.
 type Range struct{ min, max float64 }
 
-// ReservedDescriptors is the number of descriptors that are kept for files.
+// ReservedDescriptors is the number of descriptors reserved for files.
 const ReservedDescriptors = 200
 
-// minDescriptors leaves a process the sockets without which it cannot work: for
-// packets, peers, probes and a caller.
+// minDescriptors leaves the sockets that a process needs for packets, peers, probes and
+// one caller.
 const minDescriptors = ReservedDescriptors + 16
 
-// The ranges of the quantities, in the units of the settings. More processor than
-// machines have is a mistake in its unit. Of the others any number is taken, since
-// systems state the largest one where there is no limit.
+// Valid ranges, in the units of the settings. A larger CPU value is taken for a
+// mistaken unit. The others have no maximum, because systems report the largest integer
+// where there is no limit.
 var (
 	CPUShareRange    = Range{0.001, 1024}
 	CPUCoresRange    = Range{0.01, 1024}
@@ -58,21 +58,21 @@
 	DescriptorsRange = Range{minDescriptors, math.MaxInt64}
 )
 
-// What is stated counts for no more than these, far above what machines have, so that
-// parts and multiples of it are numbers too.
+// Larger values are clamped to these, so that sizes in bytes and multiples of them do
+// not overflow.
 const (
 	maxMegabytes   = 1 << 30
 	maxDescriptors = 1 << 31
 	megabyte       = 1 << 20
 )
 
-// MegabytesToBytes returns a stated size in bytes.
-func MegabytesToBytes(stated int64) int64 { return min(stated, maxMegabytes) * megabyte }
+// MegabytesToBytes converts a configured size to bytes and clamps it.
+func MegabytesToBytes(configured int64) int64 { return min(configured, maxMegabytes) * megabyte }
 
-// ClampDescriptors returns the number of descriptors that a stated one counts for.
-func ClampDescriptors(stated int64) int64 { return min(stated, maxDescriptors) }
+// ClampDescriptors clamps a configured number of descriptors.
+func ClampDescriptors(configured int64) int64 { return min(configured, maxDescriptors) }
 
-// Validate returns a directory.Problem when a value cannot be meant.
+// Validate returns a directory.Problem if the value is out of range.
 func (r Range) Validate(field string, value float64) error {
 	if value == 0 || value >= r.min && value <= r.max {
 		return nil
@@ -84,48 +84,49 @@
 	return directory.NewProblem(field, value, "must be 0 (not stated) or "+bounds)
 }
 
-// thousandths and millionths are the parts in which fractions travel.
+// thousandths and millionths are the scales of encoded fractions.
 const (
 	thousandths = 1e3
 	millionths  = 1e6
-	// kilobyte is the unit in which sizes travel.
+	// kilobyte is the unit of encoded sizes.
 	kilobyte = 1 << 10
 )
 
-// Encode appends the strength to a message: 32 bytes.
-func (s Resources) Encode(encoder *wire.Encoder) {
-	encoder.Uint32(saturatingUint32(s.CPUShare * millionths))
-	encoder.Uint32(saturatingUint32(s.CPUCores * thousandths))
-	encoder.Uint64(uint64(s.Memory / kilobyte))
-	encoder.Uint32(saturatingUint32(float64(s.Descriptors)))
-	encoder.Uint32(saturatingUint32(s.LinkMbps * thousandths))
-	encoder.Uint64(uint64(s.Disk / kilobyte))
+// Encode appends the resources to a message: 32 bytes.
+func (r Resources) Encode(encoder *wire.Encoder) {
+	encoder.Uint32(saturatingUint32(r.CPUShare * millionths))
+	encoder.Uint32(saturatingUint32(r.CPUCores * thousandths))
+	encoder.Uint64(uint64(r.Memory / kilobyte))
+	encoder.Uint32(saturatingUint32(float64(r.Descriptors)))
+	encoder.Uint32(saturatingUint32(r.LinkMbps * thousandths))
+	encoder.Uint64(uint64(r.Disk / kilobyte))
 }
 
-// rounded returns a number as it travels; one that does not fit is the largest.
+// saturatingUint32 rounds a value to a uint32 and caps it at the largest one.
 func saturatingUint32(value float64) uint32 { return uint32(min(math.Round(value), math.MaxUint32)) }
 
-// Decode reads a strength.
+// Decode reads resources from a message.
 func Decode(decoder *wire.Decoder) Resources {
-	s := Resources{CPUShare: float64(decoder.Uint32()) / millionths, CPUCores: float64(decoder.Uint32()) / thousandths}
-	s.Memory = kilobytesToBytes(decoder.Uint64())
-	s.Descriptors = int64(decoder.Uint32())
-	s.LinkMbps = float64(decoder.Uint32()) / thousandths
-	s.Disk = kilobytesToBytes(decoder.Uint64())
-	return s
+	r := Resources{CPUShare: float64(decoder.Uint32()) / millionths, CPUCores: float64(decoder.Uint32()) / thousandths}
+	r.Memory = kilobytesToBytes(decoder.Uint64())
+	r.Descriptors = int64(decoder.Uint32())
+	r.LinkMbps = float64(decoder.Uint32()) / thousandths
+	r.Disk = kilobytesToBytes(decoder.Uint64())
+	return r
 }
 
-// kilobytesToBytes returns a size in bytes, the largest one for a false number.
+// kilobytesToBytes converts a decoded size to bytes, capped to avoid overflow.
 func kilobytesToBytes(kilobytes uint64) int64 {
 	return int64(min(kilobytes, math.MaxInt64/kilobyte)) * kilobyte
 }
 
-// maxMedianMultiple bounds a node's weight to so many times the median: more than machines of
-// one fleet differ, and little enough that a node that states too much is one of many.
+// maxMedianMultiple caps a node's weight as a multiple of the median. It exceeds the
+// differences within a fleet, but limits the effect of a node that overstates its
+// resources.
 const maxMedianMultiple = 8
 
-// Weights returns the parts of nodes by the strength of their processors. A node that
-// states none counts as the median of those that do.
+// Weights returns the weights of nodes by CPU. A node without a configured CPU gets the
+// median.
 func Weights(nodes []Resources) []float64 {
 	reference := medianCPU(nodes)
 	weights := make([]float64, len(nodes))
@@ -135,29 +136,29 @@
 	return weights
 }
 
-// IsCapped reports whether a weight is less than a node's word asks for.
-func IsCapped(stated Resources, weight float64) bool { return stated.CPU() > weight }
+// IsCapped reports whether a weight is lower than the node's configured CPU.
+func IsCapped(configured Resources, weight float64) bool { return configured.CPU() > weight }
 
-func weight(stated, reference float64) float64 {
-	if stated == 0 {
+func weight(configured, reference float64) float64 {
+	if configured == 0 {
 		return reference
 	}
-	return min(stated, maxMedianMultiple*reference)
+	return min(configured, maxMedianMultiple*reference)
 }
 
-// median returns the processor of the node in the middle of those that state one, the
-// lower one of two, and 1 where none does. It is one that a node has, so that it stays
-// the same while another one changes by little.
+// medianCPU returns the lower median of the configured CPUs, or 1 if there are none. It
+// is the value of an existing node, so that small changes of other nodes do not change
+// it.
 func medianCPU(nodes []Resources) float64 {
-	var stated []float64
+	var configured []float64
 	for _, node := range nodes {
 		if processor := node.CPU(); processor > 0 {
-			stated = append(stated, processor)
+			configured = append(configured, processor)
 		}
 	}
-	if len(stated) == 0 {
+	if len(configured) == 0 {
 		return 1
 	}
-	slices.Sort(stated)
-	return stated[(len(stated)-1)/2]
+	slices.Sort(configured)
+	return configured[(len(configured)-1)/2]
 }
--- a/internal/strength/strength_test.go
+++ b/internal/strength/strength_test.go
@@ -51,20 +51,19 @@
 
 func owners(nodes []Resources) []int {
 	weights := Weights(nodes)
-	drawn := make([]rendezvous.Node, len(nodes))
+	draws := make([]rendezvous.Node, len(nodes))
 	for position, weight := range weights {
-		drawn[position] = rendezvous.Node{Seed: rendezvous.Hash(fmt.Sprint("n-", position)), Weight: weight}
+		draws[position] = rendezvous.Node{Seed: rendezvous.Hash(fmt.Sprint("n-", position)), Weight: weight}
 	}
 	found := make([]int, 200)
 	for number := range found {
-		found[number] = rendezvous.Best(drawn, rendezvous.Hash(fmt.Sprint("i-", number)))
+		found[number] = rendezvous.Best(draws, rendezvous.Hash(fmt.Sprint("i-", number)))
 	}
 	return found
 }
 
-// Of keys that change hands, one side is the node that changed or, where the median
-// has moved, one whose weight rests on it. However much a node states, it gets no more
-// than so many of the middle one.
+// A key may move only from or to the changed node, or to nodes whose weight depends on
+// the median. No weight may exceed the multiple of the median.
 func TestResourceChangeMovesOnlyAffectedKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := rapid.SampledFrom([]float64{0, 0.045, 0.152, 0.3, 1024})
@@ -73,30 +72,32 @@
 		changed := rapid.IntRange(0, len(before)-1).Draw(t, "changed")
 		after := append([]Resources{}, before...)
 		after[changed] = Resources{CPUShare: shares.Draw(t, "other share"), CPUCores: rapid.SampledFrom([]float64{0, 1, 1000}).Draw(t, "cores")}
-		heavier := Weights(before)
-		later := Weights(after)
-		for _, weight := range later {
+		weightsBefore := Weights(before)
+		weightsAfter := Weights(after)
+		for _, weight := range weightsAfter {
 			assert.LessOrEqual(t, weight, maxMedianMultiple*medianCPU(after))
 		}
-		movable := func(position int) bool { return position == changed || heavier[position] != later[position] }
-		was, is := owners(before), owners(after)
-		for number := range was {
-			if was[number] != is[number] {
-				assert.True(t, movable(was[number]) || movable(is[number]))
+		movable := func(position int) bool {
+			return position == changed || weightsBefore[position] != weightsAfter[position]
+		}
+		ownersBefore, ownersAfter := owners(before), owners(after)
+		for number := range ownersBefore {
+			if ownersBefore[number] != ownersAfter[number] {
+				assert.True(t, movable(ownersBefore[number]) || movable(ownersAfter[number]))
 			}
 		}
 		if medianCPU(before) != medianCPU(after) {
 			return
 		}
 		for position := range before {
-			assert.True(t, position == changed || !movable(position), "only the node that changed weighs otherwise")
+			assert.True(t, position == changed || !movable(position), "only the changed node gets another weight")
 		}
 	})
 }
 
 func TestResourcesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		stated := Resources{
+		resources := Resources{
 			CPUShare:    float64(rapid.IntRange(0, 1_000_000_000).Draw(t, "share")) / millionths,
 			CPUCores:    float64(rapid.IntRange(0, 1_000_000).Draw(t, "cores")) / thousandths,
 			Memory:      rapid.Int64Range(0, 1<<40).Draw(t, "memory") * kilobyte,
@@ -105,10 +106,10 @@
 			Disk:        rapid.Int64Range(0, 1<<40).Draw(t, "disk") * kilobyte,
 		}
 		var encoder wire.Encoder
-		stated.Encode(&encoder)
+		resources.Encode(&encoder)
 		require.Len(t, encoder.Buffer, 32)
 		decoder := wire.NewDecoder(encoder.Buffer)
-		assert.Equal(t, stated, Decode(decoder))
+		assert.Equal(t, resources, Decode(decoder))
 		assert.NoError(t, decoder.Err("test"))
 	})
 }
@@ -144,15 +145,15 @@
 	assert.Equal(t, 2156, small.MaxConnections())
 	assert.False(t, small.IsDiskNearlyFull(79, false))
 	assert.True(t, small.IsDiskNearlyFull(80, false))
-	assert.True(t, small.IsDiskNearlyFull(52, true), "a log that was rewritten is full again soon")
+	assert.True(t, small.IsDiskNearlyFull(52, true), "rewriting a log does not end the state")
 	assert.False(t, small.IsDiskNearlyFull(51, true))
-	endless := Resources{Memory: MegabytesToBytes(math.MaxInt64), Descriptors: ClampDescriptors(math.MaxInt64), Disk: MegabytesToBytes(math.MaxInt64)}
-	assert.Equal(t, 200_000, endless.MaxFlows(200_000, 400))
-	assert.Greater(t, endless.MaxConnections(), 1_000_000_000)
-	assert.False(t, endless.IsDiskNearlyFull(1<<40, false))
-	var unstated Resources
-	assert.Equal(t, 200_000, unstated.MaxFlows(200_000, 400))
-	assert.Zero(t, unstated.MaxConnections())
-	assert.False(t, unstated.IsDiskNearlyFull(math.MaxInt64, true))
+	unlimited := Resources{Memory: MegabytesToBytes(math.MaxInt64), Descriptors: ClampDescriptors(math.MaxInt64), Disk: MegabytesToBytes(math.MaxInt64)}
+	assert.Equal(t, 200_000, unlimited.MaxFlows(200_000, 400))
+	assert.Greater(t, unlimited.MaxConnections(), 1_000_000_000)
+	assert.False(t, unlimited.IsDiskNearlyFull(1<<40, false))
+	var unset Resources
+	assert.Equal(t, 200_000, unset.MaxFlows(200_000, 400))
+	assert.Zero(t, unset.MaxConnections())
+	assert.False(t, unset.IsDiskNearlyFull(math.MaxInt64, true))
 	assert.Equal(t, 1, Resources{Memory: 1}.MaxQueuedPackets(1024, 2048))
 }
