--- a/internal/egress/fleet_test.go
+++ b/internal/egress/fleet_test.go
@@ -15,7 +15,7 @@
 	// fleetSeconds is the simulated time, and fleetSettled the start of the measured
 	// part.
 	fleetSeconds, fleetSettled = 40, 20
-	// fleetRounds is the number of runs of the property.
+	// fleetRounds is the number of runs of the property, each on many random fleets.
 	fleetRounds = 10
 	// maxLag is the largest age of the load reports in seconds.
 	maxLag = 3
@@ -24,7 +24,8 @@
 	maxUtilizationExcess = 0.05
 )
 
-// stability bounds the swing of a node's utilization, up to a utilization of all links.
+// stability bounds the swing of a node's utilization for loads up to a total
+// utilization.
 type stability struct{ utilization, swing float64 }
 
 // fleetNode is a node that receives a fixed share of all flows.
@@ -67,19 +68,19 @@
 // distribute applies a load in bytes per second. One of three successive ports is
 // always accepted, on the others nodes refuse their fraction, and refused callers are
 // hashed again.
-func (f *fleet) distribute(bytes float64, refusals bool) {
-	parts := make([]float64, len(f.nodes))
+func (f *fleet) distribute(bytes float64, refuse bool) {
+	refusals := make([]float64, len(f.nodes))
 	refused := 0.0
 	for number, node := range f.nodes {
-		if refusals {
+		if refuse {
 			node.refused.Update(node.load, time.Second)
-			parts[number] = node.refused.Value()
+			refusals[number] = node.refused.Value()
 		}
-		refused += node.share * parts[number]
+		refused += node.share * refusals[number]
 	}
 	for number, node := range f.nodes {
-		taken := 1 - parts[number]
-		tries := 1 + (taken + refused*taken + refused*refused) + (taken + refused)
+		accepted := 1 - refusals[number]
+		tries := 1 + (accepted + refused*accepted + refused*refused) + (accepted + refused)
 		node.load.Utilization = bytes * node.share * tries / callerTries / node.load.Rate
 	}
 	f.exchangeLoads()
@@ -111,22 +112,22 @@
 	maxUtilization, swing float64
 }
 
-func (f *fleet) run(bytes float64, refusals bool) outcome {
+func (f *fleet) run(bytes float64, refuse bool) outcome {
 	var o outcome
 	lowest, highest := map[*fleetNode]float64{}, map[*fleetNode]float64{}
 	for second := range fleetSeconds {
-		f.distribute(bytes, refusals)
+		f.distribute(bytes, refuse)
 		if second < fleetSettled {
 			continue
 		}
 		for _, node := range f.nodes {
-			use := node.load.Utilization
-			o.wait += use * node.load.Rate / bytes * node.load.ExpectedWait().Seconds() / (fleetSeconds - fleetSettled)
+			utilization := node.load.Utilization
+			o.wait += utilization * node.load.Rate / bytes * node.load.ExpectedWait().Seconds() / (fleetSeconds - fleetSettled)
 			if second == fleetSettled {
-				lowest[node], highest[node] = use, use
+				lowest[node], highest[node] = utilization, utilization
 			}
-			lowest[node], highest[node] = min(lowest[node], use), max(highest[node], use)
-			o.maxUtilization = max(o.maxUtilization, use)
+			lowest[node], highest[node] = min(lowest[node], utilization), max(highest[node], utilization)
+			o.maxUtilization = max(o.maxUtilization, utilization)
 			o.swing = max(o.swing, highest[node]-lowest[node])
 		}
 	}
@@ -151,15 +152,15 @@
 	rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.95, swing: 0.15}) })
 }
 
-func checkFleet(t *rapid.T, aim stability) {
+func checkFleet(t *rapid.T, bounds stability) {
 	f := drawFleet(t)
 	rate := 0.0
 	for _, node := range f.nodes {
 		rate += node.load.Rate
 	}
-	bytes := rate * rapid.Float64Range(0.05, aim.utilization).Draw(t, "use")
+	bytes := rate * rapid.Float64Range(0.05, bounds.utilization).Draw(t, "use")
 	without, with := f.run(bytes, false), f.run(bytes, true)
 	require.LessOrEqual(t, with.wait, without.wait+minRefusalWait.Seconds()/10)
 	require.LessOrEqual(t, with.maxUtilization, without.maxUtilization+maxUtilizationExcess)
-	require.LessOrEqual(t, with.swing, aim.swing)
+	require.LessOrEqual(t, with.swing, bounds.swing)
 }
--- a/internal/egress/flow.go
+++ b/internal/egress/flow.go
@@ -119,9 +119,9 @@
 	return nil
 }
 
-// isFirstLongWait reports whether the wait is the first of the current request to reach
-// resendTimeout.
-func (f *flow) isFirstLongWait(waited time.Duration) bool {
+// markLongWait reports whether the wait is the first of the current request to reach
+// resendTimeout, and records it.
+func (f *flow) markLongWait(waited time.Duration) bool {
 	if waited < resendTimeout || f.waitReported {
 		return false
 	}
--- a/internal/egress/losses.go
+++ b/internal/egress/losses.go
@@ -83,8 +83,8 @@
 	progressed bool
 	// suspected is a loss that is not yet confirmed by progress of the flow.
 	suspected    loss
-	copyPosition uint32
-	copiedAt     kernel.Instant
+	resentOffset uint32
+	resentAt     kernel.Instant
 	// recoveryUntil is the end of the current burst of retransmissions.
 	recoveryUntil kernel.Instant
 }
@@ -108,11 +108,11 @@
 	if sent.Data == 0 {
 		return false
 	}
-	name := flowHash(sent.Flow)
-	key := dataHash(name, sent.Sequence)
+	flowKey := flowHash(sent.Flow)
+	key := dataHash(flowKey, sent.Sequence)
 	d.marks[key%dataMarkCount] = dataMark{key: key, at: now, size: sent.Size}
-	flow := &d.flows[name%flowMarkCount]
-	return flow.key == name && flow.progressed
+	flow := &d.flows[flowKey%flowMarkCount]
+	return flow.key == flowKey && flow.progressed
 }
 
 // recordPacket processes a packet of an open flow.
@@ -122,8 +122,8 @@
 	if flow.key != key {
 		*flow = flowMark{key: key, acknowledged: packet.Acknowledged}
 	}
-	if position, advanced := flow.deliveredUpTo(packet); advanced {
-		d.recordDelivered(now, flow, position)
+	if offset, advanced := flow.updateDelivered(packet); advanced {
+		d.recordDelivered(now, flow, offset)
 		d.confirmLoss(now, flow)
 	}
 	if packet.Data == 0 {
@@ -134,8 +134,8 @@
 
 // recordData checks whether data was received before, and whether it had been sent by
 // then.
-func (d *lossDetector) recordData(now kernel.Instant, flow *flowMark, position uint32) {
-	key := dataHash(flow.key, position)
+func (d *lossDetector) recordData(now kernel.Instant, flow *flowMark, offset uint32) {
+	key := dataHash(flow.key, offset)
 	mark := &d.marks[key%dataMarkCount]
 	if mark.key != key || now.Sub(mark.at) > markTimeout {
 		*mark = dataMark{key: key, at: now}
@@ -146,35 +146,35 @@
 		lost = loss{sentAt: mark.at, size: mark.size}
 		*mark = dataMark{key: key, at: now}
 	}
-	d.recordRetransmission(now, flow, position, lost)
+	d.recordRetransmission(now, flow, offset, lost)
 }
 
-// deliveredUpTo returns the offset up to which data is shown to have been delivered,
-// and whether it advanced. A new acknowledgement by the caller confirms all data
-// received so far, or all before the packet if that carries data. Otherwise all but the
-// last window is confirmed.
-func (f *flowMark) deliveredUpTo(packet ReceivedPacket) (position uint32, advanced bool) {
+// updateDelivered updates the range of the flow's data. It returns the offset up to
+// which data is shown to have been delivered, and whether that advanced. A new
+// acknowledgement by the caller confirms all data received so far, or all before the
+// packet if that carries data. Otherwise all but the last window is confirmed.
+func (f *flowMark) updateDelivered(packet ReceivedPacket) (offset uint32, advanced bool) {
 	if packet.Data > 0 {
 		f.extend(packet)
 	}
-	position = f.end - windowDataBytes
+	offset = f.end - windowDataBytes
 	if packet.Acknowledged != f.acknowledged {
 		f.acknowledged = packet.Acknowledged
-		position = f.end
+		offset = f.end
 		if packet.Data > 0 {
-			position = packet.Sequence
+			offset = packet.Sequence
 		}
 	}
-	return position, f.known && int32(position-f.delivered) > 0
+	return offset, f.known && int32(offset-f.delivered) > 0
 }
 
 // recordDelivered records the offset up to which data of a flow was delivered.
-func (d *lossDetector) recordDelivered(now kernel.Instant, flow *flowMark, position uint32) {
-	bytes := int(int32(position - flow.delivered))
+func (d *lossDetector) recordDelivered(now kernel.Instant, flow *flowMark, offset uint32) {
+	bytes := int(int32(offset - flow.delivered))
 	if bytes <= 0 {
 		return
 	}
-	flow.delivered, flow.progressed = position, true
+	flow.delivered, flow.progressed = offset, true
 	d.observer.delivered(now, bytes)
 }
 
@@ -198,18 +198,18 @@
 // may be dead. Once the target has acknowledged it, the caller retransmits the rest of
 // its window, including data that has arrived; of that burst only the lowest offset is
 // certainly missing.
-func (d *lossDetector) recordRetransmission(now kernel.Instant, flow *flowMark, position uint32, lost loss) {
+func (d *lossDetector) recordRetransmission(now kernel.Instant, flow *flowMark, offset uint32, lost loss) {
 	switch {
 	case now.Before(flow.recoveryUntil):
-		if int32(position-flow.copyPosition) < 0 {
-			flow.copyPosition, flow.suspected = position, lost
+		if int32(offset-flow.resentOffset) < 0 {
+			flow.resentOffset, flow.suspected = offset, lost
 		}
-	case position != flow.copyPosition && now.Sub(flow.copiedAt) <= recoveryDelay:
+	case offset != flow.resentOffset && now.Sub(flow.resentAt) <= recoveryDelay:
 		d.confirmLoss(now, flow)
 		flow.recoveryUntil = now.Add(recoveryBurst)
-		flow.copyPosition, flow.suspected = position, lost
+		flow.resentOffset, flow.suspected = offset, lost
 	default:
-		flow.copyPosition, flow.copiedAt = position, now
+		flow.resentOffset, flow.resentAt = offset, now
 		if lost.size > 0 {
 			flow.suspected = lost
 		}
@@ -222,7 +222,7 @@
 	if flow.suspected.size == 0 || now.Before(flow.recoveryUntil) {
 		return
 	}
-	suspect := flow.suspected
+	lost := flow.suspected
 	flow.suspected = loss{}
-	d.observer.lost(now, suspect)
+	d.observer.lost(now, lost)
 }
--- a/internal/egress/rate.go
+++ b/internal/egress/rate.go
@@ -252,8 +252,8 @@
 }
 
 // reduce lowers the rate after a fraction of the data sent at the given rate was lost.
-func (r *RateEstimator) reduce(now kernel.Instant, rate, share float64) {
-	r.reducedRate = max(r.policy.Decrease(rate, r.configured, share), min(minRate, r.configured))
+func (r *RateEstimator) reduce(now kernel.Instant, rate, lost float64) {
+	r.reducedRate = max(r.policy.Decrease(rate, r.configured, lost), min(minRate, r.configured))
 	r.reducedAt = now
 	r.lossFreeTime = 0
 	r.reductions++
--- a/internal/egress/ratesigns.go
+++ b/internal/egress/ratesigns.go
@@ -6,11 +6,11 @@
 // delivered. In that case the retransmissions that would show the losses are lost as
 // well.
 func (r *RateEstimator) detectOutage(now kernel.Instant) {
-	seen := slotNumber(now.Add(-outageDelay))
+	cutoff := slotNumber(now.Add(-outageDelay))
 	first := max(slotNumber(now.Add(-outageDelay-outageWindow)), slotNumber(r.reducedAt)+1, 0)
 	var before, since rateSlot
 	for number := first; number <= r.newestSlot; number++ {
-		if number < seen {
+		if number < cutoff {
 			before.add(r.slots[number%slotCount])
 		}
 		since.add(r.slots[number%slotCount])
@@ -33,15 +33,15 @@
 
 func (r *RateEstimator) learnFromSlot(number int64) {
 	slot := &r.slots[number%slotCount]
-	begin := kernel.Instant(number * int64(slotTime))
+	start := kernel.Instant(number * int64(slotTime))
 	learned := slot.lost + slot.delivered
-	if learned == 0 || begin.Before(r.reducedAt) {
+	if learned == 0 || start.Before(r.reducedAt) {
 		return
 	}
 	if slot.rate < r.configured && slot.rate > r.reducedRate {
 		return
 	}
-	part := min(float64(learned)/backgroundBytes, 1)
-	share := min(slot.lossFraction(), maxBackground)
-	r.backgroundLoss += (share - r.backgroundLoss) * part
+	weight := min(float64(learned)/backgroundBytes, 1)
+	loss := min(slot.lossFraction(), maxBackground)
+	r.backgroundLoss += (loss - r.backgroundLoss) * weight
 }
--- a/internal/egress/scheduler.go
+++ b/internal/egress/scheduler.go
@@ -137,7 +137,7 @@
 			f.queue.consume(f, next.Size)
 		}
 		item := s.dequeue(next)
-		item.WaitedLong = f.isFirstLongWait(now.Sub(item.OfferedAt))
+		item.WaitedLong = f.markLongWait(now.Sub(item.OfferedAt))
 		return item, true
 	}
 }
--- a/internal/egress/turns.go
+++ b/internal/egress/turns.go
@@ -34,7 +34,7 @@
 	ringLinks links[callerQueue]
 }
 
-func callerRingLinksOf(t *callerQueue) *links[callerQueue] { return &t.ringLinks }
+func callerRingLinksOf(q *callerQueue) *links[callerQueue] { return &q.ringLinks }
 
 // roundRobin schedules callers by deficit round robin, and the flows of a caller in
 // turn.
@@ -86,9 +86,9 @@
 // most queued bytes.
 func (t *roundRobin) last() *flow {
 	found := t.callers.first
-	looked := 0
-	for queue := t.callers.first; queue != nil && looked < maxScan; queue = queue.ringLinks.next {
-		looked++
+	scanned := 0
+	for queue := t.callers.first; queue != nil && scanned < maxScan; queue = queue.ringLinks.next {
+		scanned++
 		if queue.bytes > found.bytes {
 			found = queue
 		}
@@ -97,9 +97,9 @@
 }
 
 // consume charges bytes to the caller and moves the flow to the end of its queue.
-func (t *callerQueue) consume(f *flow, bytes int) {
-	t.deficit -= bytes
-	t.flows.moveBack(f)
+func (q *callerQueue) consume(f *flow, bytes int) {
+	q.deficit -= bytes
+	q.flows.moveBack(f)
 }
 
 // queueIn returns the caller's queue in a class, or nil.
@@ -113,10 +113,10 @@
 }
 
 // removeQueue removes an empty queue.
-func (c *caller) removeQueue(ended *callerQueue) {
+func (c *caller) removeQueue(removed *callerQueue) {
 	last := len(c.queues) - 1
 	for position, queue := range c.queues {
-		if queue == ended {
+		if queue == removed {
 			c.queues[position] = c.queues[last]
 			c.queues = c.queues[:last]
 			return
--- a/internal/strength/bounds.go
+++ b/internal/strength/bounds.go
@@ -9,24 +9,24 @@
 )
 
 // MaxFlows returns the number of flows of the given size in bytes that a node keeps, at
-// most usual.
-func (r Resources) MaxFlows(usual int, size int64) int {
-	return r.countFitting(usual, flowMemoryDivisor, size)
+// most limit.
+func (r Resources) MaxFlows(limit int, size int64) int {
+	return r.countFitting(limit, flowMemoryDivisor, size)
 }
 
 // MaxQueuedPackets returns the number of packets of the given size in bytes that are
-// queued until a node is ready, at most usual.
-func (r Resources) MaxQueuedPackets(usual int, size int64) int {
-	return r.countFitting(usual, queueMemoryDivisor, size)
+// queued until a node is ready, at most limit.
+func (r Resources) MaxQueuedPackets(limit int, size int64) int {
+	return r.countFitting(limit, queueMemoryDivisor, size)
 }
 
 // countFitting returns how many entries of a size fit into a share of the memory. It is
 // at least one, since a limit of zero would stop the node.
-func (r Resources) countFitting(usual int, part, size int64) int {
+func (r Resources) countFitting(limit int, divisor, size int64) int {
 	if r.Memory <= 0 {
-		return usual
+		return limit
 	}
-	return int(max(1, min(int64(usual), r.Memory/part/size)))
+	return int(max(1, min(int64(limit), r.Memory/divisor/size)))
 }
 
 const (
@@ -53,12 +53,12 @@
 	diskRelievedPercent = 52
 )
 
-// IsDiskNearlyFull reports whether held bytes nearly fill the disk; before is the
+// IsDiskNearlyFull reports whether the used bytes nearly fill the disk; wasFull is the
 // previous result.
-func (r Resources) IsDiskNearlyFull(held int64, before bool) bool {
+func (r Resources) IsDiskNearlyFull(used int64, wasFull bool) bool {
 	share := float64(diskFullPercent)
-	if before {
+	if wasFull {
 		share = diskRelievedPercent
 	}
-	return r.Disk > 0 && float64(held) >= float64(r.Disk)*share/percent
+	return r.Disk > 0 && float64(used) >= float64(r.Disk)*share/percent
 }
