--- a/internal/egress/load.go
+++ b/internal/egress/load.go
@@ -146,8 +146,8 @@
 		r.fraction = 0
 		return
 	}
-	way := 1 - math.Pow(1-refusalGain, elapsed.Seconds())
-	r.fraction += way * (load.refusalFractionAt(load.ExpectedWait()) - r.fraction)
+	weight := 1 - math.Pow(1-refusalGain, elapsed.Seconds())
+	r.fraction += weight * (load.refusalFractionAt(load.ExpectedWait()) - r.fraction)
 }
 
 // refusalFractionAt returns the fraction of flows to refuse at the given wait.
--- a/internal/egress/rate.go
+++ b/internal/egress/rate.go
@@ -244,11 +244,11 @@
 
 // evaluate lowers the rate if recent losses were excessive.
 func (r *RateEstimator) evaluate(now kernel.Instant) {
-	sum := r.recentTotals()
-	if !sum.isExcessive(r.backgroundLoss) {
+	totals := r.recentTotals()
+	if !totals.isExcessive(r.backgroundLoss) {
 		return
 	}
-	r.reduce(now, r.slots[slotNumber(r.lastLostSentAt)%slotCount].rate, sum.excessFraction(r.backgroundLoss))
+	r.reduce(now, r.slots[slotNumber(r.lastLostSentAt)%slotCount].rate, totals.excessFraction(r.backgroundLoss))
 }
 
 // reduce lowers the rate after a fraction of the data sent at the given rate was lost.
@@ -261,10 +261,10 @@
 
 // recentTotals sums up the slots of the loss window since the last reduction.
 func (r *RateEstimator) recentTotals() rateSlot {
-	var sum rateSlot
+	var totals rateSlot
 	first := max(r.newestSlot-int64(lossWindow/slotTime), slotNumber(r.reducedAt), 0)
 	for number := first; number <= r.newestSlot; number++ {
-		sum.add(r.slots[number%slotCount])
+		totals.add(r.slots[number%slotCount])
 	}
-	return sum
+	return totals
 }
--- a/internal/egress/rateslot.go
+++ b/internal/egress/rateslot.go
@@ -59,8 +59,8 @@
 		return false
 	}
 	lost := float64(s.lostPackets)
-	due := lost / s.lossFraction() * (toleratedLoss + background)
-	return lost > due+lossDeviations*math.Sqrt(due)
+	expected := lost / s.lossFraction() * (toleratedLoss + background)
+	return lost > expected+lossDeviations*math.Sqrt(expected)
 }
 
 // lossFraction returns the fraction of bytes lost.
--- a/internal/speed/estimate.go
+++ b/internal/speed/estimate.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// minVariance is the minimum variance of single samples: equal requests on an idle
-	// machine differ by a few percent.
+	// minVariance is the minimum variance of single samples, for equal requests on an
+	// idle machine: a standard deviation of 10 percent.
 	minVariance = 0.01
 	// minCountForSpread is the number of samples from which on a target counts in the
 	// spread of its service.
--- a/internal/strength/strength_test.go
+++ b/internal/strength/strength_test.go
@@ -24,7 +24,7 @@
 func TestWeightsFollowCPU(t *testing.T) {
 	cases := []struct {
 		shares, weights []float64
-		bounded         int
+		capped          int
 	}{
 		{nil, []float64{}, 0},
 		{[]float64{0, 0}, []float64{1, 1}, 0},
@@ -38,13 +38,13 @@
 		nodes := nodesWithCPU(test.shares...)
 		weights := Weights(nodes)
 		assert.Equal(t, test.weights, weights, test.shares)
-		bounded := 0
+		capped := 0
 		for position, weight := range weights {
 			if IsCapped(nodes[position], weight) {
-				bounded++
+				capped++
 			}
 		}
-		assert.Equal(t, test.bounded, bounded, test.shares)
+		assert.Equal(t, test.capped, capped, test.shares)
 	}
 	assert.Equal(t, 0.5, Resources{CPUShare: 0.25, CPUCores: 2}.CPU())
 }
