--- a/internal/egress/bench_test.go
+++ b/internal/egress/bench_test.go
@@ -7,42 +7,40 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// queuedFlows is the number of flows that wait in the benchmarks.
 const queuedFlows = 1000
 
-// packetTime is the time in which the link carries one full datagram.
-var packetTime = time.Duration(fullSize / (narrow.BytesPerSecond() * linkShare) * float64(time.Second))
+// packetTime is the transmission time of a full datagram.
+var packetTime = time.Duration(fullSize / (narrow.BytesPerSecond() * linkFraction) * float64(time.Second))
 
-// crowd returns a scheduler in which many flows wait, and the link takes what it has
-// carried within a step.
-func crowd(t *testing.T) *lab {
-	l := newLab(t, WithMemoryLimit(1<<30))
+// newLoadedFixture returns a fixture with many queued flows.
+func newLoadedFixture(t *testing.T) *fixture {
+	f := newFixture(t, WithMemoryLimit(1<<30))
 	for number := range queuedFlows {
-		l.offer(bulk(flowKey(number%100, number), 0))
+		f.offer(bulk(flowKey(number%100, number), 0))
 	}
-	return l
+	return f
 }
 
-// step is a packet that comes while one leaves.
-func (l *lab) step(number int) {
+// step offers a packet, and sends one.
+func (f *fixture) step(number int) {
 	item := bulk(flowKey(number%100, number%queuedFlows), number)
-	l.Offer(l.now, item)
-	l.now = l.now.Add(packetTime)
-	l.Next(l.now)
-	l.TimeUntilNext(l.now)
+	f.Offer(f.now, item)
+	f.now = f.now.Add(packetTime)
+	f.Next(f.now)
+	f.TimeUntilNext(f.now)
 }
 
-func TestAQueuedPacketAllocatesNothing(t *testing.T) {
-	l := crowd(t)
+func TestQueuedPacketDoesNotAllocate(t *testing.T) {
+	f := newLoadedFixture(t)
 	number := 0
 	allocations := testing.AllocsPerRun(5000, func() {
 		number++
-		l.step(number)
+		f.step(number)
 	})
 	assert.Zero(t, allocations)
 }
 
-func BenchmarkPass(b *testing.B) {
+func BenchmarkAllow(b *testing.B) {
 	s := New(WithLink(Link{Mbps: 1000}))
 	now := start
 	flow := flowKey(1, 1)
@@ -54,24 +52,24 @@
 }
 
 func BenchmarkQueuedPacket(b *testing.B) {
-	l := crowd(&testing.T{})
+	f := newLoadedFixture(&testing.T{})
 	number := 0
 	b.ReportAllocs()
 	for b.Loop() {
 		number++
-		l.step(number)
+		f.step(number)
 	}
 	b.StopTimer()
-	assert.InDelta(b, queuedFlows, l.Len(), queuedFlows/10)
+	assert.InDelta(b, queuedFlows, f.Len(), queuedFlows/10)
 }
 
-// BenchmarkUploadOpening decides on an upload while as many as can be are followed.
+// BenchmarkUploadOpening decides on uploads with the largest number of tracked uploads.
 func BenchmarkUploadOpening(b *testing.B) {
-	a := loaded(promiseLimit)
+	a := controllerWithUploads(maxTrackedUploads)
 	number := 0
 	b.ReportAllocs()
 	for b.Loop() {
 		number++
-		a.Decide(modelStart, flowKey(number%1000, number%60_000), uploadRoute, fullNode)
+		a.Decide(modelStart, flowKey(number%1000, number%60_000), uploadRoute, busyNode)
 	}
 }
--- a/internal/egress/classes.go
+++ b/internal/egress/classes.go
@@ -2,96 +2,98 @@
 
 import "math/bits"
 
-// UrgencyCount is the number of urgencies that are told apart, from 0 on; what is beyond
-// counts as the last one.
+// UrgencyCount is the number of urgency levels, 0 being the most urgent. Higher values
+// are treated as the last level.
 const UrgencyCount = 8
 
-// The levels of flows of one urgency, in the order in which they go.
+// Levels of flows within one urgency, in the order of service.
 const (
-	// levelLittle holds flows that have sent little; callers take turns.
-	levelLittle = iota
-	// levelBulk holds flows that can still be in time, the one that is due first going
-	// first: of flows of like size that share a link, whole ones are in time sooner
-	// than all of them at once.
+	// levelSmall holds flows that have sent little; they are served round robin by
+	// caller.
+	levelSmall = iota
+	// levelBulk holds larger flows that can still meet their objective, served by
+	// earliest deadline first: of flows of similar size, more meet their deadline when
+	// they are sent one after the other.
 	levelBulk
-	// levelLate holds flows that can no longer be in time.
+	// levelLate holds flows that can no longer meet their objective.
 	levelLate
 	levelCount
 )
 
-// classes hold the flows that wait, by urgency and level; the lowest class goes first.
+// classes holds the backlogged flows by urgency and level; the lowest class is served
+// first.
 type classes struct {
-	little [UrgencyCount]turns
-	// bulk holds two heaps for each urgency.
-	bulk [UrgencyCount * levelCount]dueHeap
-	// busy has a bit for each class in which something waits.
-	busy  uint32
-	turns pool[turn]
+	small [UrgencyCount]roundRobin
+	// bulk holds the deadline heaps, indexed by class.
+	bulk [UrgencyCount * levelCount]deadlineHeap
+	// occupied is a bit mask of the classes that are not empty.
+	occupied  uint32
+	queuePool pool[callerQueue]
 }
 
 func newClasses() classes {
 	var c classes
-	for urgency := range c.little {
-		c.little[urgency].callers.linksOf = turnRingOf
+	for urgency := range c.small {
+		c.small[urgency].callers.linksOf = callerRingLinksOf
 	}
 	return c
 }
 
 func levelOf(class int) int { return class % levelCount }
 
-// add puts a flow into a class.
+// add adds a flow to a class.
 func (c *classes) add(f *flow, class int) {
 	f.class = class
-	f.placed = true
-	c.busy |= 1 << class
-	if levelOf(class) == levelLittle {
-		c.little[class/levelCount].add(f, &c.turns)
+	f.scheduled = true
+	c.occupied |= 1 << class
+	if levelOf(class) == levelSmall {
+		c.small[class/levelCount].add(f, &c.queuePool)
 		return
 	}
 	c.bulk[class].add(f)
 }
 
-// remove takes a flow out of its class.
+// remove removes a flow from its class.
 func (c *classes) remove(f *flow) {
-	f.placed = false
-	if levelOf(f.class) == levelLittle {
-		c.little[f.class/levelCount].remove(f, &c.turns)
+	f.scheduled = false
+	if levelOf(f.class) == levelSmall {
+		c.small[f.class/levelCount].remove(f, &c.queuePool)
 	} else {
 		c.bulk[f.class].remove(f)
 	}
 	if c.isEmpty(f.class) {
-		c.busy &^= 1 << f.class
+		c.occupied &^= 1 << f.class
 	}
 }
 
 func (c *classes) isEmpty(class int) bool {
-	if levelOf(class) == levelLittle {
-		return c.little[class/levelCount].isEmpty()
+	if levelOf(class) == levelSmall {
+		return c.small[class/levelCount].isEmpty()
 	}
 	return c.bulk[class].isEmpty()
 }
 
-// first returns the flow that goes first, or nil when none waits.
+// first returns the flow to serve next, or nil if all classes are empty.
 func (c *classes) first() *flow {
-	if c.busy == 0 {
+	if c.occupied == 0 {
 		return nil
 	}
-	class := bits.TrailingZeros32(c.busy)
-	if levelOf(class) == levelLittle {
-		return c.little[class/levelCount].first()
+	class := bits.TrailingZeros32(c.occupied)
+	if levelOf(class) == levelSmall {
+		return c.small[class/levelCount].first()
 	}
 	return c.bulk[class].first()
 }
 
-// last returns a flow of the last class, one of those that help least, or nil when none
-// waits.
+// last returns a flow of the highest occupied class, the candidate for drops, or nil if
+// all classes are empty.
 func (c *classes) last() *flow {
-	if c.busy == 0 {
+	if c.occupied == 0 {
 		return nil
 	}
-	class := bits.Len32(c.busy) - 1
-	if levelOf(class) == levelLittle {
-		return c.little[class/levelCount].last()
+	class := bits.Len32(c.occupied) - 1
+	if levelOf(class) == levelSmall {
+		return c.small[class/levelCount].last()
 	}
 	return c.bulk[class].last()
 }
--- a/internal/egress/fleet_test.go
+++ b/internal/egress/fleet_test.go
@@ -12,49 +12,50 @@
 )
 
 const (
-	// fleetSeconds is how long a fleet is followed, and fleetSettled from when on it is
-	// compared.
+	// fleetSeconds is the simulated time, and fleetSettled the start of the measured
+	// part.
 	fleetSeconds, fleetSettled = 40, 20
-	// fleetRounds are the rounds of a hundred drawn fleets each.
+	// fleetRounds is the number of runs of the property, each on many random fleets.
 	fleetRounds = 10
-	// longestLag is the greatest age in seconds of what nodes know of each other.
-	longestLag = 3
-	// largestExcess is how much fuller a node may be than the fullest is without refusals.
-	largestExcess = 0.05
+	// maxLag is the largest age of the load reports in seconds.
+	maxLag = 3
+	// maxUtilizationExcess is how much the highest utilization of a node may rise
+	// through refusals.
+	maxUtilizationExcess = 0.05
 )
 
-// steadiness says up to which use of all links a node's use may change by how much once
-// the fleet has settled.
-type steadiness struct{ use, swing float64 }
+// stability bounds the swing of a node's utilization for loads up to a total
+// utilization.
+type stability struct{ utilization, swing float64 }
 
-// fleetNode is a node to which a router hashes a share of all flows.
+// fleetNode is a node that receives a fixed share of all flows.
 type fleetNode struct {
 	share   float64
 	load    LinkLoad
 	refused RefusalFraction
 }
 
-// fleet is a zone of nodes that know each other's waits of some seconds ago.
+// fleet is a zone of nodes that know each other's waits with a lag.
 type fleet struct {
-	nodes []*fleetNode
-	lag   int
-	sums  []room.ZoneSummary
+	nodes     []*fleetNode
+	lag       int
+	summaries []room.ZoneSummary
 }
 
 func drawFleet(t *rapid.T) *fleet {
-	f := &fleet{lag: rapid.IntRange(1, longestLag).Draw(t, "lag")}
+	f := &fleet{lag: rapid.IntRange(1, maxLag).Draw(t, "lag")}
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-	strongest := rapid.Float64Range(1, 10).Draw(t, "strongest")
-	strongShare := rapid.Float64Range(0, 1).Draw(t, "strong share")
+	maxCapacity := rapid.Float64Range(1, 10).Draw(t, "strongest")
+	largeShare := rapid.Float64Range(0, 1).Draw(t, "strong share")
 	uneven := rapid.Float64Range(0, 0.6).Draw(t, "uneven")
 	total := 0.0
 	for range rapid.IntRange(8, 1000).Draw(t, "nodes") {
-		strength := 1.0
-		if random.Float64() < strongShare {
-			strength = 1 + (strongest-1)*random.Float64()
+		capacity := 1.0
+		if random.Float64() < largeShare {
+			capacity = 1 + (maxCapacity-1)*random.Float64()
 		}
 		node := &fleetNode{share: 1 + uneven*(2*random.Float64()-1)}
-		node.load = LinkLoad{Rate: strength * 180_000, ConfiguredRate: strength * 180_000}
+		node.load = LinkLoad{Rate: capacity * 180_000, ConfiguredRate: capacity * 180_000}
 		f.nodes = append(f.nodes, node)
 		total += node.share
 	}
@@ -64,100 +65,102 @@
 	return f
 }
 
-// carry spreads flows that come to so many bytes a second. Of three successive ports one
-// is always taken; at the others a node refuses its part. A refused caller is hashed anew.
-func (f *fleet) carry(bytes float64, admits bool) {
-	parts := make([]float64, len(f.nodes))
+// distribute applies a load in bytes per second. One of three successive ports is
+// always accepted, on the others nodes refuse their fraction, and refused callers are
+// hashed again.
+func (f *fleet) distribute(bytes float64, refuse bool) {
+	refusals := make([]float64, len(f.nodes))
 	refused := 0.0
 	for number, node := range f.nodes {
-		if admits {
+		if refuse {
 			node.refused.Update(node.load, time.Second)
-			parts[number] = node.refused.Value()
+			refusals[number] = node.refused.Value()
 		}
-		refused += node.share * parts[number]
+		refused += node.share * refusals[number]
 	}
 	for number, node := range f.nodes {
-		taken := 1 - parts[number]
-		tries := 1 + (taken + refused*taken + refused*refused) + (taken + refused)
+		accepted := 1 - refusals[number]
+		tries := 1 + (accepted + refused*accepted + refused*refused) + (accepted + refused)
 		node.load.Utilization = bytes * node.share * tries / callerTries / node.load.Rate
 	}
-	f.learn()
+	f.exchangeLoads()
 }
 
-// learn lets nodes know what others were like some seconds ago.
-func (f *fleet) learn() {
+// exchangeLoads distributes the load reports, delayed by the lag.
+func (f *fleet) exchangeLoads() {
 	table := room.NewTable[*fleetNode]()
 	for _, node := range f.nodes {
 		table.RecordReport(0, node, "north", room.LinkReport{WaitStep: room.WaitToStep(node.load.ExpectedWait())})
 	}
-	f.sums = append(f.sums, table.Summaries(0)...)
-	if len(f.sums) <= f.lag {
+	f.summaries = append(f.summaries, table.Summaries(0)...)
+	if len(f.summaries) <= f.lag {
 		return
 	}
 	var view room.ZoneView
-	view.Update(0, "north", room.Message{Zones: f.sums[len(f.sums)-1-f.lag:][:1]})
+	view.Update(0, "north", room.Message{Zones: f.summaries[len(f.summaries)-1-f.lag:][:1]})
 	for _, node := range f.nodes {
 		node.load.PeersKnown, node.load.RetryWait = view.IsCurrent(0), view.RetryWait()
 	}
 }
 
-// outcome is what a fleet was like once it had settled.
+// outcome is the state of a settled fleet.
 type outcome struct {
-	// wait is the wait in seconds that a byte meets on average.
+	// wait is the mean wait per byte in seconds.
 	wait float64
-	// fullest is the largest use of a node, and swing the largest change of one's use.
-	fullest, swing float64
+	// maxUtilization is the highest utilization of a node, and swing the largest
+	// variation of one node.
+	maxUtilization, swing float64
 }
 
-func (f *fleet) run(bytes float64, admits bool) outcome {
+func (f *fleet) run(bytes float64, refuse bool) outcome {
 	var o outcome
 	lowest, highest := map[*fleetNode]float64{}, map[*fleetNode]float64{}
 	for second := range fleetSeconds {
-		f.carry(bytes, admits)
+		f.distribute(bytes, refuse)
 		if second < fleetSettled {
 			continue
 		}
 		for _, node := range f.nodes {
-			use := node.load.Utilization
-			o.wait += use * node.load.Rate / bytes * node.load.ExpectedWait().Seconds() / (fleetSeconds - fleetSettled)
+			utilization := node.load.Utilization
+			o.wait += utilization * node.load.Rate / bytes * node.load.ExpectedWait().Seconds() / (fleetSeconds - fleetSettled)
 			if second == fleetSettled {
-				lowest[node], highest[node] = use, use
+				lowest[node], highest[node] = utilization, utilization
 			}
-			lowest[node], highest[node] = min(lowest[node], use), max(highest[node], use)
-			o.fullest = max(o.fullest, use)
+			lowest[node], highest[node] = min(lowest[node], utilization), max(highest[node], utilization)
+			o.maxUtilization = max(o.maxUtilization, utilization)
 			o.swing = max(o.swing, highest[node]-lowest[node])
 		}
 	}
 	return o
 }
 
-// Refusals among nodes of unequal strengths or shares make no wait longer and herd onto
-// nobody, though nodes know of each other late.
-func TestRefusalsMakeNoWaitLonger(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { checkFleet(t, steadiness{use: 0.8, swing: 1}) })
+// With unequal nodes and delayed reports, refusals must not lengthen the mean wait or
+// overload single nodes.
+func TestRefusalsDoNotIncreaseWait(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.8, swing: 1}) })
 }
 
-// They settle, too (see KNOWN-RED.txt).
+// The fleet must also settle (see KNOWN-RED.txt).
 func TestRefusalsSpreadFlowsByStrengthWithoutHerds(t *testing.T) {
 	for range fleetRounds {
-		rapid.Check(t, func(t *rapid.T) { checkFleet(t, steadiness{use: 0.8, swing: 0.25}) })
+		rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.8, swing: 0.25}) })
 	}
 }
 
-// The same nearly up to what all links carry, and steadier (see KNOWN-RED.txt).
+// The fleet must settle near full load, with less swing (see KNOWN-RED.txt).
 func TestRefusalsSettleInNearlyFullFleets(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { checkFleet(t, steadiness{use: 0.95, swing: 0.15}) })
+	rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.95, swing: 0.15}) })
 }
 
-func checkFleet(t *rapid.T, aim steadiness) {
+func checkFleet(t *rapid.T, bounds stability) {
 	f := drawFleet(t)
 	rate := 0.0
 	for _, node := range f.nodes {
 		rate += node.load.Rate
 	}
-	bytes := rate * rapid.Float64Range(0.05, aim.use).Draw(t, "use")
+	bytes := rate * rapid.Float64Range(0.05, bounds.utilization).Draw(t, "use")
 	without, with := f.run(bytes, false), f.run(bytes, true)
-	require.LessOrEqual(t, with.wait, without.wait+leastWait.Seconds()/10)
-	require.LessOrEqual(t, with.fullest, without.fullest+largestExcess)
-	require.LessOrEqual(t, with.swing, aim.swing)
+	require.LessOrEqual(t, with.wait, without.wait+minRefusalWait.Seconds()/10)
+	require.LessOrEqual(t, with.maxUtilization, without.maxUtilization+maxUtilizationExcess)
+	require.LessOrEqual(t, with.swing, bounds.swing)
 }
--- a/internal/egress/flow.go
+++ b/internal/egress/flow.go
@@ -8,92 +8,94 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// restTime is the rest after which a flow counts as one that has sent nothing: its
-// caller begins another request. It is longer than the longest pause before a caller
-// sends data again, 1.6 s.
-const restTime = 1700 * time.Millisecond
+// flowIdleTimeout is the idle time after which a flow's next packet counts as a new
+// request. It is longer than the callers' longest retransmission timeout, 1.6 s.
+const flowIdleTimeout = 1700 * time.Millisecond
 
-// longWait is the wait by which a caller has sent its data again.
-const longWait = 200 * time.Millisecond
+// resendTimeout is the callers' initial retransmission timeout.
+const resendTimeout = 200 * time.Millisecond
 
-// packet is an item that waits.
+// packet is a queued item.
 type packet struct {
 	Item
 	flow *flow
-	// first is set when it goes before all flows.
-	first bool
-	// line links the packets of a flow, or those that go before all flows.
-	line links[packet]
-	// age links all packets in the order in which they came.
-	age links[packet]
+	// priority is set if the packet is in the control queue, which is served before all
+	// flows.
+	priority bool
+	// queueLinks links the packets of a flow, or those of the control queue.
+	queueLinks links[packet]
+	// ageLinks links all packets in order of arrival.
+	ageLinks links[packet]
 }
 
-func lineOf(p *packet) *links[packet] { return &p.line }
-func ageOf(p *packet) *links[packet]  { return &p.age }
+func queueLinksOf(p *packet) *links[packet] { return &p.queueLinks }
+func ageLinksOf(p *packet) *links[packet]   { return &p.ageLinks }
 
 func (p *packet) isExpired(now kernel.Instant) bool {
 	return p.ExpiresAt > 0 && !now.Before(p.ExpiresAt)
 }
 
-// flow is a flow that has waited for the link lately.
+// flow is the scheduling state of a flow that recently had to queue.
 type flow struct {
 	key     steer.FlowKey
 	caller  *caller
 	urgency uint8
-	// objective is the time within which the answer is of full use; 0 states none.
+	// objective is the time within which the request should complete; 0 means none.
 	objective time.Duration
-	// began is when the flow first waited since it last rested.
-	began kernel.Instant
-	// bulk is set once the flow has sent much; due is when it is to be done then.
-	bulk bool
-	due  kernel.Instant
-	// offered is the number of bytes that were offered since the flow last rested.
-	offered int
-	// told is set once an item of the flow that waited long has left.
-	told bool
-	// line holds the packets that wait in order, but for those that go before all
-	// flows.
-	line list[packet]
-	// bytes are those in line.
-	bytes int
-	// waiting is the number of all its packets that wait.
+	// startedAt is when the current request of the flow first had to queue.
+	startedAt kernel.Instant
+	// bulk is set once the request has exceeded bulkThreshold; deadline is then the
+	// time by which it should complete.
+	bulk     bool
+	deadline kernel.Instant
+	// offeredBytes is the number of bytes offered for the current request.
+	offeredBytes int
+	// waitReported is set once a long wait was reported for the current request.
+	waitReported bool
+	// packets holds the flow's queued packets in order, without those in the control
+	// queue.
+	packets list[packet]
+	// queuedBytes is the size of packets.
+	queuedBytes int
+	// waiting is the number of all queued packets of the flow.
 	waiting int
-	// opening is the opening packet that waits, or nil.
+	// opening is the queued opening packet, or nil.
 	opening *packet
-	// placed is set while line is not empty; the flow is in class then.
-	placed bool
-	class  int
-	// turn is the turn of the flow's caller, or nil where there are none.
-	turn *turn
-	ring links[flow]
-	// position is the place in a heap.
-	position int
-	rest     links[flow]
-	// seen is when its last packet came or left.
-	seen kernel.Instant
+	// scheduled is set while packets is not empty; class then holds the flow.
+	scheduled bool
+	class     int
+	// queue is the caller's queue that holds the flow, or nil if the flow is not in
+	// levelSmall.
+	queue     *callerQueue
+	ringLinks links[flow]
+	// heapIndex is the flow's index in its deadline heap.
+	heapIndex     int
+	activityLinks links[flow]
+	// lastActive is when a packet of the flow was last offered.
+	lastActive kernel.Instant
 }
 
-func ringOf(f *flow) *links[flow] { return &f.ring }
-func restOf(f *flow) *links[flow] { return &f.rest }
+func ringLinksOf(f *flow) *links[flow]     { return &f.ringLinks }
+func activityLinksOf(f *flow) *links[flow] { return &f.activityLinks }
 
-// begin forgets what the flow has sent.
-func (f *flow) begin(now kernel.Instant) {
-	f.began = now
-	f.offered = 0
-	f.told = false
+// reset starts a new request on the flow.
+func (f *flow) reset(now kernel.Instant) {
+	f.startedAt = now
+	f.offeredBytes = 0
+	f.waitReported = false
 	if f.bulk {
 		f.bulk = false
 		f.caller.bulk--
 	}
 }
 
-func (f *flow) objectiveOrUsual() time.Duration { return cmp.Or(f.objective, usualObjective) }
+func (f *flow) objectiveOrDefault() time.Duration { return cmp.Or(f.objective, defaultObjective) }
 
-// classAt returns the class that the flow belongs to at an instant.
+// classAt returns the class of the flow at the given time.
 func (f *flow) classAt(now kernel.Instant) int {
-	level := levelLittle
+	level := levelSmall
 	switch {
-	case f.bulk && f.objective > 0 && now.Sub(f.began) > f.objective:
+	case f.bulk && f.objective > 0 && now.Sub(f.startedAt) > f.objective:
 		level = levelLate
 	case f.bulk:
 		level = levelBulk
@@ -101,15 +103,15 @@
 	return int(f.urgency)*levelCount + level
 }
 
-// isBusy reports whether something of the flow waits.
-func (f *flow) isBusy() bool { return f.waiting > 0 }
+// hasWaiting reports whether the flow has queued packets.
+func (f *flow) hasWaiting() bool { return f.waiting > 0 }
 
-// holds returns the packet that holds all data of an item, or nil.
-func (f *flow) holds(item *Item) *packet {
+// findQueued returns the queued packet that contains all data of the item, or nil.
+func (f *flow) findQueued(item *Item) *packet {
 	if item.Kind == KindOpening {
 		return f.opening
 	}
-	for waiting := f.line.first; waiting != nil; waiting = waiting.line.next {
+	for waiting := f.packets.first; waiting != nil; waiting = waiting.queueLinks.next {
 		if waiting.Kind == item.Kind && waiting.covers(item) {
 			return waiting
 		}
@@ -117,12 +119,12 @@
 	return nil
 }
 
-// noteWait notes the wait of an item that leaves, and reports whether it is the first
-// long one.
-func (f *flow) noteWait(waited time.Duration) bool {
-	if waited < longWait || f.told {
+// markLongWait reports whether the wait is the first of the current request to reach
+// resendTimeout, and records it.
+func (f *flow) markLongWait(waited time.Duration) bool {
+	if waited < resendTimeout || f.waitReported {
 		return false
 	}
-	f.told = true
+	f.waitReported = true
 	return true
 }
--- a/internal/egress/order.go
+++ b/internal/egress/order.go
@@ -2,21 +2,21 @@
 
 import "github.com/beamdoor/beamdoor/internal/kernel"
 
-// pick returns the packet that leaves next, or nil when none waits. What has waited
-// too long goes before all others as far as its credit reaches.
-func (s *Scheduler) pick(now kernel.Instant) (next *packet, overdue bool) {
-	if oldest := s.age.first; oldest != nil && now.Sub(oldest.OfferedAt) > overdueAfter && s.overdueCredit >= min(oldest.Size, maxOverdueCredit) {
+// nextPacket returns the packet to send next, or nil if the queue is empty. Overdue
+// packets are sent first as long as there is credit for them.
+func (s *Scheduler) nextPacket(now kernel.Instant) (next *packet, overdue bool) {
+	if oldest := s.byAge.first; oldest != nil && now.Sub(oldest.OfferedAt) > overdueAfter && s.overdueCredit >= min(oldest.Size, maxOverdueCredit) {
 		return oldest, true
 	}
 	if !s.control.isEmpty() {
 		return s.control.first, false
 	}
-	return s.firstOfFlows(now), false
+	return s.nextFlowPacket(now), false
 }
 
-// firstOfFlows returns the packet of the flow that goes first, or nil. A flow that can
-// no longer be in time goes behind those that can.
-func (s *Scheduler) firstOfFlows(now kernel.Instant) *packet {
+// nextFlowPacket returns the first packet of the flow to serve next, or nil. It moves
+// flows that have become late to their new class.
+func (s *Scheduler) nextFlowPacket(now kernel.Instant) *packet {
 	for {
 		f := s.classes.first()
 		if f == nil {
@@ -24,18 +24,19 @@
 		}
 		class := f.classAt(now)
 		if class == f.class {
-			return f.line.first
+			return f.packets.first
 		}
 		s.classes.remove(f)
 		s.classes.add(f, class)
 	}
 }
 
-// earn gives what has waited too long its share of what leaves.
-func (s *Scheduler) earn(bytes int, overdue bool) {
+// updateOverdueCredit charges overdue packets to the credit, which grows with all other
+// traffic.
+func (s *Scheduler) updateOverdueCredit(bytes int, overdue bool) {
 	if overdue {
 		s.overdueCredit -= bytes
 		return
 	}
-	s.overdueCredit = min(s.overdueCredit+bytes/overdueShare, maxOverdueCredit)
+	s.overdueCredit = min(s.overdueCredit+bytes/overdueDivisor, maxOverdueCredit)
 }
--- a/internal/egress/rate_test.go
+++ b/internal/egress/rate_test.go
@@ -15,7 +15,7 @@
 
 const modelSeeds = 10
 
-// modelLoad is a number of uploads at once, with pauses between them.
+// modelLoad is a number of concurrent uploads with pauses between them.
 type modelLoad struct {
 	uploads int
 	pause   time.Duration
@@ -24,21 +24,21 @@
 func (l modelLoad) String() string { return fmt.Sprintf("%d uploads, pause %v", l.uploads, l.pause) }
 
 func (l modelLoad) model(seed uint64, opts ...RateOption) *linkModel {
-	m := newLinkModel(seed, NewRateEstimator(modelStated, opts...))
+	m := newLinkModel(seed, NewRateEstimator(modelRate, opts...))
 	m.uploads, m.pause = l.uploads, l.pause
 	return m
 }
 
-// fixedRate keeps the stated rate, to compare with.
+// fixedRate is a policy that keeps the configured rate, for comparison.
 func fixedRate() RatePolicy {
 	return RatePolicy{
-		Reduced: func(rate, _, _ float64) float64 { return rate },
-		Grown:   func(reduced, _ float64, _ time.Duration) float64 { return reduced },
+		Decrease: func(rate, _, _ float64) float64 { return rate },
+		Increase: func(reduced, _ float64, _ time.Duration) float64 { return reduced },
 	}
 }
 
-// squeezed returns the mean share that is lost from a second after the link narrowed.
-func squeezed(load modelLoad, link float64, policy RatePolicy) float64 {
+// lossOnNarrowLink returns the mean loss from one second after the link became slower.
+func lossOnNarrowLink(load modelLoad, link float64, policy RatePolicy) float64 {
 	total := 0.0
 	for seed := range uint64(modelSeeds) {
 		m := load.model(seed, WithPolicy(policy))
@@ -50,128 +50,128 @@
 	return total / modelSeeds
 }
 
-func TestOnANarrowerLinkLittleIsLostAfterASecond(t *testing.T) {
+func TestNarrowLinkLossFallsWithinASecond(t *testing.T) {
 	loads := []modelLoad{{uploads: 6}, {uploads: 4}, {uploads: 3, pause: time.Second}, {uploads: 1, pause: time.Second}}
 	for _, load := range loads {
-		for _, link := range []float64{modelStated / 2, modelStated / 4} {
-			fixed := squeezed(load, link, fixedRate())
-			additive := squeezed(load, link, AdditiveIncrease())
-			delivered := squeezed(load, link, DeliveredRate())
-			t.Logf("%v, link %.0f B/s: lost %.3f at the stated rate, %.3f by additive increase, %.3f by what is delivered",
+		for _, link := range []float64{modelRate / 2, modelRate / 4} {
+			fixed := lossOnNarrowLink(load, link, fixedRate())
+			additive := lossOnNarrowLink(load, link, AdditiveIncrease())
+			delivered := lossOnNarrowLink(load, link, DeliveredRate())
+			t.Logf("%v, link %.0f B/s: loss %.3f at the configured rate, %.3f with AdditiveIncrease, %.3f with DeliveredRate",
 				load, link, fixed, additive, delivered)
 			assert.Less(t, delivered, 0.65*fixed)
-			assert.Less(t, delivered, additive, "the way that is kept is the better one")
+			assert.Less(t, delivered, additive, "the default policy must lose less")
 		}
 	}
 }
 
-func TestTheRateIsBackTwoSecondsAfterTheLink(t *testing.T) {
-	for _, link := range []float64{modelStated / 2, modelStated / 4} {
+func TestRateRecoversWithinTwoSeconds(t *testing.T) {
+	for _, link := range []float64{modelRate / 2, modelRate / 4} {
 		for seed := range uint64(modelSeeds) {
 			m := modelLoad{uploads: 6}.model(seed)
 			m.link = link
 			m.run(2 * time.Second)
-			assert.Less(t, m.meanRate(4*time.Second), 0.8*modelStated, "link %.0f seed %d", link, seed)
-			m.link = modelStated
+			assert.Less(t, m.meanRate(4*time.Second), 0.8*modelRate, "link %.0f seed %d", link, seed)
+			m.link = modelRate
 			assert.LessOrEqual(t, m.timeUntil(1, 5*time.Second), 2*time.Second, "link %.0f seed %d", link, seed)
 		}
 	}
 }
 
-// Just after a verdict it takes longest: what was lost before the return is seen up to
-// 0.7 s later.
-func TestTheRateIsBackTwoSecondsAfterTheLinkAlsoJustAfterAVerdict(t *testing.T) {
-	for _, link := range []float64{modelStated / 2, modelStated / 4} {
+// Recovery is slowest just after a reduction, because earlier losses are still being
+// detected.
+func TestRateRecoversAfterRecentReduction(t *testing.T) {
+	for _, link := range []float64{modelRate / 2, modelRate / 4} {
 		var total time.Duration
 		for seed := range uint64(modelSeeds) {
 			m := modelLoad{uploads: 6}.model(seed)
 			m.link = link
 			m.run(6 * time.Second)
 			m.runUntilReduced(t)
-			m.link = modelStated
+			m.link = modelRate
 			took := m.timeUntil(1, 5*time.Second)
 			assert.LessOrEqual(t, took, 3500*time.Millisecond, "link %.0f seed %d", link, seed)
 			total += took
 		}
-		t.Logf("link %.0f B/s: back after %v on average", link, total/modelSeeds)
+		t.Logf("link %.0f B/s: mean recovery time %v", link, total/modelSeeds)
 		assert.LessOrEqual(t, total/modelSeeds, 2*time.Second)
 	}
 }
 
-func TestWithoutTrafficTheRateComesBackAsWell(t *testing.T) {
+func TestRateRecoversWithoutTraffic(t *testing.T) {
 	m := modelLoad{uploads: 6}.model(1)
-	m.link = modelStated / 4
+	m.link = modelRate / 4
 	m.run(6 * time.Second)
 	m.uploads, m.active, m.starts, m.queue = 0, nil, nil, nil
 	assert.LessOrEqual(t, m.timeUntil(1, time.Minute), 10*time.Second)
 }
 
-func TestAnUncongestedLinkKeepsItsRate(t *testing.T) {
+func TestUncongestedLinkKeepsRate(t *testing.T) {
 	for _, share := range []float64{0, 0.01} {
 		for _, load := range []modelLoad{{uploads: 4}, {uploads: 1, pause: time.Second}} {
 			for seed := range uint64(modelSeeds) {
 				m := load.model(seed)
 				m.lossShare = share
 				m.run(20 * time.Second)
-				assert.Zero(t, m.learner.Reductions(), "%v loss %v seed %d", load, share, seed)
-				assert.InDelta(t, modelStated, m.learner.Rate(m.now), 0)
+				assert.Zero(t, m.estimator.Reductions(), "%v loss %v seed %d", load, share, seed)
+				assert.InDelta(t, modelRate, m.estimator.Rate(m.now), 0)
 			}
 		}
 	}
 }
 
-func TestRandomLossLeavesFourFifthsOfTheRate(t *testing.T) {
+func TestRandomLossKeepsMostOfRate(t *testing.T) {
 	for _, share := range []float64{0.01, 0.03, 0.1} {
 		for _, load := range []modelLoad{{uploads: 4}, {uploads: 1, pause: 300 * time.Millisecond}} {
 			total := 0.0
-			const looks = 200
+			const samples = 200
 			for seed := range uint64(modelSeeds) {
 				m := load.model(seed)
 				m.lossShare = share
-				for range looks {
+				for range samples {
 					m.run(50 * time.Millisecond)
-					total += m.learner.Rate(m.now) / modelStated
+					total += m.estimator.Rate(m.now) / modelRate
 				}
 			}
-			mean := total / looks / modelSeeds
-			t.Logf("%v, %.0f%% lost: mean rate %.3f", load, 100*share, mean)
+			mean := total / samples / modelSeeds
+			t.Logf("%v, %.0f%% loss: mean rate %.3f", load, 100*share, mean)
 			assert.GreaterOrEqual(t, mean, 0.8)
 		}
 	}
 }
 
-func TestDeadTargetsDoNotLowerTheRate(t *testing.T) {
+func TestDeadTargetsDoNotReduceRate(t *testing.T) {
 	for _, share := range []float64{0.2, 0.5, 1} {
 		for seed := range uint64(modelSeeds) {
 			m := modelLoad{uploads: 8}.model(seed)
 			m.deadShare = share
 			m.run(10 * time.Second)
-			assert.Zero(t, m.learner.Reductions(), "share %v seed %d", share, seed)
+			assert.Zero(t, m.estimator.Reductions(), "share %v seed %d", share, seed)
 		}
 	}
 }
 
-func TestADeadLinkLeavesTheFloor(t *testing.T) {
-	r := NewRateEstimator(modelStated)
+func TestDeadLinkKeepsMinRate(t *testing.T) {
+	r := NewRateEstimator(modelRate)
 	now := modelStart
 	for range 2000 {
 		now = now.Add(5 * time.Millisecond)
 		r.RecordWriteError(now)
-		require.GreaterOrEqual(t, r.Rate(now), float64(leastRate))
+		require.GreaterOrEqual(t, r.Rate(now), float64(minRate))
 	}
-	assert.InDelta(t, leastRate, r.Rate(now), 0.6*leastRate)
+	assert.InDelta(t, minRate, r.Rate(now), 0.6*minRate)
 }
 
-func TestWriteErrorsLowerTheRate(t *testing.T) {
-	r := NewRateEstimator(modelStated)
-	for range leastLost {
+func TestWriteErrorsReduceRate(t *testing.T) {
+	r := NewRateEstimator(modelRate)
+	for range minLostPackets {
 		r.RecordWriteError(modelStart)
 	}
-	assert.InDelta(t, modelStated, r.Rate(modelStart), 0)
-	assert.Less(t, r.Rate(modelStart.Add(settleTime)), modelStated)
+	assert.InDelta(t, modelRate, r.Rate(modelStart), 0)
+	assert.Less(t, r.Rate(modelStart.Add(evaluationDelay)), modelRate)
 }
 
-func TestALinkWithoutARateLearnsNothing(t *testing.T) {
+func TestUnsetRateIsNotEstimated(t *testing.T) {
 	r := NewRateEstimator(0)
 	flow := modelFlow(1)
 	r.RecordSent(modelStart, SentDatagram{Flow: flow, Data: 1, Size: 1})
@@ -180,32 +180,32 @@
 	assert.Zero(t, r.Rate(modelStart.Add(time.Second)))
 }
 
-func TestALinkTooFastToLearnOfKeepsItsRate(t *testing.T) {
-	r := NewRateEstimator(fastestRate + 1)
-	for range leastLost {
+func TestLinkAboveMaxRateKeepsRate(t *testing.T) {
+	r := NewRateEstimator(maxEstimatedRate + 1)
+	for range minLostPackets {
 		r.RecordWriteError(modelStart)
 	}
-	assert.InDelta(t, fastestRate+1, r.Rate(modelStart.Add(settleTime)), 0)
+	assert.InDelta(t, maxEstimatedRate+1, r.Rate(modelStart.Add(evaluationDelay)), 0)
 }
 
-func TestALinkBelowTheFloorIsNotRaised(t *testing.T) {
-	r := NewRateEstimator(leastRate / 2)
-	for range leastLost {
+func TestLinkBelowMinRateIsNotRaised(t *testing.T) {
+	r := NewRateEstimator(minRate / 2)
+	for range minLostPackets {
 		r.RecordWriteError(modelStart)
 	}
-	assert.InDelta(t, leastRate/2, r.Rate(modelStart.Add(settleTime)), 0)
+	assert.InDelta(t, minRate/2, r.Rate(modelStart.Add(evaluationDelay)), 0)
 }
 
 func modelFlow(port uint16) steer.FlowKey {
 	return (&linkModel{}).flowOf(port)
 }
 
-// TestTheRateStaysInBounds feeds a learner with anything, in any order.
-func TestTheRateStaysInBounds(t *testing.T) {
+// Arbitrary input in any order must keep the rate within its bounds.
+func TestRateStaysInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		stated := rapid.Float64Range(1, 1e9).Draw(t, "stated")
+		configured := rapid.Float64Range(1, 1e9).Draw(t, "stated")
 		policies := []RatePolicy{AdditiveIncrease(), DeliveredRate()}
-		r := NewRateEstimator(stated, WithPolicy(rapid.SampledFrom(policies).Draw(t, "policy")))
+		r := NewRateEstimator(configured, WithPolicy(rapid.SampledFrom(policies).Draw(t, "policy")))
 		now := modelStart
 		step := func(t *rapid.T) {
 			now = now.Add(time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(t, "pause")))
@@ -227,11 +227,11 @@
 			"time":  step,
 			"": func(t *rapid.T) {
 				rate := r.Rate(now)
-				if !(rate >= min(leastRate, stated) && rate <= stated) || stated > fastestRate && rate != stated {
-					t.Fatalf("rate %v of %v", rate, stated)
+				if !(rate >= min(minRate, configured) && rate <= configured) || configured > maxEstimatedRate && rate != configured {
+					t.Fatalf("rate %v, configured %v", rate, configured)
 				}
-				if !(r.background >= 0 && r.background <= largestBackground) {
-					t.Fatalf("background %v", r.background)
+				if !(r.backgroundLoss >= 0 && r.backgroundLoss <= maxBackground) {
+					t.Fatalf("background loss %v", r.backgroundLoss)
 				}
 			},
 		})
@@ -246,33 +246,33 @@
 	return uint32(rapid.IntRange(-5, 40).Draw(t, "position") * modelPacket)
 }
 
-func TestLearningAllocatesNothing(t *testing.T) {
-	r := NewRateEstimator(modelStated)
+func TestRateEstimatorDoesNotAllocate(t *testing.T) {
+	r := NewRateEstimator(modelRate)
 	now := modelStart
 	flow := modelFlow(1)
 	position := uint32(0)
 	allocations := testing.AllocsPerRun(1000, func() {
-		learnPacket(r, now, flow, position)
+		recordExchange(r, now, flow, position)
 		now = now.Add(time.Millisecond)
 		position += modelPacket
 	})
 	assert.Zero(t, allocations)
 }
 
-func learnPacket(r *RateEstimator, now kernel.Instant, flow steer.FlowKey, position uint32) {
+func recordExchange(r *RateEstimator, now kernel.Instant, flow steer.FlowKey, position uint32) {
 	r.RecordPacket(now, ReceivedPacket{Flow: flow, Sequence: position, Acknowledged: 1, Data: modelPacket})
 	r.RecordSent(now, SentDatagram{Flow: flow, Sequence: position, Data: modelPacket, Size: modelSize})
 	r.Rate(now)
 }
 
-func BenchmarkLearnedRate(b *testing.B) {
-	r := NewRateEstimator(modelStated)
+func BenchmarkRateEstimator(b *testing.B) {
+	r := NewRateEstimator(modelRate)
 	now := modelStart
 	flow := modelFlow(1)
 	position := uint32(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		learnPacket(r, now, flow, position)
+		recordExchange(r, now, flow, position)
 		now = now.Add(time.Millisecond)
 		position += modelPacket
 	}
--- a/internal/egress/usage_test.go
+++ b/internal/egress/usage_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestUseIsThatOfTheLastSecond(t *testing.T) {
+func TestUtilizationCoversLastSecond(t *testing.T) {
 	const rate = 1000.0
 	var u LinkUsage
 	in, out := u.Utilization(rate)
@@ -30,5 +30,5 @@
 	in, out = u.Utilization(rate)
 	assert.Zero(t, in+out)
 	in, out = u.Utilization(0)
-	assert.Zero(t, in+out, "nothing is stated")
+	assert.Zero(t, in+out, "no configured rate")
 }
