--- a/internal/steer/announced.go
+++ b/internal/steer/announced.go
@@ -16,13 +16,13 @@
 	l.Members = members
 	order := l.Order()
 	slices.SortStableFunc(order, func(a, b directory.Member) int {
-		return isOther(a, from) - isOther(b, from)
+		return announcerRank(a, from) - announcerRank(b, from)
 	})
 	return order
 }
 
 // isOther returns 0 for the member at an address and 1 for others.
-func isOther(member directory.Member, address string) int {
+func announcerRank(member directory.Member, address string) int {
 	if member.Address == address {
 		return 0
 	}
--- a/internal/steer/choice.go
+++ b/internal/steer/choice.go
@@ -66,7 +66,7 @@
 
 // farCost is the cost of each slot of a target in another zone, in flows that
 // wait for an answer.
-const farCost = 0.5
+const crossZoneCost = 0.5
 
 // nearbyChoice takes the candidate with the fewest waiting flows a slot. Flows
 // that rest do not count: a target that has just started has none, and all
@@ -102,7 +102,7 @@
 func costOf(candidate Candidate) float64 {
 	cost := float64(candidate.Waiting) / float64(max(candidate.Slots, 1))
 	if !candidate.Local {
-		cost += farCost
+		cost += crossZoneCost
 	}
 	return cost
 }
--- a/internal/steer/choiceothers_test.go
+++ b/internal/steer/choicealternatives_test.go
@@ -12,7 +12,7 @@
 func (c Candidate) delay() float64 {
 	delay := float64(c.Waiting+1) / c.rate()
 	if !c.Local {
-		delay += farCost
+		delay += crossZoneCost
 	}
 	return delay
 }
--- a/internal/steer/choicespeed.go
+++ b/internal/steer/choicerate.go
@@ -11,11 +11,11 @@
 
 // wait returns the time that a new flow waits behind this node's own ones, in usual
 // times of a request.
-func (c Candidate) wait() float64 { return float64(c.Waiting) / c.rate() }
+func (c Candidate) queueTime() float64 { return float64(c.Waiting) / c.rate() }
 
 // spillStart is how many times as long near targets take as far ones before flows spill:
 // less may be chance, and is not worth the way between zones.
-const spillStart = 1.1
+const spillThreshold = 1.1
 
 // spill returns the part of the flows that goes to far targets: none while near ones serve
 // about as fast, and from then on as much as makes up for it. Targets that fail or do
@@ -35,10 +35,10 @@
 		}
 	}
 	slower := far / float64(c.RemoteSlots) * float64(c.LocalSlots)
-	if slower <= spillStart*near {
+	if slower <= spillThreshold*near {
 		return 0
 	}
-	return 1 - spillStart*near/slower
+	return 1 - spillThreshold*near/slower
 }
 
 // rateChoice takes the candidate with the shortest wait, and draws among equal ones by
@@ -61,9 +61,9 @@
 	best := 0
 	lowest, rates := 0.0, 0.0
 	for position, candidate := range choice.Candidates {
-		cost := candidate.wait()
+		cost := candidate.queueTime()
 		if candidate.Local != wantsNear {
-			cost += farCost
+			cost += crossZoneCost
 		}
 		rate := candidate.rate()
 		switch {
--- a/internal/steer/choicespeed_test.go
+++ b/internal/steer/choicerate_test.go
@@ -209,9 +209,9 @@
 	}{
 		{"alike", 1, 4, 4, 0},
 		{"a little slower", 1.05, 4, 4, 0},
-		{"half as fast", 2, 4, 4, 1 - spillStart/2},
-		{"a tenth as fast", 10, 4, 4, 1 - spillStart/10},
-		{"half of them passed over", 1, 2, 4, 1 - spillStart/2},
+		{"half as fast", 2, 4, 4, 1 - spillThreshold/2},
+		{"a tenth as fast", 10, 4, 4, 1 - spillThreshold/10},
+		{"half of them passed over", 1, 2, 4, 1 - spillThreshold/2},
 		{"faster, and some passed over", 0.5, 2, 4, 0},
 	}
 	for _, test := range cases {
--- a/internal/steer/core.go
+++ b/internal/steer/core.go
@@ -48,8 +48,8 @@
 
 // routeEntry is a route with the sum of its weights.
 type routeEntry struct {
-	route directory.Route
-	total uint64
+	route       directory.Route
+	totalWeight uint64
 }
 
 // targetEntry is a target and what this node has seen of it.
@@ -67,7 +67,7 @@
 	// remembered is set while only a member's disk speaks for the target.
 	remembered bool
 	// reported is set while the target waits in the list of those that answered.
-	reported bool
+	inAnswering bool
 	// missed is the number of opening packets left unanswered since answeredAt.
 	missed int
 	// refusedAt is when an opening packet was last found to have had no taker.
@@ -76,16 +76,16 @@
 	// probation while they want to see whether it serves again.
 	ejected, probation bool
 	// triedAt is when the target last got a new flow from this node.
-	triedAt kernel.Instant
+	lastPlacedAt kernel.Instant
 	// cold is set while the target is spared, or nil.
-	cold *coldness
+	warmup *warmupState
 	// outcomes count how exchanges ended since the last report.
 	outcomes directory.Outcomes
 	// failedAt is when an exchange was last found unanswered, servedAt when one was last
 	// answered as usual.
-	failedAt, servedAt kernel.Instant
-	reach              reach
-	speed              targetSpeed
+	failedAt, succeededAt kernel.Instant
+	probes                probeState
+	speed                 targetSpeed
 }
 
 // flowEntry is what this node remembers of a flow that it has placed. It is
@@ -102,12 +102,12 @@
 	// acknowledged is the caller's last acknowledgement: when it moves on, the
 	// target has answered. A packet that is only sent again shows nothing.
 	acknowledged uint32
-	last         kernel.Instant
+	lastPacketAt kernel.Instant
 	pending      pendingData
 	// waits is set while the caller waits for an answer, since waitsSince.
-	waits      bool
-	waitsSince kernel.Instant
-	exchange   exchange
+	waitingForAnswer bool
+	waitingSince     kernel.Instant
+	exchange         exchange
 }
 
 // Core decides on packets. One goroutine owns it.
@@ -122,7 +122,7 @@
 	ended []*targetEntry
 	flows map[FlowKey]*flowEntry
 	// unkept is the number of flows that found no room since TakeUnkept.
-	unkept int
+	untracked int
 	// unanswered are the flows whose caller has sent data again.
 	unanswered map[FlowKey]*flowEntry
 	// waiting are the flows whose callers wait for an answer.
@@ -130,39 +130,39 @@
 	reportedAt kernel.Instant
 	// mistakenUntil is when what this node has seen may speak against targets again:
 	// it was stopped for a while.
-	mistakenUntil kernel.Instant
+	stalledUntil kernel.Instant
 	// answering are the targets that have answered since the last report, and
 	// missing those that have left opening packets unanswered.
-	answering []*targetEntry
-	missing   map[*targetEntry]bool
+	answering          []*targetEntry
+	unansweredOpenings map[*targetEntry]bool
 	// wanted are the targets for which callers wait, and probing is the number of probes
 	// under way.
-	wanted    map[*targetEntry]struct{}
-	probing   int
-	openings  openingWatch
-	witness   witness
-	exchanges exchangeWatch
+	probeWanted    map[*targetEntry]struct{}
+	probesInFlight int
+	openings       openingTracker
+	losses         lossTracker
+	exchanges      exchangeTracker
 	// habits are what is usual for the exchanges of each route.
-	habits map[netip.AddrPort]*routeHabit
-	speeds speedWatch
+	baselines map[netip.AddrPort]*routeBaseline
+	speeds    speedTracker
 	// delayedUntil is when what waited long for this node's link counts no longer.
-	delayedUntil kernel.Instant
-	members      []directory.Member
+	linkDelayedUntil kernel.Instant
+	members          []directory.Member
 	// evacuated are the zones whose targets take no new flows, and evacuations the
 	// revisions of the newest orders about zones.
-	evacuated   map[string]bool
-	evacuations map[string]uint64
+	evacuated           map[string]bool
+	evacuationRevisions map[string]uint64
 	// key is this node's key among stewards. From budgetFrom on it may use budgets.
-	key        uint32
+	nodeKey    uint32
 	budgetFrom kernel.Instant
 	// rememberedUntil is until when new flows are placed by what a member's disk
 	// remembers, or 0.
 	rememberedUntil kernel.Instant
 
 	// opened and usable are the lists of the last choice.
-	opened []*targetEntry
-	usable []*targetEntry
-	choice Choice
+	unblocked []*targetEntry
+	usable    []*targetEntry
+	choice    Choice
 }
 
 // New returns a core that knows nothing yet.
@@ -174,16 +174,16 @@
 		services: map[string][]*targetEntry{},
 		flows:    map[FlowKey]*flowEntry{},
 
-		unanswered: map[FlowKey]*flowEntry{},
-		waiting:    map[*flowEntry]struct{}{},
-		missing:    map[*targetEntry]bool{},
-		wanted:     map[*targetEntry]struct{}{},
-		openings:   newOpeningWatch(),
-		habits:     map[netip.AddrPort]*routeHabit{},
+		unanswered:         map[FlowKey]*flowEntry{},
+		waiting:            map[*flowEntry]struct{}{},
+		unansweredOpenings: map[*targetEntry]bool{},
+		probeWanted:        map[*targetEntry]struct{}{},
+		openings:           newOpeningTracker(),
+		baselines:          map[netip.AddrPort]*routeBaseline{},
 
-		evacuated:   map[string]bool{},
-		evacuations: map[string]uint64{},
-		key:         directory.NodeKey(settings.Name),
+		evacuated:           map[string]bool{},
+		evacuationRevisions: map[string]uint64{},
+		nodeKey:             directory.NodeKey(settings.Name),
 	}
 }
 
@@ -247,8 +247,8 @@
 // TakeUntracked returns how often a flow found no room among those that are counted since
 // the last call.
 func (c *Core) TakeUntracked() int {
-	unkept := c.unkept
-	c.unkept = 0
+	unkept := c.untracked
+	c.untracked = 0
 	return unkept
 }
 
@@ -283,7 +283,7 @@
 	}
 	if c.revision == 0 {
 		c.budgetFrom = now.Add(budgetWindow)
-		c.closeRemembered()
+		c.disableRemembered()
 	}
 	for _, target := range update.Targets {
 		c.setTarget(now, target)
@@ -305,11 +305,11 @@
 	for _, route := range configuration.Routes {
 		entry := &routeEntry{route: route}
 		for _, backend := range route.Backends {
-			entry.total += uint64(backend.Weight)
+			entry.totalWeight += uint64(backend.Weight)
 		}
 		c.routes[route.Address] = entry
 	}
-	c.dropHabits()
+	c.dropBaselines()
 }
 
 func (c *Core) setTarget(now kernel.Instant, target directory.Target) {
@@ -319,19 +319,19 @@
 		c.targets[target.Token] = entry
 	}
 	if (!known || entry.remembered) && target.Warmup != nil {
-		entry.cold = c.newColdness(now, *target.Warmup)
+		entry.warmup = c.newWarmupState(now, *target.Warmup)
 	}
 	entry.remembered = false
 	ends := target.State == directory.TargetEnded && entry.target.State != directory.TargetEnded
-	c.enlist(entry, target)
+	c.listTarget(entry, target)
 	if ends {
-		c.rememberEnded(entry)
+		c.recordEnded(entry)
 	}
 }
 
 // enlist notes the newest word on a target, and lists it while it takes new flows.
-func (c *Core) enlist(entry *targetEntry, target directory.Target) {
-	c.unlist(entry)
+func (c *Core) listTarget(entry *targetEntry, target directory.Target) {
+	c.unlistTarget(entry)
 	entry.target = target
 	if target.State == directory.TargetReady {
 		c.services[target.Service] = append(c.services[target.Service], entry)
@@ -342,20 +342,20 @@
 // members do: a node that runs for months would else hold each target that ever was. What
 // is left of its flows is forgotten as they rest: to look for them among 200,000 with each
 // of 100 ends a second would take a fifth of a core.
-func (c *Core) rememberEnded(entry *targetEntry) {
+func (c *Core) recordEnded(entry *targetEntry) {
 	c.ended = append(c.ended, entry)
 	for len(c.ended) > directory.EndedLimit(len(c.targets)-len(c.ended)) {
 		oldest := c.ended[0]
 		c.ended[0] = nil
 		c.ended = c.ended[1:]
 		delete(c.targets, oldest.target.Token)
-		delete(c.missing, oldest)
-		delete(c.wanted, oldest)
+		delete(c.unansweredOpenings, oldest)
+		delete(c.probeWanted, oldest)
 	}
 }
 
 // unlist takes a target out of the list of those that take new flows.
-func (c *Core) unlist(entry *targetEntry) {
+func (c *Core) unlistTarget(entry *targetEntry) {
 	service := entry.target.Service
 	if entry.target.State != directory.TargetReady {
 		return
@@ -374,11 +374,11 @@
 	if packet.Opening {
 		return c.place(now, packet)
 	}
-	return c.follow(now, packet)
+	return c.forwardByToken(now, packet)
 }
 
 // follow forwards a packet of an open flow by its token.
-func (c *Core) follow(now kernel.Instant, packet Packet) Decision {
+func (c *Core) forwardByToken(now kernel.Instant, packet Packet) Decision {
 	if packet.Token == 0 {
 		return Decision{Action: ActionDrop, Reason: ReasonNoToken}
 	}
@@ -386,7 +386,7 @@
 	if !known {
 		return Decision{Action: ActionDrop, Reason: ReasonUnknownToken}
 	}
-	c.noteFlow(now, packet, entry)
+	c.trackFlow(now, packet, entry)
 	if entry.target.State == directory.TargetEnded {
 		return endedDecision(packet, entry.target)
 	}
@@ -413,50 +413,50 @@
 }
 
 // noteFlow keeps the count of open flows and the signs that targets answer.
-func (c *Core) noteFlow(now kernel.Instant, packet Packet, entry *targetEntry) {
+func (c *Core) trackFlow(now kernel.Instant, packet Packet, entry *targetEntry) {
 	flow, known := c.flows[packet.Flow]
 	if known && !flow.opened {
-		c.openings.noteOpened(now, packet.Flow, flow)
+		c.openings.recordOpened(now, packet.Flow, flow)
 	}
 	if known && (!flow.opened || packet.Acknowledged != flow.acknowledged) {
-		c.noteAnswer(now, entry)
-		c.settle(packet.Flow, flow)
+		c.recordAnswer(now, entry)
+		c.endPending(packet.Flow, flow)
 	}
 	if known {
-		c.noteExchange(now, packet, flow, entry)
+		c.trackExchange(now, packet, flow, entry)
 	}
 	if packet.Closing || packet.Reset {
 		if known {
-			c.forget(packet.Flow, flow)
+			c.removeFlow(packet.Flow, flow)
 		}
 		return
 	}
 	if !known {
-		c.remember(now, packet.Flow, entry)
+		c.addFlow(now, packet.Flow, entry)
 		if flow, known = c.flows[packet.Flow]; known {
-			flow.exchange.join(now, packet)
+			flow.exchange.joinMidFlow(now, packet)
 		}
 	}
 	if !known {
 		return
 	}
-	c.moveFlow(flow, entry)
-	c.notePending(now, packet, flow)
+	c.setFlowTarget(flow, entry)
+	c.trackPending(now, packet, flow)
 	flow.opened = true
 	flow.acknowledged = packet.Acknowledged
-	flow.last = now
+	flow.lastPacketAt = now
 }
 
-func (c *Core) remember(now kernel.Instant, key FlowKey, entry *targetEntry) {
+func (c *Core) addFlow(now kernel.Instant, key FlowKey, entry *targetEntry) {
 	if len(c.flows) >= c.settings.FlowLimit {
-		c.unkept++
+		c.untracked++
 		return
 	}
-	c.flows[key] = &flowEntry{target: entry, last: now}
+	c.flows[key] = &flowEntry{target: entry, lastPacketAt: now}
 }
 
 // moveFlow notes that a flow is at another target than was thought.
-func (c *Core) moveFlow(flow *flowEntry, entry *targetEntry) {
+func (c *Core) setFlowTarget(flow *flowEntry, entry *targetEntry) {
 	if flow.target == entry {
 		return
 	}
@@ -464,12 +464,12 @@
 	flow.target = entry
 }
 
-func (c *Core) forget(key FlowKey, flow *flowEntry) {
+func (c *Core) removeFlow(key FlowKey, flow *flowEntry) {
 	c.endWait(flow)
 	flow.exchange.stage = exchangeNone
 	delete(c.flows, key)
 	delete(c.unanswered, key)
-	delete(c.openings.flows, key)
+	delete(c.openings.inFlight, key)
 }
 
 // Tick forgets flows that have rested for too long. It is called about once a
@@ -480,8 +480,8 @@
 		if !flow.opened {
 			limit = c.settings.OpeningLifetime
 		}
-		if now.Sub(flow.last) > limit {
-			c.forget(key, flow)
+		if now.Sub(flow.lastPacketAt) > limit {
+			c.removeFlow(key, flow)
 		}
 	}
 }
--- a/internal/steer/ejection.go
+++ b/internal/steer/ejection.go
@@ -16,7 +16,7 @@
 	// probationPause is the least time between two flows that a node places on a target
 	// on probation: when every other target has callers waiting it looks idlest, and
 	// takes all that the lot lets through.
-	probationPause = time.Second
+	probationInterval = time.Second
 )
 
 // setEjections takes over which targets fail their work.
@@ -35,8 +35,8 @@
 
 // takesTrial draws whether a target on probation may get a flow. Only requests that
 // may run more than once are risked, and no caller that has tried before.
-func (c *Core) takesTrial(now kernel.Instant, entry *targetEntry, kind directory.RouteKind, tried []directory.Token) bool {
-	if !kind.IsRepeatable() || len(tried) > 0 || now.Sub(entry.triedAt) < probationPause {
+func (c *Core) admitsTrial(now kernel.Instant, entry *targetEntry, kind directory.RouteKind, tried []directory.Token) bool {
+	if !kind.IsRepeatable() || len(tried) > 0 || now.Sub(entry.lastPlacedAt) < probationInterval {
 		return false
 	}
 	return c.settings.Random.Float64() < probationShare
--- a/internal/steer/ejection_test.go
+++ b/internal/steer/ejection_test.go
@@ -129,7 +129,7 @@
 	b, tokens := bookingOf(t, directory.RouteRepeatable, 10)
 	b.core.ApplyVerdicts(directory.Verdicts{Probation: tokens[:1]})
 	const flows = 10_000
-	got := b.trials(start, flows, probationPause, tokens[0])
+	got := b.trials(start, flows, probationInterval, tokens[0])
 	assert.InEpsilon(t, flows/10*probationShare, got, 0.2)
 }
 
@@ -137,7 +137,7 @@
 	b, tokens := bookingOf(t, directory.RouteRepeatable, 10)
 	b.core.ApplyVerdicts(directory.Verdicts{Probation: tokens[:1]})
 	for port := range uint16(200) {
-		now := start.Add(time.Duration(port) * probationPause)
+		now := start.Add(time.Duration(port) * probationInterval)
 		if b.core.Decide(now, opening(port, 0)).Target.Token == tokens[0] {
 			continue
 		}
--- a/internal/steer/evidence.go
+++ b/internal/steer/evidence.go
@@ -45,64 +45,64 @@
 // nothing speaks against a target: data that callers had sent again waited here,
 // together with the data itself, and the answers went by other nodes.
 func (c *Core) Report(now kernel.Instant, interval time.Duration) Evidence {
-	c.endOldWaits(now)
+	c.expireWaits(now)
 	since := c.reportedAt
 	c.reportedAt = now
 	answering := c.takeAnswering()
 	var evidence Evidence
 	if now.Sub(since) > 2*interval {
 		if since > 0 {
-			c.mistakenUntil = now.Add(resentTwiceLifetime)
+			c.stalledUntil = now.Add(resentTwiceLifetime)
 		}
-		c.openings.forgetUnderWay()
-		c.voidExchanges(now)
+		c.openings.clearInFlight()
+		c.ignoreExchanges(now)
 		return evidence
 	}
 	evidence.Answering = answering
-	c.exchanges.wheel.turn(now, c.noteQuietFlow)
+	c.exchanges.wheel.advance(now, c.checkQuiet)
 	evidence.Outcomes = c.takeOutcomes()
-	if now.Before(c.delayedUntil) {
-		c.openings.forgetUnderWay()
+	if now.Before(c.linkDelayedUntil) {
+		c.openings.clearInFlight()
 	}
-	c.openings.noteOverdue(now)
+	c.openings.expireOverdue(now)
 	openings, refused := c.openings.take()
-	if !now.Before(c.delayedUntil) && !c.openings.refusedEverywhere() {
+	if !now.Before(c.linkDelayedUntil) && !c.openings.refusedEverywhere() {
 		evidence.Openings, evidence.Refused = openings, refused
 	}
 	silent := c.silentTargets(now)
-	c.witness.age(now.Sub(since))
-	if !now.Before(c.mistakenUntil) {
+	c.losses.decay(now.Sub(since))
+	if !now.Before(c.stalledUntil) {
 		evidence.Silent = silent
 	}
 	return evidence
 }
 
 // noteAnswer notes that a target has answered a caller.
-func (c *Core) noteAnswer(now kernel.Instant, entry *targetEntry) {
+func (c *Core) recordAnswer(now kernel.Instant, entry *targetEntry) {
 	entry.answeredAt = now
 	entry.missed = 0
-	delete(c.missing, entry)
-	if !entry.reported {
-		entry.reported = true
+	delete(c.unansweredOpenings, entry)
+	if !entry.inAnswering {
+		entry.inAnswering = true
 		c.answering = append(c.answering, entry)
 	}
 }
 
 // noteMissed notes that a target has left an opening packet unanswered.
-func (c *Core) noteMissed(now kernel.Instant, flow *flowEntry) {
+func (c *Core) recordMissed(now kernel.Instant, flow *flowEntry) {
 	if flow.dropped {
 		return
 	}
 	entry := flow.target
 	entry.missedAt = now
 	entry.missed++
-	c.missing[entry] = true
+	c.unansweredOpenings[entry] = true
 }
 
 func (c *Core) takeAnswering() []directory.Token {
 	var tokens []directory.Token
 	for _, entry := range c.answering {
-		entry.reported = false
+		entry.inAnswering = false
 		tokens = append(tokens, entry.target.Token)
 	}
 	c.answering = c.answering[:0]
@@ -119,9 +119,9 @@
 			found[flow.target] = silent
 		}
 	}
-	c.addMissing(now, found)
-	if c.isDoubtfulWitness(now) {
-		doubtAll(found)
+	c.addUnansweredOpenings(now, found)
+	if c.isUnreliableObserver(now) {
+		markDoubtful(found)
 	}
 	var list []SilentTarget
 	for entry, silent := range found {
@@ -135,17 +135,17 @@
 }
 
 // doubtAll turns all weight into doubtful weight.
-func doubtAll(found map[*targetEntry]SilentTarget) {
+func markDoubtful(found map[*targetEntry]SilentTarget) {
 	for entry, silent := range found {
 		found[entry] = SilentTarget{Doubtful: silent.Weight}
 	}
 }
 
 // addMissing adds the opening packets without an answer.
-func (c *Core) addMissing(now kernel.Instant, found map[*targetEntry]SilentTarget) {
-	for entry := range c.missing {
+func (c *Core) addUnansweredOpenings(now kernel.Instant, found map[*targetEntry]SilentTarget) {
+	for entry := range c.unansweredOpenings {
 		if now.Sub(entry.missedAt) >= missedLifetime {
-			delete(c.missing, entry)
+			delete(c.unansweredOpenings, entry)
 			continue
 		}
 		silent := found[entry]
@@ -177,7 +177,7 @@
 		}
 	}
 	c.setEjections(verdicts)
-	return c.endFlows(func(entry *targetEntry) bool { return entry.lost && !before[entry] })
+	return c.resetFlows(func(entry *targetEntry) bool { return entry.lost && !before[entry] })
 }
 
 // ResetUnanswered forgets the flows at targets that have ended whose callers have sent data
@@ -189,15 +189,15 @@
 		if flow.target.target.State != directory.TargetEnded {
 			continue
 		}
-		packets = append(packets, c.endFlow(key, flow))
+		packets = append(packets, c.resetFlow(key, flow))
 	}
 	sortPackets(packets)
 	return packets
 }
 
 // endFlow forgets a flow and returns a packet of it for its reset.
-func (c *Core) endFlow(key FlowKey, flow *flowEntry) Packet {
-	c.forget(key, flow)
+func (c *Core) resetFlow(key FlowKey, flow *flowEntry) Packet {
+	c.removeFlow(key, flow)
 	return Packet{Flow: key, Token: flow.target.target.Token, Acknowledged: flow.acknowledged}
 }
 
@@ -209,13 +209,13 @@
 
 // endFlows forgets the open flows of some targets and returns a packet of each
 // for its reset.
-func (c *Core) endFlows(ended func(entry *targetEntry) bool) []Packet {
+func (c *Core) resetFlows(ended func(entry *targetEntry) bool) []Packet {
 	var packets []Packet
 	for key, flow := range c.flows {
 		if !flow.opened || !ended(flow.target) {
 			continue
 		}
-		packets = append(packets, c.endFlow(key, flow))
+		packets = append(packets, c.resetFlow(key, flow))
 	}
 	sortPackets(packets)
 	return packets
--- a/internal/steer/exchange.go
+++ b/internal/steer/exchange.go
@@ -39,13 +39,13 @@
 	// shortestQuiet is the time without progress after which an exchange may count as
 	// unanswered: callers send data again after 200 ms, so one lost packet is made good
 	// by then.
-	shortestQuiet = answerPatience
+	minQuietTime = retransmitTimeout
 	// longQuiet is the same for data of more than one packet: others of them may be lost,
 	// and copies of a packet are sent after 200 and 600 ms.
-	longQuiet = 700 * time.Millisecond
+	multiPacketQuietTime = 700 * time.Millisecond
 	// longestQuiet bounds the quiet time of routes whose answers take long, so that a
 	// target is seen within the time in which callers give up.
-	longestQuiet = time.Second
+	maxQuietTime = time.Second
 	// quietFactor is the multiple of the time that a route's late answers take after
 	// which an exchange is quiet.
 	quietFactor = 2
@@ -54,13 +54,13 @@
 	slowFactor = 8
 	// shortestSlow is the least time to a first progress that counts as slow; below it
 	// ways and queues differ by as much.
-	shortestSlow = 100 * time.Millisecond
+	minSlowTime = 100 * time.Millisecond
 	// strayTime is the time after a flow's end in which copies of its packets may still
 	// come: less than the time after which callers send copies. They look like a flow
 	// that the node joins.
-	strayTime = 200 * time.Millisecond
+	strayPacketTime = 200 * time.Millisecond
 	// ownEnd is the number of positions that a target's end takes in its stream.
-	ownEnd = 1
+	finLength = 1
 )
 
 // exchangeStage tells how far an exchange has come.
@@ -81,61 +81,61 @@
 type exchange struct {
 	stage exchangeStage
 	// begun is set once acknowledged is known.
-	begun bool
+	started bool
 	// void is set when the exchange tells nothing of the target.
-	void bool
+	ignored bool
 	// listed is set while the flow is in the wheel.
-	listed bool
+	inWheel bool
 	// slow is set when the first progress was late.
 	slow bool
 	// long is set when the data takes more than one packet.
-	long bool
+	multiPacket bool
 	// copied is set when some of it was sent again or came out of order.
-	copied bool
+	retransmitted bool
 	// base is the caller's acknowledgement when the exchange began, acknowledged the
 	// furthest one, and end the position behind the furthest data.
-	base, acknowledged, end uint32
+	baseAcknowledged, acknowledged, end uint32
 	// way is the time from the flow's opening packet to the caller's next one.
-	way time.Duration
+	handshakeTime time.Duration
 	// took is the time to the first progress where it is that of the target's work, or 0.
-	took time.Duration
+	responseTime time.Duration
 	// later is set when the flow had an exchange before.
-	later bool
+	subsequent bool
 	// joinedAt is when the node first saw a flow whose beginning it did not see.
 	joinedAt kernel.Instant
 	// newest is when data came that was not sent before.
-	newest kernel.Instant
-	target *targetEntry
-	habit  *routeHabit
+	lastDataAt kernel.Instant
+	target     *targetEntry
+	baseline   *routeBaseline
 	// next is the next flow in the same slot of the wheel.
-	next *flowEntry
+	nextInSlot *flowEntry
 }
 
 // exchangeWatch follows the exchanges of the open flows.
-type exchangeWatch struct {
-	wheel quietWheel
+type exchangeTracker struct {
+	wheel timerWheel
 	// counted are the targets with outcomes since the last report.
-	counted []*targetEntry
+	withOutcomes []*targetEntry
 	// answered is when an exchange last made progress, at any target.
-	answered kernel.Instant
+	lastProgressAt kernel.Instant
 	// voidBefore is the time up to which exchanges that have begun tell nothing.
-	voidBefore kernel.Instant
+	ignoreBefore kernel.Instant
 }
 
 // noteExchange follows a packet of an open flow.
-func (c *Core) noteExchange(now kernel.Instant, packet Packet, flow *flowEntry, target *targetEntry) {
+func (c *Core) trackExchange(now kernel.Instant, packet Packet, flow *flowEntry, target *targetEntry) {
 	x := &flow.exchange
-	if !x.begun {
-		x.begun = true
+	if !x.started {
+		x.started = true
 		x.acknowledged = packet.Acknowledged
-		x.base = packet.Acknowledged
+		x.baseAcknowledged = packet.Acknowledged
 	}
 	if advances(x.acknowledged, packet.Acknowledged) {
 		x.acknowledged = packet.Acknowledged
-		c.noteProgress(now, packet, x)
+		c.recordProgress(now, packet, x)
 	}
 	if packet.Size > 0 {
-		c.noteData(now, packet, flow, target)
+		c.recordData(now, packet, flow, target)
 	}
 	if packet.Closing || packet.Reset {
 		c.endExchange(now, x, packet.Reset)
@@ -144,39 +144,39 @@
 
 // quietTime returns the time without progress after which the exchange is quiet.
 func (x *exchange) quietTime() time.Duration {
-	if x.long {
-		return max(x.habit.quietTime(), longQuiet)
+	if x.multiPacket {
+		return max(x.baseline.quietTime(), multiPacketQuietTime)
 	}
-	return x.habit.quietTime()
+	return x.baseline.quietTime()
 }
 
 // advances reports whether a position is ahead of another one; positions wrap.
 func advances(from, to uint32) bool { return int32(to-from) > 0 }
 
 // join notes that the node sees a flow whose beginning it did not see.
-func (x *exchange) join(now kernel.Instant, packet Packet) {
-	*x = exchange{stage: exchangeAnswering, begun: true, void: true, later: true, joinedAt: now, base: packet.Acknowledged, acknowledged: packet.Acknowledged}
+func (x *exchange) joinMidFlow(now kernel.Instant, packet Packet) {
+	*x = exchange{stage: exchangeAnswering, started: true, ignored: true, subsequent: true, joinedAt: now, baseAcknowledged: packet.Acknowledged, acknowledged: packet.Acknowledged}
 	x.end = packet.Sequence + uint32(packet.Size)
 }
 
 // noteProgress notes that the caller has got more of an answer.
-func (c *Core) noteProgress(now kernel.Instant, packet Packet, x *exchange) {
+func (c *Core) recordProgress(now kernel.Instant, packet Packet, x *exchange) {
 	if x.stage != exchangeWaiting && x.stage != exchangeQuiet {
 		return
 	}
-	c.exchanges.answered = now
-	habit := x.habit
-	if !c.exchanges.isVoid(x) {
-		habit.noteQuiet(x.stage == exchangeQuiet)
-		took := now.Sub(x.newest)
-		timed := packet.Size == 0 && !(x.long && x.copied)
+	c.exchanges.lastProgressAt = now
+	habit := x.baseline
+	if !c.exchanges.isIgnored(x) {
+		habit.addQuiet(x.stage == exchangeQuiet)
+		took := now.Sub(x.lastDataAt)
+		timed := packet.Size == 0 && !(x.multiPacket && x.retransmitted)
 		x.slow = timed && habit.isSlow(took)
 		if timed {
-			habit.noteTime(took)
+			habit.addTime(took)
 		}
-		x.took = 0
-		if timed && x.tellsWork(packet) {
-			x.took = took
+		x.responseTime = 0
+		if timed && x.measuresWork(packet) {
+			x.responseTime = took
 		}
 	}
 	x.stage = exchangeAnswering
@@ -184,39 +184,39 @@
 
 // tellsWork reports whether the time to a first progress is that of the target's work:
 // no data was sent again, and the caller did not rest before it ended a long flow.
-func (x *exchange) tellsWork(packet Packet) bool {
-	return !x.copied && !(packet.Closing && x.later)
+func (x *exchange) measuresWork(packet Packet) bool {
+	return !x.retransmitted && !(packet.Closing && x.subsequent)
 }
 
 // noteData follows data: new data after an answer begins the next exchange.
-func (c *Core) noteData(now kernel.Instant, packet Packet, flow *flowEntry, target *targetEntry) {
+func (c *Core) recordData(now kernel.Instant, packet Packet, flow *flowEntry, target *targetEntry) {
 	x := &flow.exchange
 	end := packet.Sequence + uint32(packet.Size)
 	if x.stage != exchangeNone && !advances(x.end, end) {
-		x.copied = true
+		x.retransmitted = true
 		return
 	}
 	x.end = end
 	if x.stage == exchangeWaiting || x.stage == exchangeQuiet {
-		x.newest = now
-		x.long = true
+		x.lastDataAt = now
+		x.multiPacket = true
 		return
 	}
-	if x.stage == exchangeAnswering && x.acknowledged == x.base {
+	if x.stage == exchangeAnswering && x.acknowledged == x.baseAcknowledged {
 		return
 	}
 	c.endExchange(now, x, false)
-	x.later = x.later || x.newest > 0
+	x.subsequent = x.subsequent || x.lastDataAt > 0
 	x.stage = exchangeWaiting
-	x.void = now.Sub(x.joinedAt) < strayTime
+	x.ignored = now.Sub(x.joinedAt) < strayPacketTime
 	x.slow = false
-	x.took = 0
-	x.long = false
-	x.copied = false
-	x.base = x.acknowledged
-	x.newest = now
+	x.responseTime = 0
+	x.multiPacket = false
+	x.retransmitted = false
+	x.baseAcknowledged = x.acknowledged
+	x.lastDataAt = now
 	x.target = target
-	x.habit = c.habitOf(packet.Flow)
+	x.baseline = c.baselineOf(packet.Flow)
 	c.exchanges.wheel.add(now, flow, x.quietTime())
 }
 
@@ -225,57 +225,59 @@
 func (c *Core) endExchange(now kernel.Instant, x *exchange, brokenOff bool) {
 	stage := x.stage
 	x.stage = exchangeNone
-	if stage != exchangeAnswering || c.exchanges.isVoid(x) {
+	if stage != exchangeAnswering || c.exchanges.isIgnored(x) {
 		return
 	}
-	size := x.acknowledged - x.base
+	size := x.acknowledged - x.baseAcknowledged
 	switch {
-	case brokenOff && x.habit.isShort(size):
-	case size <= ownEnd:
-		c.countOutcome(now, x.target, directory.Outcomes{Unanswered: 1})
-	case x.habit.isShort(size):
-		c.countOutcome(now, x.target, directory.Outcomes{Short: 1})
-		c.noteWork(now, x, size)
+	case brokenOff && x.baseline.isShort(size):
+	case size <= finLength:
+		c.recordOutcome(now, x.target, directory.Outcomes{Unanswered: 1})
+	case x.baseline.isShort(size):
+		c.recordOutcome(now, x.target, directory.Outcomes{Short: 1})
+		c.recordWork(now, x, size)
 	case x.slow:
-		c.countOutcome(now, x.target, directory.Outcomes{Slow: 1})
-		c.noteWork(now, x, size)
+		c.recordOutcome(now, x.target, directory.Outcomes{Slow: 1})
+		c.recordWork(now, x, size)
 	default:
-		c.countOutcome(now, x.target, directory.Outcomes{Answered: 1})
-		c.noteWork(now, x, size)
+		c.recordOutcome(now, x.target, directory.Outcomes{Answered: 1})
+		c.recordWork(now, x, size)
 	}
-	if !brokenOff && size > ownEnd {
-		x.habit.noteSize(size)
+	if !brokenOff && size > finLength {
+		x.baseline.addSize(size)
 	}
 }
 
 // noteQuietFlow is called when the quiet time of an exchange may be over. It returns
 // how long it still lasts, or 0 when it need not be looked at again.
-func (c *Core) noteQuietFlow(now kernel.Instant, flow *flowEntry) time.Duration {
+func (c *Core) checkQuiet(now kernel.Instant, flow *flowEntry) time.Duration {
 	x := &flow.exchange
 	if x.stage != exchangeWaiting {
 		return 0
 	}
 	limit := x.quietTime()
-	if left := limit - now.Sub(x.newest); left > 0 {
+	if left := limit - now.Sub(x.lastDataAt); left > 0 {
 		return left
 	}
 	x.stage = exchangeQuiet
-	if x.habit.mayTellByQuiet() {
-		c.wantProbe(now, x.target)
+	if x.baseline.mayProbeOnQuiet() {
+		c.requestProbe(now, x.target)
 	}
-	heardOthers := c.exchanges.answered.Sub(x.newest) > limit/2
-	if !heardOthers || c.isDoubtfulWitness(now) {
-		x.void = true
+	heardOthers := c.exchanges.lastProgressAt.Sub(x.lastDataAt) > limit/2
+	if !heardOthers || c.isUnreliableObserver(now) {
+		x.ignored = true
 	}
-	if x.habit.isQuietTelling() && !c.exchanges.isVoid(x) {
-		c.countOutcome(now, x.target, directory.Outcomes{Unanswered: 1})
+	if x.baseline.isQuietSignificant() && !c.exchanges.isIgnored(x) {
+		c.recordOutcome(now, x.target, directory.Outcomes{Unanswered: 1})
 	}
 	return 0
 }
 
 // isVoid reports whether an exchange tells nothing of its target.
-func (w *exchangeWatch) isVoid(x *exchange) bool { return x.void || x.newest < w.voidBefore }
+func (w *exchangeTracker) isIgnored(x *exchange) bool {
+	return x.ignored || x.lastDataAt < w.ignoreBefore
+}
 
 // voidExchanges makes the exchanges that have begun count nothing: the node was
 // stopped, or held back what it should have forwarded.
-func (c *Core) voidExchanges(now kernel.Instant) { c.exchanges.voidBefore = now }
+func (c *Core) ignoreExchanges(now kernel.Instant) { c.exchanges.ignoreBefore = now }
--- a/internal/steer/exchange_oracle_test.go
+++ b/internal/steer/exchange_oracle_test.go
@@ -189,7 +189,7 @@
 		return false
 	}
 	return slices.ContainsFunc(seen, func(sight sight) bool {
-		return sight.first && sight.exchange == number && sight.at-seen[0].at >= strayTime
+		return sight.first && sight.exchange == number && sight.at-seen[0].at >= strayPacketTime
 	})
 }
 
--- a/internal/steer/exchange_test.go
+++ b/internal/steer/exchange_test.go
@@ -42,7 +42,7 @@
 	tokens := b.addTargets(start, 1, 2)
 	w := &watched{bench: b, now: start, reported: start, sums: map[directory.Token]directory.Outcomes{}, port: firstBusyPort, busy: tokens[1]}
 	w.core.Report(start, reportEvery)
-	for range 2 * habitSamples {
+	for range 2 * minBaselineSamples {
 		w.advance(reportEvery)
 	}
 	clear(w.sums)
@@ -146,7 +146,7 @@
 		{"quiet after copies", []step{open, request, {after: 205 * ms, size: 100}, {after: 605 * ms, size: 100}}, unanswered},
 		{"reset by its caller at the deadline", []step{open, request, {after: 2 * time.Second, sequence: 100, reset: true}}, unanswered},
 		{"ended by its caller at the deadline", []step{open, request, {after: 2 * time.Second, sequence: 100, closing: true}}, unanswered},
-		{"ended by the target without an answer", []step{open, request, {after: 10 * ms, sequence: 100, answered: ownEnd, closing: true}}, unanswered},
+		{"ended by the target without an answer", []step{open, request, {after: 10 * ms, sequence: 100, answered: finLength, closing: true}}, unanswered},
 		{"broken off early by its caller", []step{open, request, {after: 20 * ms, sequence: 100, reset: true}}, nothing},
 		{"given up early by its caller", []step{open, request, {after: 20 * ms, sequence: 100, closing: true}}, nothing},
 		{"a failure", []step{open, request, {after: 30 * ms, sequence: 100, answered: 200, closing: true}}, short},
@@ -225,7 +225,7 @@
 	w, token := newWatched(t)
 	w.core.Decide(w.now, opening(1, 0))
 	w.core.Decide(w.now, sending(1, token, isn, 1, 100))
-	w.core.RecordLinkDelay(w.now, linkDelayLimit)
+	w.core.RecordLinkDelay(w.now, linkDelayThreshold)
 	w.advance(2 * time.Second)
 	assert.Equal(t, nothing, w.sums[token])
 	assert.Equal(t, unanswered, w.play(token, step{opening: true}, step{size: 100}), "a later one speaks")
@@ -303,7 +303,7 @@
 	w := &watched{bench: b, now: start, reported: start, sums: map[directory.Token]directory.Outcomes{}, port: firstBusyPort, alone: true}
 	w.core.Report(start, reportEvery)
 	w.advance(reportEvery / 2)
-	for range habitSamples / 2 {
+	for range minBaselineSamples / 2 {
 		w.exchange(token, usualAnswer)
 	}
 	w.exchange(token, 200)
@@ -312,7 +312,7 @@
 	w.advance(200 * ms)
 	w.exchange(token, usualAnswer)
 	w.advance(time.Second)
-	assert.Equal(t, directory.Outcomes{Answered: habitSamples/2 + 2}, w.sums[token])
+	assert.Equal(t, directory.Outcomes{Answered: minBaselineSamples/2 + 2}, w.sums[token])
 }
 
 func TestFlowsThatTheNodeResetsCountNothing(t *testing.T) {
@@ -329,35 +329,35 @@
 	w, token := newWatched(t)
 	w.core.Decide(w.now, opening(1, 0))
 	w.core.Decide(w.now, sending(1, token, isn, 1, 100))
-	w.advance(shortestQuiet + reportEvery)
+	w.advance(minQuietTime + reportEvery)
 	for port := range uint16(20) {
 		decision := w.core.Decide(w.now, opening(100+port, 0))
 		assert.Equal(t, w.busy, decision.Target.Token)
 		assert.Equal(t, 1, decision.Doubtful)
 	}
 	entry := w.core.targets[token]
-	assert.True(t, entry.fails(w.now))
-	assert.False(t, entry.fails(w.now.Add(failsFor)))
+	assert.True(t, entry.hasFailed(w.now))
+	assert.False(t, entry.hasFailed(w.now.Add(failureLifetime)))
 	w.exchange(token, usualAnswer)
-	assert.False(t, entry.fails(w.now), "it serves again")
+	assert.False(t, entry.hasFailed(w.now), "it serves again")
 }
 
 func TestHabitsOfRoutesThatAreGoneAreForgotten(t *testing.T) {
 	w, token := newWatched(t)
 	w.exchange(token, usualAnswer)
-	assert.Len(t, w.core.habits, 1)
+	assert.Len(t, w.core.baselines, 1)
 	w.publish(w.now, 2, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}), route("s", otherAddress, directory.Backend{Service: "booking", Weight: 1}))
-	assert.Equal(t, 2*habitSamples+1, w.core.habits[bookingAddress].sizes.total)
+	assert.Equal(t, 2*minBaselineSamples+1, w.core.baselines[bookingAddress].sizes.total)
 	w.publish(w.now, 3, route("s", otherAddress, directory.Backend{Service: "booking", Weight: 1}))
-	assert.Empty(t, w.core.habits)
+	assert.Empty(t, w.core.baselines)
 }
 
 func TestTheWheelHoldsEachFlowOnceAndFindsItInTime(t *testing.T) {
-	var wheel quietWheel
+	var wheel timerWheel
 	flows := make([]*flowEntry, 100)
 	due := map[*flowEntry]kernel.Instant{}
 	now := start
-	wheel.turn(now, nil)
+	wheel.advance(now, nil)
 	for position := range flows {
 		flows[position] = &flowEntry{}
 		after := time.Duration(position) * 10 * ms
@@ -368,7 +368,7 @@
 	again := map[*flowEntry]bool{}
 	for len(due) > 0 {
 		now = now.Add(30 * ms)
-		wheel.turn(now, func(now kernel.Instant, flow *flowEntry) time.Duration {
+		wheel.advance(now, func(now kernel.Instant, flow *flowEntry) time.Duration {
 			assert.False(t, now.Before(due[flow]))
 			assert.Less(t, now.Sub(due[flow]), 2*wheelSlot+30*ms)
 			if !again[flow] {
@@ -384,8 +384,8 @@
 		assert.Nil(t, slot)
 	}
 	wheel.add(now, flows[0], time.Second)
-	wheel.turn(now.Add(time.Hour), func(kernel.Instant, *flowEntry) time.Duration { return 0 })
-	assert.False(t, flows[0].exchange.listed, "found after a long stop")
+	wheel.advance(now.Add(time.Hour), func(kernel.Instant, *flowEntry) time.Duration { return 0 })
+	assert.False(t, flows[0].exchange.inWheel, "found after a long stop")
 }
 
 func TestQuantilesOfALogHistogram(t *testing.T) {
@@ -396,9 +396,9 @@
 	}
 	assert.InEpsilon(t, 500, histogram.quantile(0.5), 0.2)
 	assert.InEpsilon(t, 250, histogram.quantile(0.25), 0.2)
-	for range 3 * histogramMemory {
+	for range 3 * histogramDecayCount {
 		histogram.add(math.MaxFloat64)
 	}
 	assert.Greater(t, histogram.quantile(0.25), float64(math.MaxUint32/2), "older values fade out")
-	assert.Less(t, histogram.total, histogramMemory)
+	assert.Less(t, histogram.total, histogramDecayCount)
 }
--- a/internal/steer/follower.go
+++ b/internal/steer/follower.go
@@ -23,8 +23,8 @@
 	// firstPause and longestPause bound the pause after each further member that
 	// has no leader; it doubles, so that a group without a quorum is not kept from
 	// its election by nodes that go round. Six members in a row cost half a second.
-	firstPause   = 10 * time.Millisecond
-	longestPause = 320 * time.Millisecond
+	minBackoff = 10 * time.Millisecond
+	maxBackoff = 320 * time.Millisecond
 	// DefaultRetryDelay is the pause after a member that was left for another reason.
 	DefaultRetryDelay = 40 * time.Millisecond
 	// FirstStatusTimeout is how long a node that has lost its leader waits for the
@@ -76,15 +76,15 @@
 	// currentAt is when the member was last current, or when it was first followed.
 	currentAt kernel.Instant
 	// signed is set once the member has given a sign of life.
-	signed bool
+	gotStatus bool
 	// leaveAt is when a far member is left; 0 while it is not known to be far.
 	leaveAt kernel.Instant
 	// leaderless is the number of members in a row that were left because they had
 	// no leader, or gave no sign of life while the node looked for one that has.
-	leaderless int
+	leaderlessCount int
 	// emptyMet is the number of signs of life from members that know nothing since
 	// the last one from a member that was current.
-	emptyMet int
+	emptyCount int
 }
 
 // NewFollower returns a follower that follows nobody yet.
@@ -97,7 +97,7 @@
 	f.member = member
 	f.currentAt = now
 	f.leaveAt = 0
-	f.signed = false
+	f.gotStatus = false
 }
 
 // NeedsReferral reports whether the node knows no member but the seeds.
@@ -112,18 +112,18 @@
 // HandleStatus takes a sign of life and returns why the member is to be left, or nil.
 // Stateless is set while the node waits for its first state.
 func (f *Follower) HandleStatus(now kernel.Instant, presence MemberStatus, stateless bool) error {
-	f.signed = true
+	f.gotStatus = true
 	if presence.Current {
 		f.currentAt = now
-		f.emptyMet = 0
-		f.leaderless = 0
+		f.emptyCount = 0
+		f.leaderlessCount = 0
 		return nil
 	}
 	if presence.Leaderless >= LeaderlessTimeout && f.mayFindLeader() {
-		f.leaderless++
+		f.leaderlessCount++
 		return ErrLeaderless
 	}
-	if presence.Empty && stateless && f.leavesEmpty() {
+	if presence.Empty && stateless && f.shouldLeaveEmpty() {
 		return ErrEmpty
 	}
 	if now.Sub(f.currentAt) > NotCurrentTimeout {
@@ -135,7 +135,7 @@
 // mayFindLeader reports whether there are members that the node has not found to
 // be without a leader. Once all were met the group has no quorum, and the node
 // gives each of them the time of some elections.
-func (f *Follower) mayFindLeader() bool { return f.leaderless < f.List.Len() }
+func (f *Follower) mayFindLeader() bool { return f.leaderlessCount < f.List.Len() }
 
 // RetryDelay returns the wait before the next member is tried, after one was left for
 // a reason.
@@ -145,21 +145,21 @@
 		return 0
 	case !errors.Is(reason, ErrLeaderless):
 		return DefaultRetryDelay
-	case f.leaderless <= 1:
+	case f.leaderlessCount <= 1:
 		return time.Duration(f.random.Int64N(int64(LeaveJitter)))
 	}
-	doublings := min(f.leaderless-2, maxPauseDoublings)
-	return min(firstPause<<doublings, longestPause)
+	doublings := min(f.leaderlessCount-2, maxBackoffDoublings)
+	return min(minBackoff<<doublings, maxBackoff)
 }
 
 // maxPauseDoublings keeps the pause within its type.
-const maxPauseDoublings = 16
+const maxBackoffDoublings = 16
 
 // ReadTimeout returns how long the node waits for the next byte of the member
 // that it follows, where usual is the limit for one that is current. A node that
 // waits for its first state stays with the member that prepares it.
 func (f *Follower) ReadTimeout(usual time.Duration, stateless bool) time.Duration {
-	if stateless || f.signed || f.leaderless == 0 || !f.mayFindLeader() {
+	if stateless || f.gotStatus || f.leaderlessCount == 0 || !f.mayFindLeader() {
 		return usual
 	}
 	return FirstStatusTimeout
@@ -168,18 +168,18 @@
 // HandleReadError notes that the member gave no sign of life within the limit, and returns
 // why it is left.
 func (f *Follower) HandleReadError(reason error) error {
-	if f.signed || f.leaderless == 0 || !f.mayFindLeader() {
+	if f.gotStatus || f.leaderlessCount == 0 || !f.mayFindLeader() {
 		return reason
 	}
-	f.leaderless++
+	f.leaderlessCount++
 	return ErrLeaderless
 }
 
 // leavesEmpty reports whether a member that knows nothing is left at once. Once
 // all were found to know nothing, the group is being founded, and the node waits.
-func (f *Follower) leavesEmpty() bool {
-	f.emptyMet++
-	return f.emptyMet < f.List.Len()
+func (f *Follower) shouldLeaveEmpty() bool {
+	f.emptyCount++
+	return f.emptyCount < f.List.Len()
 }
 
 // CheckZone returns ErrNearer when the node has stayed with a far member for long
@@ -189,7 +189,7 @@
 		return nil
 	}
 	if f.leaveAt == 0 {
-		f.leaveAt = now.Add(f.farTime())
+		f.leaveAt = now.Add(f.remoteStayTime())
 	}
 	if now.Before(f.leaveAt) {
 		return nil
@@ -200,7 +200,7 @@
 
 // farTime returns how long the node stays with a far member: not long when a
 // member of its own zone has not been tried yet.
-func (f *Follower) farTime() time.Duration {
+func (f *Follower) remoteStayTime() time.Duration {
 	spread := time.Duration(f.random.Int64N(int64(ReturnJitter)))
 	if f.List.HasUntriedLocal() {
 		return spread
--- a/internal/steer/follower_test.go
+++ b/internal/steer/follower_test.go
@@ -22,13 +22,13 @@
 	f := newTestFollower()
 	times := map[time.Duration]bool{}
 	for range 100 {
-		wait := f.farTime()
+		wait := f.remoteStayTime()
 		assert.Less(t, wait, ReturnJitter, "the near member was never tried")
 		times[wait/(ReturnJitter/10)] = true
 	}
 	assert.Greater(t, len(times), 5)
 	f.List.RecordFailure("b", start)
-	assert.GreaterOrEqual(t, f.farTime(), RemoteStay)
+	assert.GreaterOrEqual(t, f.remoteStayTime(), RemoteStay)
 }
 
 func TestAFarMemberIsLeftForANearOne(t *testing.T) {
--- a/internal/steer/ownlink.go
+++ b/internal/steer/locallink.go
@@ -13,10 +13,10 @@
 	// linkDelayLimit is how long a datagram may wait for the node's own link until what
 	// the node sees is doubtful: callers send again after 200 ms, of which the ways to
 	// the target and back, and its acknowledgement of every second packet, take a part.
-	linkDelayLimit = 100 * time.Millisecond
+	linkDelayThreshold = 100 * time.Millisecond
 	// linkRecovery is how long it stays so: what callers sent again meanwhile counts for
 	// no longer.
-	linkRecovery = resentTwiceLifetime
+	linkRecoveryTime = resentTwiceLifetime
 )
 
 // RecordDrop notes that the node has dropped a packet of a flow that it had decided
@@ -29,10 +29,10 @@
 	}
 	if !flow.opened {
 		flow.dropped = true
-		delete(c.openings.flows, key)
+		delete(c.openings.inFlight, key)
 		return
 	}
-	flow.exchange.void = true
+	flow.exchange.ignored = true
 	flow.pending.excuse()
 	delete(c.unanswered, key)
 }
@@ -44,7 +44,7 @@
 	if !known || !flow.pending.undoResent(now) {
 		return
 	}
-	if flow.pending.resent == 0 {
+	if flow.pending.resends == 0 {
 		delete(c.unanswered, key)
 	}
 }
@@ -52,14 +52,14 @@
 // RecordLinkDelay notes how long the oldest datagram has waited for the node's own
 // link; 0 while none waits.
 func (c *Core) RecordLinkDelay(now kernel.Instant, delay time.Duration) {
-	if delay >= linkDelayLimit {
-		c.delayedUntil = now.Add(linkRecovery)
-		c.voidExchanges(now)
+	if delay >= linkDelayThreshold {
+		c.linkDelayedUntil = now.Add(linkRecoveryTime)
+		c.ignoreExchanges(now)
 	}
 }
 
 // isDoubtfulWitness reports whether what this node sees of targets has other reasons:
 // its own link is choked, data gets lost on its way, or no zone takes its openings.
-func (c *Core) isDoubtfulWitness(now kernel.Instant) bool {
-	return now.Before(c.delayedUntil) || c.witness.loses() || c.openings.refusedEverywhere()
+func (c *Core) isUnreliableObserver(now kernel.Instant) bool {
+	return now.Before(c.linkDelayedUntil) || c.losses.isLossy() || c.openings.refusedEverywhere()
 }
--- a/internal/steer/ownlink_test.go
+++ b/internal/steer/locallink_test.go
@@ -59,9 +59,9 @@
 		want  SilentTarget
 	}{
 		{"no delay", 0, 0, SilentTarget{Weight: 1}},
-		{"a short delay", linkDelayLimit - time.Millisecond, 0, SilentTarget{Weight: 1}},
-		{"a long delay", linkDelayLimit, 0, SilentTarget{Doubtful: 1}},
-		{"long before", linkDelayLimit, -linkRecovery, SilentTarget{Weight: 1}},
+		{"a short delay", linkDelayThreshold - time.Millisecond, 0, SilentTarget{Weight: 1}},
+		{"a long delay", linkDelayThreshold, 0, SilentTarget{Doubtful: 1}},
+		{"long before", linkDelayThreshold, -linkRecoveryTime, SilentTarget{Weight: 1}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -78,8 +78,8 @@
 // falls quiet or is answered late.
 func TestAnExchangeThatTheNodeHasHeldBackCountsNothing(t *testing.T) {
 	for delay, want := range map[time.Duration]directory.Outcomes{
-		linkDelayLimit - time.Millisecond: unanswered,
-		linkDelayLimit:                    nothing,
+		linkDelayThreshold - time.Millisecond: unanswered,
+		linkDelayThreshold:                    nothing,
 	} {
 		w, token := newWatched(t)
 		w.core.Decide(w.now, opening(1, 0))
@@ -109,11 +109,11 @@
 func TestOpeningPacketsThatTheNodeHoldsBackWereNotRefused(t *testing.T) {
 	b, near, _ := twoZones(t)
 	b.core.Decide(start, opening(1, 0))
-	b.core.RecordLinkDelay(start, linkDelayLimit)
+	b.core.RecordLinkDelay(start, linkDelayThreshold)
 	evidence := b.tick(start, start.Add(2*reportEvery))
 	assert.Empty(t, evidence.Openings)
 	assert.Empty(t, evidence.Refused)
-	assert.False(t, b.core.targets[near.Token].refuses(start.Add(2*reportEvery)))
+	assert.False(t, b.core.targets[near.Token].hasRefused(start.Add(2*reportEvery)))
 }
 
 // Zones whose nodes were gone but for two with choked links were avoided by turns (own
--- a/internal/steer/loghistogram.go
+++ b/internal/steer/loghistogram.go
@@ -8,7 +8,7 @@
 	// histogramBuckets reach to 2^32.
 	histogramBuckets = 32 * bucketsPerDoubling
 	// histogramMemory is the number of values after which older ones count half.
-	histogramMemory = 512
+	histogramDecayCount = 512
 )
 
 // logHistogram counts values of 1 and more by their order of magnitude; older ones
@@ -22,7 +22,7 @@
 	bucket := int(bucketsPerDoubling * math.Log2(max(value, 1)))
 	h.counts[min(bucket, histogramBuckets-1)]++
 	h.total++
-	if h.total < histogramMemory {
+	if h.total < histogramDecayCount {
 		return
 	}
 	h.total = 0
--- a/internal/steer/witness_test.go
+++ b/internal/steer/losstracker_test.go
@@ -26,18 +26,18 @@
 }
 
 func TestLostDataIsForgotten(t *testing.T) {
-	var w witness
-	w.noteAnswered(1)
-	assert.True(t, w.loses())
+	var w lossTracker
+	w.addAnswered(1)
+	assert.True(t, w.isLossy())
 	for range 30 {
-		w.age(reportEvery)
+		w.decay(reportEvery)
 	}
-	assert.False(t, w.loses())
-	w.noteAnswered(1)
+	assert.False(t, w.isLossy())
+	w.addAnswered(1)
 	for range 20 {
-		w.noteAnswered(0)
+		w.addAnswered(0)
 	}
-	assert.False(t, w.loses(), "one of twenty")
-	w.age(time.Minute)
+	assert.False(t, w.isLossy(), "one of twenty")
+	w.decay(time.Minute)
 	assert.Zero(t, w.answered)
 }
--- a/internal/steer/memberlist.go
+++ b/internal/steer/memberlist.go
@@ -20,8 +20,8 @@
 
 	// faults holds when a member was last tried or left, unless that was no
 	// fault of its.
-	faults  map[string]kernel.Instant
-	shuffle func(n int, swap func(i, j int))
+	failures map[string]kernel.Instant
+	shuffle  func(n int, swap func(i, j int))
 }
 
 // MemberListOption changes a new list.
@@ -35,7 +35,7 @@
 
 // NewMemberList returns a list for a node in a zone that knows no member yet.
 func NewMemberList(zone string, opts ...MemberListOption) *MemberList {
-	l := &MemberList{Zone: zone, faults: map[string]kernel.Instant{}, shuffle: rand.Shuffle}
+	l := &MemberList{Zone: zone, failures: map[string]kernel.Instant{}, shuffle: rand.Shuffle}
 	for _, opt := range opts {
 		opt(l)
 	}
@@ -44,11 +44,11 @@
 
 // RecordFailure makes a member come after all that were left earlier or never.
 func (l *MemberList) RecordFailure(address string, now kernel.Instant) {
-	l.faults[address] = now
+	l.failures[address] = now
 }
 
 // ClearFailures forgets that members were left, so that the nearest comes first.
-func (l *MemberList) ClearFailures() { clear(l.faults) }
+func (l *MemberList) ClearFailures() { clear(l.failures) }
 
 // Order returns the members to try. Those that were never left for a fault
 // come first: the own zone, then others in random order, then seeds that are
@@ -62,9 +62,9 @@
 		return cmp.Compare(l.distance(a), l.distance(b))
 	})
 	list = append(list, l.unknownSeeds()...)
-	l.dropOldFaults(list)
+	l.pruneFailures(list)
 	slices.SortStableFunc(list, func(a, b directory.Member) int {
-		return cmp.Compare(l.faults[a.Address], l.faults[b.Address])
+		return cmp.Compare(l.failures[a.Address], l.failures[b.Address])
 	})
 	return list
 }
@@ -86,11 +86,11 @@
 // dropOldFaults forgets the faults of addresses that are no candidates any
 // more. Once every candidate has been left, all but the latest fault are
 // forgotten, so that the own zone comes first again.
-func (l *MemberList) dropOldFaults(list []directory.Member) {
+func (l *MemberList) pruneFailures(list []directory.Member) {
 	latest := ""
 	kept := map[string]kernel.Instant{}
 	for _, member := range list {
-		at, left := l.faults[member.Address]
+		at, left := l.failures[member.Address]
 		if !left {
 			continue
 		}
@@ -102,7 +102,7 @@
 	if len(kept) == len(list) && latest != "" {
 		kept = map[string]kernel.Instant{latest: kept[latest]}
 	}
-	l.faults = kept
+	l.failures = kept
 }
 
 // Len returns the number of members and of seeds that are not among them.
@@ -112,7 +112,7 @@
 // fault.
 func (l *MemberList) HasUntriedLocal() bool {
 	return slices.ContainsFunc(l.Members, func(member directory.Member) bool {
-		_, left := l.faults[member.Address]
+		_, left := l.failures[member.Address]
 		return member.Zone == l.Zone && !left
 	})
 }
--- a/internal/steer/memberlist_test.go
+++ b/internal/steer/memberlist_test.go
@@ -77,5 +77,5 @@
 	l.RecordFailure("old", faultTime)
 	l.Seeds = []string{"new", "newer"}
 	l.Order()
-	assert.Empty(t, l.faults)
+	assert.Empty(t, l.failures)
 }
--- a/internal/steer/openings_test.go
+++ b/internal/steer/openings_test.go
@@ -40,7 +40,7 @@
 	assert.Equal(t, []SilentTarget{{Token: near.Token, Weight: 1}}, evidence.Refused)
 	assert.Equal(t, []directory.ZoneOpenings{{Zone: "north", Refused: 1}}, evidence.Openings)
 	assert.Equal(t, far.ID, b.core.Decide(start.Add(reportEvery), opening(2, 0)).Target.ID)
-	later := start.Add(reportEvery + refusedFor)
+	later := start.Add(reportEvery + refusalLifetime)
 	b.core.Decide(start.Add(2*reportEvery), following(2, far.Token, 1))
 	b.tick(start.Add(reportEvery), later)
 	assert.Equal(t, near.ID, b.core.Decide(later, opening(3, 0)).Target.ID, "it is tried again")
@@ -90,7 +90,7 @@
 // Callers and zones may be farther away than those of the deployments so far.
 func TestTheLimitOfOpeningPacketsFollowsWhatIsUsual(t *testing.T) {
 	b, near, _ := twoZones(t)
-	assert.Equal(t, shortestOpeningLimit, b.core.openings.limit())
+	assert.Equal(t, minOpeningTimeout, b.core.openings.timeout())
 	const way = 90 * time.Millisecond
 	now := start
 	for port := range uint16(40) {
@@ -99,8 +99,8 @@
 		now = now.Add(reportEvery)
 		b.core.Report(now, reportEvery)
 	}
-	assert.Greater(t, b.core.openings.limit(), way)
-	assert.LessOrEqual(t, b.core.openings.limit(), longestOpeningLimit)
+	assert.Greater(t, b.core.openings.timeout(), way)
+	assert.LessOrEqual(t, b.core.openings.timeout(), maxOpeningTimeout)
 	b.core.Decide(now, opening(100, 0))
 	assert.Empty(t, b.core.Report(now.Add(way), reportEvery).Refused, "it can still be taken")
 }
--- a/internal/steer/outcomes.go
+++ b/internal/steer/outcomes.go
@@ -9,23 +9,23 @@
 
 // failsFor is how long a target that left an exchange unanswered is passed over at
 // this node: all nodes together have found a failing one by then.
-const failsFor = 3 * time.Second
+const failureLifetime = 3 * time.Second
 
 // fails reports whether a target left an exchange unanswered lately and has not been
 // seen to answer one since. This node knows it at once, before all nodes together do.
-func (entry *targetEntry) fails(now kernel.Instant) bool {
-	return entry.failedAt > entry.servedAt && now.Sub(entry.failedAt) < failsFor
+func (entry *targetEntry) hasFailed(now kernel.Instant) bool {
+	return entry.failedAt > entry.succeededAt && now.Sub(entry.failedAt) < failureLifetime
 }
 
-func (c *Core) countOutcome(now kernel.Instant, target *targetEntry, counted directory.Outcomes) {
+func (c *Core) recordOutcome(now kernel.Instant, target *targetEntry, counted directory.Outcomes) {
 	if counted.Unanswered > 0 {
 		target.failedAt = now
 	}
 	if counted.Answered > 0 {
-		target.servedAt = now
+		target.succeededAt = now
 	}
 	if target.outcomes == (directory.Outcomes{}) {
-		c.exchanges.counted = append(c.exchanges.counted, target)
+		c.exchanges.withOutcomes = append(c.exchanges.withOutcomes, target)
 	}
 	target.outcomes = target.outcomes.Add(counted)
 }
@@ -33,12 +33,12 @@
 // takeOutcomes returns what was counted since the last call, in the order of tokens.
 func (c *Core) takeOutcomes() []directory.Outcomes {
 	var list []directory.Outcomes
-	for _, target := range c.exchanges.counted {
+	for _, target := range c.exchanges.withOutcomes {
 		target.outcomes.Token = target.target.Token
 		list = append(list, target.outcomes)
 		target.outcomes = directory.Outcomes{}
 	}
-	c.exchanges.counted = c.exchanges.counted[:0]
+	c.exchanges.withOutcomes = c.exchanges.withOutcomes[:0]
 	directory.SortOutcomes(list)
 	return list
 }
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -18,11 +18,11 @@
 	reason := ReasonPlaced
 	flow, known := c.flows[packet.Flow]
 	if known && packet.Copy > 0 && c.keepsTarget(now, flow) {
-		flow.target.noteSent(now)
+		flow.target.recordOpening(now)
 		return Decision{Action: ActionForward, Reason: ReasonToken, Target: flow.target.target, Route: entry.route.Name}
 	}
 	if known && packet.Copy > 0 {
-		c.noteMissed(now, flow)
+		c.recordMissed(now, flow)
 		reason = ReasonPlacedAgain
 	}
 	decision, target := c.choose(now, entry, flow, packet)
@@ -31,8 +31,8 @@
 		return decision
 	}
 	decision.Reason = reason
-	target.noteSent(now)
-	c.notePlaced(now, packet, target)
+	target.recordOpening(now)
+	c.recordPlacement(now, packet, target)
 	return decision
 }
 
@@ -43,30 +43,30 @@
 	if flow.opened {
 		return true
 	}
-	return now.Sub(flow.placedAt) < c.settings.AnswerTimeout && !c.isClosed(now, flow.target)
+	return now.Sub(flow.placedAt) < c.settings.AnswerTimeout && !c.isBlocked(now, flow.target)
 }
 
-func (c *Core) notePlaced(now kernel.Instant, packet Packet, target *targetEntry) {
+func (c *Core) recordPlacement(now kernel.Instant, packet Packet, target *targetEntry) {
 	flow, known := c.flows[packet.Flow]
 	if known && packet.Copy == 0 {
-		c.forget(packet.Flow, flow)
+		c.removeFlow(packet.Flow, flow)
 		known = false
 	}
 	if !known {
-		c.remember(now, packet.Flow, target)
+		c.addFlow(now, packet.Flow, target)
 		flow, known = c.flows[packet.Flow]
 	}
 	if !known {
 		return
 	}
-	c.moveFlow(flow, target)
+	c.setFlowTarget(flow, target)
 	c.beginWait(now, flow)
 	flow.tried = append(flow.tried, target.target.Token)
-	target.triedAt = now
+	target.lastPlacedAt = now
 	flow.placedAt = now
 	flow.dropped = false
-	c.openings.flows[packet.Flow] = flow
-	flow.last = now
+	c.openings.inFlight[packet.Flow] = flow
+	flow.lastPacketAt = now
 }
 
 // choose picks a service by weight, then a target of it. When that service
@@ -82,7 +82,7 @@
 		if backend.Weight == 0 {
 			continue
 		}
-		passed := c.listUsable(now, backend.Service, entry.route.Kind, tried)
+		passed := c.collectCandidates(now, backend.Service, entry.route.Kind, tried)
 		if len(c.usable) == 0 {
 			continue
 		}
@@ -98,11 +98,11 @@
 			Ejected:      passed.ejected,
 		}, chosen
 	}
-	return Decision{Action: ActionReset, Reason: c.refusal(entry)}, nil
+	return Decision{Action: ActionReset, Reason: c.refusalReason(entry)}, nil
 }
 
 // refusal returns why no target takes a new flow of a route.
-func (c *Core) refusal(entry *routeEntry) Reason {
+func (c *Core) refusalReason(entry *routeEntry) Reason {
 	reason := ReasonNoTarget
 	for _, backend := range entry.route.Backends {
 		if backend.Weight == 0 {
@@ -119,10 +119,10 @@
 }
 
 func (c *Core) backendByWeight(entry *routeEntry) int {
-	if len(entry.route.Backends) == 1 || entry.total == 0 {
+	if len(entry.route.Backends) == 1 || entry.totalWeight == 0 {
 		return 0
 	}
-	drawn := c.settings.Random.Uint64N(entry.total)
+	drawn := c.settings.Random.Uint64N(entry.totalWeight)
 	for position, backend := range entry.route.Backends {
 		if drawn < uint64(backend.Weight) {
 			return position
@@ -133,26 +133,26 @@
 }
 
 // passedOver counts the targets that were passed over, by cause.
-type passedOver struct{ doubtful, ejected int }
+type skippedCounts struct{ doubtful, ejected int }
 
 // listUsable fills the list of candidates of a service and returns how many were
 // passed over. When nothing else is left, these are used all the same. Closed ones
 // never are.
-func (c *Core) listUsable(now kernel.Instant, service string, kind directory.RouteKind, tried []directory.Token) passedOver {
-	all := c.listOpen(now, c.services[service])
-	var passed passedOver
-	c.startList()
+func (c *Core) collectCandidates(now kernel.Instant, service string, kind directory.RouteKind, tried []directory.Token) skippedCounts {
+	all := c.collectUnblocked(now, c.services[service])
+	var passed skippedCounts
+	c.resetCandidates()
 	for _, entry := range all {
 		switch {
 		case contains(tried, entry.target.Token):
-		case entry.ejected, entry.probation && !c.takesTrial(now, entry, kind, tried):
+		case entry.ejected, entry.probation && !c.admitsTrial(now, entry, kind, tried):
 			passed.ejected++
-			c.countSlots(entry)
+			c.addSlots(entry)
 		case c.isDoubtful(now, entry):
 			passed.doubtful++
-			c.countSlots(entry)
-		case c.isSpared(now, entry):
-			c.countSpared(entry)
+			c.addSlots(entry)
+		case c.skipsWhileWarming(now, entry):
+			c.addWarmingSlots(entry)
 		default:
 			c.addCandidate(now, entry)
 		}
@@ -160,19 +160,19 @@
 	if len(c.usable) > 0 {
 		return passed
 	}
-	c.listRest(now, all, tried)
-	return passedOver{}
+	c.collectFallbacks(now, all, tried)
+	return skippedCounts{}
 }
 
 // lastResorts is the number of steps in which a list takes in what is worse and worse.
-const lastResorts = 4
+const fallbackLevels = 4
 
 // listRest fills the list with what is left when every target would be passed over.
-func (c *Core) listRest(now kernel.Instant, all []*targetEntry, tried []directory.Token) {
-	c.startList()
-	for step := 0; step < lastResorts && len(c.usable) == 0; step++ {
+func (c *Core) collectFallbacks(now kernel.Instant, all []*targetEntry, tried []directory.Token) {
+	c.resetCandidates()
+	for step := 0; step < fallbackLevels && len(c.usable) == 0; step++ {
 		for _, entry := range all {
-			if entry.isResort(step, contains(tried, entry.target.Token)) {
+			if entry.isFallback(step, contains(tried, entry.target.Token)) {
 				c.addCandidate(now, entry)
 			}
 		}
@@ -182,7 +182,7 @@
 // isResort reports whether a target is used at a step: those that are only doubtful or
 // spared first, those that fail their work next, those held for lost and those that
 // were tried before last.
-func (entry *targetEntry) isResort(step int, tried bool) bool {
+func (entry *targetEntry) isFallback(step int, tried bool) bool {
 	switch step {
 	case 0:
 		return !entry.ejected && !entry.lost && !tried
@@ -195,24 +195,24 @@
 }
 
 // listOpen returns the targets that may get an opening packet.
-func (c *Core) listOpen(now kernel.Instant, all []*targetEntry) []*targetEntry {
-	c.opened = c.opened[:0]
+func (c *Core) collectUnblocked(now kernel.Instant, all []*targetEntry) []*targetEntry {
+	c.unblocked = c.unblocked[:0]
 	for _, entry := range all {
-		if !c.isClosed(now, entry) {
-			c.opened = append(c.opened, entry)
+		if !c.isBlocked(now, entry) {
+			c.unblocked = append(c.unblocked, entry)
 		}
 	}
-	return c.opened
+	return c.unblocked
 }
 
-func (c *Core) startList() {
+func (c *Core) resetCandidates() {
 	c.usable = c.usable[:0]
 	c.choice = Choice{Candidates: c.choice.Candidates[:0]}
 }
 
 // countSlots counts the slots of a target that takes flows, or would if it were well. One
 // that this flow has tried has lost none.
-func (c *Core) countSlots(entry *targetEntry) {
+func (c *Core) addSlots(entry *targetEntry) {
 	if entry.target.Zone == c.settings.Zone {
 		c.choice.LocalSlots += slotsOf(entry)
 	} else {
@@ -222,9 +222,9 @@
 
 // countSpared counts the slots of a target that is spared: in the own zone it has lost none,
 // and sends no flow away; in another one it takes none for this zone.
-func (c *Core) countSpared(entry *targetEntry) {
+func (c *Core) addWarmingSlots(entry *targetEntry) {
 	if entry.target.Zone != c.settings.Zone {
-		c.countSlots(entry)
+		c.addSlots(entry)
 	}
 }
 
@@ -232,7 +232,7 @@
 func slotsOf(entry *targetEntry) int { return max(int(entry.target.Slots), 1) }
 
 func (c *Core) addCandidate(now kernel.Instant, entry *targetEntry) {
-	c.countSlots(entry)
+	c.addSlots(entry)
 	c.usable = append(c.usable, entry)
 	c.choice.Candidates = append(c.choice.Candidates, Candidate{
 		Waiting:      entry.waitingFlows,
@@ -247,7 +247,7 @@
 // or data unanswered and has not been seen to answer since.
 func (c *Core) isDoubtful(now kernel.Instant, entry *targetEntry) bool {
 	missed := entry.missedAt > entry.answeredAt && now.Sub(entry.missedAt) < c.settings.SuspectFor
-	return missed || entry.reach.isUnreachable(now) || entry.refuses(now) || entry.fails(now) || entry.suspected || entry.lost
+	return missed || entry.probes.isUnreachable(now) || entry.hasRefused(now) || entry.hasFailed(now) || entry.suspected || entry.lost
 }
 
 func contains(tokens []directory.Token, token directory.Token) bool {
--- a/internal/steer/reach.go
+++ b/internal/steer/probe.go
@@ -23,26 +23,26 @@
 const (
 	// probesNeeded is the number of probes in a row that must fail: one can be lost as a
 	// single packet.
-	probesNeeded = 2
+	probeFailuresNeeded = 2
 	// probeRest is the least time between two probes of a target.
-	probeRest = 100 * time.Millisecond
+	probeInterval = 100 * time.Millisecond
 	// probeLifetime is how long a failed probe and the wish for one count, and how long a
 	// target that was reached is not asked again: some of a caller's pauses.
 	probeLifetime = 2 * time.Second
 	// probeLimit is the number of probes that a node has under way: each is a socket, and
 	// a busy node sees no more dead targets in 0.3 s before the control members do.
-	probeLimit = 8
+	maxProbes = 8
 )
 
 // reach is what probes have shown of a target.
-type reach struct {
+type probeState struct {
 	// wantedAt is when a caller was last found to wait; 0 while none is known.
 	wantedAt kernel.Instant
-	underWay bool
+	inFlight bool
 	// failed is the number of probes that failed in a row. The first of them began at
 	// askedAt, the last ended at probedAt.
-	failed            int
-	askedAt, probedAt kernel.Instant
+	failures           int
+	startedAt, endedAt kernel.Instant
 }
 
 // ProbeOutcome is what a probe has shown.
@@ -65,57 +65,57 @@
 func (o ProbeOutcome) String() string { return [...]string{"unknown", "reached", "failed"}[o] }
 
 // isUnreachable reports whether probes have lately failed as often as is needed.
-func (r *reach) isUnreachable(now kernel.Instant) bool {
-	return r.failed >= probesNeeded && now.Sub(r.probedAt) < probeLifetime
+func (r *probeState) isUnreachable(now kernel.Instant) bool {
+	return r.failures >= probeFailuresNeeded && now.Sub(r.endedAt) < probeLifetime
 }
 
 // isDue reports whether a target is to be probed whose caller waits.
-func (r *reach) isDue(now kernel.Instant) bool {
-	rest := probeRest
-	if r.failed == 0 && r.probedAt > 0 {
+func (r *probeState) isDue(now kernel.Instant) bool {
+	rest := probeInterval
+	if r.failures == 0 && r.endedAt > 0 {
 		rest = probeLifetime
 	}
-	return !r.underWay && now.Sub(r.probedAt) >= rest
+	return !r.inFlight && now.Sub(r.endedAt) >= rest
 }
 
 // begin notes that a probe begins.
-func (r *reach) begin(now kernel.Instant) {
-	r.underWay = true
-	if now.Sub(r.probedAt) >= probeLifetime {
-		r.failed = 0
+func (r *probeState) begin(now kernel.Instant) {
+	r.inFlight = true
+	if now.Sub(r.endedAt) >= probeLifetime {
+		r.failures = 0
 	}
-	if r.failed == 0 {
-		r.askedAt = now
+	if r.failures == 0 {
+		r.startedAt = now
 	}
 }
 
 // end notes the outcome of a probe.
-func (r *reach) end(now kernel.Instant, outcome ProbeOutcome) {
-	r.underWay = false
+func (r *probeState) end(now kernel.Instant, outcome ProbeOutcome) {
+	r.inFlight = false
 	switch outcome {
 	case ProbeReached:
-		r.failed = 0
-		r.probedAt = now
+		r.failures = 0
+		r.endedAt = now
 	case ProbeFailed:
-		r.failed++
-		r.probedAt = now
+		r.failures++
+		r.endedAt = now
 	}
 }
 
 // wantProbe notes that a caller waits for a target. Only one that takes new flows is
 // probed: one that leaves may take no connections while it still serves its flows.
-func (c *Core) wantProbe(now kernel.Instant, entry *targetEntry) {
+func (c *Core) requestProbe(now kernel.Instant, entry *targetEntry) {
 	if entry.target.State != directory.TargetReady || entry.lost {
 		return
 	}
-	entry.reach.wantedAt = now
-	c.wanted[entry] = struct{}{}
+	entry.probes.wantedAt = now
+	c.probeWanted[entry] = struct{}{}
 }
 
 // isWanted reports whether a caller still waits for a target, as far as is known.
-func (c *Core) isWanted(now kernel.Instant, entry *targetEntry) bool {
-	return entry.target.State == directory.TargetReady && !entry.lost && !entry.answeredSince(entry.reach.wantedAt) &&
-		now.Sub(entry.reach.wantedAt) < probeLifetime
+func (c *Core) needsProbe(now kernel.Instant, entry *targetEntry) bool {
+	return entry.target.State == directory.TargetReady && !entry.lost && !entry.answeredSince(entry.probes.wantedAt) &&
+		now.Sub(entry.probes.wantedAt) < probeLifetime
 }
 
 func (t *targetEntry) answeredSince(at kernel.Instant) bool { return !t.answeredAt.Before(at) }
@@ -125,27 +125,27 @@
 func (c *Core) Probes(now kernel.Instant) []directory.Target {
 	for _, flow := range c.unanswered {
 		if flow.pending.weight(now) > 0 && !flow.target.answeredSince(flow.pending.since) {
-			c.wantProbe(now, flow.target)
+			c.requestProbe(now, flow.target)
 		}
 	}
 	var due []*targetEntry
-	for entry := range c.wanted {
+	for entry := range c.probeWanted {
 		switch {
-		case !c.isWanted(now, entry):
-			delete(c.wanted, entry)
-		case entry.reach.isDue(now):
+		case !c.needsProbe(now, entry):
+			delete(c.probeWanted, entry)
+		case entry.probes.isDue(now):
 			due = append(due, entry)
 		}
 	}
-	if !c.mayJudgeAlone(now) {
+	if !c.mayActAlone(now) {
 		return nil
 	}
 	slices.SortFunc(due, func(a, b *targetEntry) int { return cmp.Compare(a.target.Token, b.target.Token) })
-	due = due[:min(len(due), max(0, probeLimit-c.probing))]
+	due = due[:min(len(due), max(0, maxProbes-c.probesInFlight))]
 	targets := make([]directory.Target, 0, len(due))
 	for _, entry := range due {
-		entry.reach.begin(now)
-		c.probing++
+		entry.probes.begin(now)
+		c.probesInFlight++
 		targets = append(targets, entry.target)
 	}
 	return targets
@@ -155,21 +155,21 @@
 // this node's flows there and returns a packet of each for its reset: their callers have
 // time to ask another target, and would wait until their deadline otherwise.
 func (c *Core) HandleProbeOutcome(now kernel.Instant, token directory.Token, outcome ProbeOutcome) []Packet {
-	c.probing--
+	c.probesInFlight--
 	entry, known := c.targets[token]
 	if !known {
 		return nil
 	}
-	entry.reach.end(now, outcome)
-	over := entry.reach.isUnreachable(now) && outcome == ProbeFailed && !entry.answeredSince(entry.reach.askedAt)
-	if !over || entry.target.State != directory.TargetReady || !c.mayJudgeAlone(now) {
+	entry.probes.end(now, outcome)
+	over := entry.probes.isUnreachable(now) && outcome == ProbeFailed && !entry.answeredSince(entry.probes.startedAt)
+	if !over || entry.target.State != directory.TargetReady || !c.mayActAlone(now) {
 		return nil
 	}
-	return c.endFlows(func(other *targetEntry) bool { return other == entry })
+	return c.resetFlows(func(other *targetEntry) bool { return other == entry })
 }
 
 // mayJudgeAlone reports whether what this node sees may speak against targets without
 // another node: it neither stood still lately, nor do its packets wait or get lost.
-func (c *Core) mayJudgeAlone(now kernel.Instant) bool {
-	return !now.Before(c.mistakenUntil) && !c.isDoubtfulWitness(now)
+func (c *Core) mayActAlone(now kernel.Instant) bool {
+	return !now.Before(c.stalledUntil) && !c.isUnreliableObserver(now)
 }
--- a/internal/steer/reach_test.go
+++ b/internal/steer/probe_test.go
@@ -99,7 +99,7 @@
 func TestQuietFlowsOfARouteWithoutAcknowledgementsCostNoProbe(t *testing.T) {
 	w := newWaitingCaller(t, ProbeFailed)
 	w.silent = true
-	*w.core.habitOf(w.packet.Flow) = routeHabit{answered: habitSamples, quiet: 1}
+	*w.core.baselineOf(w.packet.Flow) = routeBaseline{answeredCount: minBaselineSamples, quietShare: 1}
 	assert.Zero(t, w.runUntil(3*time.Second))
 	assert.Zero(t, w.probes)
 }
@@ -128,12 +128,12 @@
 // What shows that the node itself may be at fault keeps it from acting alone.
 func TestANodeThatMayBeAtFaultEndsNoFlow(t *testing.T) {
 	cases := map[string]func(c *Core, now kernel.Instant){
-		"its packets wait for its link":   func(c *Core, now kernel.Instant) { c.delayedUntil = now.Add(time.Minute) },
-		"it stood still":                  func(c *Core, now kernel.Instant) { c.mistakenUntil = now.Add(time.Minute) },
-		"packets get lost at living ones": func(c *Core, _ kernel.Instant) { c.witness = witness{answered: 50, recovered: 50} },
+		"its packets wait for its link":   func(c *Core, now kernel.Instant) { c.linkDelayedUntil = now.Add(time.Minute) },
+		"it stood still":                  func(c *Core, now kernel.Instant) { c.stalledUntil = now.Add(time.Minute) },
+		"packets get lost at living ones": func(c *Core, _ kernel.Instant) { c.losses = lossTracker{answered: 50, recovered: 50} },
 		"the target has answered meanwhile": func(c *Core, now kernel.Instant) {
 			for _, entry := range c.targets {
-				c.noteAnswer(now, entry)
+				c.recordAnswer(now, entry)
 			}
 		},
 	}
@@ -146,7 +146,7 @@
 			later := w.now.Add(time.Millisecond)
 			assert.Empty(t, w.core.HandleProbeOutcome(later, w.target.Token, ProbeFailed))
 			assert.Empty(t, w.core.HandleProbeOutcome(later, w.target.Token, ProbeFailed))
-			assert.Empty(t, w.core.Probes(later.Add(probeRest)))
+			assert.Empty(t, w.core.Probes(later.Add(probeInterval)))
 		})
 	}
 }
@@ -165,7 +165,7 @@
 	}
 	now := start.Add(3 * tick)
 	asked := b.core.Probes(now)
-	assert.Len(t, asked, probeLimit)
+	assert.Len(t, asked, maxProbes)
 	assert.Empty(t, b.core.Probes(now))
 	assert.Empty(t, b.core.HandleProbeOutcome(now, asked[0].Token, ProbeFailed))
 	assert.Len(t, b.core.Probes(now), 1)
--- a/internal/steer/progress.go
+++ b/internal/steer/progress.go
@@ -18,13 +18,13 @@
 
 const (
 	// largestData is the most data of one packet in bytes.
-	largestData = 1200
+	maxPacketData = 1200
 	// sendWindow is the most data in bytes that is under way from a caller: 16 packets.
-	sendWindow = 16 * largestData
+	sendWindow = 16 * maxPacketData
 	// resendRest is the rest before data that is sent again: less than the caller's
 	// 200 ms by what packets are delayed, and far more than packets of one burst are
 	// apart.
-	resendRest = 150 * time.Millisecond
+	retransmitGap = 150 * time.Millisecond
 	// resentLifetime is how long data that was sent again once counts. A caller
 	// need not acknowledge an answer of one packet: what it then stops sending
 	// has been answered.
@@ -33,7 +33,7 @@
 	// the caller's pauses grow.
 	resentTwiceLifetime = 900 * time.Millisecond
 	// seenPackets is the number of packets in a row of which is known whether they came.
-	seenPackets = 64
+	seenWindow = 64
 )
 
 // The weights of evidence.
@@ -48,7 +48,7 @@
 	waiting bool
 	since   kernel.Instant
 	// sentAt is when data last came.
-	sentAt kernel.Instant
+	lastDataAt kernel.Instant
 	// end is the position after the farthest data.
 	end uint32
 	// mark is a packet that the target had not acknowledged when it came: data farther
@@ -58,46 +58,46 @@
 	seen uint64
 	base uint32
 	// probed is set once the packet at probe was sent again after a rest.
-	probed bool
-	probe  uint32
+	resendSeen     bool
+	resendPosition uint32
 	// excused is set when this node has dropped a packet: what is sent again next
 	// says nothing.
 	excused bool
 	// resent is the number of times that the caller has sent data again after a rest.
-	resent   int
+	resends  int
 	resentAt kernel.Instant
 	// resentBefore is when it did so the time before.
-	resentBefore kernel.Instant
+	previousResentAt kernel.Instant
 }
 
 // beginPending begins the wait for the answer to data.
-func beginPending(now kernel.Instant, packet Packet) pendingData {
-	pending := pendingData{waiting: true, since: now, sentAt: now, base: packet.Sequence, mark: packet.Sequence}
+func newPendingData(now kernel.Instant, packet Packet) pendingData {
+	pending := pendingData{waiting: true, since: now, lastDataAt: now, base: packet.Sequence, mark: packet.Sequence}
 	pending.end = packet.Sequence + uint32(packet.Size)
-	pending.see(packet.Sequence)
+	pending.markSeen(packet.Sequence)
 	return pending
 }
 
 // note takes the caller's next data. It reports whether the data shows that the target
 // has answered.
-func (p *pendingData) note(now kernel.Instant, packet Packet) bool {
-	rested := now.Sub(p.sentAt) >= resendRest
-	p.sentAt = now
-	known := p.see(packet.Sequence)
+func (p *pendingData) add(now kernel.Instant, packet Packet) bool {
+	rested := now.Sub(p.lastDataAt) >= retransmitGap
+	p.lastDataAt = now
+	known := p.markSeen(packet.Sequence)
 	end := packet.Sequence + uint32(packet.Size)
 	if int32(end-p.end) > 0 {
 		p.end = end
-		return p.noteNew(packet.Sequence, rested)
+		return p.addNew(packet.Sequence, rested)
 	}
 	if rested {
-		p.noteProbe(now, packet.Sequence, known)
+		p.addResent(now, packet.Sequence, known)
 		return false
 	}
-	return p.probed && packet.Sequence != p.probe
+	return p.resendSeen && packet.Sequence != p.resendPosition
 }
 
 // noteNew takes data that is farther than all before.
-func (p *pendingData) noteNew(position uint32, rested bool) bool {
+func (p *pendingData) addNew(position uint32, rested bool) bool {
 	if rested {
 		p.mark = position
 		return false
@@ -107,26 +107,26 @@
 
 // noteProbe takes data that the caller has sent again after a rest. It speaks against
 // the target only when this node has passed it on before.
-func (p *pendingData) noteProbe(now kernel.Instant, position uint32, known bool) {
-	p.probed = true
-	p.probe = position
+func (p *pendingData) addResent(now kernel.Instant, position uint32, known bool) {
+	p.resendSeen = true
+	p.resendPosition = position
 	excused := p.excused
 	p.excused = false
 	if !known || excused {
 		return
 	}
-	p.resent++
-	p.resentBefore = p.resentAt
+	p.resends++
+	p.previousResentAt = p.resentAt
 	p.resentAt = now
 }
 
 // undoResent takes back that data was sent again just now, if it was.
 func (p *pendingData) undoResent(now kernel.Instant) bool {
-	if p.resent == 0 || p.resentAt != now {
+	if p.resends == 0 || p.resentAt != now {
 		return false
 	}
-	p.resent--
-	p.resentAt = p.resentBefore
+	p.resends--
+	p.resentAt = p.previousResentAt
 	return true
 }
 
@@ -134,31 +134,31 @@
 // packet of it.
 func (p *pendingData) excuse() {
 	p.excused = true
-	p.resent = 0
+	p.resends = 0
 }
 
 // advance begins the wait anew: the target has answered part of the data.
-func (p *pendingData) advance(now kernel.Instant, position uint32) {
+func (p *pendingData) restart(now kernel.Instant, position uint32) {
 	p.since = now
 	p.mark = position
-	p.probed = false
+	p.resendSeen = false
 	p.excused = false
-	p.resent = 0
+	p.resends = 0
 }
 
 // see notes that a packet came and returns whether it had come before.
-func (p *pendingData) see(position uint32) bool {
+func (p *pendingData) markSeen(position uint32) bool {
 	slot := p.slot(position)
 	switch {
 	case slot < 0:
-		p.base -= uint32(-slot) * largestData
+		p.base -= uint32(-slot) * maxPacketData
 		p.seen <<= uint64(-slot)
 		slot = 0
-	case slot >= seenPackets:
-		shift := slot - seenPackets + 1
-		p.base += uint32(shift) * largestData
+	case slot >= seenWindow:
+		shift := slot - seenWindow + 1
+		p.base += uint32(shift) * maxPacketData
 		p.seen >>= uint64(shift)
-		slot = seenPackets - 1
+		slot = seenWindow - 1
 	}
 	bit := uint64(1) << uint64(slot)
 	known := p.seen&bit != 0
@@ -170,9 +170,9 @@
 func (p *pendingData) slot(position uint32) int64 {
 	offset := int64(int32(position - p.base))
 	if offset < 0 {
-		offset -= largestData - 1
+		offset -= maxPacketData - 1
 	}
-	return offset / largestData
+	return offset / maxPacketData
 }
 
 // weight returns how much the wait says against the target.
@@ -181,9 +181,9 @@
 	switch {
 	case now.Sub(p.since) < silenceThreshold:
 		return 0
-	case p.resent > 1 && age < resentTwiceLifetime:
+	case p.resends > 1 && age < resentTwiceLifetime:
 		return weightResentTwice
-	case p.resent == 1 && age < resentLifetime:
+	case p.resends == 1 && age < resentLifetime:
 		return weightResent
 	}
 	return 0
@@ -191,32 +191,32 @@
 
 // notePending follows the caller's data: what is sent again has not been
 // answered.
-func (c *Core) notePending(now kernel.Instant, packet Packet, flow *flowEntry) {
+func (c *Core) trackPending(now kernel.Instant, packet Packet, flow *flowEntry) {
 	if packet.Size == 0 {
 		return
 	}
 	c.beginWait(now, flow)
 	pending := &flow.pending
 	if !pending.waiting {
-		*pending = beginPending(now, packet)
+		*pending = newPendingData(now, packet)
 		return
 	}
-	if pending.note(now, packet) {
-		c.witness.noteAnswered(pending.resent)
-		pending.advance(now, packet.Sequence)
-		c.noteAnswer(now, flow.target)
+	if pending.add(now, packet) {
+		c.losses.addAnswered(pending.resends)
+		pending.restart(now, packet.Sequence)
+		c.recordAnswer(now, flow.target)
 		delete(c.unanswered, packet.Flow)
 		return
 	}
-	if pending.resent > 0 {
+	if pending.resends > 0 {
 		c.unanswered[packet.Flow] = flow
 	}
 }
 
 // settle ends the wait for an answer.
-func (c *Core) settle(key FlowKey, flow *flowEntry) {
+func (c *Core) endPending(key FlowKey, flow *flowEntry) {
 	if flow.pending.waiting {
-		c.witness.noteAnswered(flow.pending.resent)
+		c.losses.addAnswered(flow.pending.resends)
 	}
 	flow.pending.waiting = false
 	c.endWait(flow)
--- a/internal/steer/progress_test.go
+++ b/internal/steer/progress_test.go
@@ -17,8 +17,8 @@
 
 // part returns the packet of an upload with a number, in packets of full size.
 func part(target directory.Target, number int) Packet {
-	packet := data(1, target.Token, math.MaxUint32-5*largestData+uint32(number*largestData))
-	packet.Size = largestData
+	packet := data(1, target.Token, math.MaxUint32-5*maxPacketData+uint32(number*maxPacketData))
+	packet.Size = maxPacketData
 	return packet
 }
 
@@ -64,7 +64,7 @@
 	for _, number := range []int{0, 3} {
 		now := start.Add(200 * time.Millisecond << number)
 		b.core.Decide(now, part(target, number))
-		assert.Zero(t, b.core.flows[part(target, 0).Flow].pending.resent, "packet %d", number)
+		assert.Zero(t, b.core.flows[part(target, 0).Flow].pending.resends, "packet %d", number)
 	}
 }
 
@@ -96,10 +96,10 @@
 
 func drawWindow(t *rapid.T) *windowSim {
 	s := &windowSim{T: t, rest: 200 * time.Millisecond, resendAt: 200 * time.Millisecond}
-	s.sizes = rapid.SliceOfN(rapid.IntRange(1, largestData), 1, 60).Draw(t, "sizes")
+	s.sizes = rapid.SliceOfN(rapid.IntRange(1, maxPacketData), 1, 60).Draw(t, "sizes")
 	if rapid.Bool().Draw(t, "full") {
 		for number := range len(s.sizes) - 1 {
-			s.sizes[number] = largestData
+			s.sizes[number] = maxPacketData
 		}
 	}
 	s.first = rapid.Uint32().Draw(t, "first")
@@ -158,13 +158,13 @@
 func (s *windowSim) take(now kernel.Instant, packet Packet) bool {
 	if !s.begun {
 		s.begun = true
-		s.pending = beginPending(now, packet)
+		s.pending = newPendingData(now, packet)
 		return false
 	}
-	if !s.pending.note(now, packet) {
+	if !s.pending.add(now, packet) {
 		return false
 	}
-	s.pending.advance(now, packet.Sequence)
+	s.pending.restart(now, packet.Sequence)
 	return true
 }
 
@@ -201,7 +201,7 @@
 			s.call(now)
 			answered := s.arrive(now)
 			if now < s.dies {
-				assert.Zero(r, s.pending.resent, "%v", now)
+				assert.Zero(r, s.pending.resends, "%v", now)
 			}
 			// The last acknowledgement lets packets out that come late.
 			if now > s.dies+(simTurn+simLate)*time.Millisecond {
--- a/internal/steer/remembered.go
+++ b/internal/steer/remembered.go
@@ -13,7 +13,7 @@
 		return true
 	}
 	if packet.Opening {
-		return c.remembersTargetFor(packet.Flow)
+		return c.hasRememberedTarget(packet.Flow)
 	}
 	_, known := c.targets[packet.Token]
 	return known
@@ -21,7 +21,7 @@
 
 // remembersTargetFor reports whether a new flow can be placed by what a member's disk
 // remembers. Another one waits: its route may be newer than that disk.
-func (c *Core) remembersTargetFor(flow FlowKey) bool {
+func (c *Core) hasRememberedTarget(flow FlowKey) bool {
 	entry, routed := c.routes[flow.Virtual]
 	if c.revision > 0 || !routed {
 		return false
@@ -55,7 +55,7 @@
 		if !places {
 			target.State = max(target.State, directory.TargetLeaving)
 		}
-		if c.rememberTarget(target) {
+		if c.addRemembered(target) {
 			taken++
 		}
 	}
@@ -64,14 +64,14 @@
 
 // rememberTarget takes a target of a member's disk, and reports whether it was not known.
 // Of two disks the one holds on which the target's life is further on.
-func (c *Core) rememberTarget(target directory.Target) bool {
+func (c *Core) addRemembered(target directory.Target) bool {
 	entry, known := c.targets[target.Token]
 	if !known {
 		entry = &targetEntry{remembered: true}
 		c.targets[target.Token] = entry
 	}
 	if !known || target.State > entry.target.State {
-		c.enlist(entry, target)
+		c.listTarget(entry, target)
 	}
 	return !known
 }
@@ -86,13 +86,13 @@
 	if !c.UsesRemembered() || now.Before(c.rememberedUntil) {
 		return false
 	}
-	c.closeRemembered()
+	c.disableRemembered()
 	return true
 }
 
 // closeRemembered lists no target any more: before the first update only a disk's memory
 // speaks for those that are listed.
-func (c *Core) closeRemembered() {
+func (c *Core) disableRemembered() {
 	c.rememberedUntil = 0
 	clear(c.services)
 	for _, entry := range c.targets {
@@ -108,16 +108,16 @@
 			continue
 		}
 		delete(c.targets, token)
-		c.forgetFlowsOf(entry)
+		c.removeFlowsOf(entry)
 	}
 }
 
 // forgetFlowsOf forgets the flows of a target.
-func (c *Core) forgetFlowsOf(entry *targetEntry) {
+func (c *Core) removeFlowsOf(entry *targetEntry) {
 	for key, flow := range c.flows {
 		if flow.target == entry {
-			c.forget(key, flow)
+			c.removeFlow(key, flow)
 		}
 	}
-	delete(c.missing, entry)
+	delete(c.unansweredOpenings, entry)
 }
--- a/internal/steer/speeds.go
+++ b/internal/steer/speeds.go
@@ -22,83 +22,83 @@
 	// with them, and usualMemory the number after which older ones fade out: later than
 	// samples of targets do, so that a load which comes over all targets of a zone is seen
 	// at these and is not taken for usual.
-	usualSamples = 4
-	usualMemory  = 512
+	minWorkSamples  = 4
+	workSampleLimit = 512
 	// leastWorkPart is the least part of the time that is taken for work: a way that was
 	// slower for the opening packet would leave nothing.
-	leastWorkPart = 1.0 / 8
+	minWorkFraction = 1.0 / 8
 	// speedInterval is the time between two words to the member, and speedRepeat the time
 	// after which a target is told again though nothing new was seen: by then another
 	// member may be followed.
-	speedInterval = 500 * time.Millisecond
-	speedRepeat   = 10 * time.Second
+	speedReportInterval = 500 * time.Millisecond
+	speedRepeatInterval = 10 * time.Second
 	// wordsAtOnce is the largest number of targets in a word: half a kilobyte.
-	wordsAtOnce = 64
+	maxTargetsPerReport = 64
 	// relativeLifetime is how long a time that the leader told holds when nobody tells it
 	// again: it is told again each half minute, or each five minutes in the largest fleet.
-	relativeLifetime = 10 * time.Minute
+	relativeTimeLifetime = 10 * time.Minute
 )
 
 // usualWork is the usual work of a route's requests at this node, as the mean of the
 // logarithms of microseconds.
-type usualWork struct {
+type workBaseline struct {
 	mean    float64
 	samples int
 }
 
 // isKnown reports whether requests can be compared with the usual ones.
-func (u *usualWork) isKnown() bool { return u.samples >= usualSamples }
+func (u *workBaseline) isKnown() bool { return u.samples >= minWorkSamples }
 
 // sample returns how far a request is from the usual ones.
-func (u *usualWork) sample(work time.Duration) float64 {
+func (u *workBaseline) sample(work time.Duration) float64 {
 	return math.Log(max(float64(work.Microseconds()), 1)) - u.mean
 }
 
 // learn takes a sample, less what is known of its target, into what is usual.
-func (u *usualWork) learn(sample float64) {
+func (u *workBaseline) learn(sample float64) {
 	if u.isKnown() {
 		sample = min(max(sample, -speed.MaxSample), speed.MaxSample)
 	}
-	u.samples = min(u.samples+1, usualMemory)
+	u.samples = min(u.samples+1, workSampleLimit)
 	u.mean += sample / float64(u.samples)
 }
 
 // targetSpeed is what a node knows of how long a target takes.
 type targetSpeed struct {
 	// sums are the samples of this node as of summedAt.
-	sums     speed.Sums
-	summedAt kernel.Instant
-	toldAt   kernel.Instant
+	sums       speed.Sums
+	summedAt   kernel.Instant
+	reportedAt kernel.Instant
 	// isNew is set while there are samples that the member was not told.
-	isNew bool
+	unreported bool
 	// listed is set while the target is in the list of those with samples.
 	listed bool
 	// relative is the time that the target takes as a multiple of what is usual for its
 	// service, as the leader told at heardAt; 0 when it did not.
-	relative float64
-	heardAt  kernel.Instant
+	relative   float64
+	relativeAt kernel.Instant
 }
 
 // speedWatch follows how long targets take.
-type speedWatch struct {
-	learned []*targetEntry
-	nextAt  kernel.Instant
+type speedTracker struct {
+	sampled      []*targetEntry
+	nextReportAt kernel.Instant
 }
 
 // noteWork learns from a request that was answered, if its time is that of its work.
-func (c *Core) noteWork(now kernel.Instant, x *exchange, size uint32) {
-	if x.took == 0 {
+func (c *Core) recordWork(now kernel.Instant, x *exchange, size uint32) {
+	if x.responseTime == 0 {
 		return
 	}
-	way := x.way
+	way := x.handshakeTime
 	if way == 0 {
-		way = c.openings.usual
+		way = c.openings.meanTime
 	}
-	work := max(x.took-way, time.Duration(leastWorkPart*float64(x.took)))
-	usual := &x.habit.work
+	work := max(x.responseTime-way, time.Duration(minWorkFraction*float64(x.responseTime)))
+	usual := &x.baseline.work
 	sample := usual.sample(work)
 	if usual.isKnown() {
-		if sample < -speed.MaxSample && x.habit.isSmall(size) {
+		if sample < -speed.MaxSample && x.baseline.isSmall(size) {
 			return
 		}
 		c.addSample(now, x.target, sample)
@@ -111,46 +111,46 @@
 	learned.sums = learned.sums.Decayed(now.Sub(learned.summedAt), speed.HalfLife)
 	learned.sums.Add(sample)
 	learned.summedAt = now
-	learned.isNew = true
+	learned.unreported = true
 	if !learned.listed {
 		learned.listed = true
-		c.speeds.learned = append(c.speeds.learned, target)
+		c.speeds.sampled = append(c.speeds.sampled, target)
 	}
 }
 
 // TakeSpeeds returns what the member is told of how long targets take, at most once in
 // speedInterval.
 func (c *Core) TakeSpeeds(now kernel.Instant) []speed.Report {
-	if now.Before(c.speeds.nextAt) {
+	if now.Before(c.speeds.nextReportAt) {
 		return nil
 	}
-	c.speeds.nextAt = now.Add(speedInterval)
+	c.speeds.nextReportAt = now.Add(speedReportInterval)
 	var words []speed.Report
-	kept := c.speeds.learned[:0]
+	kept := c.speeds.sampled[:0]
 	var told []*targetEntry
-	for _, entry := range c.speeds.learned {
+	for _, entry := range c.speeds.sampled {
 		learned := &entry.speed
 		sums := learned.sums.Decayed(now.Sub(learned.summedAt), speed.HalfLife)
 		if sums.Count < speed.MinCount || entry.target.State == directory.TargetEnded {
 			learned.listed = false
 			continue
 		}
-		if len(words) == wordsAtOnce || !learned.isDue(now) {
+		if len(words) == maxTargetsPerReport || !learned.isDue(now) {
 			kept = append(kept, entry)
 			continue
 		}
-		learned.toldAt = now
-		learned.isNew = false
+		learned.reportedAt = now
+		learned.unreported = false
 		told = append(told, entry)
 		words = append(words, speed.Report{Token: entry.target.Token, Sums: sums})
 	}
-	clear(c.speeds.learned[len(kept):])
-	c.speeds.learned = append(kept, told...)
+	clear(c.speeds.sampled[len(kept):])
+	c.speeds.sampled = append(kept, told...)
 	return words
 }
 
 func (s *targetSpeed) isDue(now kernel.Instant) bool {
-	return s.isNew || now.Sub(s.toldAt) >= speedRepeat
+	return s.unreported || now.Sub(s.reportedAt) >= speedRepeatInterval
 }
 
 // SetSpeeds takes what the leader tells of how long targets take.
@@ -158,7 +158,7 @@
 	for _, told := range list {
 		if entry, known := c.targets[told.Token]; known {
 			entry.speed.relative = told.Step.TimeRatio()
-			entry.speed.heardAt = now
+			entry.speed.relativeAt = now
 		}
 	}
 }
@@ -174,7 +174,7 @@
 
 // relativeTime returns the time that a target takes as a multiple of what is usual.
 func (entry *targetEntry) relativeTime(now kernel.Instant) float64 {
-	if entry.speed.relative == 0 || now.Sub(entry.speed.heardAt) > relativeLifetime {
+	if entry.speed.relative == 0 || now.Sub(entry.speed.relativeAt) > relativeTimeLifetime {
 		return 1
 	}
 	return entry.speed.relative
--- a/internal/steer/speeds_test.go
+++ b/internal/steer/speeds_test.go
@@ -62,11 +62,11 @@
 }
 
 // learn makes usual work usual.
-func (b *timed) learn() { b.requests(2*usualMemory, b.tokens[0], usualWorkTime) }
+func (b *timed) learn() { b.requests(2*workSampleLimit, b.tokens[0], usualWorkTime) }
 
 // words returns what the node tells of its targets.
 func (b *timed) words() map[directory.Token]speed.Sums {
-	b.now = b.now.Add(speedInterval)
+	b.now = b.now.Add(speedReportInterval)
 	words := map[directory.Token]speed.Sums{}
 	for _, word := range b.core.TakeSpeeds(b.now) {
 		words[word.Token] = word.Sums
@@ -90,7 +90,7 @@
 	b := newTimed(t)
 	b.publish(b.now, 2, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}), route("s", otherAddress, directory.Backend{Service: "booking", Weight: 1}))
 	b.learn()
-	for range 2 * usualMemory {
+	for range 2 * workSampleLimit {
 		b.port++
 		packet := sending(b.port, b.tokens[2], 1, 1, 100)
 		placed := opening(b.port, 0)
@@ -153,10 +153,10 @@
 	b := newTimed(t)
 	b.learn()
 	b.now = b.now.Add(6 * speed.HalfLife)
-	b.requests(usualMemory/8, b.tokens[0], 3*usualWorkTime)
+	b.requests(workSampleLimit/8, b.tokens[0], 3*usualWorkTime)
 	assert.Greater(t, b.words()[b.tokens[0]].Mean(), math.Log(3)/2)
 	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: b.tokens[0], Step: speed.Step(0).Next(math.Log(3))}})
-	b.requests(4*usualMemory, b.tokens[0], 3*usualWorkTime)
+	b.requests(4*workSampleLimit, b.tokens[0], 3*usualWorkTime)
 	assert.Greater(t, b.words()[b.tokens[0]].Mean(), math.Log(3)/2, "what is told is no part of what is usual")
 }
 
@@ -172,14 +172,14 @@
 func TestAWordIsBoundedAndRepeated(t *testing.T) {
 	b := newTimed(t)
 	b.learn()
-	tokens := b.addTargets(b.now, 10, 3*wordsAtOnce)
+	tokens := b.addTargets(b.now, 10, 3*maxTargetsPerReport)
 	for _, token := range tokens {
 		b.requests(4, token, usualWorkTime)
 	}
 	told := map[directory.Token]int{}
-	for range 2 * int(speedRepeat/speedInterval) {
+	for range 2 * int(speedRepeatInterval/speedReportInterval) {
 		words := b.words()
-		assert.LessOrEqual(t, len(words), wordsAtOnce)
+		assert.LessOrEqual(t, len(words), maxTargetsPerReport)
 		for token := range words {
 			told[token]++
 		}
@@ -189,7 +189,7 @@
 	}
 	b.now = b.now.Add(10 * speed.HalfLife)
 	assert.Empty(t, b.words(), "all has faded")
-	assert.Empty(t, b.core.speeds.learned)
+	assert.Empty(t, b.core.speeds.sampled)
 }
 
 // What the leader told holds for a while when nobody tells it again, and belongs to one
@@ -200,8 +200,8 @@
 	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: slow, Step: 8}, {Token: 12345, Step: 8}})
 	entry := b.core.targets[slow]
 	assert.InDelta(t, 1.65, entry.relativeTime(b.now), 0.01)
-	assert.InDelta(t, 1.65, entry.relativeTime(b.now.Add(relativeLifetime)), 0.01)
-	assert.Equal(t, 1.0, entry.relativeTime(b.now.Add(relativeLifetime+1)))
+	assert.InDelta(t, 1.65, entry.relativeTime(b.now.Add(relativeTimeLifetime)), 0.01)
+	assert.Equal(t, 1.0, entry.relativeTime(b.now.Add(relativeTimeLifetime+1)))
 	old := entry.target
 	b.apply(b.now, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 		ID: old.ID, Born: 1, Service: old.Service, Zone: old.Zone, Slots: old.Slots, State: old.State, Address: old.Address,
@@ -256,8 +256,8 @@
 		{"other zones that have just started", ids("far-", each), nil, nil, 0, 0},
 		{"copies", nil, ids("near-", 3), nil, 0, 0},
 		{"copies to a zone that has just started", ids("near-", each), ids("near-", 3), nil, 0, 0},
-		{"half of the zone ejected", nil, nil, ids("near-", each/2), 1 - spillStart/2, 1 - spillStart/2},
-		{"half ejected while other zones start", ids("far-", each), nil, ids("near-", each/2), 0, 1 - spillStart/2},
+		{"half of the zone ejected", nil, nil, ids("near-", each/2), 1 - spillThreshold/2, 1 - spillThreshold/2},
+		{"half ejected while other zones start", ids("far-", each), nil, ids("near-", each/2), 0, 1 - spillThreshold/2},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -282,7 +282,7 @@
 			b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokensOf(test.ejected)})
 			for minute := range 55 {
 				now := start.Add(time.Duration(minute) * time.Minute)
-				b.core.listUsable(now, "booking", directory.RouteRepeatable, tokensOf(test.tried))
+				b.core.collectCandidates(now, "booking", directory.RouteRepeatable, tokensOf(test.tried))
 				spill := b.core.choice.spill()
 				assert.GreaterOrEqual(t, spill, test.least-1e-9, "minute %d", minute)
 				assert.LessOrEqual(t, spill, test.most+1e-9, "minute %d", minute)
--- a/internal/steer/quietwheel.go
+++ b/internal/steer/timerwheel.go
@@ -17,38 +17,38 @@
 // quietWheel holds the flows whose exchanges wait, by the time when they are looked at
 // again. A flow stands in it at most once, so it holds no more than are counted and
 // those forgotten within the last quiet time.
-type quietWheel struct {
+type timerWheel struct {
 	slots [wheelSlots]*flowEntry
 	// turned is the number of the last slot that was looked at.
-	turned int64
+	lastSlot int64
 }
 
 // add lists a flow that is to be looked at after a time, unless it is listed already.
-func (w *quietWheel) add(now kernel.Instant, flow *flowEntry, after time.Duration) {
-	if flow.exchange.listed {
+func (w *timerWheel) add(now kernel.Instant, flow *flowEntry, after time.Duration) {
+	if flow.exchange.inWheel {
 		return
 	}
 	number := int64(now.Add(after))/int64(wheelSlot) + 1
-	number = min(max(number, w.turned+1), w.turned+wheelSlots-1)
+	number = min(max(number, w.lastSlot+1), w.lastSlot+wheelSlots-1)
 	slot := &w.slots[number%wheelSlots]
-	flow.exchange.listed = true
-	flow.exchange.next = *slot
+	flow.exchange.inWheel = true
+	flow.exchange.nextInSlot = *slot
 	*slot = flow
 }
 
 // turn looks at the flows whose time has come. The look returns after which time a flow
 // is to be looked at again; 0 means never.
-func (w *quietWheel) turn(now kernel.Instant, look func(now kernel.Instant, flow *flowEntry) time.Duration) {
+func (w *timerWheel) advance(now kernel.Instant, look func(now kernel.Instant, flow *flowEntry) time.Duration) {
 	current := int64(now) / int64(wheelSlot)
-	first := max(w.turned+1, current-wheelSlots+1)
-	w.turned = max(w.turned, current)
+	first := max(w.lastSlot+1, current-wheelSlots+1)
+	w.lastSlot = max(w.lastSlot, current)
 	for number := first; number <= current; number++ {
 		flow := w.slots[number%wheelSlots]
 		w.slots[number%wheelSlots] = nil
 		for flow != nil {
-			next := flow.exchange.next
-			flow.exchange.listed = false
-			flow.exchange.next = nil
+			next := flow.exchange.nextInSlot
+			flow.exchange.inWheel = false
+			flow.exchange.nextInSlot = nil
 			if after := look(now, flow); after > 0 {
 				w.add(now, flow, after)
 			}
--- a/internal/steer/waiting_test.go
+++ b/internal/steer/waiting_test.go
@@ -89,9 +89,9 @@
 		b.core.Decide(start.Add(step.after), step.packet)
 		assert.Equal(t, step.waiting, entry.waitingFlows, step.name)
 	}
-	b.core.endOldWaits(start.Add(700 * time.Millisecond))
+	b.core.expireWaits(start.Add(700 * time.Millisecond))
 	assert.Equal(t, 1, entry.waitingFlows, "the next copy is due 400 ms after the first")
-	b.core.endOldWaits(start.Add(900 * time.Millisecond))
+	b.core.expireWaits(start.Add(900 * time.Millisecond))
 	assert.Equal(t, 0, entry.waitingFlows)
 	b.core.Decide(start.Add(time.Second), withSequence(request, 9, 300))
 	closing := following(1, token, 9)
--- a/internal/steer/warmup_test.go
+++ b/internal/steer/warmup_test.go
@@ -59,7 +59,7 @@
 // Where only cold targets are left that bear no more, callers hear it at once.
 func TestCallersHearAtOnceThatOnlyColdTargetsAreLeft(t *testing.T) {
 	b := booking(t)
-	b.core.key = directory.NodeKey("me")
+	b.core.nodeKey = directory.NodeKey("me")
 	now := start.Add(2 * budgetWindow)
 	b.coldTarget(start.Add(-time.Hour), "i-2", "north", "10.0.0.2:1", directory.Warmup{
 		Left: 2 * time.Hour, Budget: 1, Stewards: []uint32{directory.NodeKey("me")},
@@ -69,7 +69,7 @@
 	assert.Equal(t, ActionReset, decision.Action)
 	assert.Equal(t, ReasonCold, decision.Reason)
 	assert.Equal(t, ActionForward, b.core.Decide(now.Add(budgetWindow), opening(3, 0)).Action)
-	b.core.key = directory.NodeKey("other")
+	b.core.nodeKey = directory.NodeKey("other")
 	b.coldTarget(start, "i-3", "north", "10.0.0.3:1", directory.Warmup{
 		Left: time.Hour, Budget: 1, Stewards: []uint32{directory.NodeKey("me")},
 	})
@@ -98,7 +98,7 @@
 // the target's own steward besides.
 func TestATargetThatRegistersAfterItsZoneWasTakenBackHasItsOwnStewards(t *testing.T) {
 	b := booking(t)
-	b.core.key = directory.NodeKey("me")
+	b.core.nodeKey = directory.NodeKey("me")
 	b.evacuate(start, "north", true)
 	order := directory.Evacuation{Zone: "north", Revision: b.state.Evacuation("north").Revision, Warmups: []directory.ServiceWarmup{
 		{Service: "booking", Warmup: directory.Warmup{Left: time.Hour, Budget: 2, Stewards: []uint32{directory.NodeKey("me")}}},
@@ -108,7 +108,7 @@
 		Left: time.Hour, Budget: 2, Stewards: []uint32{directory.NodeKey("other")},
 	})
 	fresh := New(b.core.settings)
-	fresh.key = directory.NodeKey("me")
+	fresh.nodeKey = directory.NodeKey("me")
 	require.True(t, fresh.Update(start, b.state.Since(0)))
 	assert.Equal(t, ReasonCold, fresh.Decide(start.Add(2*budgetWindow), opening(1, 0)).Reason)
 }
--- a/scripts/ablation/mechanisms.py
+++ b/scripts/ablation/mechanisms.py
@@ -14,7 +14,7 @@
 
 MECHANISMS = {
     "none": [],
-    "own-zone": [(CHOICE, "farCost = 0.5", "farCost = 0.0")],
+    "own-zone": [(CHOICE, "crossZoneCost = 0.5", "crossZoneCost = 0.0")],
     "waiting-flows": [(PLACE, "entry.waitingFlows,", "0,")],
     "doubt": [(PLACE, "return missed || entry", "return missed && false || entry")],
     "second-target": [(PLACE, "\t\ttried = flow.tried\n", "\t\ttried = nil\n")],
