--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -25,16 +25,16 @@
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
 // pointUnit is the distance between two points of a draw.
-const pointUnit = 1.0 / (1 << 53)
+const pointSpacing = 1.0 / (1 << 53)
 
 // point returns a node's draw for a key, above 0 and below 1 (the finalizer of
 // SplitMix64).
-func point(seed, key uint64) float64 {
+func uniform(seed, key uint64) float64 {
 	mixed := seed ^ key
 	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
 	mixed = (mixed ^ mixed>>27) * 0x94d049bb133111eb
 	mixed ^= mixed >> 31
-	return (float64(mixed>>11) + 0.5) * pointUnit
+	return (float64(mixed>>11) + 0.5) * pointSpacing
 }
 
 // cost turns a draw into a node's cost. It is exponentially distributed with the weight
@@ -44,7 +44,7 @@
 // Best returns the position of the node that has a key, or -1 when there is none.
 func Best(nodes []Node, key uint64) int {
 	var room [1]candidate
-	best := first(nodes, key, room[:0])
+	best := lowestCosts(nodes, key, room[:0])
 	if len(best) == 0 {
 		return -1
 	}
@@ -55,7 +55,7 @@
 // most, the least first.
 func BestN(nodes []Node, key uint64, limit int) []int {
 	var positions []int
-	for _, chosen := range first(nodes, key, make([]candidate, 0, max(0, min(limit, len(nodes))))) {
+	for _, chosen := range lowestCosts(nodes, key, make([]candidate, 0, max(0, min(limit, len(nodes))))) {
 		positions = append(positions, chosen.position)
 	}
 	return positions
@@ -68,12 +68,12 @@
 }
 
 // first fills best up to its capacity.
-func first(nodes []Node, key uint64, best []candidate) []candidate {
+func lowestCosts(nodes []Node, key uint64, best []candidate) []candidate {
 	if cap(best) == 0 {
 		return best
 	}
 	for position, node := range nodes {
-		drawn := point(node.Seed, key)
+		drawn := uniform(node.Seed, key)
 		// A cost is never below the draw by the weight, which takes no logarithm.
 		if len(best) == cap(best) && drawn >= best[len(best)-1].cost*node.Weight {
 			continue
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func drawNodes(t *rapid.T) []Node {
+func randomNodes(t *rapid.T) []Node {
 	count := rapid.IntRange(1, 40).Draw(t, "count")
 	nodes := make([]Node, count)
 	for position := range nodes {
@@ -21,9 +21,9 @@
 }
 
 // A node that goes is the last one, so that the positions of the others stay.
-func TestAChangeOfOneNodeMovesOnlyItsOwnKeys(t *testing.T) {
+func TestChangingOneNodeMovesOnlyItsKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		before := drawNodes(t)
+		before := randomNodes(t)
 		changed := len(before) - 1
 		after, grows := before[:changed], false
 		if !rapid.Bool().Draw(t, "goes") {
@@ -45,16 +45,16 @@
 }
 
 // The search without logarithms finds what sorting all costs does.
-func TestTheFirstNodesHaveTheLeastCosts(t *testing.T) {
+func TestBestNHasLowestCosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := drawNodes(t)
+		nodes := randomNodes(t)
 		key := rapid.Uint64().Draw(t, "key")
 		limit := rapid.IntRange(0, 50).Draw(t, "limit")
 		order := make([]int, len(nodes))
 		for position := range nodes {
 			order[position] = position
 		}
-		costOf := func(position int) float64 { return cost(point(nodes[position].Seed, key), nodes[position].Weight) }
+		costOf := func(position int) float64 { return cost(uniform(nodes[position].Seed, key), nodes[position].Weight) }
 		slices.SortFunc(order, func(a, b int) int { return cmp.Compare(costOf(a), costOf(b)) })
 		assert.Equal(t, order[0], Best(nodes, key))
 		first := BestN(nodes, key, limit)
@@ -77,13 +77,13 @@
 	}
 }
 
-func TestWithoutNodesNobodyHasAKey(t *testing.T) {
+func TestBestWithoutNodesOrWeights(t *testing.T) {
 	assert.Equal(t, -1, Best(nil, 1))
 	assert.Empty(t, BestN(nil, 1, 3))
 	assert.Equal(t, 0, Best([]Node{{Seed: 1}}, 1), "a single one without a weight")
 }
 
-func BenchmarkOfAThousand(b *testing.B) {
+func BenchmarkThousandNodes(b *testing.B) {
 	nodes := make([]Node, 1000)
 	for position := range nodes {
 		nodes[position] = Node{Seed: Hash(fmt.Sprint("n-", position)), Weight: 1 + float64(position%4)}
--- a/internal/steer/announced_test.go
+++ b/internal/steer/announced_test.go
@@ -8,7 +8,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-func TestAnAnnouncedMemberIsTriedFirst(t *testing.T) {
+func TestAnnouncedMemberIsTriedFirst(t *testing.T) {
 	members := []directory.Member{
 		{ID: 1, Address: "10.0.0.1:1", Zone: "north"},
 		{ID: 2, Address: "10.0.0.2:1", Zone: "south"},
--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -17,8 +17,8 @@
 const largeService = 120
 
 // manyTargets returns a core with a service of many targets in three zones.
-func manyTargets(t *testing.T) (*bench, []directory.Target) {
-	b := booking(t)
+func newLargeFixture(t *testing.T) (*coreFixture, []directory.Target) {
+	b := newBookingFixture(t)
 	var targets []directory.Target
 	zones := []string{"north", "middle", "south"}
 	for number := range largeService {
@@ -28,9 +28,9 @@
 	return b, targets
 }
 
-func TestTheDecisionOnAKnownFlowAllocatesNothing(t *testing.T) {
-	b, targets := manyTargets(t)
-	packet := following(1, targets[0].Token, 1)
+func TestDecideOnKnownFlowDoesNotAllocate(t *testing.T) {
+	b, targets := newLargeFixture(t)
+	packet := flowPacket(1, targets[0].Token, 1)
 	b.core.Decide(start, packet)
 	now := start
 	allocations := testing.AllocsPerRun(1000, func() {
@@ -42,14 +42,14 @@
 }
 
 func BenchmarkKnownFlow(b *testing.B) {
-	bench, targets := manyTargets(&testing.T{})
-	packet := following(1, targets[0].Token, 1)
+	fixture, targets := newLargeFixture(&testing.T{})
+	packet := flowPacket(1, targets[0].Token, 1)
 	now := start
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
 		packet.Acknowledged++
-		bench.core.Decide(now, packet)
+		fixture.core.Decide(now, packet)
 	}
 }
 
@@ -57,13 +57,13 @@
 const flowsPerReport = 100
 
 func BenchmarkNewFlow(b *testing.B) {
-	bench, targets := manyTargets(&testing.T{})
-	bench.core.settings.Chooser = DefaultSettings().Chooser
-	var told []speed.TargetStep
+	fixture, targets := newLargeFixture(&testing.T{})
+	fixture.core.settings.Chooser = DefaultSettings().Chooser
+	var reported []speed.TargetStep
 	for number, target := range targets {
-		told = append(told, speed.TargetStep{Token: target.Token, Step: speed.Step(number%3 - 1)})
+		reported = append(reported, speed.TargetStep{Token: target.Token, Step: speed.Step(number%3 - 1)})
 	}
-	bench.core.SetSpeeds(start, told)
+	fixture.core.SetSpeeds(start, reported)
 	now := start
 	port := uint16(0)
 	b.ReportAllocs()
@@ -71,38 +71,38 @@
 		port++
 		if port%flowsPerReport == 0 {
 			now = now.Add(time.Minute)
-			bench.core.Report(now, time.Minute)
-			bench.core.Tick(now)
+			fixture.core.Report(now, time.Minute)
+			fixture.core.Tick(now)
 		}
-		bench.core.Decide(now, opening(port, 0))
+		fixture.core.Decide(now, opening(port, 0))
 	}
 }
 
 // BenchmarkAReleaseAtABusyNode lets targets be replaced one after the other at a node with
 // 100,000 flows: an end must not cost a look at all of them.
-func BenchmarkAReleaseAtABusyNode(b *testing.B) {
+func BenchmarkRollingReleaseAtBusyNode(b *testing.B) {
 	const flows = 100_000
 	settings := DefaultSettings()
 	settings.Random = rand.New(rand.NewPCG(1, 2))
 	core := New(settings)
-	place := netip.MustParseAddrPort("10.0.0.1:1")
-	targets := []directory.Target{{ID: "i-0", Token: 1, Service: "booking", Address: place, State: directory.TargetReady}}
+	address := netip.MustParseAddrPort("10.0.0.1:1")
+	targets := []directory.Target{{ID: "i-0", Token: 1, Service: "booking", Address: address, State: directory.TargetReady}}
 	core.Update(start, directory.Update{Revision: 1, Targets: targets})
 	for port := range flows {
-		packet := following(uint16(port), 1, 5)
+		packet := flowPacket(uint16(port), 1, 5)
 		packet.Flow.Caller = netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(port >> 16), byte(port >> 8)}), uint16(port))
 		core.Decide(start, packet)
 	}
 	for number := range uint64(directory.EndedLimit(1)) {
 		core.Update(start, directory.Update{Revision: number + 2, Targets: []directory.Target{
-			{ID: "i", Token: directory.Token(number + 2), Service: "booking", Address: place, State: directory.TargetEnded},
+			{ID: "i", Token: directory.Token(number + 2), Service: "booking", Address: address, State: directory.TargetEnded},
 		}})
 	}
 	revision := core.Revision()
 	for b.Loop() {
 		revision++
 		core.Update(start, directory.Update{Revision: revision, Targets: []directory.Target{
-			{ID: "i", Token: directory.Token(revision), Service: "booking", Address: place, State: directory.TargetEnded},
+			{ID: "i", Token: directory.Token(revision), Service: "booking", Address: address, State: directory.TargetEnded},
 		}})
 	}
 }
--- a/internal/steer/choicealternatives_test.go
+++ b/internal/steer/choicealternatives_test.go
@@ -19,15 +19,15 @@
 
 // delayChoice takes the candidate with the least expected delay, equal ones by lot. It
 // fits few nodes that each see most of a target's flows.
-type delayChoice struct{}
+type leastDelayChoice struct{}
 
-var _ Chooser = (*delayChoice)(nil)
+var _ Chooser = (*leastDelayChoice)(nil)
 
 // PluginID implements kernel.Plugin.
-func (*delayChoice) PluginID() kernel.PluginID { return "steer.choice.expected-delay" }
+func (*leastDelayChoice) PluginID() kernel.PluginID { return "steer.choice.expected-delay" }
 
 // Choose implements Chooser.
-func (*delayChoice) Choose(choice Choice, random *rand.Rand) int {
+func (*leastDelayChoice) Choose(choice Choice, random *rand.Rand) int {
 	best := 0
 	equal := 0
 	lowest := 0.0
@@ -47,15 +47,15 @@
 }
 
 // twoChoice draws two candidates and takes the one with the least expected delay.
-type twoChoice struct{}
+type twoRandomChoice struct{}
 
-var _ Chooser = (*twoChoice)(nil)
+var _ Chooser = (*twoRandomChoice)(nil)
 
 // PluginID implements kernel.Plugin.
-func (*twoChoice) PluginID() kernel.PluginID { return "steer.choice.two" }
+func (*twoRandomChoice) PluginID() kernel.PluginID { return "steer.choice.two" }
 
 // Choose implements Chooser.
-func (*twoChoice) Choose(choice Choice, random *rand.Rand) int {
+func (*twoRandomChoice) Choose(choice Choice, random *rand.Rand) int {
 	candidates := choice.Candidates
 	first := random.IntN(len(candidates))
 	second := random.IntN(len(candidates))
--- a/internal/steer/choicerate_test.go
+++ b/internal/steer/choicerate_test.go
@@ -30,9 +30,9 @@
 type simulatedTarget struct {
 	time float64
 	// freeAt is when each slot is free.
-	freeAt [simulatedSlots]float64
-	held   int
-	work   float64
+	freeAt     [simulatedSlots]float64
+	inProgress int
+	work       float64
 }
 
 // departure is the end of a request.
@@ -54,16 +54,16 @@
 }
 
 // simulated is how the requests of a run went.
-type simulated struct {
-	mean, late float64
-	shed       float64
+type simulationResult struct {
+	mean, p99 float64
+	rejected  float64
 	// imbalance is the work of the busiest target over the mean.
 	imbalance float64
 }
 
 // simulate lets many nodes, each of which knows only its own waiting flows, place
 // requests on the targets of a service. Load is the part of the slots that the work needs.
-func simulate(chooser Chooser, nodes int, times []float64, load float64, requests int) simulated {
+func simulate(chooser Chooser, nodes int, times []float64, load float64, requests int) simulationResult {
 	random := rand.New(rand.NewPCG(uint64(nodes), uint64(100*load)))
 	targets := make([]simulatedTarget, len(times))
 	capacity := 0.0
@@ -75,16 +75,16 @@
 	for node := range waiting {
 		waiting[node] = make([]int, len(times))
 	}
-	var result simulated
-	var took []float64
-	var ends departures
+	var result simulationResult
+	var durations []float64
+	var departures departures
 	candidates := make([]Candidate, len(times))
 	now := 0.0
 	for range requests {
 		now += random.ExpFloat64() / (load * capacity)
-		for len(ends) > 0 && ends[0].at <= now {
-			end := heap.Pop(&ends).(departure)
-			targets[end.target].held--
+		for len(departures) > 0 && departures[0].at <= now {
+			end := heap.Pop(&departures).(departure)
+			targets[end.target].inProgress--
 			waiting[end.node][end.target]--
 		}
 		node := random.IntN(nodes)
@@ -93,18 +93,18 @@
 		}
 		chosen := chooser.Choose(Choice{Candidates: candidates, LocalSlots: simulatedSlots * len(candidates)}, random)
 		target := &targets[chosen]
-		if target.held == simulatedSlots+simulatedQueue {
-			result.shed++
+		if target.inProgress == simulatedSlots+simulatedQueue {
+			result.rejected++
 			continue
 		}
 		work := target.time * math.Exp(simulatedSpread*random.NormFloat64()-simulatedSpread*simulatedSpread/2)
 		end := target.serve(now, work)
 		waiting[node][chosen]++
-		heap.Push(&ends, departure{at: end, target: chosen, node: node})
-		took = append(took, end-now)
+		heap.Push(&departures, departure{at: end, target: chosen, node: node})
+		durations = append(durations, end-now)
 	}
-	result.shed /= float64(requests)
-	return result.finish(took, targets)
+	result.rejected /= float64(requests)
+	return result.summarize(durations, targets)
 }
 
 // serve gives a request the slot that is free first, and returns when it ends.
@@ -116,30 +116,30 @@
 		}
 	}
 	t.freeAt[slot] = max(t.freeAt[slot], now) + work
-	t.held++
+	t.inProgress++
 	t.work += work
 	return t.freeAt[slot]
 }
 
-func (s simulated) finish(took []float64, targets []simulatedTarget) simulated {
-	slices.Sort(took)
+func (s simulationResult) summarize(durations []float64, targets []simulatedTarget) simulationResult {
+	slices.Sort(durations)
 	sum := 0.0
-	for _, time := range took {
+	for _, time := range durations {
 		sum += time
 	}
-	most, all := 0.0, 0.0
+	highest, total := 0.0, 0.0
 	for _, target := range targets {
-		most = max(most, target.work)
-		all += target.work
+		highest = max(highest, target.work)
+		total += target.work
 	}
-	s.mean = sum / float64(len(took))
-	s.late = took[len(took)*99/100]
-	s.imbalance = most / (all / float64(len(targets)))
+	s.mean = sum / float64(len(durations))
+	s.p99 = durations[len(durations)*99/100]
+	s.imbalance = highest / (total / float64(len(targets)))
 	return s
 }
 
 // timesOf returns the relative times of a service whose targets have some speeds by turns.
-func timesOf(speeds ...float64) []float64 {
+func relativeTimesOf(speeds ...float64) []float64 {
 	times := make([]float64, simulatedTargets)
 	for number := range times {
 		times[number] = 1 / speeds[number%len(speeds)]
@@ -148,32 +148,32 @@
 }
 
 var (
-	threeSpeeds = timesOf(0.6, 1, 1.6)
-	tenSpeeds   = timesOf(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
-	oneSpeed    = timesOf(1)
+	threeSpeeds = relativeTimesOf(0.6, 1, 1.6)
+	tenSpeeds   = relativeTimesOf(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)
+	oneSpeed    = relativeTimesOf(1)
 )
 
 // TestChoicesOnASimulatedService prints the comparison of the choices, and holds what the
 // default is chosen for: where it is no better than the choice by waiting flows it is no
 // worse, and it does not fail where the least expected delay does.
-func TestChoicesOnASimulatedService(t *testing.T) {
+func TestChoosersOnSimulatedService(t *testing.T) {
 	for name, times := range map[string][]float64{"three speeds": threeSpeeds, "ten speeds": tenSpeeds} {
 		for _, nodes := range []int{8, 100, 1000} {
 			for _, load := range []float64{0.1, 0.5, 0.8, 1} {
 				t.Run(fmt.Sprint(name, " ", nodes, " nodes, load ", load), func(t *testing.T) {
 					nearby := simulate(&nearbyChoice{}, nodes, times, load, simulatedRequests)
 					byRate := simulate(&rateChoice{}, nodes, times, load, simulatedRequests)
-					delay := simulate(&delayChoice{}, nodes, times, load, simulatedRequests)
-					two := simulate(&twoChoice{}, nodes, times, load, simulatedRequests)
+					delay := simulate(&leastDelayChoice{}, nodes, times, load, simulatedRequests)
+					two := simulate(&twoRandomChoice{}, nodes, times, load, simulatedRequests)
 					t.Logf("mean, 99 of 100, shed, imbalance: waiting flows %.3f, by rate %.3f, least delay %.3f, two choices %.3f", nearby, byRate, delay, two)
 					assert.Less(t, byRate.mean, nearby.mean)
-					assert.Less(t, byRate.late, nearby.late)
-					assert.LessOrEqual(t, byRate.shed, nearby.shed)
+					assert.Less(t, byRate.p99, nearby.p99)
+					assert.LessOrEqual(t, byRate.rejected, nearby.rejected)
 					if nodes >= 100 && load >= 0.5 {
-						assert.Less(t, byRate.shed, delay.shed)
+						assert.Less(t, byRate.rejected, delay.rejected)
 					}
 					if nodes >= 100 && load == 0.8 {
-						assert.Less(t, byRate.shed, nearby.shed/2, "half of what is lost at four fifths of the slots")
+						assert.Less(t, byRate.rejected, nearby.rejected/2, "half of what is lost at four fifths of the slots")
 					}
 				})
 			}
@@ -182,25 +182,25 @@
 }
 
 // Over a longer run no target has a fifth more work than the mean.
-func TestByRateTheWorkIsEven(t *testing.T) {
+func TestRateChoiceBalancesWork(t *testing.T) {
 	const requests = 10 * simulatedRequests
 	assert.Less(t, simulate(&rateChoice{}, 100, threeSpeeds, 0.8, requests).imbalance, 1.2)
-	assert.Greater(t, simulate(&delayChoice{}, 100, threeSpeeds, 0.8, requests).imbalance, 1.2)
+	assert.Greater(t, simulate(&leastDelayChoice{}, 100, threeSpeeds, 0.8, requests).imbalance, 1.2)
 }
 
 // With one speed the default is the choice by waiting flows in effect.
-func TestChoicesWithOneSpeedAreAlike(t *testing.T) {
+func TestChoosersAgreeAtOneSpeed(t *testing.T) {
 	for _, load := range []float64{0.5, 0.8} {
 		nearby := simulate(&nearbyChoice{}, 100, oneSpeed, load, simulatedRequests)
 		byRate := simulate(&rateChoice{}, 100, oneSpeed, load, simulatedRequests)
 		assert.InEpsilon(t, nearby.mean, byRate.mean, 0.05)
-		assert.InEpsilon(t, nearby.late, byRate.late, 0.1)
+		assert.InEpsilon(t, nearby.p99, byRate.p99, 0.1)
 	}
 }
 
 // Flows stay in the zone while its targets serve about as fast as the others, and leave
 // it in proportion where they do not.
-func TestFlowsSpillInProportion(t *testing.T) {
+func TestSpillIsProportional(t *testing.T) {
 	cases := []struct {
 		name                  string
 		nearTime              float64
@@ -237,7 +237,7 @@
 	}
 }
 
-func TestWithOneSpeedTheChoiceByRateIsTheNearbyOne(t *testing.T) {
+func TestRateChoiceMatchesNearbyChoiceAtOneSpeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var choice Choice
 		for range rapid.IntRange(1, 6).Draw(t, "candidates") {
@@ -261,7 +261,7 @@
 	})
 }
 
-func TestEachChoiceIsAPlugin(t *testing.T) {
+func TestChoosersAreRegistered(t *testing.T) {
 	for _, id := range []kernel.PluginID{ChoiceRandom, ChoiceNearby, ChoiceByRate} {
 		plugin, err := kernel.New(id)
 		require.NoError(t, err)
--- a/internal/steer/core_test.go
+++ b/internal/steer/core_test.go
@@ -21,28 +21,28 @@
 )
 
 // bench is a core with a directory state that its updates come from.
-type bench struct {
+type coreFixture struct {
 	*testing.T
 	core     *Core
 	state    *directory.State
 	position uint64
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *coreFixture {
 	settings := DefaultSettings()
 	settings.Zone = "north"
 	settings.Chooser = &nearbyChoice{}
 	settings.Random = rand.New(rand.NewPCG(1, 2))
-	return &bench{T: t, core: New(settings), state: directory.New()}
+	return &coreFixture{T: t, core: New(settings), state: directory.New()}
 }
 
-func (b *bench) apply(now kernel.Instant, command directory.Command) {
+func (b *coreFixture) apply(now kernel.Instant, command directory.Command) {
 	b.position++
 	b.state.Apply(b.position, command)
 	require.True(b, b.core.Update(now, b.state.Since(b.core.Revision())))
 }
 
-func (b *bench) publish(now kernel.Instant, version uint64, routes ...directory.Route) {
+func (b *coreFixture) publish(now kernel.Instant, version uint64, routes ...directory.Route) {
 	next := directory.Configuration{Version: version, Routes: routes}
 	edit := directory.Difference(b.state.Configuration(), next)
 	b.apply(now, directory.Command{Kind: directory.CommandPublish, Edit: edit})
@@ -52,7 +52,7 @@
 	return directory.Route{Name: name, Address: address, Timeout: time.Second, Backends: backends}
 }
 
-func (b *bench) target(now kernel.Instant, id, service, zone, address string, state directory.TargetState) directory.Target {
+func (b *coreFixture) target(now kernel.Instant, id, service, zone, address string, state directory.TargetState) directory.Target {
 	b.apply(now, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 		ID: id, Service: service, Zone: zone, Slots: 2, State: state, Address: netip.MustParseAddrPort(address),
 	}})
@@ -68,18 +68,18 @@
 	return Packet{Flow: FlowKey{Caller: caller(port), Virtual: bookingAddress}, Opening: true, Copy: copies}
 }
 
-func following(port uint16, token directory.Token, acknowledged uint32) Packet {
+func flowPacket(port uint16, token directory.Token, acknowledged uint32) Packet {
 	return Packet{Flow: FlowKey{Caller: caller(port), Virtual: bookingAddress}, Token: token, Acknowledged: acknowledged}
 }
 
-func booking(t *testing.T) *bench {
-	b := newBench(t)
+func newBookingFixture(t *testing.T) *coreFixture {
+	b := newFixture(t)
 	b.publish(start, 1, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}))
 	return b
 }
 
-func TestNothingIsPlacedWithoutAConfiguration(t *testing.T) {
-	b := newBench(t)
+func TestNewFlowsNeedAConfiguration(t *testing.T) {
+	b := newFixture(t)
 	assert.Equal(t, ReasonNotReady, b.core.Decide(start, opening(1, 0)).Reason)
 	assert.False(t, b.core.IsReady())
 	b.publish(start, 1, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}))
@@ -91,16 +91,16 @@
 	assert.True(t, b.core.IsReady())
 }
 
-func TestAKnownTokenIsFollowedAtANodeThatDidNotPlaceTheFlow(t *testing.T) {
-	b := booking(t)
+func TestKnownTokenIsForwardedAtAnyNode(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-	decision := b.core.Decide(start, following(9, target.Token, 5))
+	decision := b.core.Decide(start, flowPacket(9, target.Token, 5))
 	assert.Equal(t, ActionForward, decision.Action)
 	assert.Equal(t, target.ID, decision.Target.ID)
 }
 
-func TestPacketsWithoutAKnownTargetAreNeverGuessed(t *testing.T) {
-	b := booking(t)
+func TestPacketsWithoutKnownTargetAreNotForwarded(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	cases := []struct {
 		name   string
@@ -108,8 +108,8 @@
 		reason Reason
 		action Action
 	}{
-		{"unknown token", following(1, target.Token+1, 0), ReasonUnknownToken, ActionDrop},
-		{"no token", following(1, 0, 0), ReasonNoToken, ActionDrop},
+		{"unknown token", flowPacket(1, target.Token+1, 0), ReasonUnknownToken, ActionDrop},
+		{"no token", flowPacket(1, 0, 0), ReasonNoToken, ActionDrop},
 		{"forged", Packet{Forged: true, Opening: true}, ReasonForged, ActionDrop},
 		{"no route", Packet{Flow: FlowKey{Caller: caller(1), Virtual: otherAddress}, Opening: true}, ReasonNoRoute, ActionReset},
 	}
@@ -122,39 +122,39 @@
 	}
 }
 
-func TestADrainingTargetKeepsItsFlowsAndGetsNoNewOnes(t *testing.T) {
-	b := booking(t)
+func TestDrainingTargetKeepsOpenFlowsOnly(t *testing.T) {
+	b := newBookingFixture(t)
 	old := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetDraining)
 	for port := range uint16(50) {
 		assert.Equal(t, "i-2", b.core.Decide(start, opening(port, 0)).Target.ID)
 	}
-	assert.Equal(t, ActionForward, b.core.Decide(start, following(9, old.Token, 5)).Action)
+	assert.Equal(t, ActionForward, b.core.Decide(start, flowPacket(9, old.Token, 5)).Action)
 }
 
-func TestFlowsOfASurelyEndedTargetAreReset(t *testing.T) {
-	b := booking(t)
+func TestFlowsOfEndedTargetAreReset(t *testing.T) {
+	b := newBookingFixture(t)
 	old := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-2", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-	decision := b.core.Decide(start, following(9, old.Token, 5))
+	decision := b.core.Decide(start, flowPacket(9, old.Token, 5))
 	assert.Equal(t, ActionReset, decision.Action)
 	assert.Equal(t, ReasonEnded, decision.Reason)
-	broken := following(9, old.Token, 5)
+	broken := flowPacket(9, old.Token, 5)
 	broken.Reset = true
 	assert.Equal(t, ActionDrop, b.core.Decide(start, broken).Action, "a reset is not answered")
 }
 
-func TestATargetThatLeavesWithoutDrainingKeepsItsFlows(t *testing.T) {
-	b := booking(t)
+func TestLeavingTargetKeepsOpenFlowsOnly(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.apply(start, directory.Command{Kind: directory.CommandEndTarget, Target: directory.Target{ID: "i-1"}})
-	assert.Equal(t, ActionForward, b.core.Decide(start, following(9, target.Token, 5)).Action)
+	assert.Equal(t, ActionForward, b.core.Decide(start, flowPacket(9, target.Token, 5)).Action)
 	assert.Equal(t, ReasonNoTarget, b.core.Decide(start, opening(3, 0)).Reason)
 }
 
-func TestACopyOfAnOpeningPacketGoesToAnotherTarget(t *testing.T) {
-	b := booking(t)
+func TestRetransmittedOpeningGoesToAnotherTarget(t *testing.T) {
+	b := newBookingFixture(t)
 	for _, address := range []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"} {
 		b.target(start, "i-"+address, "booking", "north", address, directory.TargetReady)
 	}
@@ -168,26 +168,26 @@
 
 // A packet that a caller sends again to a dead target is no answer of the
 // target (bench day scale-1, 2 targets dark: copies until 10 s after).
-func TestRetransmissionsAreNoEvidenceThatATargetAnswers(t *testing.T) {
-	b := booking(t)
+func TestRetransmissionIsNoAnswer(t *testing.T) {
+	b := newBookingFixture(t)
 	dead := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.core.Decide(start, opening(1, 0))
-	b.core.Decide(start, following(1, dead.Token, 7))
+	b.core.Decide(start, flowPacket(1, dead.Token, 7))
 	now := start.Add(time.Second)
 	b.core.Decide(now, opening(2, 0))
 	b.core.Decide(now.Add(200*time.Millisecond), opening(2, 1))
 	b.target(now, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
-	b.core.Decide(now.Add(300*time.Millisecond), following(1, dead.Token, 7))
+	b.core.Decide(now.Add(300*time.Millisecond), flowPacket(1, dead.Token, 7))
 	decision := b.core.Decide(now.Add(400*time.Millisecond), opening(3, 0))
 	assert.Equal(t, "i-2", decision.Target.ID)
 	assert.Equal(t, 1, decision.Doubtful)
-	b.core.Decide(now.Add(500*time.Millisecond), following(1, dead.Token, 8))
+	b.core.Decide(now.Add(500*time.Millisecond), flowPacket(1, dead.Token, 8))
 	decision = b.core.Decide(now.Add(600*time.Millisecond), opening(4, 0))
 	assert.Equal(t, "i-1", decision.Target.ID, "an acknowledgement that moves on shows an answer")
 }
 
-func TestSuspectedTargetsArePassedOverWhileOthersAreLeft(t *testing.T) {
-	b := booking(t)
+func TestSuspectedTargetsAreAvoidedWhileOthersRemain(t *testing.T) {
+	b := newBookingFixture(t)
 	first := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	second := b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
 	b.core.ApplyVerdicts(directory.Verdicts{Suspects: []directory.Token{first.Token}})
@@ -197,7 +197,7 @@
 }
 
 func TestNewFlowsFollowTheWeights(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.publish(start, 1, route("r", bookingAddress,
 		directory.Backend{Service: "new", Weight: 10}, directory.Backend{Service: "old", Weight: 90}))
 	b.target(start, "i-1", "new", "north", "10.0.0.1:1", directory.TargetReady)
@@ -212,8 +212,8 @@
 	assert.InDelta(t, 0.1, float64(share)/flows, 0.02)
 }
 
-func TestAPartWithoutTargetsIsServedByTheOtherPart(t *testing.T) {
-	b := newBench(t)
+func TestServiceWithoutTargetsFallsBackToAnother(t *testing.T) {
+	b := newFixture(t)
 	b.publish(start, 1, route("r", bookingAddress,
 		directory.Backend{Service: "empty", Weight: 90}, directory.Backend{Service: "off", Weight: 0}, directory.Backend{Service: "old", Weight: 10}))
 	b.target(start, "i-1", "off", "north", "10.0.0.1:1", directory.TargetReady)
@@ -223,16 +223,16 @@
 	}
 }
 
-func TestOpenFlowsOutliveTheirRouteAndItsChange(t *testing.T) {
-	b := booking(t)
+func TestOpenFlowsSurviveRouteChange(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.publish(start, 2, route("r", bookingAddress, directory.Backend{Service: "other", Weight: 1}))
-	assert.Equal(t, ActionForward, b.core.Decide(start, following(1, target.Token, 1)).Action)
+	assert.Equal(t, ActionForward, b.core.Decide(start, flowPacket(1, target.Token, 1)).Action)
 	assert.Equal(t, ReasonNoTarget, b.core.Decide(start, opening(2, 0)).Reason)
 }
 
-func TestUpdatesNeverGoBackAndMustFit(t *testing.T) {
-	b := booking(t)
+func TestStaleAndMismatchedUpdatesAreIgnored(t *testing.T) {
+	b := newBookingFixture(t)
 	first := b.state.Since(0)
 	b.publish(start, 2, route("r", otherAddress, directory.Backend{Service: "booking", Weight: 1}))
 	b.publish(start, 3, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}))
@@ -243,14 +243,14 @@
 	assert.Equal(t, uint64(0), fresh.Revision())
 }
 
-func TestFlowsAreCountedUntilTheyEndOrRest(t *testing.T) {
-	b := booking(t)
+func TestFlowsAreCountedUntilClosedOrIdle(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	for port := range uint16(4) {
 		b.core.Decide(start, opening(port, 0))
 	}
-	b.core.Decide(start, following(0, target.Token, 1))
-	closing := following(1, target.Token, 1)
+	b.core.Decide(start, flowPacket(0, target.Token, 1))
+	closing := flowPacket(1, target.Token, 1)
 	closing.Closing = true
 	b.core.Decide(start, closing)
 	assert.Equal(t, 3, b.core.Flows())
@@ -262,15 +262,15 @@
 	assert.Empty(t, b.core.waiting)
 }
 
-func data(port uint16, token directory.Token, sequence uint32) Packet {
-	packet := following(port, token, 1)
+func flowData(port uint16, token directory.Token, sequence uint32) Packet {
+	packet := flowPacket(port, token, 1)
 	packet.Sequence = sequence
 	packet.Size = 100
 	return packet
 }
 
 // report returns the weight against a target in the next report.
-func (b *bench) report(now kernel.Instant, token directory.Token) uint32 {
+func (b *coreFixture) reportedWeight(now kernel.Instant, token directory.Token) uint32 {
 	const interval = 100 * time.Millisecond
 	b.core.Report(now.Add(-interval), interval)
 	for _, silent := range b.core.Report(now, interval).Silent {
@@ -281,55 +281,55 @@
 	return 0
 }
 
-func TestDataThatIsSentAgainIsEvidenceOfASilentTarget(t *testing.T) {
-	b := booking(t)
+func TestRetransmittedDataIsEvidenceOfSilence(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.core.Decide(start, opening(1, 0))
-	b.core.Decide(start, data(1, target.Token, 10))
+	b.core.Decide(start, flowData(1, target.Token, 10))
 	first := start.Add(200 * time.Millisecond)
-	b.core.Decide(first, data(1, target.Token, 10))
-	assert.Zero(t, b.report(first, target.Token), "too early")
-	assert.Equal(t, uint32(1), b.report(start.Add(300*time.Millisecond), target.Token))
+	b.core.Decide(first, flowData(1, target.Token, 10))
+	assert.Zero(t, b.reportedWeight(first, target.Token), "too early")
+	assert.Equal(t, uint32(1), b.reportedWeight(start.Add(300*time.Millisecond), target.Token))
 	second := start.Add(600 * time.Millisecond)
-	b.core.Decide(second, data(1, target.Token, 10))
-	assert.Equal(t, uint32(2), b.report(second, target.Token))
+	b.core.Decide(second, flowData(1, target.Token, 10))
+	assert.Equal(t, uint32(2), b.reportedWeight(second, target.Token))
 }
 
 // A caller need not acknowledge an answer of one packet. Flows that rest after
 // one repeated request made a living target look lost (quiet-1, 62e07143).
-func TestACallerThatStopsSendingAgainIsNoEvidence(t *testing.T) {
-	b := booking(t)
+func TestIdleCallerIsNoEvidenceOfSilence(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.core.Decide(start, opening(1, 0))
-	b.core.Decide(start, data(1, target.Token, 10))
-	b.core.Decide(start.Add(200*time.Millisecond), data(1, target.Token, 10))
-	assert.Zero(t, b.report(start.Add(2*time.Second), target.Token))
+	b.core.Decide(start, flowData(1, target.Token, 10))
+	b.core.Decide(start.Add(200*time.Millisecond), flowData(1, target.Token, 10))
+	assert.Zero(t, b.reportedWeight(start.Add(2*time.Second), target.Token))
 }
 
-func TestAnAnswerToOneFlowEndsTheEvidence(t *testing.T) {
-	b := booking(t)
+func TestAnswerOnAnyFlowClearsEvidence(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	for port := range uint16(3) {
 		b.core.Decide(start, opening(port, 0))
-		b.core.Decide(start, data(port, target.Token, 10))
+		b.core.Decide(start, flowData(port, target.Token, 10))
 	}
 	for port := range uint16(2) {
-		b.core.Decide(start.Add(200*time.Millisecond), data(port, target.Token, 10))
+		b.core.Decide(start.Add(200*time.Millisecond), flowData(port, target.Token, 10))
 	}
 	now := start.Add(300 * time.Millisecond)
-	assert.Equal(t, uint32(2), b.report(now, target.Token))
-	b.core.Decide(now, following(2, target.Token, 99))
-	assert.Zero(t, b.report(now, target.Token))
+	assert.Equal(t, uint32(2), b.reportedWeight(now, target.Token))
+	b.core.Decide(now, flowPacket(2, target.Token, 99))
+	assert.Zero(t, b.reportedWeight(now, target.Token))
 }
 
-func TestANodeThatWasStoppedReportsNothing(t *testing.T) {
-	b := booking(t)
+func TestStalledNodeReportsNoSilence(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.core.Decide(start, opening(1, 0))
-	b.core.Decide(start, data(1, target.Token, 10))
+	b.core.Decide(start, flowData(1, target.Token, 10))
 	b.core.Report(start, 100*time.Millisecond)
 	now := start.Add(4 * time.Second)
-	b.core.Decide(now, data(1, target.Token, 10))
+	b.core.Decide(now, flowData(1, target.Token, 10))
 	assert.Empty(t, b.core.Report(now, 100*time.Millisecond).Silent)
 }
 
@@ -337,45 +337,45 @@
 // together; routers had taken their callers elsewhere, so no answer showed. Four
 // open flows of living targets were reset 0.95 s later (patitas-uio-large, mix of
 // hunt ec9566fd).
-func TestWhatWaitedAtAStoppedNodeIsNoEvidence(t *testing.T) {
+func TestBacklogAfterStallIsNoEvidence(t *testing.T) {
 	const interval = 100 * time.Millisecond
-	b := booking(t)
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.core.Decide(start, opening(1, 0))
 	b.core.Report(start, interval)
 	woken := start.Add(3500 * time.Millisecond)
 	for range 3 {
-		b.core.Decide(woken, data(1, target.Token, 10))
+		b.core.Decide(woken, flowData(1, target.Token, 10))
 	}
 	for now := woken; now.Sub(woken) <= time.Second; now = now.Add(interval) {
 		assert.Empty(t, b.core.Report(now, interval).Silent, "%v after it woke", now.Sub(woken))
 	}
 	later := woken.Add(1100 * time.Millisecond)
 	b.core.Report(later, interval)
-	b.core.Decide(later, data(1, target.Token, 10))
+	b.core.Decide(later, flowData(1, target.Token, 10))
 	assert.NotEmpty(t, b.core.Report(later.Add(interval), interval).Silent, "the caller still waits")
 }
 
-func TestFlowsOfALostTargetAreResetAtOnceAndOnlyOnce(t *testing.T) {
-	b := booking(t)
+func TestFlowsOfLostTargetAreResetOnce(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.core.Decide(start, opening(1, 0))
-	b.core.Decide(start, following(1, target.Token, 77))
+	b.core.Decide(start, flowPacket(1, target.Token, 77))
 	b.core.Decide(start, opening(2, 0))
 	lost := []directory.Token{target.Token}
 	packets := b.core.ApplyVerdicts(directory.Verdicts{Lost: lost})
 	require.Len(t, packets, 1, "a flow that is not open has nothing to reset")
 	assert.Equal(t, uint32(77), packets[0].Acknowledged)
 	assert.Empty(t, b.core.ApplyVerdicts(directory.Verdicts{Lost: lost}))
-	decision := b.core.Decide(start, following(5, target.Token, 3))
+	decision := b.core.Decide(start, flowPacket(5, target.Token, 3))
 	assert.Equal(t, ActionReset, decision.Action)
 	assert.Equal(t, ReasonLost, decision.Reason)
 	b.core.ApplyVerdicts(directory.Verdicts{})
-	assert.Equal(t, ActionForward, b.core.Decide(start, following(5, target.Token, 3)).Action)
+	assert.Equal(t, ActionForward, b.core.Decide(start, flowPacket(5, target.Token, 3)).Action)
 }
 
-func TestACopyRightAfterThePlacementIsNoEvidence(t *testing.T) {
-	b := booking(t)
+func TestEarlyRetransmissionKeepsItsTarget(t *testing.T) {
+	b := newBookingFixture(t)
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-2", "booking", "north", "10.0.0.2:1", directory.TargetReady)
 	first := b.core.Decide(start, opening(1, 1))
@@ -387,9 +387,9 @@
 
 // A target starts again under its ID, elsewhere or at its address: what it had open is
 // reset at its next packet and never reaches the new process, which gets new flows.
-func TestFlowsOfAStartThatIsOverAreReset(t *testing.T) {
+func TestFlowsOfRestartedTargetAreReset(t *testing.T) {
 	for _, place := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
-		b := booking(t)
+		b := newBookingFixture(t)
 		again := func(born uint64, place string, state directory.TargetState) directory.Target {
 			b.apply(start, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 				ID: "i-1", Born: born, Service: "booking", Zone: "north", Slots: 2, State: state, Address: netip.MustParseAddrPort(place),
@@ -398,11 +398,11 @@
 			return target
 		}
 		first := again(100, "10.0.0.1:1", directory.TargetReady)
-		require.Equal(t, ActionForward, b.core.Decide(start, following(9, first.Token, 5)).Action)
+		require.Equal(t, ActionForward, b.core.Decide(start, flowPacket(9, first.Token, 5)).Action)
 		again(100, "10.0.0.1:1", directory.TargetDraining)
 		later := again(200, place, directory.TargetReady)
 		assert.Empty(t, b.core.ResetUnanswered(), "a caller that does not wait learns it with its next packet")
-		decision := b.core.Decide(start, following(9, first.Token, 6))
+		decision := b.core.Decide(start, flowPacket(9, first.Token, 6))
 		assert.Equal(t, []any{ActionReset, ReasonEnded}, []any{decision.Action, decision.Reason})
 		placed := b.core.Decide(start, opening(3, 0))
 		assert.Equal(t, ActionForward, placed.Action)
@@ -413,11 +413,11 @@
 
 // The caller waits for an answer when its target starts again: it is told at once, and
 // only once.
-func TestCallersThatWaitForAnEndedTargetAreTold(t *testing.T) {
-	b := booking(t)
+func TestWaitingFlowsOfEndedTargetAreResetOnce(t *testing.T) {
+	b := newBookingFixture(t)
 	first := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-3", "booking", "north", "10.0.0.3:1", directory.TargetReady)
-	asks := following(9, first.Token, 5)
+	asks := flowPacket(9, first.Token, 5)
 	asks.Size = 100
 	for _, after := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
 		require.Equal(t, ActionForward, b.core.Decide(start.Add(after), asks).Action)
--- a/internal/steer/ejection_test.go
+++ b/internal/steer/ejection_test.go
@@ -12,24 +12,24 @@
 )
 
 // bookingOf returns a bench whose only route is of a kind, with some targets.
-func bookingOf(t *testing.T, kind directory.RouteKind, count int) (*bench, []directory.Token) {
-	b := newBench(t)
+func newKindFixture(t *testing.T, kind directory.RouteKind, count int) (*coreFixture, []directory.Token) {
+	b := newFixture(t)
 	r := route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1})
 	r.Kind = kind
 	b.publish(start, 1, r)
 	return b, b.addTargets(start, 1, count)
 }
 
-func TestAnEjectedTargetGetsNoNewFlowsAndKeepsItsOpenOnes(t *testing.T) {
-	b, tokens := bookingOf(t, directory.RouteRepeatable, 3)
-	b.core.Decide(start, following(1, tokens[0], 5))
+func TestEjectedTargetKeepsOpenFlowsOnly(t *testing.T) {
+	b, tokens := newKindFixture(t, directory.RouteRepeatable, 3)
+	b.core.Decide(start, flowPacket(1, tokens[0], 5))
 	assert.Empty(t, b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokens[:1]}), "nothing is reset")
 	for port := range uint16(60) {
 		decision := b.core.Decide(start, opening(100+port, 0))
 		assert.NotEqual(t, tokens[0], decision.Target.Token)
 		assert.Equal(t, 1, decision.Ejected)
 	}
-	assert.Equal(t, ActionForward, b.core.Decide(start, following(1, tokens[0], 6)).Action)
+	assert.Equal(t, ActionForward, b.core.Decide(start, flowPacket(1, tokens[0], 6)).Action)
 	b.core.ApplyVerdicts(directory.Verdicts{})
 	taken := 0
 	for port := range uint16(60) {
@@ -40,8 +40,8 @@
 	assert.Positive(t, taken, "it was readmitted")
 }
 
-func TestWhenAllTargetsAreEjectedNoneIsPassedOver(t *testing.T) {
-	b, tokens := bookingOf(t, directory.RouteOnce, 3)
+func TestAllTargetsEjectedMeansNoneIsSkipped(t *testing.T) {
+	b, tokens := newKindFixture(t, directory.RouteOnce, 3)
 	b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokens})
 	seen := map[directory.Token]bool{}
 	for port := range uint16(60) {
@@ -55,7 +55,7 @@
 
 // What was not tried is taken before what fails its work, and that before a target
 // that has just left an opening packet unanswered.
-func TestTheOrderInWhichTargetsAreUsedWhenNoneIsGood(t *testing.T) {
+func TestFallbackOrderWithoutHealthyTargets(t *testing.T) {
 	cases := []struct {
 		name     string
 		verdicts func(tokens []directory.Token) directory.Verdicts
@@ -73,7 +73,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			b, tokens := bookingOf(t, directory.RouteOnce, 3)
+			b, tokens := newKindFixture(t, directory.RouteOnce, 3)
 			b.core.ApplyVerdicts(test.verdicts(tokens))
 			for port := range uint16(20) {
 				assert.Equal(t, tokens[test.want], b.core.Decide(start, opening(port+1, 0)).Target.Token)
@@ -82,8 +82,8 @@
 	}
 }
 
-func TestACopyGoesToAnEjectedTargetOnlyWhenNothingElseIsLeft(t *testing.T) {
-	b, tokens := bookingOf(t, directory.RouteRepeatable, 3)
+func TestRetransmissionUsesEjectedTargetLast(t *testing.T) {
+	b, tokens := newKindFixture(t, directory.RouteRepeatable, 3)
 	b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokens[2:]})
 	seen := []directory.Token{}
 	for copies := range uint32(3) {
@@ -95,7 +95,7 @@
 }
 
 // trials plays new flows at an even rate and returns how many a target got.
-func (b *bench) trials(now kernel.Instant, flows int, pause time.Duration, token directory.Token) int {
+func (b *coreFixture) countFlowsTo(now kernel.Instant, flows int, pause time.Duration, token directory.Token) int {
 	got := 0
 	for number := range flows {
 		at := now.Add(time.Duration(number) * pause)
@@ -106,7 +106,7 @@
 	return got
 }
 
-func TestATargetOnProbationGetsATrickleOfRepeatableWork(t *testing.T) {
+func TestProbationAdmitsOnlyRepeatableFlows(t *testing.T) {
 	const flows = 20_000
 	const pause = 10 * time.Millisecond
 	for kind, most := range map[directory.RouteKind]int{
@@ -114,9 +114,9 @@
 		directory.RouteOnce: 0, directory.RouteUpload: 0, directory.RouteUnstated: 0,
 	} {
 		t.Run(kind.String(), func(t *testing.T) {
-			b, tokens := bookingOf(t, kind, 10)
+			b, tokens := newKindFixture(t, kind, 10)
 			b.core.ApplyVerdicts(directory.Verdicts{Probation: tokens[:1]})
-			got := b.trials(start, flows, pause, tokens[0])
+			got := b.countFlowsTo(start, flows, pause, tokens[0])
 			assert.LessOrEqual(t, got, most, "one a second in 200 s")
 			if most > 0 {
 				assert.Greater(t, got, most/3)
@@ -125,16 +125,16 @@
 	}
 }
 
-func TestATargetOnProbationGetsAPartOfWhatItWouldGetOtherwise(t *testing.T) {
-	b, tokens := bookingOf(t, directory.RouteRepeatable, 10)
+func TestProbationAdmitsShareOfFlows(t *testing.T) {
+	b, tokens := newKindFixture(t, directory.RouteRepeatable, 10)
 	b.core.ApplyVerdicts(directory.Verdicts{Probation: tokens[:1]})
 	const flows = 10_000
-	got := b.trials(start, flows, probationInterval, tokens[0])
+	got := b.countFlowsTo(start, flows, probationInterval, tokens[0])
 	assert.InEpsilon(t, flows/10*probationShare, got, 0.2)
 }
 
-func TestACopyIsNoTrial(t *testing.T) {
-	b, tokens := bookingOf(t, directory.RouteRepeatable, 10)
+func TestProbationRefusesRetransmissions(t *testing.T) {
+	b, tokens := newKindFixture(t, directory.RouteRepeatable, 10)
 	b.core.ApplyVerdicts(directory.Verdicts{Probation: tokens[:1]})
 	for port := range uint16(200) {
 		now := start.Add(time.Duration(port) * probationInterval)
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -11,65 +11,65 @@
 )
 
 // evacuate gives an order about a zone and hands the update to the core.
-func (b *bench) evacuate(now kernel.Instant, zone string, active bool) {
+func (b *coreFixture) setEvacuated(now kernel.Instant, zone string, active bool) {
 	order := directory.Evacuation{Zone: zone, Active: active, Revision: b.state.Evacuation(zone).Revision}
 	b.apply(now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
 }
 
-func TestNewFlowsAvoidAnEvacuatedZoneAndOpenOnesStay(t *testing.T) {
-	b := booking(t)
+func TestEvacuatedZoneKeepsOpenFlowsOnly(t *testing.T) {
+	b := newBookingFixture(t)
 	near := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	far := b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
 	assert.Equal(t, near.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
-	b.evacuate(start, "north", true)
+	b.setEvacuated(start, "north", true)
 	assert.Equal(t, []string{"north"}, b.core.EvacuatedZones())
 	for port := range uint16(20) {
 		assert.Equal(t, far.ID, b.core.Decide(start, opening(100+port, 0)).Target.ID)
 	}
-	assert.Equal(t, near.ID, b.core.Decide(start, following(50, near.Token, 1)).Target.ID, "an open flow stays")
-	b.evacuate(start, "north", false)
+	assert.Equal(t, near.ID, b.core.Decide(start, flowPacket(50, near.Token, 1)).Target.ID, "an open flow stays")
+	b.setEvacuated(start, "north", false)
 	assert.Empty(t, b.core.EvacuatedZones())
 }
 
 // A copy that comes soon after its opening packet goes to the same target, unless
 // that may get nothing new any more.
-func TestACopyDoesNotFollowItsOpeningPacketIntoAnEvacuatedZone(t *testing.T) {
-	b := booking(t)
+func TestRetransmissionAvoidsEvacuatedZone(t *testing.T) {
+	b := newBookingFixture(t)
 	near := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	far := b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
 	assert.Equal(t, near.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
-	b.evacuate(start, "north", true)
+	b.setEvacuated(start, "north", true)
 	soon := start.Add(b.core.settings.AnswerTimeout / 2)
 	assert.Equal(t, far.ID, b.core.Decide(soon, opening(1, 1)).Target.ID)
 }
 
 // With the last zone that has targets evacuated there is nobody to serve a new
 // flow: its caller is told at once, and the order holds.
-func TestTheEvacuationOfTheLastZoneIsAClearAnswer(t *testing.T) {
-	b := booking(t)
+func TestEvacuationOfAllZonesResetsNewFlows(t *testing.T) {
+	b := newBookingFixture(t)
 	north := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
 	b.target(start, "i-3", "other", "west", "10.0.0.3:1", directory.TargetReady)
-	b.evacuate(start, "north", true)
-	b.evacuate(start, "south", true)
+	b.setEvacuated(start, "north", true)
+	b.setEvacuated(start, "south", true)
 	assert.True(t, b.core.IsReady())
 	decision := b.core.Decide(start, opening(1, 0))
 	assert.Equal(t, ActionReset, decision.Action)
 	assert.Equal(t, ReasonEvacuated, decision.Reason)
-	assert.Equal(t, north.ID, b.core.Decide(start, following(50, north.Token, 1)).Target.ID)
+	assert.Equal(t, north.ID, b.core.Decide(start, flowPacket(50, north.Token, 1)).Target.ID)
 	b.core.ApplyVerdicts(directory.Verdicts{Suspects: []directory.Token{north.Token}})
 	assert.Equal(t, ReasonEvacuated, b.core.Decide(start, opening(2, 0)).Reason, "doubt about targets opens no way there")
-	b.evacuate(start, "south", false)
+	b.setEvacuated(start, "south", false)
 	later := start.Add(time.Minute)
 	assert.Equal(t, "i-2", b.core.Decide(later, opening(3, 0)).Target.ID)
 }
 
 // A node that starts takes no packet before it knows the evacuated zones.
-func TestANodeThatStartsKnowsTheEvacuatedZones(t *testing.T) {
-	b := booking(t)
+func TestFirstUpdateCarriesEvacuatedZones(t *testing.T) {
+	b := newBookingFixture(t)
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
-	b.evacuate(start, "north", true)
+	b.setEvacuated(start, "north", true)
 	fresh := New(b.core.settings)
 	assert.True(t, fresh.Update(start, b.state.Since(0)))
 	assert.Equal(t, "i-2", fresh.Decide(start, opening(1, 0)).Target.ID)
--- a/internal/steer/exchange_oracle_test.go
+++ b/internal/steer/exchange_oracle_test.go
@@ -13,19 +13,19 @@
 )
 
 // fate is what truly becomes of an exchange.
-type fate int
+type outcome int
 
 const (
-	served fate = iota
-	failed
-	ignored
-	leftEarly
-	fates
+	outcomeServed outcome = iota
+	outcomeFailed
+	outcomeUnanswered
+	outcomeAbandoned
+	outcomeCount
 )
 
 // trueExchange is an exchange as its two ends know it.
-type trueExchange struct {
-	fate fate
+type simulatedExchange struct {
+	outcome outcome
 	// base is the caller's acknowledgement before it, answer the size of its answer.
 	base, answer uint32
 	// dropped is set when the node dropped what the caller sent.
@@ -33,7 +33,7 @@
 }
 
 // sight is a packet of a flow as a node may see it.
-type sight struct {
+type observedPacket struct {
 	at       time.Duration
 	packet   Packet
 	exchange int
@@ -43,139 +43,139 @@
 }
 
 // trueFlow is a flow as its two ends know it, and what a node sees of it.
-type trueFlow struct {
+type simulatedFlow struct {
 	target    directory.Token
-	exchanges []trueExchange
-	sights    []sight
+	exchanges []simulatedExchange
+	packets   []observedPacket
 }
 
 // script draws what happens on a flow.
-type script struct {
+type flowScript struct {
 	*rapid.T
-	flow     trueFlow
-	port     uint16
-	at       time.Duration
-	sequence uint32
-	answered uint32
+	flow         simulatedFlow
+	port         uint16
+	at           time.Duration
+	sequence     uint32
+	acknowledged uint32
 }
 
-func (s *script) millis(least, most int, label string) time.Duration {
+func (s *flowScript) millis(least, most int, label string) time.Duration {
 	return time.Duration(rapid.IntRange(least, most).Draw(s.T, label)) * ms
 }
 
-func (s *script) see(seen sight, size int) {
+func (s *flowScript) emit(seen observedPacket, size int) {
 	seen.at = s.at
 	seen.packet.Flow = FlowKey{Caller: caller(s.port), Virtual: bookingAddress}
 	seen.packet.Token = s.flow.target
 	seen.packet.Size = size
 	if seen.packet.Acknowledged == 0 {
-		seen.packet.Acknowledged = s.answered
+		seen.packet.Acknowledged = s.acknowledged
 	}
 	seen.exchange = len(s.flow.exchanges) - 1
-	s.flow.sights = append(s.flow.sights, seen)
+	s.flow.packets = append(s.flow.packets, seen)
 }
 
 // request draws the packets of a request: they may come in any order, and again.
-func (s *script) request() {
+func (s *flowScript) sendRequest() {
 	const part = 400
 	parts := rapid.IntRange(1, 3).Draw(s.T, "parts")
 	order := rapid.Permutation([]int{0, 1, 2}[:parts]).Draw(s.T, "order")
 	for position, number := range order {
-		s.see(sight{packet: Packet{Sequence: s.sequence + uint32(number*part)}, first: position == 0}, part)
+		s.emit(observedPacket{packet: Packet{Sequence: s.sequence + uint32(number*part)}, first: position == 0}, part)
 	}
 	if rapid.Bool().Draw(s.T, "copied") {
 		later := s.at
 		s.at += s.millis(1, 100, "copy after")
-		s.see(sight{packet: Packet{Sequence: s.sequence}}, part)
+		s.emit(observedPacket{packet: Packet{Sequence: s.sequence}}, part)
 		s.at = later
 	}
 	s.sequence += uint32(parts * part)
 }
 
 // play draws an exchange; it returns false when it was the flow's last one.
-func (s *script) play() bool {
-	exchange := trueExchange{fate: fate(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 3}).Draw(s.T, "fate")), base: s.answered}
+func (s *flowScript) playExchange() bool {
+	exchange := simulatedExchange{outcome: outcome(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 3}).Draw(s.T, "fate")), base: s.acknowledged}
 	exchange.dropped = rapid.IntRange(0, 9).Draw(s.T, "dropped") == 0
 	s.flow.exchanges = append(s.flow.exchanges, exchange)
 	current := &s.flow.exchanges[len(s.flow.exchanges)-1]
-	s.request()
-	switch exchange.fate {
-	case ignored:
+	s.sendRequest()
+	switch exchange.outcome {
+	case outcomeUnanswered:
 		s.abandon(s.millis(1500, 2500, "deadline"))
 		return false
-	case leftEarly:
+	case outcomeAbandoned:
 		s.abandon(s.millis(1, 150, "patience"))
 		return false
-	case failed:
+	case outcomeFailed:
 		current.answer = uint32(rapid.IntRange(150, 250).Draw(s.T, "failure"))
 	default:
 		current.answer = uint32(rapid.IntRange(1800, 2200).Draw(s.T, "answer"))
 	}
 	s.at += s.millis(5, 80, "work")
 	if rapid.Bool().Draw(s.T, "acknowledged in parts") {
-		s.see(sight{packet: Packet{Sequence: s.sequence, Acknowledged: s.answered + current.answer/2}, progress: true}, 0)
-		s.see(sight{packet: Packet{Sequence: s.sequence, Acknowledged: s.answered + current.answer/4}}, 0)
+		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Acknowledged: s.acknowledged + current.answer/2}, progress: true}, 0)
+		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Acknowledged: s.acknowledged + current.answer/4}}, 0)
 		s.at += s.millis(1, 400, "more")
 	}
-	s.answered += current.answer
+	s.acknowledged += current.answer
 	if rapid.Bool().Draw(s.T, "acknowledged") {
-		s.see(sight{packet: Packet{Sequence: s.sequence}, progress: true}, 0)
+		s.emit(observedPacket{packet: Packet{Sequence: s.sequence}, progress: true}, 0)
 	}
 	return true
 }
 
 // abandon ends a flow whose caller gets no answer, or lets it fall silent.
-func (s *script) abandon(after time.Duration) {
+func (s *flowScript) abandon(after time.Duration) {
 	s.at += after
 	switch rapid.IntRange(0, 2).Draw(s.T, "leaves") {
 	case 0:
-		s.see(sight{packet: Packet{Sequence: s.sequence, Closing: true}}, 0)
+		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Closing: true}}, 0)
 	case 1:
-		s.see(sight{packet: Packet{Sequence: s.sequence, Reset: true}}, 0)
+		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Reset: true}}, 0)
 	default:
-		if s.flow.exchanges[len(s.flow.exchanges)-1].fate == leftEarly {
-			s.see(sight{packet: Packet{Sequence: s.sequence, Closing: true}}, 0)
+		if s.flow.exchanges[len(s.flow.exchanges)-1].outcome == outcomeAbandoned {
+			s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Closing: true}}, 0)
 		}
 	}
 }
 
 // drawFlow draws a flow of some exchanges, with positions that may wrap.
-func drawFlow(t *rapid.T, port uint16, targets []directory.Token) trueFlow {
-	s := &script{T: t, port: port, sequence: rapid.Uint32().Draw(t, "sequence"), answered: rapid.Uint32Min(1).Draw(t, "acknowledged")}
+func drawFlow(t *rapid.T, port uint16, targets []directory.Token) simulatedFlow {
+	s := &flowScript{T: t, port: port, sequence: rapid.Uint32().Draw(t, "sequence"), acknowledged: rapid.Uint32Min(1).Draw(t, "acknowledged")}
 	s.flow.target = rapid.SampledFrom(targets).Draw(t, "target")
 	s.at = s.millis(0, 3000, "starts")
-	s.see(sight{packet: Packet{Opening: true}, exchange: -1}, 0)
+	s.emit(observedPacket{packet: Packet{Opening: true}, exchange: -1}, 0)
 	s.at += 5 * ms
 	more := true
 	for range rapid.IntRange(1, 3).Draw(t, "exchanges") {
-		if more = s.play(); !more {
+		if more = s.playExchange(); !more {
 			break
 		}
 		// Quiet says nothing where flows rest with an answer that does not show.
 		s.at += s.millis(1, 40, "rest")
 	}
 	if more {
-		s.see(sight{packet: Packet{Sequence: s.sequence, Closing: true}, last: true}, 0)
+		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Closing: true}, last: true}, 0)
 	}
-	slices.SortStableFunc(s.flow.sights, func(a, b sight) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(s.flow.packets, func(a, b observedPacket) int { return cmp.Compare(a.at, b.at) })
 	return s.flow
 }
 
 // expect returns what a node that sees a part of a flow ought to count.
-func (f trueFlow) expect(from, to int) directory.Outcomes {
+func (f simulatedFlow) expect(from, to int) directory.Outcomes {
 	var counted directory.Outcomes
-	seen := f.sights[from:to]
+	seen := f.packets[from:to]
 	for number, exchange := range f.exchanges {
-		began, progressed, ended := f.signs(seen, number)
+		began, progressed, ended := f.observe(seen, number)
 		joined := from > 0 && !f.isLater(seen, number)
 		switch {
 		case !began || joined || exchange.dropped:
-		case exchange.fate == ignored, !progressed && !ended && to < len(f.sights) && f.falls(seen):
+		case exchange.outcome == outcomeUnanswered, !progressed && !ended && to < len(f.packets) && f.isLeftOpen(seen):
 			counted.Unanswered++
 		case !ended:
-		case exchange.fate == failed:
+		case exchange.outcome == outcomeFailed:
 			counted.Short++
-		case exchange.fate == served:
+		case exchange.outcome == outcomeServed:
 			counted.Answered++
 		}
 	}
@@ -184,11 +184,11 @@
 
 // isLater reports whether an exchange began after a node that joined the flow had seen
 // another one end, and after the time of stray copies.
-func (f trueFlow) isLater(seen []sight, number int) bool {
+func (f simulatedFlow) isLater(seen []observedPacket, number int) bool {
 	if !advances(seen[0].packet.Acknowledged, f.exchanges[number].base) {
 		return false
 	}
-	return slices.ContainsFunc(seen, func(sight sight) bool {
+	return slices.ContainsFunc(seen, func(sight observedPacket) bool {
 		return sight.first && sight.exchange == number && sight.at-seen[0].at >= strayPacketTime
 	})
 }
@@ -196,12 +196,12 @@
 // falls reports whether what a node sees of a flow leaves its caller waiting, not ended.
 // Copies of its packets may come after its end: a caller that has reset its flow waits no
 // more, whatever comes last.
-func (f trueFlow) falls(seen []sight) bool {
-	return !slices.ContainsFunc(seen, func(sight sight) bool { return sight.packet.Closing || sight.packet.Reset })
+func (f simulatedFlow) isLeftOpen(seen []observedPacket) bool {
+	return !slices.ContainsFunc(seen, func(sight observedPacket) bool { return sight.packet.Closing || sight.packet.Reset })
 }
 
 // signs returns what a node sees of an exchange.
-func (f trueFlow) signs(seen []sight, number int) (began, progressed, ended bool) {
+func (f simulatedFlow) observe(seen []observedPacket, number int) (began, progressed, ended bool) {
 	whole := f.exchanges[number].base + f.exchanges[number].answer
 	for _, sight := range seen {
 		began = began || sight.first && sight.exchange == number
@@ -212,20 +212,20 @@
 	return began, progressed, ended
 }
 
-func TestExchangesAreCountedAsTheyTrulyEnd(t *testing.T) {
+func TestOutcomesMatchSimulatedExchanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w, token := newWatched(t)
+		w, token := newExchangeFixture(t)
 		for range 200 {
-			w.exchange(w.busy, usualAnswer)
+			w.exchange(w.busyTarget, typicalAnswerSize)
 		}
-		w.advance(reportEvery)
-		clear(w.sums)
+		w.advance(reportPeriod)
+		clear(w.outcomes)
 		third := w.target(w.now, "i-3", "booking", "north", "10.0.0.3:1", directory.TargetReady).Token
 		want := map[directory.Token]directory.Outcomes{}
-		var play []sight
+		var play []observedPacket
 		for port := range uint16(rapid.IntRange(1, 8).Draw(rt, "flows")) {
 			flow := drawFlow(rt, port+1, []directory.Token{token, third})
-			from, to := 0, len(flow.sights)
+			from, to := 0, len(flow.packets)
 			switch rapid.IntRange(0, 5).Draw(rt, "view") {
 			case 0:
 				from = rapid.IntRange(0, to-1).Draw(rt, "joins at")
@@ -233,14 +233,14 @@
 				to = rapid.IntRange(1, to).Draw(rt, "leaves at")
 			}
 			want[flow.target] = want[flow.target].Add(flow.expect(from, to))
-			for _, seen := range flow.sights[from:to] {
+			for _, seen := range flow.packets[from:to] {
 				if seen.first && flow.exchanges[seen.exchange].dropped {
 					seen.packet.Forged = true
 				}
 				play = append(play, seen)
 			}
 		}
-		slices.SortStableFunc(play, func(a, b sight) int { return cmp.Compare(a.at, b.at) })
+		slices.SortStableFunc(play, func(a, b observedPacket) int { return cmp.Compare(a.at, b.at) })
 		began := w.now
 		for _, seen := range play {
 			w.advance(began.Add(seen.at).Sub(w.now))
@@ -253,7 +253,7 @@
 		}
 		w.advance(3 * time.Second)
 		for _, target := range []directory.Token{token, third} {
-			counted := w.sums[target]
+			counted := w.outcomes[target]
 			counted.Token = 0
 			assert.Equal(rt, want[target], counted)
 		}
--- a/internal/steer/exchange_test.go
+++ b/internal/steer/exchange_test.go
@@ -14,74 +14,74 @@
 const (
 	// usualAnswer is the size in bytes of the answers that a node has seen, and
 	// usualTime the time to their first progress.
-	usualAnswer = 2000
-	usualTime   = 20 * time.Millisecond
+	typicalAnswerSize = 2000
+	typicalTime       = 20 * time.Millisecond
 	// isn is the first position of callers, near the wrap of positions.
-	isn = math.MaxUint32 - 400
+	initialSequence = math.MaxUint32 - 400
 )
 
 // watched is a bench whose node has seen usual exchanges, and which turns the reports
 // of a test into sums.
-type watched struct {
-	*bench
+type exchangeFixture struct {
+	*coreFixture
 	now      kernel.Instant
 	reported kernel.Instant
-	sums     map[directory.Token]directory.Outcomes
+	outcomes map[directory.Token]directory.Outcomes
 	// port is that of the caller whose flows keep the node busy.
 	port uint16
 	// alone is set while nobody else's exchanges are answered at the node.
-	alone bool
+	idle bool
 	// busy is the target of the flows that keep the node busy.
-	busy directory.Token
+	busyTarget directory.Token
 }
 
 const firstBusyPort = 20_000
 
-func newWatched(t *testing.T) (*watched, directory.Token) {
-	b := booking(t)
+func newExchangeFixture(t *testing.T) (*exchangeFixture, directory.Token) {
+	b := newBookingFixture(t)
 	tokens := b.addTargets(start, 1, 2)
-	w := &watched{bench: b, now: start, reported: start, sums: map[directory.Token]directory.Outcomes{}, port: firstBusyPort, busy: tokens[1]}
-	w.core.Report(start, reportEvery)
+	w := &exchangeFixture{coreFixture: b, now: start, reported: start, outcomes: map[directory.Token]directory.Outcomes{}, port: firstBusyPort, busyTarget: tokens[1]}
+	w.core.Report(start, reportPeriod)
 	for range 2 * minBaselineSamples {
-		w.advance(reportEvery)
+		w.advance(reportPeriod)
 	}
-	clear(w.sums)
+	clear(w.outcomes)
 	return w, tokens[0]
 }
 
 // advance lets time pass, with reports when they are due.
-func (w *watched) advance(passed time.Duration) {
+func (w *exchangeFixture) advance(passed time.Duration) {
 	end := w.now.Add(passed)
-	for due := w.reported.Add(reportEvery); !end.Before(due); due = w.reported.Add(reportEvery) {
+	for due := w.reported.Add(reportPeriod); !end.Before(due); due = w.reported.Add(reportPeriod) {
 		w.now = due
 		w.reported = due
-		if !w.alone {
-			w.exchange(w.busy, usualAnswer)
+		if !w.idle {
+			w.exchange(w.busyTarget, typicalAnswerSize)
 		}
 		w.report()
 	}
 	w.now = end
 }
 
-func (w *watched) report() {
-	for _, counted := range w.core.Report(w.now, reportEvery).Outcomes {
-		w.sums[counted.Token] = w.sums[counted.Token].Add(counted)
+func (w *exchangeFixture) report() {
+	for _, counted := range w.core.Report(w.now, reportPeriod).Outcomes {
+		w.outcomes[counted.Token] = w.outcomes[counted.Token].Add(counted)
 	}
 }
 
 // exchange plays a flow with one exchange that is answered in the usual time.
-func (w *watched) exchange(token directory.Token, size uint32) {
+func (w *exchangeFixture) exchange(token directory.Token, size uint32) {
 	w.port++
-	w.core.Decide(w.now.Add(-usualTime), opening(w.port, 0))
-	w.core.Decide(w.now.Add(-usualTime), sending(w.port, token, isn, 1, 100))
-	closing := sending(w.port, token, isn+100, 1+size, 0)
+	w.core.Decide(w.now.Add(-typicalTime), opening(w.port, 0))
+	w.core.Decide(w.now.Add(-typicalTime), dataPacket(w.port, token, initialSequence, 1, 100))
+	closing := dataPacket(w.port, token, initialSequence+100, 1+size, 0)
 	closing.Closing = true
 	w.core.Decide(w.now, closing)
 }
 
 // sending returns a packet with positions.
-func sending(port uint16, token directory.Token, sequence, acknowledged uint32, size int) Packet {
-	packet := following(port, token, acknowledged)
+func dataPacket(port uint16, token directory.Token, sequence, acknowledged uint32, size int) Packet {
+	packet := flowPacket(port, token, acknowledged)
 	packet.Sequence = sequence
 	packet.Size = size
 	return packet
@@ -102,13 +102,13 @@
 }
 
 // play plays a caller's flow to a target and returns what was counted of it.
-func (w *watched) play(token directory.Token, steps ...step) directory.Outcomes {
+func (w *exchangeFixture) play(token directory.Token, steps ...step) directory.Outcomes {
 	// The target's first position, so that acknowledgements wrap too.
 	const base = math.MaxUint32 - 100
 	began := w.now
 	for _, step := range steps {
 		w.advance(began.Add(step.after).Sub(w.now))
-		packet := sending(1, token, isn+step.sequence, base+step.answered, step.size)
+		packet := dataPacket(1, token, initialSequence+step.sequence, base+step.answered, step.size)
 		packet.Closing, packet.Reset, packet.Opening = step.closing, step.reset, step.opening
 		w.core.Decide(w.now, packet)
 		if step.dropped {
@@ -116,7 +116,7 @@
 		}
 	}
 	w.advance(3 * time.Second)
-	counted := w.sums[token]
+	counted := w.outcomes[token]
 	counted.Token = 0
 	return counted
 }
@@ -124,15 +124,15 @@
 const ms = time.Millisecond
 
 var (
-	answered   = directory.Outcomes{Answered: 1}
-	unanswered = directory.Outcomes{Unanswered: 1}
-	short      = directory.Outcomes{Short: 1}
-	slow       = directory.Outcomes{Slow: 1}
-	nothing    = directory.Outcomes{}
-	twice      = directory.Outcomes{Answered: 2}
+	outcomeOneAnswered   = directory.Outcomes{Answered: 1}
+	outcomeOneUnanswered = directory.Outcomes{Unanswered: 1}
+	outcomeOneShort      = directory.Outcomes{Short: 1}
+	outcomeOneSlow       = directory.Outcomes{Slow: 1}
+	noOutcome            = directory.Outcomes{}
+	answeredTwice        = directory.Outcomes{Answered: 2}
 )
 
-func TestHowExchangesEnd(t *testing.T) {
+func TestExchangeOutcomes(t *testing.T) {
 	open := step{opening: true}
 	request := step{after: 5 * ms, size: 100}
 	cases := []struct {
@@ -140,40 +140,40 @@
 		steps []step
 		want  directory.Outcomes
 	}{
-		{"answered and ended", []step{open, request, {after: 30 * ms, sequence: 100, answered: 2000}, {after: 31 * ms, sequence: 100, answered: 2400, closing: true}}, answered},
-		{"an answer of one packet is seen with the end", []step{open, request, {after: 30 * ms, sequence: 100, answered: 1100, closing: true}}, answered},
-		{"quiet", []step{open, request}, unanswered},
-		{"quiet after copies", []step{open, request, {after: 205 * ms, size: 100}, {after: 605 * ms, size: 100}}, unanswered},
-		{"reset by its caller at the deadline", []step{open, request, {after: 2 * time.Second, sequence: 100, reset: true}}, unanswered},
-		{"ended by its caller at the deadline", []step{open, request, {after: 2 * time.Second, sequence: 100, closing: true}}, unanswered},
-		{"ended by the target without an answer", []step{open, request, {after: 10 * ms, sequence: 100, answered: finLength, closing: true}}, unanswered},
-		{"broken off early by its caller", []step{open, request, {after: 20 * ms, sequence: 100, reset: true}}, nothing},
-		{"given up early by its caller", []step{open, request, {after: 20 * ms, sequence: 100, closing: true}}, nothing},
-		{"a failure", []step{open, request, {after: 30 * ms, sequence: 100, answered: 200, closing: true}}, short},
-		{"broken off amid its answer", []step{open, request, {after: 30 * ms, sequence: 100, answered: 200, reset: true}}, nothing},
-		{"whole, then reset", []step{open, request, {after: 30 * ms, sequence: 100, answered: 2000, reset: true}}, answered},
-		{"a late answer", []step{open, request, {after: 245 * ms, sequence: 100, answered: 2000}, {after: 246 * ms, sequence: 100, answered: 2000, closing: true}}, slow},
-		{"a lost packet sent again", []step{open, request, {after: 205 * ms, size: 100}, {after: 220 * ms, sequence: 100, answered: 2000, closing: true}}, slow},
+		{"answered and ended", []step{open, request, {after: 30 * ms, sequence: 100, answered: 2000}, {after: 31 * ms, sequence: 100, answered: 2400, closing: true}}, outcomeOneAnswered},
+		{"an answer of one packet is seen with the end", []step{open, request, {after: 30 * ms, sequence: 100, answered: 1100, closing: true}}, outcomeOneAnswered},
+		{"quiet", []step{open, request}, outcomeOneUnanswered},
+		{"quiet after copies", []step{open, request, {after: 205 * ms, size: 100}, {after: 605 * ms, size: 100}}, outcomeOneUnanswered},
+		{"reset by its caller at the deadline", []step{open, request, {after: 2 * time.Second, sequence: 100, reset: true}}, outcomeOneUnanswered},
+		{"ended by its caller at the deadline", []step{open, request, {after: 2 * time.Second, sequence: 100, closing: true}}, outcomeOneUnanswered},
+		{"ended by the target without an answer", []step{open, request, {after: 10 * ms, sequence: 100, answered: finLength, closing: true}}, outcomeOneUnanswered},
+		{"broken off early by its caller", []step{open, request, {after: 20 * ms, sequence: 100, reset: true}}, noOutcome},
+		{"given up early by its caller", []step{open, request, {after: 20 * ms, sequence: 100, closing: true}}, noOutcome},
+		{"a failure", []step{open, request, {after: 30 * ms, sequence: 100, answered: 200, closing: true}}, outcomeOneShort},
+		{"broken off amid its answer", []step{open, request, {after: 30 * ms, sequence: 100, answered: 200, reset: true}}, noOutcome},
+		{"whole, then reset", []step{open, request, {after: 30 * ms, sequence: 100, answered: 2000, reset: true}}, outcomeOneAnswered},
+		{"a late answer", []step{open, request, {after: 245 * ms, sequence: 100, answered: 2000}, {after: 246 * ms, sequence: 100, answered: 2000, closing: true}}, outcomeOneSlow},
+		{"a lost packet sent again", []step{open, request, {after: 205 * ms, size: 100}, {after: 220 * ms, sequence: 100, answered: 2000, closing: true}}, outcomeOneSlow},
 		{"an upload, out of order", []step{
 			open, {after: 5 * ms, size: 1000}, {after: 5 * ms, sequence: 2000, size: 1000}, {after: 5 * ms, sequence: 1000, size: 1000},
 			{after: 300 * ms, sequence: 3000, size: 1000}, {after: 600 * ms, sequence: 4000, size: 1000},
 			{after: 900 * ms, sequence: 5000, size: 1000}, {after: 930 * ms, sequence: 6000, answered: 2000, closing: true},
-		}, answered},
+		}, outcomeOneAnswered},
 		{"an upload with a packet lost twice", []step{
 			open, {after: 5 * ms, size: 1000}, {after: 5 * ms, sequence: 2000, size: 1000}, {after: 205 * ms, sequence: 1000, size: 1000},
 			{after: 605 * ms, sequence: 1000, size: 1000}, {after: 640 * ms, sequence: 3000, answered: 2000, closing: true},
-		}, answered},
-		{"an upload that stops", []step{open, {after: 5 * ms, size: 1000}, {after: 400 * ms, sequence: 1000, size: 1000}}, unanswered},
+		}, outcomeOneAnswered},
+		{"an upload that stops", []step{open, {after: 5 * ms, size: 1000}, {after: 400 * ms, sequence: 1000, size: 1000}}, outcomeOneUnanswered},
 		{"a download", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2400}, {after: 400 * ms, sequence: 100, answered: 4800},
 			{after: 3000 * ms, sequence: 100, answered: 40000, closing: true},
-		}, answered},
-		{"no data", []step{open, {after: 5 * ms}, {after: 3 * time.Second, closing: true}}, nothing},
+		}, outcomeOneAnswered},
+		{"no data", []step{open, {after: 5 * ms}, {after: 3 * time.Second, closing: true}}, noOutcome},
 		{"two requests on a flow that rests", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2000},
 			{after: 4 * time.Second, sequence: 100, answered: 2000, size: 100}, {after: 4030 * ms, sequence: 200, answered: 4000},
 			{after: 9 * time.Second, sequence: 200, answered: 4000, closing: true},
-		}, twice},
+		}, answeredTwice},
 		{"the second request fails", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2000},
 			{after: 4 * time.Second, sequence: 100, answered: 2000, size: 100}, {after: 4030 * ms, sequence: 200, answered: 2200, closing: true},
@@ -181,80 +181,80 @@
 		{"a copy of the first request after the second", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2000, size: 100},
 			{after: 31 * ms, size: 100, answered: 0}, {after: 60 * ms, sequence: 200, answered: 4000, closing: true},
-		}, twice},
+		}, answeredTwice},
 		{"an old acknowledgement comes late", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2000}, {after: 31 * ms, sequence: 100, answered: 1000},
 			{after: 32 * ms, sequence: 100, answered: 2000, closing: true},
-		}, answered},
-		{"the node drops the request", []step{open, {after: 5 * ms, size: 100, dropped: true}}, nothing},
+		}, outcomeOneAnswered},
+		{"the node drops the request", []step{open, {after: 5 * ms, size: 100, dropped: true}}, noOutcome},
 		{"the node drops the request, and it is answered late", []step{
 			open, {after: 5 * ms, size: 100, dropped: true}, {after: 400 * ms, sequence: 100, answered: 2000, closing: true},
-		}, nothing},
+		}, noOutcome},
 		{"the node drops one request and forwards the next", []step{
 			open, {after: 5 * ms, size: 100, dropped: true}, {after: 400 * ms, sequence: 100, answered: 2000, size: 100},
 			{after: 430 * ms, sequence: 200, answered: 4000, closing: true},
-		}, answered},
-		{"joined in its middle", []step{request, {after: 700 * ms, sequence: 100, answered: 1200, closing: true}}, nothing},
-		{"joined in its middle, and quiet", []step{request}, nothing},
-		{"joined amid an upload that stops", []step{{size: 1000}, {after: 400 * ms, sequence: 1000, size: 1000}}, nothing},
-		{"a new flow from the same port", []step{open, request, {after: 100 * ms, opening: true}}, nothing},
-		{"joined at an acknowledgement", []step{{sequence: 100, answered: 1200}, {after: 5 * ms, sequence: 100, answered: 1300, closing: true}}, nothing},
+		}, outcomeOneAnswered},
+		{"joined in its middle", []step{request, {after: 700 * ms, sequence: 100, answered: 1200, closing: true}}, noOutcome},
+		{"joined in its middle, and quiet", []step{request}, noOutcome},
+		{"joined amid an upload that stops", []step{{size: 1000}, {after: 400 * ms, sequence: 1000, size: 1000}}, noOutcome},
+		{"a new flow from the same port", []step{open, request, {after: 100 * ms, opening: true}}, noOutcome},
+		{"joined at an acknowledgement", []step{{sequence: 100, answered: 1200}, {after: 5 * ms, sequence: 100, answered: 1300, closing: true}}, noOutcome},
 		{"joined, then another request", []step{
 			request, {after: 230 * ms, sequence: 100, answered: 1200, size: 100}, {after: 260 * ms, sequence: 200, answered: 1300, closing: true},
-		}, short},
+		}, outcomeOneShort},
 		{"copies that come after the end", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2000, size: 100}, {after: 60 * ms, sequence: 200, answered: 4000, closing: true},
 			{after: 62 * ms, size: 100}, {after: 64 * ms, sequence: 100, answered: 2000, size: 100},
-		}, twice},
+		}, answeredTwice},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			w, token := newWatched(t)
+			w, token := newExchangeFixture(t)
 			assert.Equal(t, test.want, w.play(token, test.steps...))
 		})
 	}
 }
 
-func TestANodeThatNobodyIsAnsweredThroughSaysNothing(t *testing.T) {
-	w, token := newWatched(t)
-	w.alone = true
-	assert.Equal(t, nothing, w.play(token, step{opening: true}, step{size: 100}))
+func TestNodeWithoutAnyAnswersReportsNoOutcomes(t *testing.T) {
+	w, token := newExchangeFixture(t)
+	w.idle = true
+	assert.Equal(t, noOutcome, w.play(token, step{opening: true}, step{size: 100}))
 }
 
-func TestWhatANodeHeldBackOnItsOwnLinkCountsNothing(t *testing.T) {
-	w, token := newWatched(t)
+func TestExchangesDuringLinkDelayAreIgnored(t *testing.T) {
+	w, token := newExchangeFixture(t)
 	w.core.Decide(w.now, opening(1, 0))
-	w.core.Decide(w.now, sending(1, token, isn, 1, 100))
+	w.core.Decide(w.now, dataPacket(1, token, initialSequence, 1, 100))
 	w.core.RecordLinkDelay(w.now, linkDelayThreshold)
 	w.advance(2 * time.Second)
-	assert.Equal(t, nothing, w.sums[token])
-	assert.Equal(t, unanswered, w.play(token, step{opening: true}, step{size: 100}), "a later one speaks")
+	assert.Equal(t, noOutcome, w.outcomes[token])
+	assert.Equal(t, outcomeOneUnanswered, w.play(token, step{opening: true}, step{size: 100}), "a later one speaks")
 }
 
-func TestANodeThatWasStoppedSaysNothingOfWhatItMissed(t *testing.T) {
-	w, token := newWatched(t)
+func TestExchangesDuringStallAreIgnored(t *testing.T) {
+	w, token := newExchangeFixture(t)
 	w.core.Decide(w.now, opening(1, 0))
-	w.core.Decide(w.now, sending(1, token, isn, 1, 100))
+	w.core.Decide(w.now, dataPacket(1, token, initialSequence, 1, 100))
 	w.now = w.now.Add(2 * time.Second)
 	w.reported = w.now
 	w.report()
 	w.advance(2 * time.Second)
-	assert.Equal(t, nothing, w.sums[token])
-	assert.Equal(t, unanswered, w.play(token, step{opening: true}, step{size: 100}), "a later one speaks")
+	assert.Equal(t, noOutcome, w.outcomes[token])
+	assert.Equal(t, outcomeOneUnanswered, w.play(token, step{opening: true}, step{size: 100}), "a later one speaks")
 }
 
 // Callers on long flows acknowledge an answer of one packet with their next request.
-func TestQuietSaysNothingWhereFlowsSpeakAgain(t *testing.T) {
-	w, token := newWatched(t)
-	w.alone = true
+func TestQuietIsIgnoredOnRoutesWithoutAcknowledgements(t *testing.T) {
+	w, token := newExchangeFixture(t)
+	w.idle = true
 	const flows = 20
 	turn := uint32(0)
 	turns := func(count int) {
 		for range count {
 			turn++
 			for port := range uint16(flows) {
-				w.core.Decide(w.now, sending(port+1, token, isn+100*turn, 1500*turn, 100))
-				w.advance(reportEvery)
+				w.core.Decide(w.now, dataPacket(port+1, token, initialSequence+100*turn, 1500*turn, 100))
+				w.advance(reportPeriod)
 			}
 		}
 	}
@@ -262,89 +262,89 @@
 		w.core.Decide(w.now, opening(port+1, 0))
 	}
 	turns(2)
-	learning := w.sums[token].Unanswered
+	learning := w.outcomes[token].Unanswered
 	assert.Positive(t, learning)
 	assert.Less(t, learning, uint32(2*flows), "until the node has learned it")
 	turns(10)
-	assert.Equal(t, learning, w.sums[token].Unanswered)
-	assert.Greater(t, w.sums[token].Answered, uint32(9*flows))
+	assert.Equal(t, learning, w.outcomes[token].Unanswered)
+	assert.Greater(t, w.outcomes[token].Answered, uint32(9*flows))
 }
 
 // The usual answers of an upload are as short as those of failures elsewhere.
-func TestAnswersAreShortOnlyBesideTheUsualOnes(t *testing.T) {
-	b := booking(t)
+func TestShortIsRelativeToRouteBaseline(t *testing.T) {
+	b := newBookingFixture(t)
 	tokens := b.addTargets(start, 1, 2)
-	w := &watched{bench: b, now: start, reported: start, sums: map[directory.Token]directory.Outcomes{}, port: firstBusyPort, alone: true}
+	w := &exchangeFixture{coreFixture: b, now: start, reported: start, outcomes: map[directory.Token]directory.Outcomes{}, port: firstBusyPort, idle: true}
 	for number := range uint32(200) {
-		w.advance(reportEvery)
+		w.advance(reportPeriod)
 		w.exchange(tokens[number%2], 250+number%100)
 	}
-	assert.Zero(t, w.sums[tokens[0]].Short+w.sums[tokens[1]].Short)
-	assert.NotZero(t, w.sums[tokens[0]].Answered)
+	assert.Zero(t, w.outcomes[tokens[0]].Short+w.outcomes[tokens[1]].Short)
+	assert.NotZero(t, w.outcomes[tokens[0]].Answered)
 }
 
-func TestFailuresStayShortWhenAFifthOfAllAnswersAreFailures(t *testing.T) {
-	w, token := newWatched(t)
-	w.alone = true
+func TestFrequentFailuresStayShort(t *testing.T) {
+	w, token := newExchangeFixture(t)
+	w.idle = true
 	for range 300 {
 		for range 4 {
-			w.exchange(w.busy, usualAnswer)
+			w.exchange(w.busyTarget, typicalAnswerSize)
 		}
 		w.exchange(token, 200)
-		w.advance(reportEvery)
+		w.advance(reportPeriod)
 	}
-	assert.Equal(t, uint32(300), w.sums[token].Short)
-	assert.Zero(t, w.sums[w.busy].Short)
+	assert.Equal(t, uint32(300), w.outcomes[token].Short)
+	assert.Zero(t, w.outcomes[w.busyTarget].Short)
 }
 
-func TestANodeThatHasJustStartedHoldsNothingForUnusual(t *testing.T) {
-	b := booking(t)
+func TestNewNodeReportsNoAnomalies(t *testing.T) {
+	b := newBookingFixture(t)
 	token := b.addTargets(start, 1, 1)[0]
-	w := &watched{bench: b, now: start, reported: start, sums: map[directory.Token]directory.Outcomes{}, port: firstBusyPort, alone: true}
-	w.core.Report(start, reportEvery)
-	w.advance(reportEvery / 2)
+	w := &exchangeFixture{coreFixture: b, now: start, reported: start, outcomes: map[directory.Token]directory.Outcomes{}, port: firstBusyPort, idle: true}
+	w.core.Report(start, reportPeriod)
+	w.advance(reportPeriod / 2)
 	for range minBaselineSamples / 2 {
-		w.exchange(token, usualAnswer)
+		w.exchange(token, typicalAnswerSize)
 	}
 	w.exchange(token, 200)
 	w.core.Decide(w.now, opening(1, 0))
-	w.core.Decide(w.now, sending(1, token, isn, 1, 100))
+	w.core.Decide(w.now, dataPacket(1, token, initialSequence, 1, 100))
 	w.advance(200 * ms)
-	w.exchange(token, usualAnswer)
+	w.exchange(token, typicalAnswerSize)
 	w.advance(time.Second)
-	assert.Equal(t, directory.Outcomes{Answered: minBaselineSamples/2 + 2}, w.sums[token])
+	assert.Equal(t, directory.Outcomes{Answered: minBaselineSamples/2 + 2}, w.outcomes[token])
 }
 
-func TestFlowsThatTheNodeResetsCountNothing(t *testing.T) {
-	w, token := newWatched(t)
+func TestResetFlowsAreNotCounted(t *testing.T) {
+	w, token := newExchangeFixture(t)
 	w.core.Decide(w.now, opening(1, 0))
-	w.core.Decide(w.now, sending(1, token, isn, 1, 100))
+	w.core.Decide(w.now, dataPacket(1, token, initialSequence, 1, 100))
 	assert.Len(t, w.core.ApplyVerdicts(directory.Verdicts{Lost: []directory.Token{token}}), 1)
 	w.advance(2 * time.Second)
-	assert.Equal(t, nothing, w.sums[token])
+	assert.Equal(t, noOutcome, w.outcomes[token])
 }
 
 // Targets that reset what they get look idlest: nobody waits at them.
-func TestATargetThatLeavesAnExchangeUnansweredIsPassedOverForAWhile(t *testing.T) {
-	w, token := newWatched(t)
+func TestFailedTargetIsAvoidedTemporarily(t *testing.T) {
+	w, token := newExchangeFixture(t)
 	w.core.Decide(w.now, opening(1, 0))
-	w.core.Decide(w.now, sending(1, token, isn, 1, 100))
-	w.advance(minQuietTime + reportEvery)
+	w.core.Decide(w.now, dataPacket(1, token, initialSequence, 1, 100))
+	w.advance(minQuietTime + reportPeriod)
 	for port := range uint16(20) {
 		decision := w.core.Decide(w.now, opening(100+port, 0))
-		assert.Equal(t, w.busy, decision.Target.Token)
+		assert.Equal(t, w.busyTarget, decision.Target.Token)
 		assert.Equal(t, 1, decision.Doubtful)
 	}
 	entry := w.core.targets[token]
 	assert.True(t, entry.hasFailed(w.now))
 	assert.False(t, entry.hasFailed(w.now.Add(failureLifetime)))
-	w.exchange(token, usualAnswer)
+	w.exchange(token, typicalAnswerSize)
 	assert.False(t, entry.hasFailed(w.now), "it serves again")
 }
 
-func TestHabitsOfRoutesThatAreGoneAreForgotten(t *testing.T) {
-	w, token := newWatched(t)
-	w.exchange(token, usualAnswer)
+func TestBaselinesOfRemovedRoutesAreDropped(t *testing.T) {
+	w, token := newExchangeFixture(t)
+	w.exchange(token, typicalAnswerSize)
 	assert.Len(t, w.core.baselines, 1)
 	w.publish(w.now, 2, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}), route("s", otherAddress, directory.Backend{Service: "booking", Weight: 1}))
 	assert.Equal(t, 2*minBaselineSamples+1, w.core.baselines[bookingAddress].sizes.total)
@@ -352,7 +352,7 @@
 	assert.Empty(t, w.core.baselines)
 }
 
-func TestTheWheelHoldsEachFlowOnceAndFindsItInTime(t *testing.T) {
+func TestTimerWheelFiresEachFlowOnceAndOnTime(t *testing.T) {
 	var wheel timerWheel
 	flows := make([]*flowEntry, 100)
 	due := map[*flowEntry]kernel.Instant{}
@@ -388,7 +388,7 @@
 	assert.False(t, flows[0].exchange.inWheel, "found after a long stop")
 }
 
-func TestQuantilesOfALogHistogram(t *testing.T) {
+func TestLogHistogramQuantiles(t *testing.T) {
 	var histogram logHistogram
 	assert.Zero(t, histogram.quantile(0.5))
 	for value := range 3000 {
--- a/internal/steer/follower_test.go
+++ b/internal/steer/follower_test.go
@@ -18,7 +18,7 @@
 
 // All nodes that had followed a member of another zone left it within 80 ms of
 // each other, 8 s after an outage (patitas-uio-large and swancoast-geo-large).
-func TestNodesGoToTheirOwnZoneAtDifferentTimes(t *testing.T) {
+func TestReturnToLocalZoneIsJittered(t *testing.T) {
 	f := newTestFollower()
 	times := map[time.Duration]bool{}
 	for range 100 {
@@ -31,7 +31,7 @@
 	assert.GreaterOrEqual(t, f.remoteStayTime(), RemoteStay)
 }
 
-func TestAFarMemberIsLeftForANearOne(t *testing.T) {
+func TestRemoteMemberIsLeftForLocalOne(t *testing.T) {
 	f := newTestFollower()
 	f.Follow(start, f.List.Members[0])
 	assert.NoError(t, f.CheckZone(start))
@@ -46,7 +46,7 @@
 	assert.NoError(t, f.CheckZone(start.Add(time.Hour)), "a near member is never left for that")
 }
 
-func TestAMemberThatIsNotCurrentIsLeftAfterAWhile(t *testing.T) {
+func TestNotCurrentMemberIsLeftAfterTimeout(t *testing.T) {
 	f := newTestFollower()
 	f.Follow(start, f.List.Members[1])
 	later := start.Add(NotCurrentTimeout)
@@ -56,7 +56,7 @@
 	assert.NoError(t, f.HandleStatus(later.Add(3), MemberStatus{}, false), "it has been current since")
 }
 
-func TestAMemberThatKnowsNothingIsLeftAtOnceUntilAllWereMet(t *testing.T) {
+func TestEmptyMemberIsLeftUntilAllWereTried(t *testing.T) {
 	f := newTestFollower()
 	f.List.Seeds = []string{"c"}
 	empty := MemberStatus{Empty: true}
@@ -69,7 +69,7 @@
 	assert.ErrorIs(t, f.HandleStatus(start, empty, true), ErrEmpty)
 }
 
-func TestANodeIsReferredOnce(t *testing.T) {
+func TestReferralIsTakenOnce(t *testing.T) {
 	f := NewFollower(NewMemberList("north"), rand.New(rand.NewPCG(1, 1)))
 	assert.True(t, f.NeedsReferral())
 	assert.ErrorIs(t, f.ApplyReferral([]directory.Member{{Address: "b", Zone: "north"}}), ErrReferred)
--- a/internal/steer/leaderless_test.go
+++ b/internal/steer/leaderless_test.go
@@ -14,30 +14,30 @@
 )
 
 // usualSilence stands for the limit of the process that follows members.
-const usualSilence = 1300 * time.Millisecond
+const defaultReadTimeout = 1300 * time.Millisecond
 
 // splitGroup is a group of members of which those in behind have had no leader
 // since a moment. Members stand in three zones by turns.
-type splitGroup struct {
-	members []directory.Member
-	behind  map[string]bool
-	since   kernel.Instant
+type partitionedGroup struct {
+	members       []directory.Member
+	leaderless    map[string]bool
+	partitionedAt kernel.Instant
 	// signAfter is how long a member takes to its first sign of life.
-	signAfter func(address string) time.Duration
+	statusDelay func(address string) time.Duration
 }
 
 // newSplitGroup puts the members of zone 0, and others until only a quorum is
 // left, behind.
-func newSplitGroup(size int, now kernel.Instant) *splitGroup {
-	g := &splitGroup{behind: map[string]bool{}, since: now, signAfter: func(string) time.Duration { return 3 * time.Millisecond }}
+func newPartitionedGroup(size int, now kernel.Instant) *partitionedGroup {
+	g := &partitionedGroup{leaderless: map[string]bool{}, partitionedAt: now, statusDelay: func(string) time.Duration { return 3 * time.Millisecond }}
 	for number := range size {
 		g.members = append(g.members, directory.Member{Address: fmt.Sprint("m", number), Zone: fmt.Sprint("zone-", number%3)})
 	}
 	left := (size - 1) / 2
 	for _, zone := range []string{"zone-0", "zone-1", "zone-2"} {
 		for _, member := range g.members {
-			if member.Zone == zone && len(g.behind) < left {
-				g.behind[member.Address] = true
+			if member.Zone == zone && len(g.leaderless) < left {
+				g.leaderless[member.Address] = true
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 }
 
 // visit is a connection of a node to a member.
-type visit struct {
+type connectionAttempt struct {
 	address string
 	at      kernel.Instant
 }
@@ -55,12 +55,12 @@
 
 // seek follows members as a node's process does, from the moment at which its own
 // says that it has no leader any more, and returns when one is current.
-func (g *splitGroup) seek(f *Follower, now kernel.Instant) (kernel.Instant, []visit) {
-	var visits []visit
-	reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.since)}, false)
+func (g *partitionedGroup) findCurrent(f *Follower, now kernel.Instant) (kernel.Instant, []connectionAttempt) {
+	var visits []connectionAttempt
+	reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.partitionedAt)}, false)
 	for reason == nil {
 		now = now.Add(400 * time.Millisecond)
-		reason = f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.since)}, false)
+		reason = f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.partitionedAt)}, false)
 	}
 	for len(visits) < 100 {
 		now = now.Add(f.RetryDelay(reason))
@@ -68,7 +68,7 @@
 		f.List.RecordFailure(member.Address, now)
 		now = now.Add(connectTime)
 		f.Follow(now, member)
-		visits = append(visits, visit{address: member.Address, at: now})
+		visits = append(visits, connectionAttempt{address: member.Address, at: now})
 		if now, reason = g.stay(f, now, member); reason == nil {
 			return now, visits
 		}
@@ -77,17 +77,17 @@
 }
 
 // stay follows one member until it is left; the reason is nil when it is current.
-func (g *splitGroup) stay(f *Follower, now kernel.Instant, member directory.Member) (kernel.Instant, error) {
-	wait := g.signAfter(member.Address)
-	if limit := f.ReadTimeout(usualSilence, false); wait > limit {
+func (g *partitionedGroup) stay(f *Follower, now kernel.Instant, member directory.Member) (kernel.Instant, error) {
+	wait := g.statusDelay(member.Address)
+	if limit := f.ReadTimeout(defaultReadTimeout, false); wait > limit {
 		return now.Add(limit), f.HandleReadError(assert.AnError)
 	}
 	now = now.Add(wait)
-	if !g.behind[member.Address] {
+	if !g.leaderless[member.Address] {
 		return now, f.HandleStatus(now, MemberStatus{Current: true}, false)
 	}
 	for {
-		if reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.since)}, false); reason != nil {
+		if reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.partitionedAt)}, false); reason != nil {
 			return now, reason
 		}
 		now = now.Add(400 * time.Millisecond)
@@ -95,7 +95,7 @@
 }
 
 // followerIn returns a follower in a zone that follows a member which is behind.
-func (g *splitGroup) followerIn(zone string, seed uint64, now kernel.Instant) *Follower {
+func (g *partitionedGroup) followerIn(zone string, seed uint64, now kernel.Instant) *Follower {
 	random := rand.New(rand.NewPCG(seed, 1))
 	f := NewFollower(NewMemberList(zone, WithShuffle(random.Shuffle)), random)
 	f.List.Members = slices.Clone(g.members)
@@ -108,47 +108,47 @@
 // Bench day trouble-1 of patitas-uio-now-grown: a node of a zone whose members were
 // all cut off went from one to the next for 5.1 s, 0.85 s at each, and placed flows
 // by the version before (CONFIG).
-func TestANodeFindsACurrentMemberWithinASecondOfASplit(t *testing.T) {
+func TestCurrentMemberIsFoundWithinASecondOfPartition(t *testing.T) {
 	for _, size := range []int{3, 5, 9, 13} {
 		for seed := range uint64(200) {
 			cut := start
 			told := cut.Add(LeaderlessTimeout)
-			g := newSplitGroup(size, cut)
-			found, visits := g.seek(g.followerIn("zone-0", seed, cut), told)
+			g := newPartitionedGroup(size, cut)
+			found, visits := g.findCurrent(g.followerIn("zone-0", seed, cut), told)
 			assert.LessOrEqual(t, found.Sub(told), time.Second, "%d members, seed %d, visits %v", size, seed, visits)
 		}
 	}
 }
 
 // A member that is frozen accepts connections and says nothing.
-func TestAMemberThatSaysNothingIsLeftSoonWhileTheNodeSeeksALeader(t *testing.T) {
+func TestUnresponsiveMemberIsLeftSoonWithoutLeader(t *testing.T) {
 	for seed := range uint64(200) {
 		cut := start
 		told := cut.Add(LeaderlessTimeout)
-		g := newSplitGroup(9, cut)
+		g := newPartitionedGroup(9, cut)
 		silent := g.members[seed%9].Address
-		g.signAfter = func(address string) time.Duration {
+		g.statusDelay = func(address string) time.Duration {
 			if address == silent {
 				return time.Hour
 			}
 			return 50 * time.Millisecond
 		}
-		found, visits := g.seek(g.followerIn("zone-0", seed, cut), told)
+		found, visits := g.findCurrent(g.followerIn("zone-0", seed, cut), told)
 		assert.LessOrEqual(t, found.Sub(told), time.Second, "seed %d, visits %v", seed, visits)
 	}
 }
 
 // Hundreds of nodes lose their leader together. Members that could not answer them
 // in time would be left as well.
-func TestNodesThatSeekALeaderDoNotComeTogether(t *testing.T) {
+func TestReconnectsAreSpreadOverTime(t *testing.T) {
 	const nodes = 346
 	const window = 50 * time.Millisecond
 	cut := start
 	told := cut.Add(LeaderlessTimeout)
-	g := newSplitGroup(9, cut)
+	g := newPartitionedGroup(9, cut)
 	counts := map[string]map[int]int{}
 	for node := range nodes {
-		_, visits := g.seek(g.followerIn(fmt.Sprint("zone-", node%3), uint64(node), cut), told)
+		_, visits := g.findCurrent(g.followerIn(fmt.Sprint("zone-", node%3), uint64(node), cut), told)
 		for _, v := range visits {
 			if counts[v.address] == nil {
 				counts[v.address] = map[int]int{}
@@ -165,14 +165,14 @@
 
 // A group without a quorum holds its election while nodes go round: each looks at
 // every member once, then stays with one for the time of some elections.
-func TestNodesGoRoundAGroupWithoutAQuorumOnce(t *testing.T) {
+func TestGroupWithoutQuorumIsTriedOnce(t *testing.T) {
 	cut := start
 	told := cut.Add(LeaderlessTimeout)
-	g := newSplitGroup(9, cut)
+	g := newPartitionedGroup(9, cut)
 	for _, member := range g.members {
-		g.behind[member.Address] = true
+		g.leaderless[member.Address] = true
 	}
-	_, visits := g.seek(g.followerIn("zone-0", 1, cut), told)
+	_, visits := g.findCurrent(g.followerIn("zone-0", 1, cut), told)
 	inRound := 0
 	for _, v := range visits {
 		if v.at.Sub(told) < 3*time.Second {
@@ -184,7 +184,7 @@
 	assert.Greater(t, last.Sub(first)/time.Duration(len(visits)), 600*time.Millisecond)
 }
 
-func TestAMemberInAnElectionIsNotLeft(t *testing.T) {
+func TestMemberIsKeptDuringElection(t *testing.T) {
 	f := newTestFollower()
 	f.Follow(start, f.List.Members[1])
 	assert.NoError(t, f.HandleStatus(start, MemberStatus{Leaderless: LeaderlessTimeout - time.Millisecond}, false))
--- a/internal/steer/locallink_test.go
+++ b/internal/steer/locallink_test.go
@@ -10,33 +10,33 @@
 )
 
 // silentAfter lets a caller send its data again at two times and returns the report.
-func (b *bench) silentAfter(target directory.Target, between func()) []SilentTarget {
-	b.core.Decide(start, data(1, target.Token, 10))
+func (b *coreFixture) reportAfterRetransmission(target directory.Target, between func()) []SilentTarget {
+	b.core.Decide(start, flowData(1, target.Token, 10))
 	between()
 	now := start.Add(200 * time.Millisecond)
-	b.core.Decide(now, data(1, target.Token, 10))
-	b.core.Report(start.Add(200*time.Millisecond), reportEvery)
-	return b.core.Report(start.Add(300*time.Millisecond), reportEvery).Silent
+	b.core.Decide(now, flowData(1, target.Token, 10))
+	b.core.Report(start.Add(200*time.Millisecond), reportPeriod)
+	return b.core.Report(start.Add(300*time.Millisecond), reportPeriod).Silent
 }
 
-func TestWhatTheNodeHasDroppedIsNoSilence(t *testing.T) {
-	b := booking(t)
+func TestDroppedPacketsAreNoEvidence(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-	silent := b.silentAfter(target, func() { b.core.RecordDrop(start, data(1, target.Token, 10).Flow) })
+	silent := b.reportAfterRetransmission(target, func() { b.core.RecordDrop(start, flowData(1, target.Token, 10).Flow) })
 	assert.Empty(t, silent)
 	second := start.Add(600 * time.Millisecond)
-	b.core.Decide(second, data(1, target.Token, 10))
-	evidence := b.tick(start.Add(300*time.Millisecond), second)
+	b.core.Decide(second, flowData(1, target.Token, 10))
+	evidence := b.reportUntil(start.Add(300*time.Millisecond), second)
 	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, evidence.Silent, "the first copy was passed on")
-	b.core.RecordDrop(second, data(1, target.Token, 10).Flow)
-	assert.Empty(t, b.tick(second, second.Add(reportEvery)).Silent)
+	b.core.RecordDrop(second, flowData(1, target.Token, 10).Flow)
+	assert.Empty(t, b.reportUntil(second, second.Add(reportPeriod)).Silent)
 	b.core.RecordDrop(start, opening(99, 0).Flow)
 }
 
-func TestDataThatTheNodeStillHoldsIsNoSilence(t *testing.T) {
-	b := booking(t)
+func TestHeldPacketsAreNoEvidence(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-	packet := data(1, target.Token, 10)
+	packet := flowData(1, target.Token, 10)
 	b.core.RecordHeld(start, packet.Flow)
 	b.core.Decide(start, packet)
 	b.core.RecordHeld(start, packet.Flow)
@@ -46,12 +46,12 @@
 	b.core.Decide(second, packet)
 	b.core.RecordHeld(second, packet.Flow)
 	b.core.RecordHeld(second, packet.Flow)
-	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, b.tick(start, second).Silent, "the first copy had left")
+	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, b.reportUntil(start, second).Silent, "the first copy had left")
 	last := first.Add(resentLifetime)
-	assert.Empty(t, b.tick(second, last).Silent, "and counts no longer than without the second")
+	assert.Empty(t, b.reportUntil(second, last).Silent, "and counts no longer than without the second")
 }
 
-func TestWhatTheNodeHasHeldBackIsDoubtful(t *testing.T) {
+func TestLinkDelayMakesEvidenceDoubtful(t *testing.T) {
 	cases := []struct {
 		name  string
 		delay time.Duration
@@ -65,9 +65,9 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			b := booking(t)
+			b := newBookingFixture(t)
 			target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-			silent := b.silentAfter(target, func() { b.core.RecordLinkDelay(start.Add(test.after), test.delay) })
+			silent := b.reportAfterRetransmission(target, func() { b.core.RecordLinkDelay(start.Add(test.after), test.delay) })
 			test.want.Token = target.Token
 			assert.Equal(t, []SilentTarget{test.want}, silent)
 		})
@@ -76,56 +76,56 @@
 
 // An exchange that the node's own link holds up tells nothing of its target, whether it
 // falls quiet or is answered late.
-func TestAnExchangeThatTheNodeHasHeldBackCountsNothing(t *testing.T) {
+func TestLinkDelayThresholdForExchanges(t *testing.T) {
 	for delay, want := range map[time.Duration]directory.Outcomes{
-		linkDelayThreshold - time.Millisecond: unanswered,
-		linkDelayThreshold:                    nothing,
+		linkDelayThreshold - time.Millisecond: outcomeOneUnanswered,
+		linkDelayThreshold:                    noOutcome,
 	} {
-		w, token := newWatched(t)
+		w, token := newExchangeFixture(t)
 		w.core.Decide(w.now, opening(1, 0))
-		w.core.Decide(w.now, sending(1, token, isn, 1, 100))
+		w.core.Decide(w.now, dataPacket(1, token, initialSequence, 1, 100))
 		w.advance(50 * ms)
 		w.core.RecordLinkDelay(w.now, delay)
 		w.advance(3 * time.Second)
-		counted := w.sums[token]
+		counted := w.outcomes[token]
 		counted.Token = 0
 		assert.Equal(t, want, counted, "delay of %v", delay)
 	}
 }
 
-func TestADroppedOpeningPacketWasNotRefused(t *testing.T) {
-	b, near, far := twoZones(t)
+func TestDroppedOpeningIsNotRefused(t *testing.T) {
+	b, near, far := newTwoZoneFixture(t)
 	assert.Equal(t, near.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
 	b.core.RecordDrop(start, opening(1, 0).Flow)
-	evidence := b.tick(start, start.Add(reportEvery))
+	evidence := b.reportUntil(start, start.Add(reportPeriod))
 	assert.Empty(t, evidence.Openings)
 	assert.Empty(t, evidence.Refused)
 	now := start.Add(200 * time.Millisecond)
 	assert.Equal(t, far.ID, b.core.Decide(now, opening(1, 1)).Target.ID)
-	assert.Empty(t, b.core.Report(now, reportEvery).Silent)
+	assert.Empty(t, b.core.Report(now, reportPeriod).Silent)
 	assert.Equal(t, near.ID, b.core.Decide(now, opening(2, 0)).Target.ID, "it is not passed over")
 }
 
-func TestOpeningPacketsThatTheNodeHoldsBackWereNotRefused(t *testing.T) {
-	b, near, _ := twoZones(t)
+func TestOpeningsDuringLinkDelayAreNotRefused(t *testing.T) {
+	b, near, _ := newTwoZoneFixture(t)
 	b.core.Decide(start, opening(1, 0))
 	b.core.RecordLinkDelay(start, linkDelayThreshold)
-	evidence := b.tick(start, start.Add(2*reportEvery))
+	evidence := b.reportUntil(start, start.Add(2*reportPeriod))
 	assert.Empty(t, evidence.Openings)
 	assert.Empty(t, evidence.Refused)
-	assert.False(t, b.core.targets[near.Token].hasRefused(start.Add(2*reportEvery)))
+	assert.False(t, b.core.targets[near.Token].hasRefused(start.Add(2*reportPeriod)))
 }
 
 // Zones whose nodes were gone but for two with choked links were avoided by turns (own
 // day of nodes that are removed twice).
-func TestANodeWithoutTakersInAnyZoneReportsNoRefusals(t *testing.T) {
-	b, near, _ := twoZones(t)
+func TestRefusalsInEveryZoneAreNotReported(t *testing.T) {
+	b, near, _ := newTwoZoneFixture(t)
 	now := start
 	reported := map[string]int{}
 	for port := range uint16(30) {
 		b.core.Decide(now, opening(port+1, 0))
-		now = now.Add(reportEvery)
-		for _, counted := range b.core.Report(now, reportEvery).Openings {
+		now = now.Add(reportPeriod)
+		for _, counted := range b.core.Report(now, reportPeriod).Openings {
 			reported[counted.Zone]++
 		}
 	}
@@ -133,9 +133,9 @@
 	assert.True(t, b.core.openings.refusedEverywhere())
 	for port := range uint16(10) {
 		b.core.Decide(now, opening(port+100, 0))
-		b.core.Decide(now.Add(time.Millisecond), following(port+100, near.Token, 1))
+		b.core.Decide(now.Add(time.Millisecond), flowPacket(port+100, near.Token, 1))
 	}
-	now = now.Add(reportEvery)
-	assert.NotEmpty(t, b.core.Report(now, reportEvery).Openings)
+	now = now.Add(reportPeriod)
+	assert.NotEmpty(t, b.core.Report(now, reportPeriod).Openings)
 	assert.False(t, b.core.openings.refusedEverywhere())
 }
--- a/internal/steer/losstracker_test.go
+++ b/internal/steer/losstracker_test.go
@@ -9,28 +9,28 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-func TestANodeThatLosesDataIsAPoorWitness(t *testing.T) {
-	b := booking(t)
+func TestPacketLossMakesEvidenceDoubtful(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	other := b.target(start, "i-2", "booking", "north", "10.0.0.2:1", directory.TargetReady)
-	b.core.Decide(start, data(2, other.Token, 10))
-	b.core.Decide(start.Add(200*time.Millisecond), data(2, other.Token, 10))
-	b.core.Decide(start.Add(200*time.Millisecond), data(1, target.Token, 10))
-	answer := following(2, other.Token, 50)
+	b.core.Decide(start, flowData(2, other.Token, 10))
+	b.core.Decide(start.Add(200*time.Millisecond), flowData(2, other.Token, 10))
+	b.core.Decide(start.Add(200*time.Millisecond), flowData(1, target.Token, 10))
+	answer := flowPacket(2, other.Token, 50)
 	b.core.Decide(start.Add(220*time.Millisecond), answer)
 	now := start.Add(400 * time.Millisecond)
-	b.core.Decide(now, data(1, target.Token, 10))
-	b.core.Report(start.Add(400*time.Millisecond), reportEvery)
-	silent := b.core.Report(start.Add(500*time.Millisecond), reportEvery).Silent
+	b.core.Decide(now, flowData(1, target.Token, 10))
+	b.core.Report(start.Add(400*time.Millisecond), reportPeriod)
+	silent := b.core.Report(start.Add(500*time.Millisecond), reportPeriod).Silent
 	assert.Equal(t, []SilentTarget{{Token: target.Token, Doubtful: 1}}, silent)
 }
 
-func TestLostDataIsForgotten(t *testing.T) {
+func TestLossTrackerDecays(t *testing.T) {
 	var w lossTracker
 	w.addAnswered(1)
 	assert.True(t, w.isLossy())
 	for range 30 {
-		w.decay(reportEvery)
+		w.decay(reportPeriod)
 	}
 	assert.False(t, w.isLossy())
 	w.addAnswered(1)
--- a/internal/steer/memberlist_test.go
+++ b/internal/steer/memberlist_test.go
@@ -21,7 +21,7 @@
 
 // A node that found its first member by a seed went on through the old list of
 // seeds, each of another zone, every 8 s (300 machines: 180 of 280 nodes).
-func TestTheOwnZoneComesFirstOnceTheMembersAreKnown(t *testing.T) {
+func TestLocalMembersComeFirstOnceKnown(t *testing.T) {
 	l := NewMemberList("north")
 	l.Seeds = []string{"a", "b", "c"}
 	assert.ElementsMatch(t, []string{"a", "b", "c"}, addresses(l.Order()))
@@ -33,7 +33,7 @@
 	assert.False(t, l.HasCloserThan(directory.Member{Address: "b"}))
 }
 
-func TestAMemberThatWasLeftForAFaultComesLast(t *testing.T) {
+func TestFailedMemberComesLast(t *testing.T) {
 	l := NewMemberList("north")
 	l.Members = []directory.Member{{Address: "a", Zone: "south"}, {Address: "b", Zone: "north"}}
 	l.RecordFailure("b", faultTime)
@@ -45,7 +45,7 @@
 // Two of five members were on the wrong side of a cut. Nodes that went to both
 // by chance tried them in turns, 0.85 s each, and had no new configuration for
 // 5.2 s (swancoast-geo-grown trouble-3, 2054e93a).
-func TestMembersLeftForAFaultAreNotTriedInTurns(t *testing.T) {
+func TestFailedMembersAreNotAlternated(t *testing.T) {
 	members := []directory.Member{
 		{Address: "own", Zone: "north"}, {Address: "b", Zone: "south"}, {Address: "c", Zone: "south"},
 		{Address: "d", Zone: "west"}, {Address: "e", Zone: "west"},
@@ -62,7 +62,7 @@
 	assert.Equal(t, "own", l.Order()[0].Address, "the own zone comes first in the next round")
 }
 
-func TestANearerMemberIsTriedAgainAfterItsFault(t *testing.T) {
+func TestClearFailuresRestoresLocalMember(t *testing.T) {
 	l := NewMemberList("north")
 	l.Members = []directory.Member{{Address: "a", Zone: "south"}, {Address: "b", Zone: "north"}}
 	l.RecordFailure("b", faultTime)
@@ -71,7 +71,7 @@
 	assert.Equal(t, "b", l.Order()[0].Address)
 }
 
-func TestFaultsOfForgottenAddressesAreDropped(t *testing.T) {
+func TestFailuresOfRemovedAddressesAreDropped(t *testing.T) {
 	l := NewMemberList("north")
 	l.Seeds = []string{"old", "new"}
 	l.RecordFailure("old", faultTime)
--- a/internal/steer/openings_test.go
+++ b/internal/steer/openings_test.go
@@ -11,21 +11,21 @@
 )
 
 // twoZones returns a core with a near and a far target.
-func twoZones(t *testing.T) (b *bench, near, far directory.Target) {
-	b = booking(t)
+func newTwoZoneFixture(t *testing.T) (b *coreFixture, near, far directory.Target) {
+	b = newBookingFixture(t)
 	near = b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	far = b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
-	b.core.Report(start, reportEvery)
+	b.core.Report(start, reportPeriod)
 	return b, near, far
 }
 
-const reportEvery = 100 * time.Millisecond
+const reportPeriod = 100 * time.Millisecond
 
 // tick reports every 100 ms until a moment and returns the last report.
-func (b *bench) tick(from, to kernel.Instant) Evidence {
+func (b *coreFixture) reportUntil(from, to kernel.Instant) Evidence {
 	var evidence Evidence
-	for now := from.Add(reportEvery); now <= to; now = now.Add(reportEvery) {
-		evidence = b.core.Report(now, reportEvery)
+	for now := from.Add(reportPeriod); now <= to; now = now.Add(reportPeriod) {
+		evidence = b.core.Report(now, reportPeriod)
 	}
 	return evidence
 }
@@ -33,74 +33,74 @@
 // Own bench day cold-return-with-release on patitas-uio-now-grown: 45 of 50 targets of
 // a zone refused opening packets for two seconds; callers came back at once, met the
 // next such target and gave up after three tries (915 requests).
-func TestATargetThatTakesNoOpeningPacketIsPassedOverForAWhile(t *testing.T) {
-	b, near, far := twoZones(t)
+func TestRefusingTargetIsAvoidedTemporarily(t *testing.T) {
+	b, near, far := newTwoZoneFixture(t)
 	assert.Equal(t, near.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
-	evidence := b.tick(start, start.Add(reportEvery))
+	evidence := b.reportUntil(start, start.Add(reportPeriod))
 	assert.Equal(t, []SilentTarget{{Token: near.Token, Weight: 1}}, evidence.Refused)
 	assert.Equal(t, []directory.ZoneOpenings{{Zone: "north", Refused: 1}}, evidence.Openings)
-	assert.Equal(t, far.ID, b.core.Decide(start.Add(reportEvery), opening(2, 0)).Target.ID)
-	later := start.Add(reportEvery + refusalLifetime)
-	b.core.Decide(start.Add(2*reportEvery), following(2, far.Token, 1))
-	b.tick(start.Add(reportEvery), later)
+	assert.Equal(t, far.ID, b.core.Decide(start.Add(reportPeriod), opening(2, 0)).Target.ID)
+	later := start.Add(reportPeriod + refusalLifetime)
+	b.core.Decide(start.Add(2*reportPeriod), flowPacket(2, far.Token, 1))
+	b.reportUntil(start.Add(reportPeriod), later)
 	assert.Equal(t, near.ID, b.core.Decide(later, opening(3, 0)).Target.ID, "it is tried again")
 }
 
-func TestAnOpeningPacketThatIsTakenIsCounted(t *testing.T) {
-	b, near, _ := twoZones(t)
+func TestAcceptedOpeningIsCountedOnce(t *testing.T) {
+	b, near, _ := newTwoZoneFixture(t)
 	b.core.Decide(start, opening(1, 0))
-	b.core.Decide(start.Add(5*time.Millisecond), following(1, near.Token, 1))
-	evidence := b.tick(start, start.Add(reportEvery))
+	b.core.Decide(start.Add(5*time.Millisecond), flowPacket(1, near.Token, 1))
+	evidence := b.reportUntil(start, start.Add(reportPeriod))
 	assert.Empty(t, evidence.Refused)
 	assert.Equal(t, []directory.ZoneOpenings{{Zone: "north", Opened: 1}}, evidence.Openings)
-	evidence = b.tick(start.Add(reportEvery), start.Add(2*reportEvery))
+	evidence = b.reportUntil(start.Add(reportPeriod), start.Add(2*reportPeriod))
 	assert.Empty(t, evidence.Openings, "each is counted once")
 }
 
-func TestATargetThatAnswersOthersRefusesNothing(t *testing.T) {
-	b, near, _ := twoZones(t)
+func TestAnsweringTargetIsNotRefusing(t *testing.T) {
+	b, near, _ := newTwoZoneFixture(t)
 	b.core.Decide(start, opening(1, 0))
-	b.tick(start, start.Add(reportEvery))
-	b.core.Decide(start.Add(2*reportEvery), following(9, near.Token, 1))
-	b.core.Decide(start.Add(2*reportEvery), following(9, near.Token, 2))
-	b.tick(start.Add(reportEvery), start.Add(4*reportEvery))
-	assert.Equal(t, near.ID, b.core.Decide(start.Add(4*reportEvery), opening(2, 0)).Target.ID)
+	b.reportUntil(start, start.Add(reportPeriod))
+	b.core.Decide(start.Add(2*reportPeriod), flowPacket(9, near.Token, 1))
+	b.core.Decide(start.Add(2*reportPeriod), flowPacket(9, near.Token, 2))
+	b.reportUntil(start.Add(reportPeriod), start.Add(4*reportPeriod))
+	assert.Equal(t, near.ID, b.core.Decide(start.Add(4*reportPeriod), opening(2, 0)).Target.ID)
 }
 
 // What shows that its packets were taken waits at a node that was stopped.
-func TestANodeThatWasStoppedCountsNoOpeningPackets(t *testing.T) {
-	b, _, _ := twoZones(t)
+func TestOpeningsDuringStallAreNotCounted(t *testing.T) {
+	b, _, _ := newTwoZoneFixture(t)
 	b.core.Decide(start.Add(time.Millisecond), opening(1, 0))
-	evidence := b.core.Report(start.Add(time.Second), reportEvery)
+	evidence := b.core.Report(start.Add(time.Second), reportPeriod)
 	assert.Empty(t, evidence.Openings)
-	evidence = b.core.Report(start.Add(time.Second+reportEvery), reportEvery)
+	evidence = b.core.Report(start.Add(time.Second+reportPeriod), reportPeriod)
 	assert.Empty(t, evidence.Openings)
 	assert.Empty(t, evidence.Refused)
 }
 
-func TestNewFlowsAvoidAZoneThatRefusesAndOpenOnesStay(t *testing.T) {
-	b, near, far := twoZones(t)
+func TestAvoidedZoneKeepsOpenFlowsOnly(t *testing.T) {
+	b, near, far := newTwoZoneFixture(t)
 	b.core.ApplyVerdicts(directory.Verdicts{AvoidedZones: []string{"north"}})
 	assert.Equal(t, far.ID, b.core.Decide(start, opening(2, 0)).Target.ID)
-	assert.Equal(t, near.ID, b.core.Decide(start, following(1, near.Token, 1)).Target.ID)
+	assert.Equal(t, near.ID, b.core.Decide(start, flowPacket(1, near.Token, 1)).Target.ID)
 	b.core.ApplyVerdicts(directory.Verdicts{AvoidedZones: []string{"north", "south"}})
 	assert.Equal(t, near.ID, b.core.Decide(start, opening(3, 0)).Target.ID, "no other zone is left")
 }
 
 // Callers and zones may be farther away than those of the deployments so far.
-func TestTheLimitOfOpeningPacketsFollowsWhatIsUsual(t *testing.T) {
-	b, near, _ := twoZones(t)
+func TestOpeningTimeoutAdaptsToRoundTrip(t *testing.T) {
+	b, near, _ := newTwoZoneFixture(t)
 	assert.Equal(t, minOpeningTimeout, b.core.openings.timeout())
 	const way = 90 * time.Millisecond
 	now := start
 	for port := range uint16(40) {
 		b.core.Decide(now, opening(port+1, 0))
-		b.core.Decide(now.Add(way), following(port+1, near.Token, 1))
-		now = now.Add(reportEvery)
-		b.core.Report(now, reportEvery)
+		b.core.Decide(now.Add(way), flowPacket(port+1, near.Token, 1))
+		now = now.Add(reportPeriod)
+		b.core.Report(now, reportPeriod)
 	}
 	assert.Greater(t, b.core.openings.timeout(), way)
 	assert.LessOrEqual(t, b.core.openings.timeout(), maxOpeningTimeout)
 	b.core.Decide(now, opening(100, 0))
-	assert.Empty(t, b.core.Report(now.Add(way), reportEvery).Refused, "it can still be taken")
+	assert.Empty(t, b.core.Report(now.Add(way), reportPeriod).Refused, "it can still be taken")
 }
--- a/internal/steer/probe_test.go
+++ b/internal/steer/probe_test.go
@@ -13,50 +13,50 @@
 )
 
 // tick is the time between two looks of a node at its flows.
-const tick = 100 * time.Millisecond
+const reportInterval = 100 * time.Millisecond
 
 // waitingCaller has a flow open to the first of two targets and sends a request that is
 // not answered, with the pauses of callers: 0.2 s, 0.4 s and so on.
-type waitingCaller struct {
-	*bench
+type probeFixture struct {
+	*coreFixture
 	target directory.Target
 	packet Packet
 	now    kernel.Instant
 	resets []Packet
 	// outcome is that of each probe, which takes as long as a target has.
-	outcome ProbeOutcome
-	probes  int
-	due     map[kernel.Instant]directory.Token
+	outcome     ProbeOutcome
+	probes      int
+	outcomesDue map[kernel.Instant]directory.Token
 	// silent is set when the target has taken the request, so that nothing is sent again.
-	silent bool
+	quiet bool
 }
 
-func newWaitingCaller(t *testing.T, outcome ProbeOutcome) *waitingCaller {
-	b := booking(t)
+func newProbeFixture(t *testing.T, outcome ProbeOutcome) *probeFixture {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	require.Equal(t, ActionForward, b.core.Decide(start, opening(9, 0)).Action)
 	b.target(start, "i-2", "booking", "north", "10.0.0.2:1", directory.TargetReady)
-	w := &waitingCaller{bench: b, target: target, now: start, outcome: outcome, due: map[kernel.Instant]directory.Token{}}
-	w.packet = following(9, target.Token, 5)
-	b.core.Report(start, tick)
+	w := &probeFixture{coreFixture: b, target: target, now: start, outcome: outcome, outcomesDue: map[kernel.Instant]directory.Token{}}
+	w.packet = flowPacket(9, target.Token, 5)
+	b.core.Report(start, reportInterval)
 	b.core.Decide(start, w.packet)
 	w.packet.Size = 100
 	return w
 }
 
 // runUntil plays until a time after the request, and returns when the flow was reset.
-func (w *waitingCaller) runUntil(end time.Duration) (reset time.Duration) {
+func (w *probeFixture) runUntil(end time.Duration) (reset time.Duration) {
 	sends := map[time.Duration]bool{0: true}
-	if !w.silent {
-		sends = map[time.Duration]bool{0: true, 2 * tick: true, 6 * tick: true, 14 * tick: true, 30 * tick: true}
+	if !w.quiet {
+		sends = map[time.Duration]bool{0: true, 2 * reportInterval: true, 6 * reportInterval: true, 14 * reportInterval: true, 30 * reportInterval: true}
 	}
-	for after := time.Duration(0); after <= end; after += tick {
+	for after := time.Duration(0); after <= end; after += reportInterval {
 		w.now = start.Add(after)
 		if sends[after] {
 			require.Equal(w, ActionForward, w.core.Decide(w.now, w.packet).Action)
 		}
-		w.core.Report(w.now, tick)
-		if token, ends := w.due[w.now]; ends {
+		w.core.Report(w.now, reportInterval)
+		if token, ends := w.outcomesDue[w.now]; ends {
 			if w.resets = w.core.HandleProbeOutcome(w.now, token, w.outcome); len(w.resets) > 0 {
 				return after
 			}
@@ -64,7 +64,7 @@
 		for _, target := range w.core.Probes(w.now) {
 			require.Equal(w, w.target.Token, target.Token)
 			w.probes++
-			w.due[w.now.Add(3*tick)] = target.Token
+			w.outcomesDue[w.now.Add(3*reportInterval)] = target.Token
 		}
 	}
 	return 0
@@ -72,8 +72,8 @@
 
 // The load: a fleet so large that no second node sees this target. Without a verdict of
 // the members a caller with 3 s learns in time for another try that its target is dead.
-func TestACallerOfATargetThatCannotBeReachedIsTold(t *testing.T) {
-	w := newWaitingCaller(t, ProbeFailed)
+func TestFlowsOfUnreachableTargetAreReset(t *testing.T) {
+	w := newProbeFixture(t, ProbeFailed)
 	reset := w.runUntil(3 * time.Second)
 	assert.Positive(t, reset)
 	assert.LessOrEqual(t, reset, 1100*time.Millisecond)
@@ -86,9 +86,9 @@
 }
 
 // The target took the request and died: its caller waits and sends nothing.
-func TestACallerThatSendsNothingAgainIsToldToo(t *testing.T) {
-	w := newWaitingCaller(t, ProbeFailed)
-	w.silent = true
+func TestQuietFlowsOfUnreachableTargetAreReset(t *testing.T) {
+	w := newProbeFixture(t, ProbeFailed)
+	w.quiet = true
 	reset := w.runUntil(3 * time.Second)
 	assert.Positive(t, reset)
 	assert.LessOrEqual(t, reset, 1200*time.Millisecond)
@@ -96,37 +96,37 @@
 }
 
 // On a route whose callers do not acknowledge their answers quiet says nothing.
-func TestQuietFlowsOfARouteWithoutAcknowledgementsCostNoProbe(t *testing.T) {
-	w := newWaitingCaller(t, ProbeFailed)
-	w.silent = true
+func TestNoProbeWhereQuietIsNormal(t *testing.T) {
+	w := newProbeFixture(t, ProbeFailed)
+	w.quiet = true
 	*w.core.baselineOf(w.packet.Flow) = routeBaseline{answeredCount: minBaselineSamples, quietShare: 1}
 	assert.Zero(t, w.runUntil(3*time.Second))
 	assert.Zero(t, w.probes)
 }
 
 // One that leaves may take no connections while it still serves its flows.
-func TestATargetThatLeavesIsNotProbed(t *testing.T) {
-	w := newWaitingCaller(t, ProbeFailed)
-	w.bench.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetDraining)
+func TestDrainingTargetIsNotProbed(t *testing.T) {
+	w := newProbeFixture(t, ProbeFailed)
+	w.coreFixture.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetDraining)
 	assert.Zero(t, w.runUntil(3*time.Second))
 	assert.Zero(t, w.probes)
 }
 
 // A target that lives and is slow keeps its flow however long the caller waits.
-func TestASlowTargetThatIsReachedKeepsItsFlows(t *testing.T) {
-	w := newWaitingCaller(t, ProbeReached)
+func TestReachableSlowTargetKeepsFlows(t *testing.T) {
+	w := newProbeFixture(t, ProbeReached)
 	assert.Zero(t, w.runUntil(4*time.Second))
 	assert.LessOrEqual(t, w.probes, 2, "it is not asked again and again")
 	assert.Positive(t, w.probes)
 }
 
-func TestAProbeThatShowsNothingEndsNoFlow(t *testing.T) {
-	w := newWaitingCaller(t, ProbeUnknown)
+func TestInconclusiveProbeResetsNoFlows(t *testing.T) {
+	w := newProbeFixture(t, ProbeUnknown)
 	assert.Zero(t, w.runUntil(4*time.Second))
 }
 
 // What shows that the node itself may be at fault keeps it from acting alone.
-func TestANodeThatMayBeAtFaultEndsNoFlow(t *testing.T) {
+func TestUnreliableNodeResetsNoFlows(t *testing.T) {
 	cases := map[string]func(c *Core, now kernel.Instant){
 		"its packets wait for its link":   func(c *Core, now kernel.Instant) { c.linkDelayedUntil = now.Add(time.Minute) },
 		"it stood still":                  func(c *Core, now kernel.Instant) { c.stalledUntil = now.Add(time.Minute) },
@@ -139,7 +139,7 @@
 	}
 	for name, trouble := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWaitingCaller(t, ProbeFailed)
+			w := newProbeFixture(t, ProbeFailed)
 			w.runUntil(600 * time.Millisecond)
 			require.Equal(t, 1, w.probes)
 			trouble(w.core, w.now)
@@ -152,18 +152,18 @@
 }
 
 // Hundreds of targets die at once under one node.
-func TestTheNumberOfProbesIsBounded(t *testing.T) {
-	b := booking(t)
-	b.core.Report(start, tick)
+func TestProbesInFlightAreBounded(t *testing.T) {
+	b := newBookingFixture(t)
+	b.core.Report(start, reportInterval)
 	for number := range 100 {
 		target := b.target(start, fmt.Sprint("i-", number), "booking", "north", fmt.Sprintf("10.0.0.%d:1", number+1), directory.TargetReady)
-		packet := following(uint16(number+1), target.Token, 5)
+		packet := flowPacket(uint16(number+1), target.Token, 5)
 		b.core.Decide(start, packet)
 		packet.Size = 100
 		b.core.Decide(start, packet)
-		b.core.Decide(start.Add(2*tick), packet)
+		b.core.Decide(start.Add(2*reportInterval), packet)
 	}
-	now := start.Add(3 * tick)
+	now := start.Add(3 * reportInterval)
 	asked := b.core.Probes(now)
 	assert.Len(t, asked, maxProbes)
 	assert.Empty(t, b.core.Probes(now))
--- a/internal/steer/progress_test.go
+++ b/internal/steer/progress_test.go
@@ -16,86 +16,86 @@
 const windowPackets = 16
 
 // part returns the packet of an upload with a number, in packets of full size.
-func part(target directory.Target, number int) Packet {
-	packet := data(1, target.Token, math.MaxUint32-5*maxPacketData+uint32(number*maxPacketData))
+func uploadPacket(target directory.Target, number int) Packet {
+	packet := flowData(1, target.Token, math.MaxUint32-5*maxPacketData+uint32(number*maxPacketData))
 	packet.Size = maxPacketData
 	return packet
 }
 
-func TestDataPastAWindowShowsAnAnswer(t *testing.T) {
-	b := booking(t)
+func TestDataBeyondWindowImpliesAnswer(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	for number := range windowPackets {
-		b.core.Decide(start, part(target, windowPackets-1-number))
+		b.core.Decide(start, uploadPacket(target, windowPackets-1-number))
 	}
-	b.core.Decide(start, part(target, 0))
-	assert.Empty(t, b.core.Report(start.Add(reportEvery), reportEvery).Answering)
-	b.core.Decide(start.Add(reportEvery), part(target, windowPackets))
-	b.core.Decide(start.Add(reportEvery), part(target, windowPackets+windowPackets-1))
-	evidence := b.core.Report(start.Add(2*reportEvery), reportEvery)
+	b.core.Decide(start, uploadPacket(target, 0))
+	assert.Empty(t, b.core.Report(start.Add(reportPeriod), reportPeriod).Answering)
+	b.core.Decide(start.Add(reportPeriod), uploadPacket(target, windowPackets))
+	b.core.Decide(start.Add(reportPeriod), uploadPacket(target, windowPackets+windowPackets-1))
+	evidence := b.core.Report(start.Add(2*reportPeriod), reportPeriod)
 	assert.Equal(t, []directory.Token{target.Token}, evidence.Answering)
 }
 
-func TestOtherDataSoonAfterDataThatWasSentAgainShowsAnAnswer(t *testing.T) {
-	b := booking(t)
+func TestOtherDataAfterRetransmissionImpliesAnswer(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	for number := range windowPackets {
-		b.core.Decide(start, part(target, number))
+		b.core.Decide(start, uploadPacket(target, number))
 	}
 	now := start.Add(200 * time.Millisecond)
-	b.core.Decide(now, part(target, 3))
-	evidence := b.tick(start, start.Add(300*time.Millisecond))
+	b.core.Decide(now, uploadPacket(target, 3))
+	evidence := b.reportUntil(start, start.Add(300*time.Millisecond))
 	assert.Empty(t, evidence.Answering)
 	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, evidence.Silent)
-	b.core.Decide(start.Add(310*time.Millisecond), part(target, 3))
-	assert.Empty(t, b.tick(start.Add(300*time.Millisecond), start.Add(400*time.Millisecond)).Answering, "the same packet")
-	b.core.Decide(start.Add(410*time.Millisecond), part(target, 5))
-	evidence = b.tick(start.Add(400*time.Millisecond), start.Add(500*time.Millisecond))
+	b.core.Decide(start.Add(310*time.Millisecond), uploadPacket(target, 3))
+	assert.Empty(t, b.reportUntil(start.Add(300*time.Millisecond), start.Add(400*time.Millisecond)).Answering, "the same packet")
+	b.core.Decide(start.Add(410*time.Millisecond), uploadPacket(target, 5))
+	evidence = b.reportUntil(start.Add(400*time.Millisecond), start.Add(500*time.Millisecond))
 	assert.Equal(t, []directory.Token{target.Token}, evidence.Answering)
 	assert.Empty(t, evidence.Silent)
 }
 
-func TestDataThatNeverCameHereIsNotSentAgain(t *testing.T) {
-	b := booking(t)
+func TestUnseenDataIsNoRetransmission(t *testing.T) {
+	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	for _, number := range []int{2, 1, 5, 4} {
-		b.core.Decide(start, part(target, number))
+		b.core.Decide(start, uploadPacket(target, number))
 	}
 	for _, number := range []int{0, 3} {
 		now := start.Add(200 * time.Millisecond << number)
-		b.core.Decide(now, part(target, number))
-		assert.Zero(t, b.core.flows[part(target, 0).Flow].pending.resends, "packet %d", number)
+		b.core.Decide(now, uploadPacket(target, number))
+		assert.Zero(t, b.core.flows[uploadPacket(target, 0).Flow].pending.resends, "packet %d", number)
 	}
 }
 
 // windowSim is a caller with one request, and the truth of what its target has.
-type windowSim struct {
+type uploadSimulation struct {
 	*rapid.T
 	pending pendingData
-	begun   bool
+	started bool
 	sizes   []int
 	first   uint32
-	dies    time.Duration
+	stopsAt time.Duration
 	// arrivals at the node and acknowledgements at the caller, by packet.
-	arrivals, acks []simPacket
-	known          []bool
-	got            []bool
-	sent           int
-	rest, resendAt time.Duration
+	arrivals, acks                []simulatedPacket
+	acknowledged                  []bool
+	received                      []bool
+	sent                          int
+	retransmitAfter, retransmitAt time.Duration
 }
 
-type simPacket struct {
+type simulatedPacket struct {
 	at     time.Duration
 	number int
 }
 
 const (
-	simLate = 100
-	simTurn = 20
+	maxDelayMillis    = 100
+	maxAckDelayMillis = 20
 )
 
-func drawWindow(t *rapid.T) *windowSim {
-	s := &windowSim{T: t, rest: 200 * time.Millisecond, resendAt: 200 * time.Millisecond}
+func drawUpload(t *rapid.T) *uploadSimulation {
+	s := &uploadSimulation{T: t, retransmitAfter: 200 * time.Millisecond, retransmitAt: 200 * time.Millisecond}
 	s.sizes = rapid.SliceOfN(rapid.IntRange(1, maxPacketData), 1, 60).Draw(t, "sizes")
 	if rapid.Bool().Draw(t, "full") {
 		for number := range len(s.sizes) - 1 {
@@ -103,27 +103,27 @@
 		}
 	}
 	s.first = rapid.Uint32().Draw(t, "first")
-	s.known = make([]bool, len(s.sizes))
-	s.got = make([]bool, len(s.sizes))
-	s.dies = time.Duration(rapid.IntRange(0, 2000).Draw(t, "dies")) * time.Millisecond
+	s.acknowledged = make([]bool, len(s.sizes))
+	s.received = make([]bool, len(s.sizes))
+	s.stopsAt = time.Duration(rapid.IntRange(0, 2000).Draw(t, "dies")) * time.Millisecond
 	return s
 }
 
-func (s *windowSim) missing() int {
-	for number, known := range s.known {
+func (s *uploadSimulation) firstUnacknowledged() int {
+	for number, known := range s.acknowledged {
 		if !known {
 			return number
 		}
 	}
-	return len(s.known)
+	return len(s.acknowledged)
 }
 
-func (s *windowSim) send(now time.Duration, number int) {
-	late := time.Duration(rapid.IntRange(0, simLate-1).Draw(s.T, "late")) * time.Millisecond
-	s.arrivals = append(s.arrivals, simPacket{at: now + late, number: number})
+func (s *uploadSimulation) send(now time.Duration, number int) {
+	late := time.Duration(rapid.IntRange(0, maxDelayMillis-1).Draw(s.T, "late")) * time.Millisecond
+	s.arrivals = append(s.arrivals, simulatedPacket{at: now + late, number: number})
 }
 
-func (s *windowSim) position(number int) uint32 {
+func (s *uploadSimulation) position(number int) uint32 {
 	position := s.first
 	for _, size := range s.sizes[:number] {
 		position += uint32(size)
@@ -133,7 +133,7 @@
 
 // arrive takes the packets that come to the node now, and reports whether one of them
 // showed an answer.
-func (s *windowSim) arrive(now time.Duration) bool {
+func (s *uploadSimulation) deliver(now time.Duration) bool {
 	answered := false
 	left := s.arrivals[:0]
 	for _, arrival := range s.arrivals {
@@ -142,22 +142,22 @@
 			continue
 		}
 		packet := Packet{Sequence: s.position(arrival.number), Size: s.sizes[arrival.number]}
-		if s.take(start.Add(now), packet) {
+		if s.observe(start.Add(now), packet) {
 			answered = true
 		}
-		if now < s.dies {
-			s.got[arrival.number] = true
-			turn := time.Duration(rapid.IntRange(1, simTurn).Draw(s.T, "turn")) * time.Millisecond
-			s.acks = append(s.acks, simPacket{at: now + turn, number: arrival.number})
+		if now < s.stopsAt {
+			s.received[arrival.number] = true
+			turn := time.Duration(rapid.IntRange(1, maxAckDelayMillis).Draw(s.T, "turn")) * time.Millisecond
+			s.acks = append(s.acks, simulatedPacket{at: now + turn, number: arrival.number})
 		}
 	}
 	s.arrivals = left
 	return answered
 }
 
-func (s *windowSim) take(now kernel.Instant, packet Packet) bool {
-	if !s.begun {
-		s.begun = true
+func (s *uploadSimulation) observe(now kernel.Instant, packet Packet) bool {
+	if !s.started {
+		s.started = true
 		s.pending = newPendingData(now, packet)
 		return false
 	}
@@ -169,46 +169,46 @@
 }
 
 // call lets the caller send what it may.
-func (s *windowSim) call(now time.Duration) {
+func (s *uploadSimulation) sendPackets(now time.Duration) {
 	for position := 0; position < len(s.acks); {
 		if s.acks[position].at > now {
 			position++
 			continue
 		}
-		s.known[s.acks[position].number] = true
+		s.acknowledged[s.acks[position].number] = true
 		s.acks = append(s.acks[:position], s.acks[position+1:]...)
-		s.rest = 200 * time.Millisecond
-		s.resendAt = now + s.rest
+		s.retransmitAfter = 200 * time.Millisecond
+		s.retransmitAt = now + s.retransmitAfter
 	}
-	for limit := min(s.missing()+windowPackets, len(s.sizes)); s.sent < limit; s.sent++ {
+	for limit := min(s.firstUnacknowledged()+windowPackets, len(s.sizes)); s.sent < limit; s.sent++ {
 		s.send(now, s.sent)
 	}
-	if now >= s.resendAt && s.missing() < s.sent {
-		s.send(now, s.missing())
-		s.rest = min(2*s.rest, 1600*time.Millisecond)
-		s.resendAt = now + s.rest
+	if now >= s.retransmitAt && s.firstUnacknowledged() < s.sent {
+		s.send(now, s.firstUnacknowledged())
+		s.retransmitAfter = min(2*s.retransmitAfter, 1600*time.Millisecond)
+		s.retransmitAt = now + s.retransmitAfter
 	}
 }
 
 // A flow whose data all comes, in order or within 100 ms, never speaks against its
 // target; once the target is dead it never shows an answer, and soon speaks against it.
-func TestProgressAgreesWithWhatTheTargetHas(t *testing.T) {
+func TestPendingDataMatchesSimulatedTarget(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		s := drawWindow(r)
+		s := drawUpload(r)
 		const last = 3 * time.Second
 		spoken := false
-		for now := time.Duration(0); now < last && s.missing() < len(s.sizes); now += time.Millisecond {
-			s.call(now)
-			answered := s.arrive(now)
-			if now < s.dies {
+		for now := time.Duration(0); now < last && s.firstUnacknowledged() < len(s.sizes); now += time.Millisecond {
+			s.sendPackets(now)
+			answered := s.deliver(now)
+			if now < s.stopsAt {
 				assert.Zero(r, s.pending.resends, "%v", now)
 			}
 			// The last acknowledgement lets packets out that come late.
-			if now > s.dies+(simTurn+simLate)*time.Millisecond {
-				assert.False(r, answered, "%v after the end", now-s.dies)
+			if now > s.stopsAt+(maxAckDelayMillis+maxDelayMillis)*time.Millisecond {
+				assert.False(r, answered, "%v after the end", now-s.stopsAt)
 			}
 			spoken = spoken || s.pending.weight(start.Add(now)) > 0
-			if now == s.dies+time.Second && s.sent > s.missing() {
+			if now == s.stopsAt+time.Second && s.sent > s.firstUnacknowledged() {
 				assert.True(r, spoken)
 			}
 		}
--- a/internal/steer/remembered_test.go
+++ b/internal/steer/remembered_test.go
@@ -13,7 +13,7 @@
 )
 
 // memoryEnd is until when the tests' nodes may place by what a disk remembers.
-const memoryEnd = start + kernel.Instant(3*time.Second)
+const rememberedUntil = start + kernel.Instant(3*time.Second)
 
 func rememberedTarget(id string, token directory.Token) directory.Target {
 	return directory.Target{
@@ -24,29 +24,29 @@
 
 // Packets of open flows waited for a leader though their targets stood on the disk of a
 // member that was up.
-func TestOpenFlowsFollowWhatADiskRemembers(t *testing.T) {
-	b := newBench(t)
-	assert.False(t, b.core.CanDecide(following(1, 7, 1)))
-	assert.Equal(t, 1, b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{rememberedTarget("i-7", 7)}}, memoryEnd))
-	assert.True(t, b.core.CanDecide(following(1, 7, 1)))
-	decision := b.core.Decide(start, following(1, 7, 1))
+func TestOpenFlowsUseRememberedTargets(t *testing.T) {
+	b := newFixture(t)
+	assert.False(t, b.core.CanDecide(flowPacket(1, 7, 1)))
+	assert.Equal(t, 1, b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{rememberedTarget("i-7", 7)}}, rememberedUntil))
+	assert.True(t, b.core.CanDecide(flowPacket(1, 7, 1)))
+	decision := b.core.Decide(start, flowPacket(1, 7, 1))
 	assert.Equal(t, ActionForward, decision.Action)
 	assert.Equal(t, "i-7", decision.Target.ID)
-	assert.False(t, b.core.CanDecide(following(1, 8, 1)))
+	assert.False(t, b.core.CanDecide(flowPacket(1, 8, 1)))
 	assert.False(t, b.core.CanDecide(opening(2, 0)))
 	assert.False(t, b.core.IsReady(), "the disk knows no configuration to be committed")
 }
 
-func TestTheFirstUpdateConfirmsOrDropsWhatADiskRemembers(t *testing.T) {
-	b := newBench(t)
+func TestFirstUpdateConfirmsOrDropsRemembered(t *testing.T) {
+	b := newFixture(t)
 	state := directory.New()
 	state.Apply(1, directory.Command{Kind: directory.CommandPutTarget, Target: rememberedTarget("i-1", 0)})
 	confirmed, _ := state.Target("i-1")
-	b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{confirmed, rememberedTarget("i-7", 7)}}, memoryEnd)
-	b.core.Decide(start, following(1, 7, 1))
+	b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{confirmed, rememberedTarget("i-7", 7)}}, rememberedUntil)
+	b.core.Decide(start, flowPacket(1, 7, 1))
 	require.True(t, b.core.Update(start, state.Since(0)))
-	assert.Equal(t, ReasonUnknownToken, b.core.Decide(start, following(1, 7, 2)).Reason)
-	assert.Equal(t, ActionForward, b.core.Decide(start, following(2, confirmed.Token, 1)).Action)
+	assert.Equal(t, ReasonUnknownToken, b.core.Decide(start, flowPacket(1, 7, 2)).Reason)
+	assert.Equal(t, ActionForward, b.core.Decide(start, flowPacket(2, confirmed.Token, 1)).Action)
 	assert.Len(t, b.core.services["booking"], 1)
-	assert.Equal(t, 0, b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{rememberedTarget("i-8", 8)}}, memoryEnd), "the core has state of its own")
+	assert.Equal(t, 0, b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{rememberedTarget("i-8", 8)}}, rememberedUntil), "the core has state of its own")
 }
--- a/internal/steer/speeds.go
+++ b/internal/steer/speeds.go
@@ -72,7 +72,7 @@
 	// isNew is set while there are samples that the member was not told.
 	unreported bool
 	// listed is set while the target is in the list of those with samples.
-	listed bool
+	inList bool
 	// relative is the time that the target takes as a multiple of what is usual for its
 	// service, as the leader told at heardAt; 0 when it did not.
 	relative   float64
@@ -112,8 +112,8 @@
 	learned.sums.Add(sample)
 	learned.summedAt = now
 	learned.unreported = true
-	if !learned.listed {
-		learned.listed = true
+	if !learned.inList {
+		learned.inList = true
 		c.speeds.sampled = append(c.speeds.sampled, target)
 	}
 }
@@ -132,7 +132,7 @@
 		learned := &entry.speed
 		sums := learned.sums.Decayed(now.Sub(learned.summedAt), speed.HalfLife)
 		if sums.Count < speed.MinCount || entry.target.State == directory.TargetEnded {
-			learned.listed = false
+			learned.inList = false
 			continue
 		}
 		if len(words) == maxTargetsPerReport || !learned.isDue(now) {
--- a/internal/steer/speeds_test.go
+++ b/internal/steer/speeds_test.go
@@ -18,54 +18,54 @@
 
 const (
 	// way is the time from a node to a target, on to the caller and back to the node.
-	way = 8 * time.Millisecond
+	roundTrip = 8 * time.Millisecond
 	// usualWorkTime is the work of a request at a target of usual speed.
-	usualWorkTime = 20 * time.Millisecond
+	typicalWork = 20 * time.Millisecond
 )
 
 // timed is a bench whose callers' requests are timed.
-type timed struct {
-	*bench
+type speedFixture struct {
+	*coreFixture
 	now    kernel.Instant
 	port   uint16
 	tokens []directory.Token
 }
 
-func newTimed(t *testing.T) *timed {
-	b := booking(t)
-	return &timed{bench: b, now: start, tokens: b.addTargets(start, 1, 3)}
+func newSpeedFixture(t *testing.T) *speedFixture {
+	b := newBookingFixture(t)
+	return &speedFixture{coreFixture: b, now: start, tokens: b.addTargets(start, 1, 3)}
 }
 
 // open opens a flow to a target that answers after the way, and returns its port.
-func (b *timed) open(token directory.Token) uint16 {
+func (b *speedFixture) open(token directory.Token) uint16 {
 	b.port++
 	b.core.Decide(b.now, opening(b.port, 0))
-	b.now = b.now.Add(way)
-	b.core.Decide(b.now, following(b.port, token, 1))
+	b.now = b.now.Add(roundTrip)
+	b.core.Decide(b.now, flowPacket(b.port, token, 1))
 	return b.port
 }
 
 // request plays a flow of one request; its caller ends it with the whole answer.
-func (b *timed) request(token directory.Token, work time.Duration, size uint32) {
+func (b *speedFixture) request(token directory.Token, work time.Duration, size uint32) {
 	port := b.open(token)
-	b.core.Decide(b.now, sending(port, token, 1, 1, 100))
-	b.now = b.now.Add(way + work)
-	closing := sending(port, token, 101, 1+size, 0)
+	b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
+	b.now = b.now.Add(roundTrip + work)
+	closing := dataPacket(port, token, 101, 1+size, 0)
 	closing.Closing = true
 	b.core.Decide(b.now, closing)
 }
 
-func (b *timed) requests(count int, token directory.Token, work time.Duration) {
+func (b *speedFixture) requests(count int, token directory.Token, work time.Duration) {
 	for range count {
-		b.request(token, work, usualAnswer)
+		b.request(token, work, typicalAnswerSize)
 	}
 }
 
 // learn makes usual work usual.
-func (b *timed) learn() { b.requests(2*workSampleLimit, b.tokens[0], usualWorkTime) }
+func (b *speedFixture) learnBaseline() { b.requests(2*workSampleLimit, b.tokens[0], typicalWork) }
 
 // words returns what the node tells of its targets.
-func (b *timed) words() map[directory.Token]speed.Sums {
+func (b *speedFixture) takeReports() map[directory.Token]speed.Sums {
 	b.now = b.now.Add(speedReportInterval)
 	words := map[directory.Token]speed.Sums{}
 	for _, word := range b.core.TakeSpeeds(b.now) {
@@ -74,11 +74,11 @@
 	return words
 }
 
-func TestTheTimeOfATargetIsLearnedWithoutTheWay(t *testing.T) {
-	b := newTimed(t)
-	b.learn()
-	b.requests(5, b.tokens[1], 2*usualWorkTime)
-	words := b.words()
+func TestWorkTimeExcludesNetworkTime(t *testing.T) {
+	b := newSpeedFixture(t)
+	b.learnBaseline()
+	b.requests(5, b.tokens[1], 2*typicalWork)
+	words := b.takeReports()
 	assert.InDelta(t, 0, words[b.tokens[0]].Mean(), 0.05)
 	assert.InDelta(t, math.Ln2, words[b.tokens[1]].Mean(), 0.15)
 	assert.InDelta(t, 5, words[b.tokens[1]].Count, 0.5)
@@ -86,99 +86,99 @@
 }
 
 // Two routes with other work: what counts is the ratio to each route's own.
-func TestRoutesOfDifferentWorkCompare(t *testing.T) {
-	b := newTimed(t)
+func TestWorkTimeIsRelativeToRoute(t *testing.T) {
+	b := newSpeedFixture(t)
 	b.publish(b.now, 2, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}), route("s", otherAddress, directory.Backend{Service: "booking", Weight: 1}))
-	b.learn()
+	b.learnBaseline()
 	for range 2 * workSampleLimit {
 		b.port++
-		packet := sending(b.port, b.tokens[2], 1, 1, 100)
+		packet := dataPacket(b.port, b.tokens[2], 1, 1, 100)
 		placed := opening(b.port, 0)
 		packet.Flow.Virtual, placed.Flow.Virtual = otherAddress, otherAddress
 		b.core.Decide(b.now, placed)
-		b.now = b.now.Add(way)
+		b.now = b.now.Add(roundTrip)
 		b.core.Decide(b.now, packet)
-		b.now = b.now.Add(way + 10*usualWorkTime)
-		packet.Sequence, packet.Size, packet.Acknowledged, packet.Closing = 101, 0, 1+usualAnswer, true
+		b.now = b.now.Add(roundTrip + 10*typicalWork)
+		packet.Sequence, packet.Size, packet.Acknowledged, packet.Closing = 101, 0, 1+typicalAnswerSize, true
 		b.core.Decide(b.now, packet)
 	}
-	assert.InDelta(t, 0, b.words()[b.tokens[2]].Mean(), 0.1)
+	assert.InDelta(t, 0, b.takeReports()[b.tokens[2]].Mean(), 0.1)
 }
 
-func TestWhatTellsNoTimeIsNoSample(t *testing.T) {
-	cases := map[string]func(b *timed, port uint16, token directory.Token){
-		"acknowledged with the next request": func(b *timed, port uint16, token directory.Token) {
-			b.core.Decide(b.now, sending(port, token, 1, 1, 100))
+func TestAmbiguousTimingsAreNotSampled(t *testing.T) {
+	cases := map[string]func(b *speedFixture, port uint16, token directory.Token){
+		"acknowledged with the next request": func(b *speedFixture, port uint16, token directory.Token) {
+			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
 			b.now = b.now.Add(time.Second)
-			b.core.Decide(b.now, sending(port, token, 101, 1+usualAnswer, 100))
+			b.core.Decide(b.now, dataPacket(port, token, 101, 1+typicalAnswerSize, 100))
 		},
-		"acknowledged with the end of a long flow": func(b *timed, port uint16, token directory.Token) {
-			b.core.Decide(b.now, sending(port, token, 1, 1, 100))
-			b.core.Decide(b.now.Add(time.Millisecond), sending(port, token, 101, 1+usualAnswer, 100))
+		"acknowledged with the end of a long flow": func(b *speedFixture, port uint16, token directory.Token) {
+			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
+			b.core.Decide(b.now.Add(time.Millisecond), dataPacket(port, token, 101, 1+typicalAnswerSize, 100))
 			b.now = b.now.Add(time.Second)
-			closing := sending(port, token, 201, 1+2*usualAnswer, 0)
+			closing := dataPacket(port, token, 201, 1+2*typicalAnswerSize, 0)
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
-		"sent again": func(b *timed, port uint16, token directory.Token) {
-			b.core.Decide(b.now, sending(port, token, 1, 1, 100))
-			b.core.Decide(b.now.Add(200*time.Millisecond), sending(port, token, 1, 1, 100))
+		"sent again": func(b *speedFixture, port uint16, token directory.Token) {
+			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
+			b.core.Decide(b.now.Add(200*time.Millisecond), dataPacket(port, token, 1, 1, 100))
 			b.now = b.now.Add(250 * time.Millisecond)
-			closing := sending(port, token, 101, 1+usualAnswer, 0)
+			closing := dataPacket(port, token, 101, 1+typicalAnswerSize, 0)
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
-		"refused at once": func(b *timed, port uint16, token directory.Token) {
-			b.core.Decide(b.now, sending(port, token, 1, 1, 100))
-			b.now = b.now.Add(way)
-			closing := sending(port, token, 101, 1+usualAnswer/10, 0)
+		"refused at once": func(b *speedFixture, port uint16, token directory.Token) {
+			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
+			b.now = b.now.Add(roundTrip)
+			closing := dataPacket(port, token, 101, 1+typicalAnswerSize/10, 0)
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
 	}
 	for name, play := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newTimed(t)
-			b.learn()
-			b.words()
+			b := newSpeedFixture(t)
+			b.learnBaseline()
+			b.takeReports()
 			play(b, b.open(b.tokens[1]), b.tokens[1])
-			assert.NotContains(t, b.words(), b.tokens[1])
+			assert.NotContains(t, b.takeReports(), b.tokens[1])
 		})
 	}
 }
 
 // A node whose flows all stay in a zone sees no others to compare with: that all targets
 // there take longer must not become usual before the leader knows it.
-func TestALoadOverAllTargetsIsSeen(t *testing.T) {
-	b := newTimed(t)
-	b.learn()
+func TestLoadOnAllTargetsIsDetected(t *testing.T) {
+	b := newSpeedFixture(t)
+	b.learnBaseline()
 	b.now = b.now.Add(6 * speed.HalfLife)
-	b.requests(workSampleLimit/8, b.tokens[0], 3*usualWorkTime)
-	assert.Greater(t, b.words()[b.tokens[0]].Mean(), math.Log(3)/2)
+	b.requests(workSampleLimit/8, b.tokens[0], 3*typicalWork)
+	assert.Greater(t, b.takeReports()[b.tokens[0]].Mean(), math.Log(3)/2)
 	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: b.tokens[0], Step: speed.Step(0).Next(math.Log(3))}})
-	b.requests(4*workSampleLimit, b.tokens[0], 3*usualWorkTime)
-	assert.Greater(t, b.words()[b.tokens[0]].Mean(), math.Log(3)/2, "what is told is no part of what is usual")
+	b.requests(4*workSampleLimit, b.tokens[0], 3*typicalWork)
+	assert.Greater(t, b.takeReports()[b.tokens[0]].Mean(), math.Log(3)/2, "what is told is no part of what is usual")
 }
 
-func TestOneVeryLateAnswerMovesLittle(t *testing.T) {
-	b := newTimed(t)
-	b.learn()
-	b.requests(9, b.tokens[1], usualWorkTime)
-	b.request(b.tokens[1], time.Second, usualAnswer)
-	assert.Less(t, b.words()[b.tokens[1]].Mean(), 0.3)
+func TestOutlierSampleIsClamped(t *testing.T) {
+	b := newSpeedFixture(t)
+	b.learnBaseline()
+	b.requests(9, b.tokens[1], typicalWork)
+	b.request(b.tokens[1], time.Second, typicalAnswerSize)
+	assert.Less(t, b.takeReports()[b.tokens[1]].Mean(), 0.3)
 }
 
 // A node tells of many targets part by part, and of each again when nothing is new.
-func TestAWordIsBoundedAndRepeated(t *testing.T) {
-	b := newTimed(t)
-	b.learn()
+func TestSpeedReportsAreBoundedAndRepeated(t *testing.T) {
+	b := newSpeedFixture(t)
+	b.learnBaseline()
 	tokens := b.addTargets(b.now, 10, 3*maxTargetsPerReport)
 	for _, token := range tokens {
-		b.requests(4, token, usualWorkTime)
+		b.requests(4, token, typicalWork)
 	}
 	told := map[directory.Token]int{}
 	for range 2 * int(speedRepeatInterval/speedReportInterval) {
-		words := b.words()
+		words := b.takeReports()
 		assert.LessOrEqual(t, len(words), maxTargetsPerReport)
 		for token := range words {
 			told[token]++
@@ -188,14 +188,14 @@
 		assert.GreaterOrEqual(t, told[token], 2)
 	}
 	b.now = b.now.Add(10 * speed.HalfLife)
-	assert.Empty(t, b.words(), "all has faded")
+	assert.Empty(t, b.takeReports(), "all has faded")
 	assert.Empty(t, b.core.speeds.sampled)
 }
 
 // What the leader told holds for a while when nobody tells it again, and belongs to one
 // start of a target.
-func TestWhatTheLeaderToldHoldsForAWhile(t *testing.T) {
-	b := newTimed(t)
+func TestRelativeTimeExpires(t *testing.T) {
+	b := newSpeedFixture(t)
 	slow := b.tokens[1]
 	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: slow, Step: 8}, {Token: 12345, Step: 8}})
 	entry := b.core.targets[slow]
@@ -213,8 +213,8 @@
 }
 
 // The share of new flows follows the rate; a decision tells the time that it rested on.
-func TestFlowsGoByRate(t *testing.T) {
-	b := newTimed(t)
+func TestNewFlowsFollowServiceRate(t *testing.T) {
+	b := newSpeedFixture(t)
 	b.core.settings.Chooser = &rateChoice{}
 	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: b.tokens[0], Step: 11}, {Token: b.tokens[1], Step: -11}})
 	counts := map[directory.Token]int{}
@@ -225,7 +225,7 @@
 		if decision.Target.Token == b.tokens[0] {
 			assert.InDelta(t, 2, decision.RelativeTime, 0.02)
 		}
-		closing := sending(b.port, decision.Target.Token, 1, 1, 0)
+		closing := dataPacket(b.port, decision.Target.Token, 1, 1, 0)
 		closing.Reset = true
 		b.core.Decide(b.now, closing)
 	}
@@ -236,7 +236,7 @@
 
 // Targets that are cold, or that a copy has tried, have lost no slots: the flows of their
 // zone stay in it. Those of ejected ones leave it.
-func TestOnlyLostSlotsSendFlowsAway(t *testing.T) {
+func TestOnlyLostSlotsCauseSpill(t *testing.T) {
 	const each = 10
 	ids := func(prefix string, count int) []string {
 		var list []string
@@ -261,7 +261,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			b := booking(t)
+			b := newBookingFixture(t)
 			tokens := map[string]directory.Token{}
 			for number, id := range slices.Concat(ids("near-", each), ids("far-", each)) {
 				zone := map[bool]string{true: "north", false: "south"}[number < each]
@@ -294,17 +294,17 @@
 // Work of one kind on targets of three speeds differs by a factor of twenty: a node takes
 // none of the slow third for ill, and finds the fast one whose work takes twenty times as
 // long as usual.
-func TestASlowThirdIsNotTakenForIll(t *testing.T) {
+func TestSlowTargetsAreNotOutliers(t *testing.T) {
 	const requests, spread = 400, 0.5
-	b := newTimed(t)
+	b := newSpeedFixture(t)
 	random := rand.New(rand.NewPCG(5, 1))
 	sums := map[directory.Token]directory.Outcomes{}
 	play := func(factors [3]float64) {
 		clear(sums)
 		for range requests {
 			for number, token := range b.tokens {
-				work := float64(usualWorkTime) * factors[number] * math.Exp(spread*random.NormFloat64())
-				b.request(token, time.Duration(work), usualAnswer)
+				work := float64(typicalWork) * factors[number] * math.Exp(spread*random.NormFloat64())
+				b.request(token, time.Duration(work), typicalAnswerSize)
 			}
 			for _, counted := range b.core.Report(b.now, time.Minute).Outcomes {
 				sums[counted.Token] = sums[counted.Token].Add(counted)
--- a/internal/steer/waiting_test.go
+++ b/internal/steer/waiting_test.go
@@ -12,15 +12,15 @@
 )
 
 // openFlow places a flow and lets its target answer at once, so that it rests.
-func (b *bench) openFlow(now kernel.Instant, port uint16) directory.Token {
+func (b *coreFixture) openFlow(now kernel.Instant, port uint16) directory.Token {
 	decision := b.core.Decide(now, opening(port, 0))
-	packet := following(port, decision.Target.Token, 1)
+	packet := flowPacket(port, decision.Target.Token, 1)
 	b.core.Decide(now, packet)
 	return decision.Target.Token
 }
 
 // addTargets registers targets of the node's zone.
-func (b *bench) addTargets(now kernel.Instant, first, count int) []directory.Token {
+func (b *coreFixture) addTargets(now kernel.Instant, first, count int) []directory.Token {
 	var tokens []directory.Token
 	for number := first; number < first+count; number++ {
 		address := fmt.Sprintf("10.0.0.%d:1", number)
@@ -32,8 +32,8 @@
 
 // Bench day scale-2 of the third customer: four targets that had just started
 // took 518 of 890 new flows, since every node held them for empty.
-func TestNewTargetsAreNoEmptyOnes(t *testing.T) {
-	b := booking(t)
+func TestNewTargetsAreNotFlooded(t *testing.T) {
+	b := newBookingFixture(t)
 	b.addTargets(start, 1, 10)
 	port := uint16(1)
 	for range 200 {
@@ -54,12 +54,12 @@
 	assert.Greater(t, taken, 140/14*4/2)
 }
 
-func TestATargetWithWaitingCallersIsPassedOver(t *testing.T) {
-	b := booking(t)
+func TestTargetWithWaitingCallersIsAvoided(t *testing.T) {
+	b := newBookingFixture(t)
 	tokens := b.addTargets(start, 1, 3)
 	slow := tokens[0]
 	for port := range uint16(4) {
-		packet := following(port+1, slow, 1)
+		packet := flowPacket(port+1, slow, 1)
 		packet.Size = 100
 		b.core.Decide(start, packet)
 	}
@@ -68,11 +68,11 @@
 	}
 }
 
-func TestAWaitEndsWithAnAnswerOrWhenTheCallerWouldHaveSentAgain(t *testing.T) {
-	b := booking(t)
+func TestWaitEndsWithAnswerOrTimeout(t *testing.T) {
+	b := newBookingFixture(t)
 	token := b.addTargets(start, 1, 1)[0]
 	entry := b.core.targets[token]
-	request := following(1, token, 5)
+	request := flowPacket(1, token, 5)
 	request.Size = 100
 	steps := []struct {
 		name    string
@@ -81,9 +81,9 @@
 		waiting int
 	}{
 		{"a request", 0, request, 1},
-		{"an acknowledgement that moves on", 20 * time.Millisecond, following(1, token, 9), 0},
-		{"another request", 100 * time.Millisecond, withSequence(request, 9, 200), 1},
-		{"the same again", 300 * time.Millisecond, withSequence(request, 9, 200), 1},
+		{"an acknowledgement that moves on", 20 * time.Millisecond, flowPacket(1, token, 9), 0},
+		{"another request", 100 * time.Millisecond, withPositions(request, 9, 200), 1},
+		{"the same again", 300 * time.Millisecond, withPositions(request, 9, 200), 1},
 	}
 	for _, step := range steps {
 		b.core.Decide(start.Add(step.after), step.packet)
@@ -93,8 +93,8 @@
 	assert.Equal(t, 1, entry.waitingFlows, "the next copy is due 400 ms after the first")
 	b.core.expireWaits(start.Add(900 * time.Millisecond))
 	assert.Equal(t, 0, entry.waitingFlows)
-	b.core.Decide(start.Add(time.Second), withSequence(request, 9, 300))
-	closing := following(1, token, 9)
+	b.core.Decide(start.Add(time.Second), withPositions(request, 9, 300))
+	closing := flowPacket(1, token, 9)
 	closing.Closing = true
 	b.core.Decide(start.Add(time.Second), closing)
 	assert.Equal(t, 0, entry.waitingFlows, "a flow that ends waits no more")
@@ -102,7 +102,7 @@
 }
 
 // withSequence returns a packet with other positions.
-func withSequence(packet Packet, acknowledged, sequence uint32) Packet {
+func withPositions(packet Packet, acknowledged, sequence uint32) Packet {
 	packet.Acknowledged = acknowledged
 	packet.Sequence = sequence
 	return packet
--- a/internal/steer/warmup_test.go
+++ b/internal/steer/warmup_test.go
@@ -17,7 +17,7 @@
 )
 
 // coldTarget registers a target that is cold for a time.
-func (b *bench) coldTarget(now kernel.Instant, id, zone, address string, warmup directory.Warmup) directory.Target {
+func (b *coreFixture) coldTarget(now kernel.Instant, id, zone, address string, warmup directory.Warmup) directory.Target {
 	b.apply(now, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 		ID: id, Service: "booking", Zone: zone, Slots: 2, State: directory.TargetReady, Address: netip.MustParseAddrPort(address), Warmup: &warmup,
 	}})
@@ -25,8 +25,8 @@
 	return target
 }
 
-func TestAColdTargetsPartGrowsWithItsAge(t *testing.T) {
-	b := booking(t)
+func TestShareOfColdTargetGrows(t *testing.T) {
+	b := newBookingFixture(t)
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
 	counts := map[int]int{}
@@ -41,7 +41,7 @@
 				counts[quarter]++
 			}
 			// The caller is answered, so that waiting flows decide nothing.
-			b.core.Decide(now, following(port, decision.Target.Token, 1))
+			b.core.Decide(now, flowPacket(port, decision.Target.Token, 1))
 		}
 	}
 	assert.Zero(t, counts[0])
@@ -50,15 +50,15 @@
 	assert.Greater(t, counts[3], counts[2])
 }
 
-func TestAColdTargetServesWhenNoOtherIsLeft(t *testing.T) {
-	b := booking(t)
+func TestColdTargetServesWhenAlone(t *testing.T) {
+	b := newBookingFixture(t)
 	cold := b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
 	assert.Equal(t, cold.ID, b.core.Decide(start, opening(1, 0)).Target.ID, "no rate is stated")
 }
 
 // Where only cold targets are left that bear no more, callers hear it at once.
-func TestCallersHearAtOnceThatOnlyColdTargetsAreLeft(t *testing.T) {
-	b := booking(t)
+func TestExhaustedColdTargetsResetNewFlows(t *testing.T) {
+	b := newBookingFixture(t)
 	b.core.nodeKey = directory.NodeKey("me")
 	now := start.Add(2 * budgetWindow)
 	b.coldTarget(start.Add(-time.Hour), "i-2", "north", "10.0.0.2:1", directory.Warmup{
@@ -76,11 +76,11 @@
 	assert.Equal(t, ReasonCold, b.core.Decide(now, opening(4, 0)).Reason, "a node that is no steward sends nothing")
 }
 
-func TestAZoneThatIsTakenBackIsSpared(t *testing.T) {
-	b := booking(t)
+func TestZoneWarmsUpAfterEvacuation(t *testing.T) {
+	b := newBookingFixture(t)
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
-	b.evacuate(start, "north", true)
+	b.setEvacuated(start, "north", true)
 	order := directory.Evacuation{Zone: "north", Revision: b.state.Evacuation("north").Revision, Warmups: []directory.ServiceWarmup{
 		{Service: "booking", Warmup: directory.Warmup{Left: 2 * time.Second}},
 	}}
@@ -96,10 +96,10 @@
 // Simulated fleet, seed 153: a node that started after a zone had been taken back, and
 // after a target had registered there, was a steward of the zone and took the budget of
 // the target's own steward besides.
-func TestATargetThatRegistersAfterItsZoneWasTakenBackHasItsOwnStewards(t *testing.T) {
-	b := booking(t)
+func TestTargetRegisteredAfterEvacuationKeepsItsStewards(t *testing.T) {
+	b := newBookingFixture(t)
 	b.core.nodeKey = directory.NodeKey("me")
-	b.evacuate(start, "north", true)
+	b.setEvacuated(start, "north", true)
 	order := directory.Evacuation{Zone: "north", Revision: b.state.Evacuation("north").Revision, Warmups: []directory.ServiceWarmup{
 		{Service: "booking", Warmup: directory.Warmup{Left: time.Hour, Budget: 2, Stewards: []uint32{directory.NodeKey("me")}}},
 	}}
@@ -115,7 +115,7 @@
 
 // coldRun plays a fleet of nodes that open flows to targets of which tens turn cold,
 // and counts what each target takes. Nodes start anew, learn late and are frozen.
-type coldRun struct {
+type coldSimulation struct {
 	random  *rand.Rand
 	state   *directory.State
 	nodes   []*Core
@@ -132,8 +132,8 @@
 	flowsPerStep = 4
 )
 
-func newColdRun(seed uint64, budget uint32) *coldRun {
-	r := &coldRun{random: rand.New(rand.NewPCG(seed, 9)), state: directory.New(), budget: budget, arrived: map[string][]kernel.Instant{}}
+func newColdSimulation(seed uint64, budget uint32) *coldSimulation {
+	r := &coldSimulation{random: rand.New(rand.NewPCG(seed, 9)), state: directory.New(), budget: budget, arrived: map[string][]kernel.Instant{}}
 	edit := directory.Difference(directory.Configuration{}, directory.Configuration{
 		Version: 1, Routes: []directory.Route{route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1})},
 	})
@@ -144,7 +144,7 @@
 	return r
 }
 
-func (r *coldRun) newNode(number int) *Core {
+func (r *coldSimulation) newNode(number int) *Core {
 	settings := DefaultSettings()
 	settings.Name = fmt.Sprint("node-", number)
 	settings.Random = r.random
@@ -152,7 +152,7 @@
 }
 
 // register lets a cold target register; some of the nodes are its stewards.
-func (r *coldRun) register(position uint64) {
+func (r *coldSimulation) register(position uint64) {
 	warmup := directory.Warmup{Left: coldLeft, Budget: r.budget}
 	for _, number := range r.random.Perm(coldNodes)[:min(int(r.budget), 4)] {
 		warmup.Stewards = append(warmup.Stewards, directory.NodeKey(fmt.Sprint("node-", number)))
@@ -165,7 +165,7 @@
 
 // play returns the largest number of opening packets that a cold target took in any
 // second.
-func (r *coldRun) play() int {
+func (r *coldSimulation) run() int {
 	end := start.Add(5 * time.Second)
 	born := map[string]kernel.Instant{}
 	position := uint64(1)
@@ -220,11 +220,11 @@
 
 // Cold targets bear a number of requests a second that holds over all nodes together.
 // A limit at each node by its number of nodes would need all of them to know it.
-func TestTheSumOverAllNodesStaysWithinAColdTargetsBudget(t *testing.T) {
+func TestColdBudgetHoldsOverAllNodes(t *testing.T) {
 	used := 0
 	for seed := range uint64(coldSeeds()) {
 		budget := []uint32{1, 3, 7, 100}[seed%4]
-		most := newColdRun(seed, budget).play()
+		most := newColdSimulation(seed, budget).run()
 		require.LessOrEqual(t, most, int(budget), "seed %d", seed)
 		if most > 0 {
 			used++
