--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,7 +1,7 @@
-// Package rendezvous shares keys out among nodes by their weights (rendezvous
-// hashing; Thaler and Ravishankar, 1998): each node draws a cost for a key, and the
-// least cost has it. When a node comes, goes or changes its weight, only keys that it
-// has or gets change hands.
+// Package rendezvous assigns keys to nodes by weighted rendezvous hashing (Thaler and
+// Ravishankar, 1998). Each node has a pseudorandom cost for a key; the node with the lowest
+// cost owns the key. When a node is added, removed or reweighted, only keys of that node
+// move.
 package rendezvous
 
 import (
@@ -12,23 +12,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node takes part in the draw.
+// Node is a candidate owner of keys.
 type Node struct {
-	// Seed tells the node from others.
+	// Seed identifies the node.
 	Seed uint64
-	// Weight is the node's part of all keys against that of the others. A node
-	// without a weight gets none while another has one.
+	// Weight is the node's share of the keys relative to the other weights. A node of weight
+	// 0 owns keys only if all nodes have weight 0.
 	Weight float64
 }
 
-// Hash returns the number of a name, for seeds and keys.
+// Hash returns the hash of a name, for use as a seed or key.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// pointUnit is the distance between two points of a draw.
+// pointSpacing is the distance between two adjacent results of uniform.
 const pointSpacing = 1.0 / (1 << 53)
 
-// point returns a node's draw for a key, above 0 and below 1 (the finalizer of
-// SplitMix64).
+// uniform returns a pseudorandom number in (0, 1) for a node and a key, by the finalizer of
+// SplitMix64.
 func uniform(seed, key uint64) float64 {
 	mixed := seed ^ key
 	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
@@ -37,11 +37,11 @@
 	return (float64(mixed>>11) + 0.5) * pointSpacing
 }
 
-// cost turns a draw into a node's cost. It is exponentially distributed with the weight
-// as its rate, so that the least cost is a node's as often as its weight says.
+// cost turns a uniform number into an exponentially distributed one with the weight as its
+// rate. A node then has the lowest cost with a probability proportional to its weight.
 func cost(drawn, weight float64) float64 { return -math.Log1p(-drawn) / weight }
 
-// Best returns the position of the node that has a key, or -1 when there is none.
+// Best returns the index of the node that owns a key, or -1 without nodes.
 func Best(nodes []Node, key uint64) int {
 	var room [1]candidate
 	best := lowestCosts(nodes, key, room[:0])
@@ -51,8 +51,8 @@
 	return best[0].position
 }
 
-// BestN returns the positions of the nodes with the least costs for a key, so many at
-// most, the least first.
+// BestN returns the indexes of up to limit nodes with the lowest costs for a key, in order of
+// cost.
 func BestN(nodes []Node, key uint64, limit int) []int {
 	var positions []int
 	for _, chosen := range lowestCosts(nodes, key, make([]candidate, 0, max(0, min(limit, len(nodes))))) {
@@ -61,20 +61,20 @@
 	return positions
 }
 
-// candidate is a node that may be among the first.
+// candidate is a node with its cost for a key.
 type candidate struct {
 	cost     float64
 	position int
 }
 
-// first fills best up to its capacity.
+// lowestCosts fills best up to its capacity.
 func lowestCosts(nodes []Node, key uint64, best []candidate) []candidate {
 	if cap(best) == 0 {
 		return best
 	}
 	for position, node := range nodes {
 		drawn := uniform(node.Seed, key)
-		// A cost is never below the draw by the weight, which takes no logarithm.
+		// The cost is at least drawn/weight, which avoids computing the logarithm.
 		if len(best) == cap(best) && drawn >= best[len(best)-1].cost*node.Weight {
 			continue
 		}
@@ -83,7 +83,7 @@
 	return best
 }
 
-// insert puts a candidate in its place. Where there is no room the last one goes.
+// insert adds a candidate in order of cost and drops the last one if there is no room.
 func insert(best []candidate, next candidate) []candidate {
 	at, _ := slices.BinarySearchFunc(best, next, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	if at == cap(best) {
--- a/internal/steer/announced.go
+++ b/internal/steer/announced.go
@@ -6,9 +6,8 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// ApplyAnnouncement takes the members that one of them names, which is up and current. It
-// returns the members to try, that one first, or nil when the node knows members
-// already: then it needs no hint.
+// ApplyAnnouncement sets the members that a current member has announced. It returns the
+// order in which to try them, the announcing one first, or nil if members are known already.
 func (l *MemberList) ApplyAnnouncement(from string, members []directory.Member) []directory.Member {
 	if len(l.Members) > 0 || len(members) == 0 {
 		return nil
@@ -21,7 +20,7 @@
 	return order
 }
 
-// isOther returns 0 for the member at an address and 1 for others.
+// announcerRank returns 0 for the member with the given address and 1 for others.
 func announcerRank(member directory.Member, address string) int {
 	if member.Address == address {
 		return 0
--- a/internal/steer/baseline.go
+++ b/internal/steer/baseline.go
@@ -6,38 +6,36 @@
 )
 
 const (
-	// habitSamples is the number of exchanges of a route that a node must have seen
-	// before it tells usual from unusual ones. A node sees a few a second of a route.
+	// minBaselineSamples is the number of exchanges of a route after which its baseline is
+	// used.
 	minBaselineSamples = 16
-	// shortFence says what is far shorter than usual: as many times the spread of the
-	// middle half below it, by magnitudes (Tukey's fence). Of sizes that are spread like
-	// a log-normal distribution 4 in 1000 lie there. Up to a quarter of all answers may be
-	// failures before these are taken for usual.
+	// shortFenceFactor sets the lower limit of normal response sizes: this multiple of the
+	// interquartile range below the lower quartile, on a logarithmic scale (Tukey's fence).
+	// It tolerates up to a quarter of all responses being failures.
 	shortFenceFactor = 1.5
-	// shortPart is the largest part of the lower quartile that is short, for answers of
-	// nearly one size.
+	// shortFraction bounds the limit to this fraction of the lower quartile, for routes whose
+	// responses have nearly one size.
 	shortFraction = 0.5
-	// lateQuantile is the part of the answers that tells how late ones still come.
+	// lateQuantile is the quantile of response times that counts as late.
 	lateQuantile = 0.97
-	// quietWeight is the weight of a new exchange in the share of quiet ones that were
-	// answered after all, and mostQuiet the largest share at which quiet still speaks
-	// against a target: on long flows nearly all answers of one packet look quiet.
+	// quietWeight is the weight of a new exchange in the moving share of exchanges that were
+	// quiet before they were answered. Above maxQuietShare, quiet is not evidence: on reused
+	// flows callers acknowledge most one-packet responses with the next request.
 	quietWeight   = 1.0 / 64
 	maxQuietShare = 0.05
 )
 
-// routeHabit is what is usual for the exchanges of a route, as this node has seen it.
+// routeBaseline is the normal behavior of a route's exchanges as seen by this node.
 type routeBaseline struct {
 	sizes, times logHistogram
-	// quiet is the share of answered exchanges that had fallen quiet before.
+	// quietShare is the moving share of answered exchanges that had been quiet.
 	quietShare float64
-	// answered is the number of exchanges that quiet was learned from.
+	// answeredCount is the number of exchanges in quietShare.
 	answeredCount int
-	// short is the size below which an answer is far shorter than usual, and small that
-	// below which it is short for its time too.
+	// shortSize is the size below which a response counts as short, smallSize the size below
+	// which a fast response is not used as a work sample.
 	shortSize, smallSize uint32
-	// usual is the median time to the first progress, and late the time that few of a
-	// hundred exceed.
+	// medianTime and lateTime are quantiles of the time to the first progress.
 	medianTime, lateTime time.Duration
 	work                 workBaseline
 }
@@ -49,13 +47,13 @@
 	h.shortSize = uint32(low * min(shortFraction, math.Pow(low/high, shortFenceFactor)))
 }
 
-func (h *routeBaseline) addTime(took time.Duration) {
-	h.times.add(float64(took.Microseconds()))
+func (h *routeBaseline) addTime(elapsed time.Duration) {
+	h.times.add(float64(elapsed.Microseconds()))
 	h.medianTime = time.Duration(h.times.quantile(0.5)) * time.Microsecond
 	h.lateTime = time.Duration(h.times.quantile(lateQuantile)) * time.Microsecond
 }
 
-// noteQuiet learns from an exchange that was answered whether it had fallen quiet.
+// addQuiet records whether an answered exchange had been quiet.
 func (h *routeBaseline) addQuiet(wasQuiet bool) {
 	h.answeredCount++
 	value := 0.0
@@ -65,14 +63,14 @@
 	h.quietShare += (value - h.quietShare) * max(quietWeight, 1/float64(h.answeredCount))
 }
 
-// isQuietTelling reports whether a flow without progress speaks against its target.
+// isQuietSignificant reports whether a quiet exchange is evidence against its target.
 func (h *routeBaseline) isQuietSignificant() bool {
 	return h.answeredCount >= minBaselineSamples && h.quietShare <= maxQuietShare
 }
 
-// mayTellByQuiet reports whether a flow without progress is worth a question to its
-// target: not on routes where it was found to say nothing. In a large fleet a node has
-// seen too little of a route for long.
+// mayProbeOnQuiet reports whether a quiet exchange justifies a probe of its target. It does
+// unless quiet is known to be normal on the route; in a large fleet a node takes long to
+// learn that.
 func (h *routeBaseline) mayProbeOnQuiet() bool {
 	return h.answeredCount < minBaselineSamples || h.isQuietSignificant()
 }
@@ -82,22 +80,22 @@
 	return min(max(quietFactor*h.lateTime, minQuietTime), maxQuietTime)
 }
 
-// isShort reports whether an answer is far shorter than usual.
+// isShort reports whether a response is far shorter than normal.
 func (h *routeBaseline) isShort(size uint32) bool {
 	return h.sizes.total >= minBaselineSamples && size < h.shortSize
 }
 
-// isSmall reports whether an answer is clearly smaller than usual.
+// isSmall reports whether a response is clearly smaller than normal.
 func (h *routeBaseline) isSmall(size uint32) bool {
 	return h.sizes.total >= minBaselineSamples && size < h.smallSize
 }
 
-// isSlow reports whether a first progress came far later than usual.
-func (h *routeBaseline) isSlow(took time.Duration) bool {
-	return h.times.total >= minBaselineSamples && h.isQuietSignificant() && took > max(slowFactor*h.medianTime, minSlowTime)
+// isSlow reports whether the first progress came far later than normal.
+func (h *routeBaseline) isSlow(elapsed time.Duration) bool {
+	return h.times.total >= minBaselineSamples && h.isQuietSignificant() && elapsed > max(slowFactor*h.medianTime, minSlowTime)
 }
 
-// habitOf returns what is usual for the route of a flow.
+// baselineOf returns the baseline of a flow's route.
 func (c *Core) baselineOf(flow FlowKey) *routeBaseline {
 	habit, known := c.baselines[flow.Virtual]
 	if !known {
@@ -107,7 +105,7 @@
 	return habit
 }
 
-// dropHabits forgets what was usual for routes that are gone.
+// dropBaselines removes the baselines of routes that no longer exist.
 func (c *Core) dropBaselines() {
 	for address := range c.baselines {
 		if _, routed := c.routes[address]; !routed {
--- a/internal/steer/choice.go
+++ b/internal/steer/choice.go
@@ -6,43 +6,42 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Candidate is a target that could take a new flow.
+// Candidate is a target that can take a new flow.
 type Candidate struct {
-	// Waiting is the number of its flows at this node whose callers wait for an
-	// answer.
+	// Waiting is the number of its flows at this node whose callers wait for an answer.
 	Waiting int
 	Slots   int
-	// Local is set when the target stands in the node's own zone.
+	// Local is set when the target is in the node's zone.
 	Local bool
-	// RelativeTime is the time that the target takes for a request, as a multiple of what is
-	// usual for its service.
+	// RelativeTime is the target's time per request, relative to its service's mean.
 	RelativeTime float64
 }
 
-// Choice is what a target is chosen from.
+// Choice is the input of a Chooser.
 type Choice struct {
-	// Candidates holds at least one.
+	// Candidates are never empty.
 	Candidates []Candidate
-	// LocalSlots and RemoteSlots are the slots of the candidates in the own zone and in the others, and
-	// of those that are passed over since they fail or do not answer. RemoteSlots also holds those
-	// that are spared.
+	// LocalSlots and RemoteSlots count the slots of the candidates in the node's zone and in
+	// other zones, plus those of targets skipped because they fail or do not answer.
+	// RemoteSlots also count the targets skipped because they are warming up.
 	LocalSlots, RemoteSlots int
 }
 
-// Chooser picks the target of a new flow.
+// Chooser selects the target of a new flow.
 type Chooser interface {
 	kernel.Plugin
-	// Choose returns the position of the target.
+	// Choose returns the index of the chosen candidate.
 	Choose(choice Choice, random *rand.Rand) int
 }
 
 const (
-	// ChoiceRandom gives every target the same share.
+	// ChoiceRandom selects uniformly at random.
 	ChoiceRandom kernel.PluginID = "steer.choice.random"
-	// ChoiceNearby takes the target with the fewest flows and prefers the own zone.
+	// ChoiceNearby selects the target with the fewest waiting flows per slot, and prefers
+	// the node's zone.
 	ChoiceNearby kernel.PluginID = "steer.choice.nearby"
-	// ChoiceByRate does the same by the time that flows wait, and draws among equal
-	// targets by the rate at which they serve.
+	// ChoiceByRate selects the target with the shortest expected queue, prefers the node's
+	// zone, and breaks ties at random in proportion to the service rate.
 	ChoiceByRate kernel.PluginID = "steer.choice.by-rate"
 )
 
@@ -64,14 +63,12 @@
 	return random.IntN(len(choice.Candidates))
 }
 
-// farCost is the cost of each slot of a target in another zone, in flows that
-// wait for an answer.
+// crossZoneCost is added to the cost of targets in another zone, in waiting flows per slot.
 const crossZoneCost = 0.5
 
-// nearbyChoice takes the candidate with the fewest waiting flows a slot. Flows
-// that rest do not count: a target that has just started has none, and all
-// nodes would send all new flows there. Equal candidates are drawn by lot, so
-// that many nodes do not all pick the same.
+// nearbyChoice selects the candidate with the fewest waiting flows per slot. Idle flows are
+// not counted; a newly started target has none and would attract the new flows of every
+// node. Ties are broken at random, so that nodes do not all select the same target.
 type nearbyChoice struct{}
 
 var _ Chooser = (*nearbyChoice)(nil)
--- a/internal/steer/core.go
+++ b/internal/steer/core.go
@@ -12,26 +12,26 @@
 
 // Settings are the fixed settings of a node's core.
 type Settings struct {
-	// Name is the name of the node, by which it is a steward of cold targets.
+	// Name is the name of the node. It determines which warm-up budgets the node shares in.
 	Name    string
 	Zone    string
 	Chooser Chooser
 	Random  *rand.Rand
-	// SuspectFor is how long a target that left an opening packet unanswered is
-	// passed over.
+	// SuspectFor is how long a target is avoided after it left an opening packet
+	// unanswered.
 	SuspectFor time.Duration
 	// AnswerTimeout is how long a target has to answer an opening packet before a
-	// copy of it shows that it does not.
+	// retransmission counts against it.
 	AnswerTimeout time.Duration
-	// OpeningLifetime is how long an opening packet is remembered for its copies.
+	// OpeningLifetime is how long a flow that was never opened is kept.
 	OpeningLifetime time.Duration
-	// FlowLifetime is how long an idle flow counts as open.
+	// FlowLifetime is how long an idle flow is kept.
 	FlowLifetime time.Duration
-	// FlowLimit is the largest number of flows that are counted.
+	// FlowLimit is the largest number of tracked flows.
 	FlowLimit int
 }
 
-// FlowBytes is what a flow takes of a node's memory, with its places in the core's maps.
+// FlowBytes is the approximate memory per tracked flow, including its map entries.
 const FlowBytes = 512
 
 // DefaultSettings returns the settings of a node in production.
@@ -46,71 +46,73 @@
 	}
 }
 
-// routeEntry is a route with the sum of its weights.
+// routeEntry is a route with the sum of its backends' weights.
 type routeEntry struct {
 	route       directory.Route
 	totalWeight uint64
 }
 
-// targetEntry is a target and what this node has seen of it.
+// targetEntry is a target and what this node has observed of it.
 type targetEntry struct {
 	target directory.Target
-	// waitingFlows is the number of its flows whose callers wait for an answer.
+	// waitingFlows is the number of its flows whose callers are waiting for an answer.
 	waitingFlows int
-	// missedAt is when a copy showed that an opening packet was not answered.
+	// missedAt is when an opening packet was last found unanswered.
 	missedAt kernel.Instant
-	// answeredAt is when a caller last showed that the target answered.
+	// answeredAt is when the target was last seen to answer a caller.
 	answeredAt kernel.Instant
-	suspected  bool
-	// lost is set while the control members hold the target for dead.
+	// suspected is set while the control members have not heard from the target, or have
+	// told nodes to avoid its zone.
+	suspected bool
+	// lost is set while the control members consider the target dead.
 	lost bool
-	// remembered is set while only a member's disk speaks for the target.
+	// remembered is set while the target is known only from the disk of a control member.
 	remembered bool
-	// reported is set while the target waits in the list of those that answered.
+	// inAnswering is set while the target is in Core.answering.
 	inAnswering bool
 	// missed is the number of opening packets left unanswered since answeredAt.
 	missed int
-	// refusedAt is when an opening packet was last found to have had no taker.
+	// refusedAt is when an opening packet was last found not to be accepted.
 	refusedAt kernel.Instant
-	// ejected is set while the control members hold that the target fails its work,
-	// probation while they want to see whether it serves again.
+	// ejected is set while the control members consider the target failing, and probation
+	// while they test whether it has recovered.
 	ejected, probation bool
-	// triedAt is when the target last got a new flow from this node.
+	// lastPlacedAt is when this node last placed a new flow on the target.
 	lastPlacedAt kernel.Instant
-	// cold is set while the target is spared, or nil.
+	// warmup is set while the target warms up.
 	warmup *warmupState
 	// outcomes count how exchanges ended since the last report.
 	outcomes directory.Outcomes
-	// failedAt is when an exchange was last found unanswered, servedAt when one was last
-	// answered as usual.
+	// failedAt is when an exchange was last unanswered, succeededAt when one was last
+	// answered normally.
 	failedAt, succeededAt kernel.Instant
 	probes                probeState
 	speed                 targetSpeed
 }
 
-// flowEntry is what this node remembers of a flow that it has placed. It is
-// needed for copies of opening packets and for counting, never for routing.
+// flowEntry is the state of a flow at this node. It is used for retransmitted opening
+// packets and for statistics; forwarding does not need it.
 type flowEntry struct {
 	target *targetEntry
-	// tried are the targets that copies of the opening packet went to.
+	// tried are the targets to which the opening packet has been sent.
 	tried []directory.Token
-	// placedAt is when an opening packet last went to the target.
+	// placedAt is when an opening packet was last sent to the target.
 	placedAt kernel.Instant
 	opened   bool
-	// dropped is set when this node has dropped the opening packet.
+	// dropped is set when this node dropped the opening packet.
 	dropped bool
-	// acknowledged is the caller's last acknowledgement: when it moves on, the
-	// target has answered. A packet that is only sent again shows nothing.
+	// acknowledged is the caller's last acknowledgement. Only a change shows that the
+	// target has answered; a retransmission repeats the old value.
 	acknowledged uint32
 	lastPacketAt kernel.Instant
 	pending      pendingData
-	// waits is set while the caller waits for an answer, since waitsSince.
+	// waitingForAnswer is set while the caller waits for an answer, since waitingSince.
 	waitingForAnswer bool
 	waitingSince     kernel.Instant
 	exchange         exchange
 }
 
-// Core decides on packets. One goroutine owns it.
+// Core decides what to do with packets. It is not safe for concurrent use.
 type Core struct {
 	settings      Settings
 	revision      uint64
@@ -118,54 +120,53 @@
 	routes        map[netip.AddrPort]*routeEntry
 	targets       map[directory.Token]*targetEntry
 	services      map[string][]*targetEntry
-	// ended are the targets that have ended, in the order of their ends.
+	// ended are the targets that have ended, oldest first.
 	ended []*targetEntry
 	flows map[FlowKey]*flowEntry
-	// unkept is the number of flows that found no room since TakeUnkept.
+	// untracked is the number of flows not tracked, for lack of space, since TakeUntracked.
 	untracked int
-	// unanswered are the flows whose caller has sent data again.
+	// unanswered are the flows whose callers have retransmitted data.
 	unanswered map[FlowKey]*flowEntry
-	// waiting are the flows whose callers wait for an answer.
+	// waiting are the flows whose callers are waiting for an answer.
 	waiting    map[*flowEntry]struct{}
 	reportedAt kernel.Instant
-	// mistakenUntil is when what this node has seen may speak against targets again:
-	// it was stopped for a while.
+	// stalledUntil is until when evidence against targets is withheld after this process
+	// was stalled.
 	stalledUntil kernel.Instant
 	// answering are the targets that have answered since the last report, and
-	// missing those that have left opening packets unanswered.
+	// unansweredOpenings those that have left opening packets unanswered.
 	answering          []*targetEntry
 	unansweredOpenings map[*targetEntry]bool
-	// wanted are the targets for which callers wait, and probing is the number of probes
-	// under way.
+	// probeWanted are the targets that a caller waits for.
 	probeWanted    map[*targetEntry]struct{}
 	probesInFlight int
 	openings       openingTracker
 	losses         lossTracker
 	exchanges      exchangeTracker
-	// habits are what is usual for the exchanges of each route.
+	// baselines hold the normal behavior of the exchanges of each route.
 	baselines map[netip.AddrPort]*routeBaseline
 	speeds    speedTracker
-	// delayedUntil is when what waited long for this node's link counts no longer.
+	// linkDelayedUntil is until when evidence is doubtful after delays on this node's link.
 	linkDelayedUntil kernel.Instant
 	members          []directory.Member
-	// evacuated are the zones whose targets take no new flows, and evacuations the
-	// revisions of the newest orders about zones.
+	// evacuated are the zones whose targets get no new flows, evacuationRevisions the
+	// revisions of the latest order for each zone.
 	evacuated           map[string]bool
 	evacuationRevisions map[string]uint64
-	// key is this node's key among stewards. From budgetFrom on it may use budgets.
+	// nodeKey is this node's key in the lists of stewards. Budgets may be used from
+	// budgetFrom on.
 	nodeKey    uint32
 	budgetFrom kernel.Instant
-	// rememberedUntil is until when new flows are placed by what a member's disk
-	// remembers, or 0.
+	// rememberedUntil is until when new flows may be placed by remembered state, or 0.
 	rememberedUntil kernel.Instant
 
-	// opened and usable are the lists of the last choice.
+	// unblocked, usable and choice are reused between decisions to avoid allocations.
 	unblocked []*targetEntry
 	usable    []*targetEntry
 	choice    Choice
 }
 
-// New returns a core that knows nothing yet.
+// New returns a core without any state.
 func New(settings Settings) *Core {
 	return &Core{
 		settings: settings,
@@ -187,19 +188,19 @@
 	}
 }
 
-// Revision returns the revision in force; 0 means none.
+// Revision returns the directory revision in force, or 0 for none.
 func (c *Core) Revision() uint64 { return c.revision }
 
 // Version returns the version of the configuration in force.
 func (c *Core) Version() uint64 { return c.configuration.Version }
 
-// Members returns the control members that the node knows of.
+// Members returns the known control members.
 func (c *Core) Members() []directory.Member { return c.members }
 
-// WaitingFlows returns the number of flows whose callers wait for an answer.
+// WaitingFlows returns the number of flows whose callers are waiting for an answer.
 func (c *Core) WaitingFlows() int { return len(c.waiting) }
 
-// Timeout returns the time limit of a flow's route, or 0 when it has none.
+// Timeout returns the timeout of a flow's route, or 0 if it has none.
 func (c *Core) Timeout(flow FlowKey) time.Duration {
 	if entry, routed := c.routes[flow.Virtual]; routed {
 		return entry.route.Timeout
@@ -207,8 +208,7 @@
 	return 0
 }
 
-// Route returns the route of a flow, which must not be changed, or nil when it has
-// none.
+// Route returns the route of a flow, or nil. The result must not be modified.
 func (c *Core) Route(flow FlowKey) *directory.Route {
 	if entry, routed := c.routes[flow.Virtual]; routed {
 		return &entry.route
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// RouteOf returns the route of a flow.
+// RouteOf returns a copy of the route of a flow.
 func (c *Core) RouteOf(flow FlowKey) (directory.Route, bool) {
 	entry, routed := c.routes[flow.Virtual]
 	if !routed {
@@ -225,7 +225,7 @@
 	return entry.route, true
 }
 
-// EvacuatedZones returns the zones whose targets take no new flows, in order.
+// EvacuatedZones returns the zones whose targets get no new flows, sorted.
 func (c *Core) EvacuatedZones() []string {
 	var zones []string
 	for zone, active := range c.evacuated {
@@ -237,29 +237,29 @@
 	return zones
 }
 
-// Flows returns the number of flows that are counted.
+// Flows returns the number of tracked flows.
 func (c *Core) Flows() int { return len(c.flows) }
 
-// SetFlowLimit changes the largest number of flows that are counted. Those that are
-// counted stay until they end.
+// SetFlowLimit sets the largest number of tracked flows. Flows above a lowered limit stay
+// until they end.
 func (c *Core) SetFlowLimit(limit int) { c.settings.FlowLimit = limit }
 
-// TakeUntracked returns how often a flow found no room among those that are counted since
-// the last call.
+// TakeUntracked returns the number of flows not tracked, for lack of space, since the last
+// call.
 func (c *Core) TakeUntracked() int {
 	unkept := c.untracked
 	c.untracked = 0
 	return unkept
 }
 
-// IsReady reports whether the node can place new flows: it has a
-// configuration and at least one target that takes flows.
+// IsReady reports whether the node can place new flows: it has a configuration and at
+// least one target accepts flows.
 func (c *Core) IsReady() bool {
 	return c.configuration.Version > 0 && len(c.services) > 0
 }
 
-// Update puts an update in force. It returns false when the update does not
-// fit what the node has; then the node must ask for the whole state.
+// Update applies an update of the directory. It returns false if the update does not apply
+// to the current state; the node must then request the whole state.
 func (c *Core) Update(now kernel.Instant, update directory.Update) bool {
 	if update.Revision <= c.revision {
 		return true
@@ -272,8 +272,8 @@
 		if edit.Version <= configuration.Version {
 			continue
 		}
-		next, fits := edit.Apply(configuration)
-		if !fits {
+		next, applies := edit.Apply(configuration)
+		if !applies {
 			return false
 		}
 		configuration = next
@@ -329,7 +329,7 @@
 	}
 }
 
-// enlist notes the newest word on a target, and lists it while it takes new flows.
+// listTarget stores the current state of a target, and lists it if it accepts new flows.
 func (c *Core) listTarget(entry *targetEntry, target directory.Target) {
 	c.unlistTarget(entry)
 	entry.target = target
@@ -338,10 +338,9 @@
 	}
 }
 
-// rememberEnded remembers a target that has ended, and forgets the oldest ones as the
-// members do: a node that runs for months would else hold each target that ever was. What
-// is left of its flows is forgotten as they rest: to look for them among 200,000 with each
-// of 100 ends a second would take a fifth of a core.
+// recordEnded stores an ended target and drops the oldest ones above the limit, as control
+// members do. Flows of dropped targets expire when idle: a scan of all flows at each end of
+// a target would cost too much on a busy node.
 func (c *Core) recordEnded(entry *targetEntry) {
 	c.ended = append(c.ended, entry)
 	for len(c.ended) > directory.EndedLimit(len(c.targets)-len(c.ended)) {
@@ -354,7 +353,7 @@
 	}
 }
 
-// unlist takes a target out of the list of those that take new flows.
+// unlistTarget removes a target from the list of those that accept new flows.
 func (c *Core) unlistTarget(entry *targetEntry) {
 	service := entry.target.Service
 	if entry.target.State != directory.TargetReady {
@@ -366,7 +365,7 @@
 	}
 }
 
-// Decide returns what is done with a packet.
+// Decide returns what to do with a packet.
 func (c *Core) Decide(now kernel.Instant, packet Packet) Decision {
 	if packet.Forged {
 		return Decision{Action: ActionDrop, Reason: ReasonForged}
@@ -377,7 +376,7 @@
 	return c.forwardByToken(now, packet)
 }
 
-// follow forwards a packet of an open flow by its token.
+// forwardByToken forwards a packet of an open flow to the target of its token.
 func (c *Core) forwardByToken(now kernel.Instant, packet Packet) Decision {
 	if packet.Token == 0 {
 		return Decision{Action: ActionDrop, Reason: ReasonNoToken}
@@ -396,7 +395,7 @@
 	return Decision{Action: ActionForward, Reason: ReasonToken, Target: entry.target}
 }
 
-// lostDecision resets a flow whose target is held for lost.
+// lostDecision resets a flow whose target is lost. A reset gets no reply.
 func lostDecision(packet Packet, target directory.Target) Decision {
 	if packet.Reset {
 		return Decision{Action: ActionDrop, Reason: ReasonLost, Target: target}
@@ -404,7 +403,7 @@
 	return Decision{Action: ActionReset, Reason: ReasonLost, Target: target}
 }
 
-// endedDecision resets a flow whose target has ended. A reset is not answered.
+// endedDecision resets a flow whose target has ended. A reset gets no reply.
 func endedDecision(packet Packet, target directory.Target) Decision {
 	if packet.Reset {
 		return Decision{Action: ActionDrop, Reason: ReasonEnded, Target: target}
@@ -412,7 +411,7 @@
 	return Decision{Action: ActionReset, Reason: ReasonEnded, Target: target}
 }
 
-// noteFlow keeps the count of open flows and the signs that targets answer.
+// trackFlow updates the state of a flow and records that its target answers.
 func (c *Core) trackFlow(now kernel.Instant, packet Packet, entry *targetEntry) {
 	flow, known := c.flows[packet.Flow]
 	if known && !flow.opened {
@@ -455,7 +454,7 @@
 	c.flows[key] = &flowEntry{target: entry, lastPacketAt: now}
 }
 
-// moveFlow notes that a flow is at another target than was thought.
+// setFlowTarget changes the target of a flow.
 func (c *Core) setFlowTarget(flow *flowEntry, entry *targetEntry) {
 	if flow.target == entry {
 		return
@@ -472,8 +471,7 @@
 	delete(c.openings.inFlight, key)
 }
 
-// Tick forgets flows that have rested for too long. It is called about once a
-// second.
+// Tick drops idle flows. It is called about once a second.
 func (c *Core) Tick(now kernel.Instant) {
 	for key, flow := range c.flows {
 		limit := c.settings.FlowLifetime
--- a/internal/steer/ejection.go
+++ b/internal/steer/ejection.go
@@ -8,18 +8,15 @@
 )
 
 const (
-	// probationShare is the part of the new flows that reach a target on probation of
-	// those that it would get otherwise. A target that serves a dozen flows a second
-	// over all nodes shows in one second with three of them whether it serves again;
-	// until then one caller in a few hundred meets it.
+	// probationShare is the share of the flows otherwise due to it that a target on
+	// probation gets: enough to see soon whether it has recovered, with few callers at risk.
 	probationShare = 0.25
-	// probationPause is the least time between two flows that a node places on a target
-	// on probation: when every other target has callers waiting it looks idlest, and
-	// takes all that the lot lets through.
+	// probationInterval is the least time between two flows that this node places on a
+	// target on probation, which often looks idle and would then be preferred.
 	probationInterval = time.Second
 )
 
-// setEjections takes over which targets fail their work.
+// setEjections marks the targets that are ejected or on probation.
 func (c *Core) setEjections(verdicts directory.Verdicts) {
 	for _, token := range verdicts.Ejected {
 		if entry, known := c.targets[token]; known {
@@ -33,8 +30,8 @@
 	}
 }
 
-// takesTrial draws whether a target on probation may get a flow. Only requests that
-// may run more than once are risked, and no caller that has tried before.
+// admitsTrial decides at random whether a target on probation may get a flow. Only
+// first attempts on routes that allow repeated requests are eligible.
 func (c *Core) admitsTrial(now kernel.Instant, entry *targetEntry, kind directory.RouteKind, tried []directory.Token) bool {
 	if !kind.IsRepeatable() || len(tried) > 0 || now.Sub(entry.lastPlacedAt) < probationInterval {
 		return false
--- a/internal/steer/evidence.go
+++ b/internal/steer/evidence.go
@@ -10,40 +10,39 @@
 )
 
 const (
-	// silenceThreshold is how long data must have waited for an answer, and a
-	// target must have answered nobody at this node, before a flow counts as
-	// evidence that the target is silent.
+	// silenceThreshold is how long data must have been unacknowledged, and the target have
+	// answered no other flow of this node, before it counts as evidence of silence.
 	silenceThreshold = 250 * time.Millisecond
 	// missedLifetime is how long an unanswered opening packet counts.
 	missedLifetime = 900 * time.Millisecond
 )
 
-// SilentTarget is a target that left packets of several flows unanswered.
+// SilentTarget is a target that left packets unanswered.
 type SilentTarget struct {
 	Token directory.Token
-	// Weight grows with the flows that wait for an answer and with their wait.
+	// Weight is the strength of the evidence: it grows with the number of waiting flows and
+	// the length of the wait.
 	Weight uint32
-	// Doubtful is the weight of all that a doubtful witness sees.
+	// Doubtful is the same for evidence that may be due to a fault of this node or its link.
 	Doubtful uint32
 }
 
-// Evidence is what a node has seen of the targets since its last report.
+// Evidence is what a node has observed of the targets since its last report.
 type Evidence struct {
-	// Answering are the targets that answered somebody.
+	// Answering are the targets that answered at least one caller.
 	Answering []directory.Token
 	Silent    []SilentTarget
-	// Refused are the targets that took no opening packets, with their number, and
-	// Openings count those of all targets by zone.
+	// Refused are the targets that did not accept opening packets, with the number of
+	// packets; Openings count the opening packets to all targets by zone.
 	Refused  []SilentTarget
 	Openings []directory.ZoneOpenings
 	// Outcomes count how exchanges with targets ended.
 	Outcomes []directory.Outcomes
 }
 
-// Report returns the evidence since the last report. When the node itself was
-// stopped for a while there is none: what it saw is old. For a time after that
-// nothing speaks against a target: data that callers had sent again waited here,
-// together with the data itself, and the answers went by other nodes.
+// Report returns the evidence since the last report. It returns none if this process was
+// stalled in between, and no evidence of silence for some time after: data and its
+// retransmissions were queued here together, and answers took the path through other nodes.
 func (c *Core) Report(now kernel.Instant, interval time.Duration) Evidence {
 	c.expireWaits(now)
 	since := c.reportedAt
@@ -77,7 +76,7 @@
 	return evidence
 }
 
-// noteAnswer notes that a target has answered a caller.
+// recordAnswer records that a target has answered a caller.
 func (c *Core) recordAnswer(now kernel.Instant, entry *targetEntry) {
 	entry.answeredAt = now
 	entry.missed = 0
@@ -88,7 +87,7 @@
 	}
 }
 
-// noteMissed notes that a target has left an opening packet unanswered.
+// recordMissed records that a target has left an opening packet unanswered.
 func (c *Core) recordMissed(now kernel.Instant, flow *flowEntry) {
 	if flow.dropped {
 		return
@@ -111,20 +110,20 @@
 }
 
 func (c *Core) silentTargets(now kernel.Instant) []SilentTarget {
-	found := map[*targetEntry]SilentTarget{}
+	weights := map[*targetEntry]SilentTarget{}
 	for _, flow := range c.unanswered {
 		if weight := flow.pending.weight(now); weight > 0 {
-			silent := found[flow.target]
+			silent := weights[flow.target]
 			silent.Weight += weight
-			found[flow.target] = silent
+			weights[flow.target] = silent
 		}
 	}
-	c.addUnansweredOpenings(now, found)
+	c.addUnansweredOpenings(now, weights)
 	if c.isUnreliableObserver(now) {
-		markDoubtful(found)
+		markDoubtful(weights)
 	}
 	var list []SilentTarget
-	for entry, silent := range found {
+	for entry, silent := range weights {
 		if now.Sub(entry.answeredAt) >= silenceThreshold {
 			silent.Token = entry.target.Token
 			list = append(list, silent)
@@ -134,33 +133,33 @@
 	return list
 }
 
-// doubtAll turns all weight into doubtful weight.
-func markDoubtful(found map[*targetEntry]SilentTarget) {
-	for entry, silent := range found {
-		found[entry] = SilentTarget{Doubtful: silent.Weight}
+// markDoubtful turns all weight into doubtful weight.
+func markDoubtful(weights map[*targetEntry]SilentTarget) {
+	for entry, silent := range weights {
+		weights[entry] = SilentTarget{Doubtful: silent.Weight}
 	}
 }
 
-// addMissing adds the opening packets without an answer.
-func (c *Core) addUnansweredOpenings(now kernel.Instant, found map[*targetEntry]SilentTarget) {
+// addUnansweredOpenings adds the weight of unanswered opening packets.
+func (c *Core) addUnansweredOpenings(now kernel.Instant, weights map[*targetEntry]SilentTarget) {
 	for entry := range c.unansweredOpenings {
 		if now.Sub(entry.missedAt) >= missedLifetime {
 			delete(c.unansweredOpenings, entry)
 			continue
 		}
-		silent := found[entry]
+		silent := weights[entry]
 		silent.Weight += uint32(entry.missed)
-		found[entry] = silent
+		weights[entry] = silent
 	}
 }
 
-// ApplyVerdicts takes the control members' verdicts. New flows avoid what is suspected while
-// other targets are left. It returns the open flows of targets
-// that were not held for lost before; their callers can be told at once.
+// ApplyVerdicts applies the verdicts of the control members. Suspected targets get no new
+// flows while others are available. It returns one packet for each open flow whose target
+// is newly lost, for its reset.
 func (c *Core) ApplyVerdicts(verdicts directory.Verdicts) []Packet {
-	before := map[*targetEntry]bool{}
+	wasLost := map[*targetEntry]bool{}
 	for _, entry := range c.targets {
-		before[entry] = entry.lost
+		wasLost[entry] = entry.lost
 		entry.suspected = slices.Contains(verdicts.AvoidedZones, entry.target.Zone)
 		entry.lost = false
 		entry.ejected = false
@@ -177,12 +176,12 @@
 		}
 	}
 	c.setEjections(verdicts)
-	return c.resetFlows(func(entry *targetEntry) bool { return entry.lost && !before[entry] })
+	return c.resetFlows(func(entry *targetEntry) bool { return entry.lost && !wasLost[entry] })
 }
 
-// ResetUnanswered forgets the flows at targets that have ended whose callers have sent data
-// again, and returns a packet of each for its reset. Their next packet would be reset too,
-// but comes up to 1.6 s later, which is half of the time that some callers have.
+// ResetUnanswered removes the flows with retransmitted data whose targets have ended, and
+// returns one packet of each for its reset. Their next retransmission would be reset as
+// well, but may come too late for the caller to try again before its deadline.
 func (c *Core) ResetUnanswered() []Packet {
 	var packets []Packet
 	for key, flow := range c.unanswered {
@@ -195,7 +194,7 @@
 	return packets
 }
 
-// endFlow forgets a flow and returns a packet of it for its reset.
+// resetFlow removes a flow and returns a packet of it for its reset.
 func (c *Core) resetFlow(key FlowKey, flow *flowEntry) Packet {
 	c.removeFlow(key, flow)
 	return Packet{Flow: key, Token: flow.target.target.Token, Acknowledged: flow.acknowledged}
@@ -207,7 +206,7 @@
 	})
 }
 
-// endFlows forgets the open flows of some targets and returns a packet of each
+// resetFlows removes the open flows of the selected targets and returns one packet of each
 // for its reset.
 func (c *Core) resetFlows(ended func(entry *targetEntry) bool) []Packet {
 	var packets []Packet
--- a/internal/steer/exchange.go
+++ b/internal/steer/exchange.go
@@ -7,122 +7,114 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// An exchange is data of a caller and what the target did with it. A node sees only
-// what callers send: their data, their acknowledgements, and how they end flows. From
-// that it counts for each target how exchanges end. The signs, and where they fail:
+// An exchange is a request of a caller and the target's response. A node sees only the
+// packets of callers: data, acknowledgements, and how they end their flows. From these it
+// classifies exchanges per target:
 //
-//   - Unanswered: data, and for the quiet time of its route no progress of the
-//     acknowledgement and no new data; or an end whose acknowledgement covers nothing
-//     but the target's own end. A caller on a long flow need not acknowledge an answer
-//     of one packet before its next request: where flows that fell quiet speak again
-//     with an answer, quiet says nothing (routeHabit.isQuietTelling). A node that
-//     nobody else was answered through meanwhile is cut off or choked itself: what it
-//     misses counts nothing. So does what a doubtful witness sees (isDoubtfulWitness),
-//     what a node was stopped through, and what it dropped or held back.
-//   - Short: an answer far shorter than the route's usual ones at this node. Where the
-//     usual ones are short already, none is. A caller that ends a download midway looks
-//     the same, at all targets alike; one that breaks it off with a reset does not.
-//   - Slow: a first progress far later than is usual for the route. Uploads are timed
-//     from their last new data, unless some of it was lost. Only what is seen at once is
-//     timed: progress that comes with the next request says nothing of when the answer
-//     came. A request of one packet that was lost looks slow, at all targets alike and
-//     seldom.
+//   - Unanswered: data without progress of the acknowledgement or new data for the quiet
+//     time of the route, or a flow that ends with nothing acknowledged but the target's
+//     close. Quiet is ignored on routes whose callers acknowledge one-packet responses only
+//     with their next request (routeBaseline.isQuietSignificant).
+//   - Short: a response far shorter than the route's baseline. A caller that closes midway
+//     through a download looks the same, but does so at all targets alike. A flow that the
+//     caller resets is not counted as short.
+//   - Slow: first progress far later than the route's baseline. Uploads are timed from
+//     their last new data, unless packets were retransmitted. Progress that arrives with the
+//     next request is not timed. A lost one-packet request looks slow, at all targets alike.
 //
-// A caller that breaks off before the quiet time, by an end or a reset, may have
-// changed its mind, or sends no more and listens on: that counts nothing. A flow that
-// a node joins midway counts from a later request on, since stray copies of a flow that
-// has ended look like one that is joined; one that leaves the node looks
-// quiet, at all targets alike and seldom. Packets out of order and copies are told by
-// their positions, which wrap. Data sent again after a loss is no new request.
+// Exchanges are ignored if a local cause is possible: no other exchange made progress
+// through this node meanwhile, the evidence is doubtful (isUnreliableObserver), the process
+// was stalled, or the node dropped or delayed packets. A caller that leaves before the quiet
+// time may have canceled. A flow joined midway counts from its second request on, because
+// stray retransmissions of an ended flow look like one. A flow that moves to another node
+// looks quiet, at all targets alike. Positions wrap; packets out of order and
+// retransmissions are detected by position.
 
 const (
-	// shortestQuiet is the time without progress after which an exchange may count as
-	// unanswered: callers send data again after 200 ms, so one lost packet is made good
-	// by then.
+	// minQuietTime is the shortest time without progress after which an exchange is quiet.
+	// Callers retransmit after 200 ms, so one lost packet has been repaired by then.
 	minQuietTime = retransmitTimeout
-	// longQuiet is the same for data of more than one packet: others of them may be lost,
-	// and copies of a packet are sent after 200 and 600 ms.
+	// multiPacketQuietTime is the same for data of several packets, where more than one may
+	// be lost; callers retransmit 200 and 600 ms after the first transmission.
 	multiPacketQuietTime = 700 * time.Millisecond
-	// longestQuiet bounds the quiet time of routes whose answers take long, so that a
-	// target is seen within the time in which callers give up.
+	// maxQuietTime bounds the quiet time of slow routes, so that failures are seen before
+	// callers give up.
 	maxQuietTime = time.Second
-	// quietFactor is the multiple of the time that a route's late answers take after
-	// which an exchange is quiet.
+	// quietFactor is the ratio of the quiet time to a high quantile of response times.
 	quietFactor = 2
-	// slowFactor is the multiple of a route's usual time to the first progress that is
-	// slow: work of one kind may take several times its mean.
+	// slowFactor is the ratio to the median response time above which an exchange is slow;
+	// requests of one kind may take several times the mean.
 	slowFactor = 8
-	// shortestSlow is the least time to a first progress that counts as slow; below it
-	// ways and queues differ by as much.
+	// minSlowTime is the shortest time that counts as slow; network and queueing delays vary
+	// by less.
 	minSlowTime = 100 * time.Millisecond
-	// strayTime is the time after a flow's end in which copies of its packets may still
-	// come: less than the time after which callers send copies. They look like a flow
-	// that the node joins.
+	// strayPacketTime is how long after the end of a flow its packets may still arrive. It is
+	// less than a caller's first retransmission timeout.
 	strayPacketTime = 200 * time.Millisecond
-	// ownEnd is the number of positions that a target's end takes in its stream.
+	// finLength is the number of positions that a close takes in a stream, like a TCP FIN.
 	finLength = 1
 )
 
-// exchangeStage tells how far an exchange has come.
+// exchangeStage is the state of an exchange.
 type exchangeStage uint8
 
 const (
-	// exchangeNone is before the first data, or after the flow is forgotten.
+	// exchangeNone is before the first data, or after the flow was removed.
 	exchangeNone exchangeStage = iota
-	// exchangeWaiting has data and no progress.
+	// exchangeWaiting has sent data and seen no progress.
 	exchangeWaiting
-	// exchangeQuiet has waited for longer than the quiet time.
+	// exchangeQuiet has seen no progress for longer than the quiet time.
 	exchangeQuiet
-	// exchangeAnswering has made progress.
+	// exchangeAnswering has seen progress.
 	exchangeAnswering
 )
 
-// exchange is the newest exchange of a flow.
+// exchange is the latest exchange of a flow.
 type exchange struct {
 	stage exchangeStage
-	// begun is set once acknowledged is known.
+	// started is set once acknowledged is valid.
 	started bool
-	// void is set when the exchange tells nothing of the target.
+	// ignored is set when the exchange is not evidence about the target.
 	ignored bool
-	// listed is set while the flow is in the wheel.
+	// inWheel is set while the flow is in the timer wheel.
 	inWheel bool
-	// slow is set when the first progress was late.
+	// slow is set when the first progress was slow.
 	slow bool
-	// long is set when the data takes more than one packet.
+	// multiPacket is set when the request takes more than one packet.
 	multiPacket bool
-	// copied is set when some of it was sent again or came out of order.
+	// retransmitted is set when data was repeated or arrived out of order.
 	retransmitted bool
-	// base is the caller's acknowledgement when the exchange began, acknowledged the
-	// furthest one, and end the position behind the furthest data.
+	// baseAcknowledged is the caller's acknowledgement at the start of the exchange,
+	// acknowledged the highest one, and end the position after the highest data.
 	baseAcknowledged, acknowledged, end uint32
-	// way is the time from the flow's opening packet to the caller's next one.
+	// handshakeTime is the time from the opening packet to the caller's next packet.
 	handshakeTime time.Duration
-	// took is the time to the first progress where it is that of the target's work, or 0.
+	// responseTime is the time to the first progress if it measures the target's work, or 0.
 	responseTime time.Duration
-	// later is set when the flow had an exchange before.
+	// subsequent is set when the flow had an exchange before.
 	subsequent bool
-	// joinedAt is when the node first saw a flow whose beginning it did not see.
+	// joinedAt is when the node first saw a flow that began elsewhere.
 	joinedAt kernel.Instant
-	// newest is when data came that was not sent before.
+	// lastDataAt is when data last arrived that had not been seen before.
 	lastDataAt kernel.Instant
 	target     *targetEntry
 	baseline   *routeBaseline
-	// next is the next flow in the same slot of the wheel.
+	// nextInSlot is the next flow in the same slot of the timer wheel.
 	nextInSlot *flowEntry
 }
 
-// exchangeWatch follows the exchanges of the open flows.
+// exchangeTracker is the state shared by the exchanges of all flows.
 type exchangeTracker struct {
 	wheel timerWheel
-	// counted are the targets with outcomes since the last report.
+	// withOutcomes are the targets with outcomes since the last report.
 	withOutcomes []*targetEntry
-	// answered is when an exchange last made progress, at any target.
+	// lastProgressAt is when an exchange with any target last made progress.
 	lastProgressAt kernel.Instant
-	// voidBefore is the time up to which exchanges that have begun tell nothing.
+	// ignoreBefore is the time before which started exchanges are ignored.
 	ignoreBefore kernel.Instant
 }
 
-// noteExchange follows a packet of an open flow.
+// trackExchange updates the exchange of a flow with a packet of the caller.
 func (c *Core) trackExchange(now kernel.Instant, packet Packet, flow *flowEntry, target *targetEntry) {
 	x := &flow.exchange
 	if !x.started {
@@ -150,16 +142,16 @@
 	return x.baseline.quietTime()
 }
 
-// advances reports whether a position is ahead of another one; positions wrap.
+// advances reports whether position to is ahead of from; positions wrap.
 func advances(from, to uint32) bool { return int32(to-from) > 0 }
 
-// join notes that the node sees a flow whose beginning it did not see.
+// joinMidFlow starts tracking a flow whose beginning this node has not seen.
 func (x *exchange) joinMidFlow(now kernel.Instant, packet Packet) {
 	*x = exchange{stage: exchangeAnswering, started: true, ignored: true, subsequent: true, joinedAt: now, baseAcknowledged: packet.Acknowledged, acknowledged: packet.Acknowledged}
 	x.end = packet.Sequence + uint32(packet.Size)
 }
 
-// noteProgress notes that the caller has got more of an answer.
+// recordProgress records that the caller has received more of the response.
 func (c *Core) recordProgress(now kernel.Instant, packet Packet, x *exchange) {
 	if x.stage != exchangeWaiting && x.stage != exchangeQuiet {
 		return
@@ -168,27 +160,27 @@
 	habit := x.baseline
 	if !c.exchanges.isIgnored(x) {
 		habit.addQuiet(x.stage == exchangeQuiet)
-		took := now.Sub(x.lastDataAt)
+		elapsed := now.Sub(x.lastDataAt)
 		timed := packet.Size == 0 && !(x.multiPacket && x.retransmitted)
-		x.slow = timed && habit.isSlow(took)
+		x.slow = timed && habit.isSlow(elapsed)
 		if timed {
-			habit.addTime(took)
+			habit.addTime(elapsed)
 		}
 		x.responseTime = 0
 		if timed && x.measuresWork(packet) {
-			x.responseTime = took
+			x.responseTime = elapsed
 		}
 	}
 	x.stage = exchangeAnswering
 }
 
-// tellsWork reports whether the time to a first progress is that of the target's work:
-// no data was sent again, and the caller did not rest before it ended a long flow.
+// measuresWork reports whether the time to the first progress measures the target's work:
+// no data was retransmitted, and the caller was not idle before closing a reused flow.
 func (x *exchange) measuresWork(packet Packet) bool {
 	return !x.retransmitted && !(packet.Closing && x.subsequent)
 }
 
-// noteData follows data: new data after an answer begins the next exchange.
+// recordData records data of the caller. New data after a response starts an exchange.
 func (c *Core) recordData(now kernel.Instant, packet Packet, flow *flowEntry, target *targetEntry) {
 	x := &flow.exchange
 	end := packet.Sequence + uint32(packet.Size)
@@ -220,9 +212,9 @@
 	c.exchanges.wheel.add(now, flow, x.quietTime())
 }
 
-// endExchange counts an exchange that has ended. A caller that broke off got what it
-// got: its answer can't be held for short.
-func (c *Core) endExchange(now kernel.Instant, x *exchange, brokenOff bool) {
+// endExchange counts the outcome of an exchange that has ended. A response is not short if
+// the caller aborted it.
+func (c *Core) endExchange(now kernel.Instant, x *exchange, aborted bool) {
 	stage := x.stage
 	x.stage = exchangeNone
 	if stage != exchangeAnswering || c.exchanges.isIgnored(x) {
@@ -230,7 +222,7 @@
 	}
 	size := x.acknowledged - x.baseAcknowledged
 	switch {
-	case brokenOff && x.baseline.isShort(size):
+	case aborted && x.baseline.isShort(size):
 	case size <= finLength:
 		c.recordOutcome(now, x.target, directory.Outcomes{Unanswered: 1})
 	case x.baseline.isShort(size):
@@ -243,28 +235,28 @@
 		c.recordOutcome(now, x.target, directory.Outcomes{Answered: 1})
 		c.recordWork(now, x, size)
 	}
-	if !brokenOff && size > finLength {
+	if !aborted && size > finLength {
 		x.baseline.addSize(size)
 	}
 }
 
-// noteQuietFlow is called when the quiet time of an exchange may be over. It returns
-// how long it still lasts, or 0 when it need not be looked at again.
+// checkQuiet is called when the quiet time of an exchange may have passed. It returns the
+// time that is left, or 0 if the exchange needs no further check.
 func (c *Core) checkQuiet(now kernel.Instant, flow *flowEntry) time.Duration {
 	x := &flow.exchange
 	if x.stage != exchangeWaiting {
 		return 0
 	}
-	limit := x.quietTime()
-	if left := limit - now.Sub(x.lastDataAt); left > 0 {
+	quietTime := x.quietTime()
+	if left := quietTime - now.Sub(x.lastDataAt); left > 0 {
 		return left
 	}
 	x.stage = exchangeQuiet
 	if x.baseline.mayProbeOnQuiet() {
 		c.requestProbe(now, x.target)
 	}
-	heardOthers := c.exchanges.lastProgressAt.Sub(x.lastDataAt) > limit/2
-	if !heardOthers || c.isUnreliableObserver(now) {
+	othersProgressed := c.exchanges.lastProgressAt.Sub(x.lastDataAt) > quietTime/2
+	if !othersProgressed || c.isUnreliableObserver(now) {
 		x.ignored = true
 	}
 	if x.baseline.isQuietSignificant() && !c.exchanges.isIgnored(x) {
@@ -273,11 +265,11 @@
 	return 0
 }
 
-// isVoid reports whether an exchange tells nothing of its target.
+// isIgnored reports whether an exchange is not evidence about its target.
 func (w *exchangeTracker) isIgnored(x *exchange) bool {
 	return x.ignored || x.lastDataAt < w.ignoreBefore
 }
 
-// voidExchanges makes the exchanges that have begun count nothing: the node was
-// stopped, or held back what it should have forwarded.
+// ignoreExchanges discards the exchanges in progress: the process was stalled or delayed
+// packets.
 func (c *Core) ignoreExchanges(now kernel.Instant) { c.exchanges.ignoreBefore = now }
--- a/internal/steer/follower.go
+++ b/internal/steer/follower.go
@@ -10,89 +10,83 @@
 )
 
 const (
-	// NotCurrentTimeout is how long a member may be not current: some elections.
+	// NotCurrentTimeout is how long a member may be not current: a few election timeouts.
 	NotCurrentTimeout = 700 * time.Millisecond
-	// LeaderlessTimeout is how long a member may be without a leader: as long as it
-	// counts as current after it has heard from one, and longer than an election
-	// takes (0.25 to 0.5 s without a leader, then a few round trips).
+	// LeaderlessTimeout is how long a member may be without a leader. It is longer than an
+	// election: 0.25 to 0.5 s without a leader, then a few round trips.
 	LeaderlessTimeout = 800 * time.Millisecond
-	// LeaveJitter is the time over which nodes leave a member without a leader:
-	// the members of one side of a split lose theirs at the same moment, and
-	// hundreds of nodes with them.
+	// LeaveJitter spreads the reconnects of nodes whose members lose their leader at the same
+	// time, as all members on one side of a partition do.
 	LeaveJitter = 200 * time.Millisecond
-	// firstPause and longestPause bound the pause after each further member that
-	// has no leader; it doubles, so that a group without a quorum is not kept from
-	// its election by nodes that go round. Six members in a row cost half a second.
+	// minBackoff and maxBackoff bound the exponential delay after each further member without
+	// a leader, so that a group without a quorum can hold its election.
 	minBackoff = 10 * time.Millisecond
 	maxBackoff = 320 * time.Millisecond
-	// DefaultRetryDelay is the pause after a member that was left for another reason.
+	// DefaultRetryDelay is the delay after leaving a member for any other reason.
 	DefaultRetryDelay = 40 * time.Millisecond
-	// FirstStatusTimeout is how long a node that has lost its leader waits for the
-	// first sign of life of a member; a member that runs gives it at once.
+	// FirstStatusTimeout is how long a node that has lost its leader waits for the first
+	// status of a member.
 	FirstStatusTimeout = 200 * time.Millisecond
-	// RemoteStay is how long a node stays with a member of another zone before it
-	// tries one of its own zone again that it has left for a fault.
+	// RemoteStay is how long a node stays with a member of another zone before it retries
+	// the members of its own zone after failures.
 	RemoteStay = 8 * time.Second
-	// ReturnJitter is the time over which the nodes of a fleet go to members of their
-	// own zones: hundreds at once would hold up those members. A fleet that has
-	// just been founded registers its targets in its first seconds, and each
-	// registration goes to each node, so a longer time costs bytes between zones.
+	// ReturnJitter spreads the moves of nodes to members of their own zone, so that they do
+	// not overload those members.
 	ReturnJitter = time.Second
 )
 
-// The reasons for which a node leaves a member.
+// The reasons for leaving a member.
 var (
-	// ErrCloserMember ends the stream of a far member.
-	ErrCloserMember = errors.New("a member of the own zone is tried")
-	// ErrReferred ends the stream of a seed that names the group's members.
-	ErrReferred = errors.New("the member names others")
-	// ErrEmpty ends the stream of a member that knows nothing.
-	ErrEmpty = errors.New("the member has no place in the group")
-	// ErrNotCurrent ends the stream of a member that may be behind.
-	ErrNotCurrent = errors.New("the member is not current")
-	// ErrLeaderless ends the stream of a member that has had no leader for longer
-	// than an election takes.
-	ErrLeaderless = errors.New("the member has no leader")
+	// ErrCloserMember ends the connection to a member of another zone.
+	ErrCloserMember = errors.New("switching to a member in the node's zone")
+	// ErrReferred ends the connection to a seed that has returned the members of the group.
+	ErrReferred = errors.New("seed returned the members of the group")
+	// ErrEmpty ends the connection to a member that has not joined the group.
+	ErrEmpty = errors.New("member has not joined the group")
+	// ErrNotCurrent ends the connection to a member whose state may be stale.
+	ErrNotCurrent = errors.New("member is not current")
+	// ErrLeaderless ends the connection to a member without a leader for longer than an
+	// election takes.
+	ErrLeaderless = errors.New("member has no leader")
 )
 
-// MemberStatus is what a member says about itself in a sign of life.
+// MemberStatus is what a member reports about itself.
 type MemberStatus struct {
-	// Current is set while the member hears from a leader with a quorum.
+	// Current is set while the member hears from a leader that has a quorum.
 	Current bool
-	// Empty is set while the member has no place in the group.
+	// Empty is set while the member has not joined the group.
 	Empty bool
-	// Leaderless is how long the member has had no leader.
+	// Leaderless is how long the member has been without a leader.
 	Leaderless time.Duration
 }
 
-// Follower decides which control member a node follows and for how long. One
-// goroutine owns it; it reads no clock.
+// Follower decides which control member a node follows and for how long. It reads no clock
+// and is not safe for concurrent use.
 type Follower struct {
-	// List holds the members that can be followed.
+	// List holds the members and seeds to choose from.
 	List *MemberList
 
 	random *rand.Rand
 	member directory.Member
-	// currentAt is when the member was last current, or when it was first followed.
+	// currentAt is when the member was last current, or when the node connected to it.
 	currentAt kernel.Instant
-	// signed is set once the member has given a sign of life.
+	// gotStatus is set once the member has sent a status.
 	gotStatus bool
-	// leaveAt is when a far member is left; 0 while it is not known to be far.
+	// leaveAt is when a member of another zone is left; 0 until that is computed.
 	leaveAt kernel.Instant
-	// leaderless is the number of members in a row that were left because they had
-	// no leader, or gave no sign of life while the node looked for one that has.
+	// leaderlessCount is the number of consecutive members left because they had no leader,
+	// or sent no status while the node was looking for one that has.
 	leaderlessCount int
-	// emptyMet is the number of signs of life from members that know nothing since
-	// the last one from a member that was current.
+	// emptyCount is the number of statuses from empty members since the last current one.
 	emptyCount int
 }
 
-// NewFollower returns a follower that follows nobody yet.
+// NewFollower returns a follower without a member.
 func NewFollower(list *MemberList, random *rand.Rand) *Follower {
 	return &Follower{List: list, random: random}
 }
 
-// Follow notes that a member is followed.
+// Follow sets the member that the node has connected to.
 func (f *Follower) Follow(now kernel.Instant, member directory.Member) {
 	f.member = member
 	f.currentAt = now
@@ -100,17 +94,18 @@
 	f.gotStatus = false
 }
 
-// NeedsReferral reports whether the node knows no member but the seeds.
+// NeedsReferral reports whether the node knows only seeds and no members.
 func (f *Follower) NeedsReferral() bool { return len(f.List.Members) == 0 }
 
-// ApplyReferral takes the members that a seed names. The node goes to one of them.
+// ApplyReferral sets the members that a seed has returned. The error ends the connection to
+// the seed.
 func (f *Follower) ApplyReferral(members []directory.Member) error {
 	f.List.Members = members
 	return ErrReferred
 }
 
-// HandleStatus takes a sign of life and returns why the member is to be left, or nil.
-// Stateless is set while the node waits for its first state.
+// HandleStatus processes a member's status and returns why to leave the member, or nil. The
+// stateless flag is set while the node waits for its first state.
 func (f *Follower) HandleStatus(now kernel.Instant, presence MemberStatus, stateless bool) error {
 	f.gotStatus = true
 	if presence.Current {
@@ -132,13 +127,11 @@
 	return nil
 }
 
-// mayFindLeader reports whether there are members that the node has not found to
-// be without a leader. Once all were met the group has no quorum, and the node
-// gives each of them the time of some elections.
+// mayFindLeader reports whether some member has not been found leaderless yet. If all have,
+// the group has no quorum, and the node stays longer with each of them.
 func (f *Follower) mayFindLeader() bool { return f.leaderlessCount < f.List.Len() }
 
-// RetryDelay returns the wait before the next member is tried, after one was left for
-// a reason.
+// RetryDelay returns how long to wait before trying the next member.
 func (f *Follower) RetryDelay(reason error) time.Duration {
 	switch {
 	case errors.Is(reason, ErrReferred):
@@ -152,12 +145,11 @@
 	return min(minBackoff<<doublings, maxBackoff)
 }
 
-// maxPauseDoublings keeps the pause within its type.
+// maxBackoffDoublings keeps the shift from overflowing.
 const maxBackoffDoublings = 16
 
-// ReadTimeout returns how long the node waits for the next byte of the member
-// that it follows, where usual is the limit for one that is current. A node that
-// waits for its first state stays with the member that prepares it.
+// ReadTimeout returns how long to wait for the next byte of the member, where usual is the
+// timeout for a current one. A node without state stays with the member that prepares it.
 func (f *Follower) ReadTimeout(usual time.Duration, stateless bool) time.Duration {
 	if stateless || f.gotStatus || f.leaderlessCount == 0 || !f.mayFindLeader() {
 		return usual
@@ -165,8 +157,8 @@
 	return FirstStatusTimeout
 }
 
-// HandleReadError notes that the member gave no sign of life within the limit, and returns
-// why it is left.
+// HandleReadError processes a failed read from the member and returns why to leave it. While
+// the node looks for a leader, a member without a status counts as leaderless.
 func (f *Follower) HandleReadError(reason error) error {
 	if f.gotStatus || f.leaderlessCount == 0 || !f.mayFindLeader() {
 		return reason
@@ -175,15 +167,15 @@
 	return ErrLeaderless
 }
 
-// leavesEmpty reports whether a member that knows nothing is left at once. Once
-// all were found to know nothing, the group is being founded, and the node waits.
+// shouldLeaveEmpty reports whether to leave an empty member at once. If all members are
+// empty, the group is still being bootstrapped, and the node waits.
 func (f *Follower) shouldLeaveEmpty() bool {
 	f.emptyCount++
 	return f.emptyCount < f.List.Len()
 }
 
-// CheckZone returns ErrNearer when the node has stayed with a far member for long
-// enough, else nil. The near ones then come first.
+// CheckZone returns ErrCloserMember when the node has stayed long enough with a member of
+// another zone, and clears the failures, so that members of its own zone are tried first.
 func (f *Follower) CheckZone(now kernel.Instant) error {
 	if !f.List.HasCloserThan(f.member) {
 		return nil
@@ -198,8 +190,8 @@
 	return ErrCloserMember
 }
 
-// farTime returns how long the node stays with a far member: not long when a
-// member of its own zone has not been tried yet.
+// remoteStayTime returns how long to stay with a member of another zone; it is short if a
+// member of the node's own zone has not been tried yet.
 func (f *Follower) remoteStayTime() time.Duration {
 	spread := time.Duration(f.random.Int64N(int64(ReturnJitter)))
 	if f.List.HasUntriedLocal() {
--- a/internal/steer/locallink.go
+++ b/internal/steer/locallink.go
@@ -6,22 +6,21 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// The process tells the core what became of packets after a decision: what the node
-// itself holds back or drops says nothing against a target.
+// The process reports what happens to packets after a decision. Packets that this node
+// delays or drops are no evidence against their targets.
 
 const (
-	// linkDelayLimit is how long a datagram may wait for the node's own link until what
-	// the node sees is doubtful: callers send again after 200 ms, of which the ways to
-	// the target and back, and its acknowledgement of every second packet, take a part.
+	// linkDelayThreshold is the delay of datagrams at this node's link above which evidence
+	// is doubtful. Callers retransmit after 200 ms, which also covers the round trip and
+	// delayed acknowledgements.
 	linkDelayThreshold = 100 * time.Millisecond
-	// linkRecovery is how long it stays so: what callers sent again meanwhile counts for
-	// no longer.
+	// linkRecoveryTime is how long evidence stays doubtful: retransmissions caused by the
+	// delay no longer count after that.
 	linkRecoveryTime = resentTwiceLifetime
 )
 
-// RecordDrop notes that the node has dropped a packet of a flow that it had decided
-// to forward. What the flow showed against its target is forgotten, and what the
-// caller sends again next shows nothing.
+// RecordDrop records that this node dropped a packet that it had decided to forward. It
+// clears the evidence of the flow and excuses the next retransmission.
 func (c *Core) RecordDrop(_ kernel.Instant, key FlowKey) {
 	flow, known := c.flows[key]
 	if !known {
@@ -37,8 +36,8 @@
 	delete(c.unanswered, key)
 }
 
-// RecordHeld notes that data which a caller has just sent again waits at the node still:
-// that it came again shows nothing. What came again before counts as before.
+// RecordHeld records that data which was just retransmitted is still queued at this node.
+// That retransmission is not counted; earlier ones still are.
 func (c *Core) RecordHeld(now kernel.Instant, key FlowKey) {
 	flow, known := c.flows[key]
 	if !known || !flow.pending.undoResent(now) {
@@ -49,8 +48,8 @@
 	}
 }
 
-// RecordLinkDelay notes how long the oldest datagram has waited for the node's own
-// link; 0 while none waits.
+// RecordLinkDelay records how long the oldest datagram has been queued for this node's link,
+// or 0.
 func (c *Core) RecordLinkDelay(now kernel.Instant, delay time.Duration) {
 	if delay >= linkDelayThreshold {
 		c.linkDelayedUntil = now.Add(linkRecoveryTime)
@@ -58,8 +57,8 @@
 	}
 }
 
-// isDoubtfulWitness reports whether what this node sees of targets has other reasons:
-// its own link is choked, data gets lost on its way, or no zone takes its openings.
+// isUnreliableObserver reports whether evidence may have a local cause: delays on this
+// node's link, packet loss on the path, or refusals in every zone.
 func (c *Core) isUnreliableObserver(now kernel.Instant) bool {
 	return now.Before(c.linkDelayedUntil) || c.losses.isLossy() || c.openings.refusedEverywhere()
 }
--- a/internal/steer/loghistogram.go
+++ b/internal/steer/loghistogram.go
@@ -3,16 +3,15 @@
 import "math"
 
 const (
-	// bucketsPerDoubling sets the precision of a logHistogram: 19 percent.
+	// bucketsPerDoubling sets the resolution: buckets are 19 percent wide.
 	bucketsPerDoubling = 4
-	// histogramBuckets reach to 2^32.
+	// histogramBuckets cover values up to 2^32.
 	histogramBuckets = 32 * bucketsPerDoubling
-	// histogramMemory is the number of values after which older ones count half.
+	// histogramDecayCount is the number of values after which all counts are halved.
 	histogramDecayCount = 512
 )
 
-// logHistogram counts values of 1 and more by their order of magnitude; older ones
-// fade out.
+// logHistogram counts values of at least 1 in logarithmic buckets, with decay.
 type logHistogram struct {
 	counts [histogramBuckets]uint16
 	total  int
@@ -32,8 +31,7 @@
 	}
 }
 
-// quantile returns the value that a part of the counted ones stays below, about; 0
-// when none was counted.
+// quantile returns an approximate quantile of the counted values, or 0 without values.
 func (h *logHistogram) quantile(part float64) float64 {
 	left := part * float64(h.total)
 	for position, count := range h.counts {
--- a/internal/steer/losstracker.go
+++ b/internal/steer/losstracker.go
@@ -3,23 +3,22 @@
 import "time"
 
 const (
-	// lossHorizon is about how long what callers had to send again is remembered: some
-	// of a caller's first two pauses (200 and 400 ms).
+	// lossDecayTime is the approximate time over which losses decay.
 	lossDecayTime = 2 * time.Second
-	// lossShare is the share of answered data that had to be sent again from which on
-	// packets get lost on their way rather than at targets.
+	// lossThreshold is the share of retransmitted data among answered data above which
+	// packets are likely lost on the path rather than at targets.
 	lossThreshold = 0.125
-	// leastRecovered is the least number of such data: single ones are no pattern.
+	// minRecovered is the least decayed count of losses that counts; single losses do not.
 	minRecovered = 0.5
 )
 
-// witness judges how good a witness this node is: data that was sent again and then
-// answered was lost on its way, at targets that live.
+// lossTracker measures packet loss on the path: data that was retransmitted and then
+// answered was lost although its target is alive.
 type lossTracker struct {
 	answered, recovered float64
 }
 
-// noteAnswered notes an answer to data that was sent again so many times.
+// addAnswered counts answered data with its number of retransmissions.
 func (w *lossTracker) addAnswered(resent int) {
 	w.answered++
 	if resent > 0 {
@@ -27,14 +26,14 @@
 	}
 }
 
-// age lets what was seen count less, after some time has passed.
+// decay reduces the counts by the time that has passed.
 func (w *lossTracker) decay(passed time.Duration) {
-	kept := max(0, 1-passed.Seconds()/lossDecayTime.Seconds())
-	w.answered *= kept
-	w.recovered *= kept
+	factor := max(0, 1-passed.Seconds()/lossDecayTime.Seconds())
+	w.answered *= factor
+	w.recovered *= factor
 }
 
-// loses reports whether much gets lost between callers and targets that live.
+// isLossy reports whether much data to live targets gets lost.
 func (w *lossTracker) isLossy() bool {
 	return w.recovered >= minRecovered && w.recovered >= lossThreshold*w.answered
 }
--- a/internal/steer/memberlist.go
+++ b/internal/steer/memberlist.go
@@ -9,31 +9,30 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// MemberList holds the control members that a node can follow, with the faults
-// that it has left them for.
+// MemberList holds the control members that a node can follow, and their failures.
 type MemberList struct {
-	// Zone is the node's own zone.
+	// Zone is the node's zone.
 	Zone    string
 	Members []directory.Member
-	// Seeds are addresses that may or may not be among the members.
+	// Seeds are configured addresses, which may or may not be those of members.
 	Seeds []string
 
-	// faults holds when a member was last tried or left, unless that was no
-	// fault of its.
+	// failures holds when each address was last tried or left, except where that was no
+	// failure of the member.
 	failures map[string]kernel.Instant
 	shuffle  func(n int, swap func(i, j int))
 }
 
-// MemberListOption changes a new list.
+// MemberListOption configures a MemberList.
 type MemberListOption func(*MemberList)
 
-// WithShuffle sets what puts equal members into random order; the default is
-// that of math/rand/v2. A simulator passes its own, so that runs repeat.
+// WithShuffle replaces the shuffle function of math/rand/v2. Simulations use it for
+// reproducible runs.
 func WithShuffle(shuffle func(n int, swap func(i, j int))) MemberListOption {
 	return func(l *MemberList) { l.shuffle = shuffle }
 }
 
-// NewMemberList returns a list for a node in a zone that knows no member yet.
+// NewMemberList returns an empty list for a node in a zone.
 func NewMemberList(zone string, opts ...MemberListOption) *MemberList {
 	l := &MemberList{Zone: zone, failures: map[string]kernel.Instant{}, shuffle: rand.Shuffle}
 	for _, opt := range opts {
@@ -42,19 +41,18 @@
 	return l
 }
 
-// RecordFailure makes a member come after all that were left earlier or never.
+// RecordFailure moves a member behind all that failed earlier or never.
 func (l *MemberList) RecordFailure(address string, now kernel.Instant) {
 	l.failures[address] = now
 }
 
-// ClearFailures forgets that members were left, so that the nearest comes first.
+// ClearFailures removes all failures, so that members of the node's zone come first.
 func (l *MemberList) ClearFailures() { clear(l.failures) }
 
-// Order returns the members to try. Those that were never left for a fault
-// come first: the own zone, then others in random order, then seeds that are
-// not among the known members. The others follow, the one that was left last
-// at the end, so that no two members on the wrong side of a cut are tried in
-// turns.
+// Order returns the members in the order in which to try them. Members without failures
+// come first: those of the node's zone, then the others at random, then seeds that are not
+// known members. The rest follow, ordered by the time of failure, so that the node does not
+// alternate between two members on the wrong side of a partition.
 func (l *MemberList) Order() []directory.Member {
 	list := slices.Clone(l.Members)
 	l.shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
@@ -69,8 +67,7 @@
 	return list
 }
 
-// unknownSeeds returns the seeds that are not among the members, in random
-// order.
+// unknownSeeds returns the seeds that are not known members, in random order.
 func (l *MemberList) unknownSeeds() []directory.Member {
 	var list []directory.Member
 	for _, seed := range l.Seeds {
@@ -83,9 +80,9 @@
 	return list
 }
 
-// dropOldFaults forgets the faults of addresses that are no candidates any
-// more. Once every candidate has been left, all but the latest fault are
-// forgotten, so that the own zone comes first again.
+// pruneFailures removes the failures of addresses that are no longer candidates. Once all
+// candidates have failed it keeps only the latest failure, so that the node's zone comes
+// first again.
 func (l *MemberList) pruneFailures(list []directory.Member) {
 	latest := ""
 	kept := map[string]kernel.Instant{}
@@ -105,11 +102,10 @@
 	l.failures = kept
 }
 
-// Len returns the number of members and of seeds that are not among them.
+// Len returns the number of members plus seeds that are not known members.
 func (l *MemberList) Len() int { return len(l.Members) + len(l.unknownSeeds()) }
 
-// HasUntriedLocal reports whether a member of the own zone was never left for a
-// fault.
+// HasUntriedLocal reports whether a member of the node's zone has no recorded failure.
 func (l *MemberList) HasUntriedLocal() bool {
 	return slices.ContainsFunc(l.Members, func(member directory.Member) bool {
 		_, left := l.failures[member.Address]
@@ -124,8 +120,8 @@
 	return 1
 }
 
-// HasCloserThan reports whether a nearer member than this one is known. The zone of a
-// seed is known once the list of members is.
+// HasCloserThan reports whether the node's zone has another member while the given one is
+// in a different zone. The zone of a seed is known once the members are.
 func (l *MemberList) HasCloserThan(member directory.Member) bool {
 	for _, known := range l.Members {
 		if known.Address == member.Address {
--- a/internal/steer/openings.go
+++ b/internal/steer/openings.go
@@ -9,63 +9,61 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// A caller whose opening packet is taken shows it by its next packet, a few
-// milliseconds later. One whose packet is refused comes back at once by another flow,
-// which most often goes to another node: no node sees the refusal itself. So nodes
-// count the opening packets that were followed by nothing.
+// A caller whose opening packet is accepted sends its next packet a few milliseconds later.
+// After a refusal it retries with a new flow, which usually arrives at another node, so no
+// node sees the refusal itself. Nodes therefore count the opening packets that were followed
+// by nothing.
 
 const (
-	// shortestOpeningLimit is the least time after which an opening packet has found no
-	// taker: some times the longest usual one where zones are 1.4 ms and callers 3 ms
-	// away (10 ms). Where callers or zones are farther, a node learns a longer one.
+	// minOpeningTimeout is the shortest time after which an opening packet counts as refused.
+	// It covers several round trips within a region; longer ones are learned.
 	minOpeningTimeout = 60 * time.Millisecond
-	// longestOpeningLimit is less than the 200 ms after which a caller sends a copy.
+	// maxOpeningTimeout is less than a caller's retransmission timeout of 200 ms.
 	maxOpeningTimeout = 180 * time.Millisecond
-	// The weights of a new opening in the usual time and its deviation, as parts of
-	// one, and the deviations that are added to the usual time (RFC 6298, section 2).
+	// The gains of the moving mean and deviation, and the multiple of the deviation in the
+	// timeout (RFC 6298, section 2).
 	meanDivisor      = 8
 	deviationDivisor = 4
 	deviationFactor  = 4
-	// recentKept is the part of the recent openings that still counts at the next report:
-	// half of them after 0.7 s, where reports come each 100 ms.
+	// recentDecay is the decay per report of the counts in recent.
 	recentDecay = 0.9
-	// leastRecent is the number of openings of a zone, counted so, that is forgotten.
+	// minRecent is the count below which a zone is removed from recent.
 	minRecent = 0.5
-	// refusedFor is how long a target that took no opening packet is passed over at
-	// this node: about the time between two of its heartbeats, the next sign of it.
+	// refusalLifetime is how long this node avoids a target that refused an opening packet:
+	// about the interval between two heartbeats of the target.
 	refusalLifetime = time.Second
 )
 
-// openingWatch follows the opening packets that are under way.
+// openingTracker tracks opening packets until they are accepted or time out.
 type openingTracker struct {
 	inFlight map[FlowKey]*flowEntry
 	counts   map[string]*directory.ZoneOpenings
-	// refusing are the targets that took no opening packet, with their number.
+	// refused counts the refused opening packets by target.
 	refused map[*targetEntry]uint32
-	// usual is the time from an opening packet to the caller's next one, and deviation
-	// how far single ones are off.
+	// meanTime is the moving mean of the time from an opening packet to the caller's next
+	// packet, and deviation its mean deviation.
 	meanTime, deviation time.Duration
-	// recent are the openings of the last reports by zone.
+	// recent are decaying counts by zone.
 	recent map[string]zoneCounts
 }
 
-// zoneShare counts openings of a zone; older ones count less.
+// zoneCounts are the decaying counts of a zone.
 type zoneCounts struct{ opened, refused float64 }
 
-// limit returns the time after which an opening packet has found no taker.
+// timeout returns the time after which an opening packet counts as refused.
 func (w *openingTracker) timeout() time.Duration {
 	return min(max(w.meanTime+deviationFactor*w.deviation, minOpeningTimeout), maxOpeningTimeout)
 }
 
-// noteTime learns from an opening packet that was taken.
-func (w *openingTracker) addTime(taken time.Duration) {
+// addTime updates the mean and the deviation with the time of an accepted opening packet.
+func (w *openingTracker) addTime(elapsed time.Duration) {
 	if w.meanTime == 0 {
-		w.meanTime = taken
-		w.deviation = taken / 2
+		w.meanTime = elapsed
+		w.deviation = elapsed / 2
 		return
 	}
-	w.deviation += ((taken - w.meanTime).Abs() - w.deviation) / deviationDivisor
-	w.meanTime += (taken - w.meanTime) / meanDivisor
+	w.deviation += ((elapsed - w.meanTime).Abs() - w.deviation) / deviationDivisor
+	w.meanTime += (elapsed - w.meanTime) / meanDivisor
 }
 
 func newOpeningTracker() openingTracker {
@@ -81,7 +79,8 @@
 	return known
 }
 
-// noteOpened notes that an opening packet was taken, at last perhaps.
+// recordOpened records that an opening packet was accepted. It is counted only if it had
+// not timed out.
 func (w *openingTracker) recordOpened(now kernel.Instant, key FlowKey, flow *flowEntry) {
 	if flow.placedAt > 0 {
 		flow.exchange.handshakeTime = now.Sub(flow.placedAt)
@@ -93,7 +92,7 @@
 	}
 }
 
-// noteOverdue finds the opening packets that have found no taker.
+// expireOverdue counts the opening packets that have timed out as refused.
 func (w *openingTracker) expireOverdue(now kernel.Instant) {
 	limit := w.timeout()
 	for key, flow := range w.inFlight {
@@ -107,25 +106,25 @@
 	}
 }
 
-// take returns what was counted since the last call.
-func (w *openingTracker) take() (zones []directory.ZoneOpenings, refusing []SilentTarget) {
+// take returns and clears the counts since the last call.
+func (w *openingTracker) take() (zones []directory.ZoneOpenings, refused []SilentTarget) {
 	for _, counted := range w.counts {
 		zones = append(zones, *counted)
 	}
 	for entry, count := range w.refused {
 		if entry.refusedAt > entry.answeredAt {
-			refusing = append(refusing, SilentTarget{Token: entry.target.Token, Weight: count})
+			refused = append(refused, SilentTarget{Token: entry.target.Token, Weight: count})
 		}
 	}
 	slices.SortFunc(zones, func(a, b directory.ZoneOpenings) int { return cmp.Compare(a.Zone, b.Zone) })
-	slices.SortFunc(refusing, func(a, b SilentTarget) int { return cmp.Compare(a.Token, b.Token) })
+	slices.SortFunc(refused, func(a, b SilentTarget) int { return cmp.Compare(a.Token, b.Token) })
 	w.updateRecent()
 	clear(w.counts)
 	clear(w.refused)
-	return zones, refusing
+	return zones, refused
 }
 
-// noteRecent adds what was counted since the last call to the recent openings.
+// updateRecent decays the recent counts and adds those since the last call.
 func (w *openingTracker) updateRecent() {
 	for zone, share := range w.recent {
 		w.recent[zone] = zoneCounts{opened: share.opened * recentDecay, refused: share.refused * recentDecay}
@@ -141,8 +140,8 @@
 	}
 }
 
-// refusedEverywhere reports whether most openings of this node found no taker lately
-// in every zone, of several: the node's own link is at fault, or all targets are full.
+// refusedEverywhere reports whether most recent openings were refused in each of several
+// zones. Then this node's link is the likely cause, or all targets are full.
 func (w *openingTracker) refusedEverywhere() bool {
 	zones := 0
 	for _, share := range w.recent {
@@ -154,11 +153,11 @@
 	return zones > 1
 }
 
-// forgetUnderWay forgets the opening packets under way: the node was stopped, and
-// what would show that they were taken waits in its socket.
+// clearInFlight drops the pending opening packets. After a stall, the packets that show their
+// acceptance are still queued in the socket.
 func (w *openingTracker) clearInFlight() { clear(w.inFlight) }
 
-// refuses reports whether a target took no opening packet lately and has not
+// hasRefused reports whether a target recently refused an opening packet and has not
 // answered since.
 func (entry *targetEntry) hasRefused(now kernel.Instant) bool {
 	return entry.refusedAt > entry.answeredAt && now.Sub(entry.refusedAt) < refusalLifetime
--- a/internal/steer/outcomes.go
+++ b/internal/steer/outcomes.go
@@ -7,12 +7,12 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// failsFor is how long a target that left an exchange unanswered is passed over at
-// this node: all nodes together have found a failing one by then.
+// failureLifetime is how long this node avoids a target after an unanswered exchange; the
+// control members detect a failing target within that time.
 const failureLifetime = 3 * time.Second
 
-// fails reports whether a target left an exchange unanswered lately and has not been
-// seen to answer one since. This node knows it at once, before all nodes together do.
+// hasFailed reports whether a target recently left an exchange unanswered and has not
+// answered one since. It takes effect at this node before the control members decide.
 func (entry *targetEntry) hasFailed(now kernel.Instant) bool {
 	return entry.failedAt > entry.succeededAt && now.Sub(entry.failedAt) < failureLifetime
 }
@@ -30,7 +30,7 @@
 	target.outcomes = target.outcomes.Add(counted)
 }
 
-// takeOutcomes returns what was counted since the last call, in the order of tokens.
+// takeOutcomes returns and clears the outcomes since the last call, ordered by token.
 func (c *Core) takeOutcomes() []directory.Outcomes {
 	var list []directory.Outcomes
 	for _, target := range c.exchanges.withOutcomes {
--- a/internal/steer/packet.go
+++ b/internal/steer/packet.go
@@ -1,7 +1,6 @@
-// Package steer provides the deterministic core of a node that routes opaque
-// flows by tokens. The first packet of a flow needs a decision; the token of
-// the chosen target then travels in every packet of the flow, so that any
-// node forwards it without shared flow state.
+// Package steer is the deterministic core of a load balancer node. It chooses a target
+// for the first packet of a flow. Later packets carry the token of that target, so any
+// node can forward them without shared flow state.
 package steer
 
 import (
@@ -10,84 +9,81 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// FlowKey names a flow by its two ends.
+// FlowKey identifies a flow by the addresses of both ends.
 type FlowKey struct {
 	Caller  netip.AddrPort
 	Virtual netip.AddrPort
 }
 
-// Packet is what the core needs to know of a packet from a caller.
+// Packet holds the fields of a caller's packet that the core uses.
 type Packet struct {
 	Flow FlowKey
-	// Opening is set on the first packet of a flow and its copies.
+	// Opening is set on the first packet of a flow and its retransmissions.
 	Opening bool
-	// Closing is set when the caller ends its side.
+	// Closing is set when the caller closes its side of the flow.
 	Closing bool
-	// Reset is set when the caller breaks the flow off.
+	// Reset is set when the caller aborts the flow.
 	Reset bool
-	// Forged is set on a packet that only a target may send.
+	// Forged is set on a packet of a kind that only targets may send.
 	Forged bool
-	// Copy is the number of earlier copies of an opening packet.
+	// Copy is the number of earlier transmissions of an opening packet.
 	Copy  uint32
 	Token directory.Token
 	// Sequence is the position of the packet's data in the caller's stream.
 	Sequence uint32
-	// Acknowledged is the caller's last acknowledgement, for resets.
+	// Acknowledged is the position up to which the caller has received the target's stream.
 	Acknowledged uint32
-	// Size is the number of bytes of data in the packet.
+	// Size is the number of data bytes in the packet.
 	Size int
 }
 
-// Action is what is done with a packet.
+// Action is what the node does with a packet.
 type Action uint8
 
-// What is done with a packet.
+// The possible actions.
 const (
-	// ActionDrop answers nothing.
+	// ActionDrop discards the packet without a reply.
 	ActionDrop Action = iota
 	// ActionForward sends the packet to Decision.Target.
 	ActionForward
-	// ActionReset tells the caller that the flow does not exist.
+	// ActionReset sends a reset to the caller.
 	ActionReset
 )
 
 // String returns the action in lower case.
 func (a Action) String() string { return [...]string{"drop", "forward", "reset"}[a] }
 
-// Reason tells why a packet was treated as it was.
+// Reason is why a decision was taken.
 type Reason uint8
 
-// The reasons of decisions.
+// The reasons for decisions.
 const (
-	// ReasonPlaced is a new flow that was given a target.
+	// ReasonPlaced is a new flow for which a target was chosen.
 	ReasonPlaced Reason = iota
-	// ReasonPlacedAgain is a copy of an opening packet that was given another target.
+	// ReasonPlacedAgain is a retransmitted opening packet that was sent to another target.
 	ReasonPlacedAgain
-	// ReasonToken is a packet whose token names a living target.
+	// ReasonToken is a packet that was forwarded to the target of its token.
 	ReasonToken
 	// ReasonNoRoute is a new flow to an address without a route.
 	ReasonNoRoute
-	// ReasonNoTarget is a new flow to a service without a target that takes flows.
+	// ReasonNoTarget is a new flow to a service without targets that accept flows.
 	ReasonNoTarget
-	// ReasonEvacuated is a new flow to a service whose targets all stand in zones
-	// that are being evacuated.
+	// ReasonEvacuated is a new flow to a service whose targets are all in evacuated zones.
 	ReasonEvacuated
-	// ReasonCold is a new flow to a service that has only cold targets left, which
-	// bear no more from this node for the moment.
+	// ReasonCold is a new flow to a service that has only warming targets, whose budget at
+	// this node is used up.
 	ReasonCold
-	// ReasonEnded is a packet of a flow whose target has surely ended.
+	// ReasonEnded is a packet of a flow whose target has ended.
 	ReasonEnded
-	// ReasonLost is a packet of a flow whose target the control members hold
-	// for lost.
+	// ReasonLost is a packet of a flow whose target the control members declared lost.
 	ReasonLost
-	// ReasonUnreachable is a flow whose caller waits for a target that this node cannot
-	// reach.
+	// ReasonUnreachable is a flow whose target did not answer this node's probes.
 	ReasonUnreachable
-	// ReasonUnknownToken is a packet whose token names no known target.
+	// ReasonUnknownToken is a packet with a token of no known target.
 	ReasonUnknownToken
 	// ReasonNoToken is a packet of an open flow without a token.
 	ReasonNoToken
-	// ReasonForged is a packet that a caller may not send.
+	// ReasonForged is a packet of a kind that callers may not send.
 	ReasonForged
 	// ReasonNotReady is a new flow at a node that has no configuration yet.
 	ReasonNotReady
@@ -103,7 +99,7 @@
 	return list
 }
 
-// String returns the reason as a word for logs and counters.
+// String returns the reason as it appears in logs and metrics.
 func (r Reason) String() string {
 	return [...]string{
 		"placed", "placed_again", "token", "no_route", "no_target", "evacuated", "cold", "ended", "lost",
@@ -111,23 +107,22 @@
 	}[r]
 }
 
-// Decision is what is done with a packet, and why.
+// Decision is what the node does with a packet, and why.
 type Decision struct {
 	Action Action
 	Reason Reason
 	Target directory.Target
 	// Route is the name of the route of a new flow.
 	Route string
-	// Candidates is the number of targets that the choice was made from.
+	// Candidates is the number of targets that were considered.
 	Candidates int
-	// Waiting is the number of flows of the chosen target at this node whose
-	// callers waited for an answer when the choice was made.
+	// Waiting is the number of flows at the chosen target whose callers were waiting for an
+	// answer, as seen by this node.
 	Waiting int
-	// RelativeTime is the time that the chosen target takes for a request, as a multiple of what
-	// is usual for its service.
+	// RelativeTime is the chosen target's time per request, relative to its service's mean.
 	RelativeTime float64
-	// Doubtful is the number of candidates passed over for lack of answers.
+	// Doubtful is the number of targets skipped because they may not be answering.
 	Doubtful int
-	// Ejected is the number of candidates passed over because they fail their work.
+	// Ejected is the number of targets skipped because they fail requests.
 	Ejected int
 }
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -5,8 +5,8 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// place chooses the target of a new flow. A copy of an opening packet goes to
-// a target that has not been tried: the first one is silent or full.
+// place chooses the target of a new flow. A late retransmission of its opening packet goes to
+// a target that has not been tried: the first one does not answer or is full.
 func (c *Core) place(now kernel.Instant, packet Packet) Decision {
 	if c.configuration.Version == 0 || c.UsesRemembered() && !now.Before(c.rememberedUntil) {
 		return Decision{Action: ActionDrop, Reason: ReasonNotReady}
@@ -36,9 +36,8 @@
 	return decision
 }
 
-// keepsTarget reports whether a copy of an opening packet goes where the one before
-// went: the flow is open, or its target has had no time to answer yet and may still
-// get opening packets.
+// keepsTarget reports whether a retransmitted opening packet goes to the same target as
+// before: the flow is open, or the target has not had time to answer and is not blocked.
 func (c *Core) keepsTarget(now kernel.Instant, flow *flowEntry) bool {
 	if flow.opened {
 		return true
@@ -69,8 +68,8 @@
 	flow.lastPacketAt = now
 }
 
-// choose picks a service by weight, then a target of it. When that service
-// has no target that takes flows, the route's other services are tried.
+// choose selects a service by weight and a target of it. If the service has no usable target,
+// the other services of the route are tried in order.
 func (c *Core) choose(now kernel.Instant, entry *routeEntry, flow *flowEntry, packet Packet) (Decision, *targetEntry) {
 	var tried []directory.Token
 	if flow != nil && packet.Copy > 0 {
@@ -82,7 +81,7 @@
 		if backend.Weight == 0 {
 			continue
 		}
-		passed := c.collectCandidates(now, backend.Service, entry.route.Kind, tried)
+		skipped := c.collectCandidates(now, backend.Service, entry.route.Kind, tried)
 		if len(c.usable) == 0 {
 			continue
 		}
@@ -94,14 +93,14 @@
 			Candidates:   len(c.usable),
 			Waiting:      chosen.waitingFlows,
 			RelativeTime: c.choice.Candidates[position].RelativeTime,
-			Doubtful:     passed.doubtful,
-			Ejected:      passed.ejected,
+			Doubtful:     skipped.doubtful,
+			Ejected:      skipped.ejected,
 		}, chosen
 	}
 	return Decision{Action: ActionReset, Reason: c.refusalReason(entry)}, nil
 }
 
-// refusal returns why no target takes a new flow of a route.
+// refusalReason returns why no target is available for a new flow of a route.
 func (c *Core) refusalReason(entry *routeEntry) Reason {
 	reason := ReasonNoTarget
 	for _, backend := range entry.route.Backends {
@@ -132,24 +131,23 @@
 	return 0
 }
 
-// passedOver counts the targets that were passed over, by cause.
+// skippedCounts counts the targets that were skipped, by cause.
 type skippedCounts struct{ doubtful, ejected int }
 
-// listUsable fills the list of candidates of a service and returns how many were
-// passed over. When nothing else is left, these are used all the same. Closed ones
-// never are.
+// collectCandidates fills the list of candidates of a service and returns how many were
+// skipped. If all would be skipped, they are used nevertheless, except blocked ones.
 func (c *Core) collectCandidates(now kernel.Instant, service string, kind directory.RouteKind, tried []directory.Token) skippedCounts {
 	all := c.collectUnblocked(now, c.services[service])
-	var passed skippedCounts
+	var skipped skippedCounts
 	c.resetCandidates()
 	for _, entry := range all {
 		switch {
 		case contains(tried, entry.target.Token):
 		case entry.ejected, entry.probation && !c.admitsTrial(now, entry, kind, tried):
-			passed.ejected++
+			skipped.ejected++
 			c.addSlots(entry)
 		case c.isDoubtful(now, entry):
-			passed.doubtful++
+			skipped.doubtful++
 			c.addSlots(entry)
 		case c.skipsWhileWarming(now, entry):
 			c.addWarmingSlots(entry)
@@ -158,16 +156,16 @@
 		}
 	}
 	if len(c.usable) > 0 {
-		return passed
+		return skipped
 	}
 	c.collectFallbacks(now, all, tried)
 	return skippedCounts{}
 }
 
-// lastResorts is the number of steps in which a list takes in what is worse and worse.
+// fallbackLevels is the number of steps in which collectFallbacks relaxes its criteria.
 const fallbackLevels = 4
 
-// listRest fills the list with what is left when every target would be passed over.
+// collectFallbacks fills the list of candidates when every target would be skipped.
 func (c *Core) collectFallbacks(now kernel.Instant, all []*targetEntry, tried []directory.Token) {
 	c.resetCandidates()
 	for step := 0; step < fallbackLevels && len(c.usable) == 0; step++ {
@@ -179,9 +177,8 @@
 	}
 }
 
-// isResort reports whether a target is used at a step: those that are only doubtful or
-// spared first, those that fail their work next, those held for lost and those that
-// were tried before last.
+// isFallback reports whether a target may be used at a fallback level: first doubtful and
+// warming targets, then failing ones, then lost ones, and at last those tried before.
 func (entry *targetEntry) isFallback(step int, tried bool) bool {
 	switch step {
 	case 0:
@@ -194,7 +191,7 @@
 	return true
 }
 
-// listOpen returns the targets that may get an opening packet.
+// collectUnblocked returns the targets that may get opening packets.
 func (c *Core) collectUnblocked(now kernel.Instant, all []*targetEntry) []*targetEntry {
 	c.unblocked = c.unblocked[:0]
 	for _, entry := range all {
@@ -210,8 +207,8 @@
 	c.choice = Choice{Candidates: c.choice.Candidates[:0]}
 }
 
-// countSlots counts the slots of a target that takes flows, or would if it were well. One
-// that this flow has tried has lost none.
+// addSlots adds the slots of a target to the capacity of its zone. It is also called for
+// targets that are skipped because of a failure.
 func (c *Core) addSlots(entry *targetEntry) {
 	if entry.target.Zone == c.settings.Zone {
 		c.choice.LocalSlots += slotsOf(entry)
@@ -220,15 +217,15 @@
 	}
 }
 
-// countSpared counts the slots of a target that is spared: in the own zone it has lost none,
-// and sends no flow away; in another one it takes none for this zone.
+// addWarmingSlots adds the slots of a skipped warming target. In the node's own zone they are
+// not missing capacity and must not cause spill; in other zones they take no spill.
 func (c *Core) addWarmingSlots(entry *targetEntry) {
 	if entry.target.Zone != c.settings.Zone {
 		c.addSlots(entry)
 	}
 }
 
-// slotsOf returns the number of requests that a target works on at once.
+// slotsOf returns the number of requests that a target serves concurrently, at least 1.
 func slotsOf(entry *targetEntry) int { return max(int(entry.target.Slots), 1) }
 
 func (c *Core) addCandidate(now kernel.Instant, entry *targetEntry) {
@@ -242,9 +239,9 @@
 	})
 }
 
-// isDoubtful reports whether there is evidence that a target does not answer:
-// nobody has heard its heartbeats, or it cannot be reached, or it left an opening packet
-// or data unanswered and has not been seen to answer since.
+// isDoubtful reports whether there is evidence that a target does not answer: the control
+// members suspect it, probes or opening packets failed, or it left data unanswered and has
+// not been seen to answer since.
 func (c *Core) isDoubtful(now kernel.Instant, entry *targetEntry) bool {
 	missed := entry.missedAt > entry.answeredAt && now.Sub(entry.missedAt) < c.settings.SuspectFor
 	return missed || entry.probes.isUnreachable(now) || entry.hasRefused(now) || entry.hasFailed(now) || entry.suspected || entry.lost
--- a/internal/steer/probe.go
+++ b/internal/steer/probe.go
@@ -9,76 +9,73 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Targets that die without a word are held for lost once two nodes have seen it. That
-// holds while the fleet is small. Among 1,000 nodes and 10,000 targets a target gets a
-// request in nine seconds, so that no two nodes ever see the same one, and callers would
-// wait at their open flows until their time is over. So a node whose caller waits asks the
-// target itself, by opening a connection to it, and ends its own flows there when that fails
-// twice. Other nodes' flows are left alone: what one node cannot reach may be alive.
+// The control members declare a target lost once two nodes report it silent. In a large fleet
+// a target gets requests so rarely that no two nodes observe the same one, and callers would
+// wait until their deadline. A node whose caller waits therefore probes the target itself by
+// opening a connection, and resets its own flows to it after two failures. Other nodes' flows
+// are not affected, since the target may be reachable from there.
 //
-// A caller that waits shows it by sending data again, or by an exchange that stays quiet
-// where answers are usually acknowledged: a target may have taken the request before it
-// died, and its caller then has nothing to send again.
+// A waiting caller is recognized by retransmissions, or by a quiet exchange on a route whose
+// responses are normally acknowledged: a target may have received the request before it died.
 
 const (
-	// probesNeeded is the number of probes in a row that must fail: one can be lost as a
-	// single packet.
+	// probeFailuresNeeded is the number of consecutive probes that must fail; a single one
+	// may have been lost.
 	probeFailuresNeeded = 2
-	// probeRest is the least time between two probes of a target.
+	// probeInterval is the least time between two probes of a target.
 	probeInterval = 100 * time.Millisecond
-	// probeLifetime is how long a failed probe and the wish for one count, and how long a
-	// target that was reached is not asked again: some of a caller's pauses.
+	// probeLifetime is how long a failed probe and a request for one are valid, and how long
+	// a reachable target is not probed again.
 	probeLifetime = 2 * time.Second
-	// probeLimit is the number of probes that a node has under way: each is a socket, and
-	// a busy node sees no more dead targets in 0.3 s before the control members do.
+	// maxProbes is the number of concurrent probes of a node, each of which needs a socket.
 	maxProbes = 8
 )
 
-// reach is what probes have shown of a target.
+// probeState holds the results of probes of a target.
 type probeState struct {
-	// wantedAt is when a caller was last found to wait; 0 while none is known.
+	// wantedAt is when a caller was last found waiting, or 0.
 	wantedAt kernel.Instant
 	inFlight bool
-	// failed is the number of probes that failed in a row. The first of them began at
-	// askedAt, the last ended at probedAt.
+	// failures is the number of consecutive failed probes. The first of them started at
+	// startedAt, the last ended at endedAt.
 	failures           int
 	startedAt, endedAt kernel.Instant
 }
 
-// ProbeOutcome is what a probe has shown.
+// ProbeOutcome is the result of a probe.
 type ProbeOutcome uint8
 
-// The outcomes of probes.
+// The results of probes.
 const (
-	// ProbeUnknown is a probe that was not made, or whose node stood still meanwhile.
+	// ProbeUnknown is a probe that was not made, or during which the process was stalled.
 	ProbeUnknown ProbeOutcome = iota
-	// ProbeReached is a probe that the target took, or that its machine answered.
+	// ProbeReached is a probe that the target or its machine answered.
 	ProbeReached
-	// ProbeFailed is a probe that was not answered in time.
+	// ProbeFailed is a probe that timed out.
 	ProbeFailed
 )
 
 // ProbeOutcomes returns all outcomes, for counters.
 func ProbeOutcomes() []ProbeOutcome { return []ProbeOutcome{ProbeUnknown, ProbeReached, ProbeFailed} }
 
-// String returns the outcome as a word for logs and counters.
+// String returns the outcome as it appears in logs and metrics.
 func (o ProbeOutcome) String() string { return [...]string{"unknown", "reached", "failed"}[o] }
 
-// isUnreachable reports whether probes have lately failed as often as is needed.
+// isUnreachable reports whether enough recent probes have failed.
 func (r *probeState) isUnreachable(now kernel.Instant) bool {
 	return r.failures >= probeFailuresNeeded && now.Sub(r.endedAt) < probeLifetime
 }
 
-// isDue reports whether a target is to be probed whose caller waits.
+// isDue reports whether a target for which a caller waits may be probed now.
 func (r *probeState) isDue(now kernel.Instant) bool {
-	rest := probeInterval
+	interval := probeInterval
 	if r.failures == 0 && r.endedAt > 0 {
-		rest = probeLifetime
+		interval = probeLifetime
 	}
-	return !r.inFlight && now.Sub(r.endedAt) >= rest
+	return !r.inFlight && now.Sub(r.endedAt) >= interval
 }
 
-// begin notes that a probe begins.
+// begin records the start of a probe.
 func (r *probeState) begin(now kernel.Instant) {
 	r.inFlight = true
 	if now.Sub(r.endedAt) >= probeLifetime {
@@ -89,7 +86,7 @@
 	}
 }
 
-// end notes the outcome of a probe.
+// end records the result of a probe.
 func (r *probeState) end(now kernel.Instant, outcome ProbeOutcome) {
 	r.inFlight = false
 	switch outcome {
@@ -102,8 +99,8 @@
 	}
 }
 
-// wantProbe notes that a caller waits for a target. Only one that takes new flows is
-// probed: one that leaves may take no connections while it still serves its flows.
+// requestProbe records that a caller waits for a target. Only ready targets are probed: a
+// draining one may refuse connections while it still serves its flows.
 func (c *Core) requestProbe(now kernel.Instant, entry *targetEntry) {
 	if entry.target.State != directory.TargetReady || entry.lost {
 		return
@@ -112,7 +109,7 @@
 	c.probeWanted[entry] = struct{}{}
 }
 
-// isWanted reports whether a caller still waits for a target, as far as is known.
+// needsProbe reports whether a caller may still be waiting for a target.
 func (c *Core) needsProbe(now kernel.Instant, entry *targetEntry) bool {
 	return entry.target.State == directory.TargetReady && !entry.lost && !entry.answeredSince(entry.probes.wantedAt) &&
 		now.Sub(entry.probes.wantedAt) < probeLifetime
@@ -120,8 +117,8 @@
 
 func (t *targetEntry) answeredSince(at kernel.Instant) bool { return !t.answeredAt.Before(at) }
 
-// Probes returns the targets that are to be probed now, each once until its outcome is
-// noted. A node whose own packets get lost or wait for its link asks for none.
+// Probes returns the targets to probe now; each has one probe at a time. While evidence at
+// this node is unreliable it returns none.
 func (c *Core) Probes(now kernel.Instant) []directory.Target {
 	for _, flow := range c.unanswered {
 		if flow.pending.weight(now) > 0 && !flow.target.answeredSince(flow.pending.since) {
@@ -151,9 +148,9 @@
 	return targets
 }
 
-// HandleProbeOutcome notes the outcome of a probe. When the target cannot be reached it forgets
-// this node's flows there and returns a packet of each for its reset: their callers have
-// time to ask another target, and would wait until their deadline otherwise.
+// HandleProbeOutcome records the result of a probe. If the target is unreachable, it removes
+// this node's flows to it and returns one packet of each for its reset, so that callers can
+// try another target before their deadline.
 func (c *Core) HandleProbeOutcome(now kernel.Instant, token directory.Token, outcome ProbeOutcome) []Packet {
 	c.probesInFlight--
 	entry, known := c.targets[token]
@@ -161,15 +158,15 @@
 		return nil
 	}
 	entry.probes.end(now, outcome)
-	over := entry.probes.isUnreachable(now) && outcome == ProbeFailed && !entry.answeredSince(entry.probes.startedAt)
-	if !over || entry.target.State != directory.TargetReady || !c.mayActAlone(now) {
+	unreachable := entry.probes.isUnreachable(now) && outcome == ProbeFailed && !entry.answeredSince(entry.probes.startedAt)
+	if !unreachable || entry.target.State != directory.TargetReady || !c.mayActAlone(now) {
 		return nil
 	}
 	return c.resetFlows(func(other *targetEntry) bool { return other == entry })
 }
 
-// mayJudgeAlone reports whether what this node sees may speak against targets without
-// another node: it neither stood still lately, nor do its packets wait or get lost.
+// mayActAlone reports whether this node may reset flows on its own evidence: the process was
+// not stalled recently, and its evidence is not doubtful.
 func (c *Core) mayActAlone(now kernel.Instant) bool {
 	return !now.Before(c.stalledUntil) && !c.isUnreliableObserver(now)
 }
--- a/internal/steer/progress.go
+++ b/internal/steer/progress.go
@@ -6,33 +6,30 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// While a caller sends much data its acknowledgement stands still, and its packets
-// come in any order. What they show all the same:
+// During an upload the caller's acknowledgement does not change, and its packets may arrive in
+// any order. Answers of the target are then inferred from the caller's sending:
 //
-//   - Data farther than a window past a packet is sent only when the target has
-//     acknowledged that packet.
-//   - Without an answer a caller rests, sends its first missing packet once more, and
-//     rests again for twice the time. So a lower packet after a rest is one that was
-//     sent again, and another lower packet soon after it follows an acknowledgement.
-//   - A lower packet without a rest before it has been overtaken by others.
+//   - Data farther than a window past a packet is sent only after the target acknowledged
+//     that packet.
+//   - Without an acknowledgement a caller pauses, retransmits its first missing packet, and
+//     pauses again for twice the time. A lower packet after a pause is thus a retransmission;
+//     another lower packet soon after it shows that an acknowledgement arrived.
+//   - A lower packet without a pause before it was reordered.
 
 const (
-	// largestData is the most data of one packet in bytes.
+	// maxPacketData is the largest number of data bytes in a packet.
 	maxPacketData = 1200
-	// sendWindow is the most data in bytes that is under way from a caller: 16 packets.
+	// sendWindow is the largest number of unacknowledged bytes of a caller: 16 packets.
 	sendWindow = 16 * maxPacketData
-	// resendRest is the rest before data that is sent again: less than the caller's
-	// 200 ms by what packets are delayed, and far more than packets of one burst are
-	// apart.
+	// retransmitGap is the least pause before a retransmission: the caller's 200 ms less
+	// network jitter, and far more than the gaps within a burst.
 	retransmitGap = 150 * time.Millisecond
-	// resentLifetime is how long data that was sent again once counts. A caller
-	// need not acknowledge an answer of one packet: what it then stops sending
-	// has been answered.
+	// resentLifetime is how long a single retransmission counts. A caller need not
+	// acknowledge a response of one packet, so if it stops sending, the data was answered.
 	resentLifetime = 450 * time.Millisecond
-	// resentTwiceLifetime is the same for data that was sent again more often;
-	// the caller's pauses grow.
+	// resentTwiceLifetime is the same for repeated retransmissions, whose intervals grow.
 	resentTwiceLifetime = 900 * time.Millisecond
-	// seenPackets is the number of packets in a row of which is known whether they came.
+	// seenWindow is the number of consecutive packets for which arrival is recorded.
 	seenWindow = 64
 )
 
@@ -42,35 +39,35 @@
 	weightResentTwice = 2
 )
 
-// pendingData is data of a caller that the target has not answered.
+// pendingData is data of a caller that the target has not acknowledged.
 type pendingData struct {
-	// waiting is set while an answer is missing.
+	// waiting is set while an answer is outstanding.
 	waiting bool
 	since   kernel.Instant
-	// sentAt is when data last came.
+	// lastDataAt is when data last arrived.
 	lastDataAt kernel.Instant
-	// end is the position after the farthest data.
+	// end is the position after the highest data.
 	end uint32
-	// mark is a packet that the target had not acknowledged when it came: data farther
-	// than a window past it shows that the target has done so since.
+	// mark is the position of a packet that was not acknowledged when it arrived. Data more
+	// than a window past it shows that the target has answered.
 	mark uint32
-	// seen tells which packets came, each a bit, the first at position base.
+	// seen has a bit for each packet that arrived, starting at position base.
 	seen uint64
 	base uint32
-	// probed is set once the packet at probe was sent again after a rest.
+	// resendSeen is set once the packet at resendPosition was retransmitted after a pause.
 	resendSeen     bool
 	resendPosition uint32
-	// excused is set when this node has dropped a packet: what is sent again next
-	// says nothing.
+	// excused is set when this node dropped a packet, so that the next retransmission is not
+	// evidence.
 	excused bool
-	// resent is the number of times that the caller has sent data again after a rest.
+	// resends is the number of retransmissions after a pause.
 	resends  int
 	resentAt kernel.Instant
-	// resentBefore is when it did so the time before.
+	// previousResentAt is resentAt before the last retransmission.
 	previousResentAt kernel.Instant
 }
 
-// beginPending begins the wait for the answer to data.
+// newPendingData starts the wait for an answer to data.
 func newPendingData(now kernel.Instant, packet Packet) pendingData {
 	pending := pendingData{waiting: true, since: now, lastDataAt: now, base: packet.Sequence, mark: packet.Sequence}
 	pending.end = packet.Sequence + uint32(packet.Size)
@@ -78,41 +75,40 @@
 	return pending
 }
 
-// note takes the caller's next data. It reports whether the data shows that the target
-// has answered.
+// add records further data, and reports whether it shows that the target has answered.
 func (p *pendingData) add(now kernel.Instant, packet Packet) bool {
-	rested := now.Sub(p.lastDataAt) >= retransmitGap
+	paused := now.Sub(p.lastDataAt) >= retransmitGap
 	p.lastDataAt = now
-	known := p.markSeen(packet.Sequence)
+	seenBefore := p.markSeen(packet.Sequence)
 	end := packet.Sequence + uint32(packet.Size)
 	if int32(end-p.end) > 0 {
 		p.end = end
-		return p.addNew(packet.Sequence, rested)
+		return p.addNew(packet.Sequence, paused)
 	}
-	if rested {
-		p.addResent(now, packet.Sequence, known)
+	if paused {
+		p.addResent(now, packet.Sequence, seenBefore)
 		return false
 	}
 	return p.resendSeen && packet.Sequence != p.resendPosition
 }
 
-// noteNew takes data that is farther than all before.
-func (p *pendingData) addNew(position uint32, rested bool) bool {
-	if rested {
+// addNew records data beyond all earlier data.
+func (p *pendingData) addNew(position uint32, paused bool) bool {
+	if paused {
 		p.mark = position
 		return false
 	}
 	return int32(p.end-p.mark) > sendWindow
 }
 
-// noteProbe takes data that the caller has sent again after a rest. It speaks against
-// the target only when this node has passed it on before.
-func (p *pendingData) addResent(now kernel.Instant, position uint32, known bool) {
+// addResent records a retransmission after a pause. It is evidence only if this node has
+// forwarded the data before.
+func (p *pendingData) addResent(now kernel.Instant, position uint32, seenBefore bool) {
 	p.resendSeen = true
 	p.resendPosition = position
 	excused := p.excused
 	p.excused = false
-	if !known || excused {
+	if !seenBefore || excused {
 		return
 	}
 	p.resends++
@@ -120,7 +116,7 @@
 	p.resentAt = now
 }
 
-// undoResent takes back that data was sent again just now, if it was.
+// undoResent reverts a retransmission recorded at the given time, if there is one.
 func (p *pendingData) undoResent(now kernel.Instant) bool {
 	if p.resends == 0 || p.resentAt != now {
 		return false
@@ -130,14 +126,13 @@
 	return true
 }
 
-// excuse forgets what the data showed against the target: this node has dropped a
-// packet of it.
+// excuse clears the evidence, because this node dropped a packet of the flow.
 func (p *pendingData) excuse() {
 	p.excused = true
 	p.resends = 0
 }
 
-// advance begins the wait anew: the target has answered part of the data.
+// restart starts a new wait after the target has answered part of the data.
 func (p *pendingData) restart(now kernel.Instant, position uint32) {
 	p.since = now
 	p.mark = position
@@ -146,7 +141,7 @@
 	p.resends = 0
 }
 
-// see notes that a packet came and returns whether it had come before.
+// markSeen records the arrival of a packet and returns whether it had arrived before.
 func (p *pendingData) markSeen(position uint32) bool {
 	slot := p.slot(position)
 	switch {
@@ -161,12 +156,12 @@
 		slot = seenWindow - 1
 	}
 	bit := uint64(1) << uint64(slot)
-	known := p.seen&bit != 0
+	seenBefore := p.seen&bit != 0
 	p.seen |= bit
-	return known
+	return seenBefore
 }
 
-// slot returns the number of a position's packet, counted from base.
+// slot returns the index of a position's packet, relative to base.
 func (p *pendingData) slot(position uint32) int64 {
 	offset := int64(int32(position - p.base))
 	if offset < 0 {
@@ -175,7 +170,7 @@
 	return offset / maxPacketData
 }
 
-// weight returns how much the wait says against the target.
+// weight returns the weight of the evidence against the target.
 func (p *pendingData) weight(now kernel.Instant) uint32 {
 	age := now.Sub(p.resentAt)
 	switch {
@@ -189,8 +184,7 @@
 	return 0
 }
 
-// notePending follows the caller's data: what is sent again has not been
-// answered.
+// trackPending updates the unanswered data of a flow with a packet of the caller.
 func (c *Core) trackPending(now kernel.Instant, packet Packet, flow *flowEntry) {
 	if packet.Size == 0 {
 		return
@@ -213,7 +207,7 @@
 	}
 }
 
-// settle ends the wait for an answer.
+// endPending ends the wait for an answer.
 func (c *Core) endPending(key FlowKey, flow *flowEntry) {
 	if flow.pending.waiting {
 		c.losses.addAnswered(flow.pending.resends)
--- a/internal/steer/remembered.go
+++ b/internal/steer/remembered.go
@@ -5,9 +5,9 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// CanDecide reports whether the core knows enough for a packet. One of an open
-// flow needs only its target; a new flow needs a configuration, and its route and a
-// target where only a member's disk speaks for that.
+// CanDecide reports whether the core has the state that a packet needs. A packet of an open
+// flow needs its target. A new flow needs a configuration, and if that is only remembered,
+// also a route and a target.
 func (c *Core) CanDecide(packet Packet) bool {
 	if packet.Forged || c.revision > 0 && c.IsReady() {
 		return true
@@ -19,8 +19,8 @@
 	return known
 }
 
-// remembersTargetFor reports whether a new flow can be placed by what a member's disk
-// remembers. Another one waits: its route may be newer than that disk.
+// hasRememberedTarget reports whether a new flow can be placed by remembered state. A flow
+// without a route has to wait, since its route may be newer than the remembered state.
 func (c *Core) hasRememberedTarget(flow FlowKey) bool {
 	entry, routed := c.routes[flow.Virtual]
 	if c.revision > 0 || !routed {
@@ -34,36 +34,35 @@
 	return false
 }
 
-// ApplyRemembered takes what a member's disk knows, before any member is current. A token names
-// one target for ever, so the packets of open flows can follow it. Where the disk tells a
-// configuration, new flows are placed by it until an instant or the first update. It
-// returns the number of targets that were not known. A core that has state of its own
-// takes nothing.
+// ApplyRemembered adds the state that a control member has read from its disk while no member
+// is current. Tokens are never reused, so packets of open flows can be forwarded by it. If it
+// has a configuration, new flows are placed by it until the given instant or the first update.
+// It returns the number of targets that were unknown. It has no effect after the first update.
 func (c *Core) ApplyRemembered(now kernel.Instant, remembered directory.Remembered, until kernel.Instant) int {
 	if c.revision > 0 {
 		return 0
 	}
-	places := remembered.Configuration.Version > 0 && now.Before(until)
-	if places {
+	usesConfiguration := remembered.Configuration.Version > 0 && now.Before(until)
+	if usesConfiguration {
 		c.rememberedUntil = until
 	}
-	if places && remembered.Configuration.Version > c.configuration.Version {
+	if usesConfiguration && remembered.Configuration.Version > c.configuration.Version {
 		c.setConfiguration(remembered.Configuration)
 	}
-	taken := 0
+	added := 0
 	for _, target := range remembered.Targets {
-		if !places {
+		if !usesConfiguration {
 			target.State = max(target.State, directory.TargetLeaving)
 		}
 		if c.addRemembered(target) {
-			taken++
+			added++
 		}
 	}
-	return taken
+	return added
 }
 
-// rememberTarget takes a target of a member's disk, and reports whether it was not known.
-// Of two disks the one holds on which the target's life is further on.
+// addRemembered adds a remembered target, and reports whether it was unknown. If members
+// disagree, the later state of the target wins.
 func (c *Core) addRemembered(target directory.Target) bool {
 	entry, known := c.targets[target.Token]
 	if !known {
@@ -76,12 +75,12 @@
 	return !known
 }
 
-// UsesRemembered reports whether new flows are placed by what a member's disk remembers.
+// UsesRemembered reports whether new flows are placed by remembered state.
 func (c *Core) UsesRemembered() bool { return c.rememberedUntil > 0 && c.revision == 0 }
 
-// ExpireRemembered places no new flows any more by what a disk remembers once its time is up,
-// and reports whether that has just come. What is known of open flows stays, and so does
-// the configuration, which may only be replaced by a newer one.
+// ExpireRemembered stops placing new flows by remembered state after its time limit, and
+// reports whether it has just done so. Open flows and the configuration are kept; the latter
+// is replaced only by a newer one.
 func (c *Core) ExpireRemembered(now kernel.Instant) bool {
 	if !c.UsesRemembered() || now.Before(c.rememberedUntil) {
 		return false
@@ -90,8 +89,8 @@
 	return true
 }
 
-// closeRemembered lists no target any more: before the first update only a disk's memory
-// speaks for those that are listed.
+// disableRemembered stops new flows to all known targets. Before the first update all of them
+// are remembered ones.
 func (c *Core) disableRemembered() {
 	c.rememberedUntil = 0
 	clear(c.services)
@@ -100,8 +99,7 @@
 	}
 }
 
-// dropRemembered forgets the remembered targets that the first update has not
-// confirmed.
+// dropRemembered removes the remembered targets that the first update did not confirm.
 func (c *Core) dropRemembered() {
 	for token, entry := range c.targets {
 		if !entry.remembered {
@@ -112,7 +110,7 @@
 	}
 }
 
-// forgetFlowsOf forgets the flows of a target.
+// removeFlowsOf removes the flows of a target.
 func (c *Core) removeFlowsOf(entry *targetEntry) {
 	for key, flow := range c.flows {
 		if flow.target == entry {
--- a/internal/steer/speeds.go
+++ b/internal/steer/speeds.go
@@ -9,52 +9,49 @@
 	"github.com/beamdoor/beamdoor/internal/speed"
 )
 
-// How long a target takes is learned from requests whose answer the caller acknowledges
-// at once: by an acknowledgement without data, or by the end of a flow of one request.
-// Others tell no time: an acknowledgement with the next request, or with the end of a
-// long flow, may come any time after the answer. The time of the way, as the flow's
-// opening packet took it, is left out: it also holds the node's own link, which has
-// nothing to do with the target. A small answer without work is no sample: it is that of a
-// target that is full or fails, which would look the faster the more it refuses.
+// Request times of targets are sampled from requests whose response the caller acknowledges at
+// once: by an acknowledgement without data, or by closing a flow after one request. An
+// acknowledgement with the next request, or with the close of a reused flow, may come any time
+// after the response. The handshake time of the flow is subtracted as network time; it
+// includes delays at this node's link. Fast small responses are not sampled: they come from a
+// target that is full or failing, which would otherwise seem faster the more it refuses.
 
 const (
-	// usualSamples is the number of requests of a route from which on one is compared
-	// with them, and usualMemory the number after which older ones fade out: later than
-	// samples of targets do, so that a load which comes over all targets of a zone is seen
-	// at these and is not taken for usual.
+	// minWorkSamples is the number of requests after which a route's baseline is used, and
+	// workSampleLimit bounds the weight of past samples in it. It adapts more slowly than the
+	// samples of targets expire, so that load on all targets of a zone is detected.
 	minWorkSamples  = 4
 	workSampleLimit = 512
-	// leastWorkPart is the least part of the time that is taken for work: a way that was
-	// slower for the opening packet would leave nothing.
+	// minWorkFraction is the least fraction of the response time that counts as work, in case
+	// the handshake was slower than the request.
 	minWorkFraction = 1.0 / 8
-	// speedInterval is the time between two words to the member, and speedRepeat the time
-	// after which a target is told again though nothing new was seen: by then another
-	// member may be followed.
+	// speedReportInterval is the time between two reports to the control member.
+	// speedRepeatInterval is the time after which an unchanged target is reported again, since
+	// the node may have connected to another member.
 	speedReportInterval = 500 * time.Millisecond
 	speedRepeatInterval = 10 * time.Second
-	// wordsAtOnce is the largest number of targets in a word: half a kilobyte.
+	// maxTargetsPerReport bounds the size of a report to half a kilobyte.
 	maxTargetsPerReport = 64
-	// relativeLifetime is how long a time that the leader told holds when nobody tells it
-	// again: it is told again each half minute, or each five minutes in the largest fleet.
+	// relativeTimeLifetime is how long a relative time from the leader is valid. The leader
+	// repeats it every half minute, or every five minutes in the largest fleets.
 	relativeTimeLifetime = 10 * time.Minute
 )
 
-// usualWork is the usual work of a route's requests at this node, as the mean of the
-// logarithms of microseconds.
+// workBaseline is the mean logarithm of the work of a route's requests in microseconds.
 type workBaseline struct {
 	mean    float64
 	samples int
 }
 
-// isKnown reports whether requests can be compared with the usual ones.
+// isKnown reports whether the baseline has enough samples.
 func (u *workBaseline) isKnown() bool { return u.samples >= minWorkSamples }
 
-// sample returns how far a request is from the usual ones.
+// sample returns the logarithm of a request's work relative to the baseline.
 func (u *workBaseline) sample(work time.Duration) float64 {
 	return math.Log(max(float64(work.Microseconds()), 1)) - u.mean
 }
 
-// learn takes a sample, less what is known of its target, into what is usual.
+// learn updates the baseline with a sample, less the known deviation of its target.
 func (u *workBaseline) learn(sample float64) {
 	if u.isKnown() {
 		sample = min(max(sample, -speed.MaxSample), speed.MaxSample)
@@ -63,38 +60,38 @@
 	u.mean += sample / float64(u.samples)
 }
 
-// targetSpeed is what a node knows of how long a target takes.
+// targetSpeed holds the request times of a target.
 type targetSpeed struct {
-	// sums are the samples of this node as of summedAt.
+	// sums are this node's samples, decayed to summedAt.
 	sums       speed.Sums
 	summedAt   kernel.Instant
 	reportedAt kernel.Instant
-	// isNew is set while there are samples that the member was not told.
+	// unreported is set while there are samples that were not reported.
 	unreported bool
-	// listed is set while the target is in the list of those with samples.
+	// inList is set while the target is in speedTracker.sampled.
 	inList bool
-	// relative is the time that the target takes as a multiple of what is usual for its
-	// service, as the leader told at heardAt; 0 when it did not.
+	// relative is the target's time per request relative to its service's mean, as received
+	// from the leader at relativeAt; 0 if unknown.
 	relative   float64
 	relativeAt kernel.Instant
 }
 
-// speedWatch follows how long targets take.
+// speedTracker lists the targets with samples.
 type speedTracker struct {
 	sampled      []*targetEntry
 	nextReportAt kernel.Instant
 }
 
-// noteWork learns from a request that was answered, if its time is that of its work.
+// recordWork samples the work of an answered request, if its response time measures it.
 func (c *Core) recordWork(now kernel.Instant, x *exchange, size uint32) {
 	if x.responseTime == 0 {
 		return
 	}
-	way := x.handshakeTime
-	if way == 0 {
-		way = c.openings.meanTime
+	networkTime := x.handshakeTime
+	if networkTime == 0 {
+		networkTime = c.openings.meanTime
 	}
-	work := max(x.responseTime-way, time.Duration(minWorkFraction*float64(x.responseTime)))
+	work := max(x.responseTime-networkTime, time.Duration(minWorkFraction*float64(x.responseTime)))
 	usual := &x.baseline.work
 	sample := usual.sample(work)
 	if usual.isKnown() {
@@ -118,16 +115,16 @@
 	}
 }
 
-// TakeSpeeds returns what the member is told of how long targets take, at most once in
-// speedInterval.
+// TakeSpeeds returns the request times to report to the control member. It returns nil more
+// often than once per speedReportInterval.
 func (c *Core) TakeSpeeds(now kernel.Instant) []speed.Report {
 	if now.Before(c.speeds.nextReportAt) {
 		return nil
 	}
 	c.speeds.nextReportAt = now.Add(speedReportInterval)
 	var words []speed.Report
-	kept := c.speeds.sampled[:0]
-	var told []*targetEntry
+	remaining := c.speeds.sampled[:0]
+	var reported []*targetEntry
 	for _, entry := range c.speeds.sampled {
 		learned := &entry.speed
 		sums := learned.sums.Decayed(now.Sub(learned.summedAt), speed.HalfLife)
@@ -136,16 +133,16 @@
 			continue
 		}
 		if len(words) == maxTargetsPerReport || !learned.isDue(now) {
-			kept = append(kept, entry)
+			remaining = append(remaining, entry)
 			continue
 		}
 		learned.reportedAt = now
 		learned.unreported = false
-		told = append(told, entry)
+		reported = append(reported, entry)
 		words = append(words, speed.Report{Token: entry.target.Token, Sums: sums})
 	}
-	clear(c.speeds.sampled[len(kept):])
-	c.speeds.sampled = append(kept, told...)
+	clear(c.speeds.sampled[len(remaining):])
+	c.speeds.sampled = append(remaining, reported...)
 	return words
 }
 
@@ -153,17 +150,17 @@
 	return s.unreported || now.Sub(s.reportedAt) >= speedRepeatInterval
 }
 
-// SetSpeeds takes what the leader tells of how long targets take.
+// SetSpeeds sets the relative times that the leader has computed.
 func (c *Core) SetSpeeds(now kernel.Instant, list []speed.TargetStep) {
-	for _, told := range list {
-		if entry, known := c.targets[told.Token]; known {
-			entry.speed.relative = told.Step.TimeRatio()
+	for _, update := range list {
+		if entry, known := c.targets[update.Token]; known {
+			entry.speed.relative = update.Step.TimeRatio()
 			entry.speed.relativeAt = now
 		}
 	}
 }
 
-// RelativeTimes calls visit with the relative time of each target that takes new flows.
+// RelativeTimes calls visit with the relative time of each target that accepts new flows.
 func (c *Core) RelativeTimes(now kernel.Instant, visit func(relative float64)) {
 	for _, entries := range c.services {
 		for _, entry := range entries {
@@ -172,7 +169,7 @@
 	}
 }
 
-// relativeTime returns the time that a target takes as a multiple of what is usual.
+// relativeTime returns a target's time per request relative to its service's mean.
 func (entry *targetEntry) relativeTime(now kernel.Instant) float64 {
 	if entry.speed.relative == 0 || now.Sub(entry.speed.relativeAt) > relativeTimeLifetime {
 		return 1
--- a/internal/steer/timerwheel.go
+++ b/internal/steer/timerwheel.go
@@ -7,23 +7,21 @@
 )
 
 const (
-	// wheelSlot is the precision at which quiet flows are found: a tenth of the time
-	// between two reports, which carry them.
+	// wheelSlot is the resolution of the wheel: a tenth of the report interval.
 	wheelSlot = 10 * time.Millisecond
-	// wheelSlots times wheelSlot is more than the longest quiet time.
+	// wheelSlots times wheelSlot exceeds the longest quiet time.
 	wheelSlots = 128
 )
 
-// quietWheel holds the flows whose exchanges wait, by the time when they are looked at
-// again. A flow stands in it at most once, so it holds no more than are counted and
-// those forgotten within the last quiet time.
+// timerWheel holds the flows with a waiting exchange by the time of their next check. Each
+// flow is in the wheel at most once.
 type timerWheel struct {
 	slots [wheelSlots]*flowEntry
-	// turned is the number of the last slot that was looked at.
+	// lastSlot is the number of the last slot that was processed.
 	lastSlot int64
 }
 
-// add lists a flow that is to be looked at after a time, unless it is listed already.
+// add schedules a check of a flow, unless one is scheduled already.
 func (w *timerWheel) add(now kernel.Instant, flow *flowEntry, after time.Duration) {
 	if flow.exchange.inWheel {
 		return
@@ -36,8 +34,8 @@
 	*slot = flow
 }
 
-// turn looks at the flows whose time has come. The look returns after which time a flow
-// is to be looked at again; 0 means never.
+// advance calls look for each flow that is due. Look returns the delay until the next check,
+// or 0 for none.
 func (w *timerWheel) advance(now kernel.Instant, look func(now kernel.Instant, flow *flowEntry) time.Duration) {
 	current := int64(now) / int64(wheelSlot)
 	first := max(w.lastSlot+1, current-wheelSlots+1)
--- a/internal/steer/waiting.go
+++ b/internal/steer/waiting.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// answerPatience is how long a caller waits before it sends its data again;
-	// the pause doubles each time. It holds the caller's 200 ms and the way to this node.
+	// retransmitTimeout is a caller's first retransmission timeout of 200 ms plus the network
+	// time to this node. The timeout doubles with each retransmission.
 	retransmitTimeout = 250 * time.Millisecond
-	// maxDoublings bounds the pause between two copies of data.
+	// maxRetransmitDoublings bounds the timeout.
 	maxRetransmitDoublings = 3
 )
 
-// beginWait notes that a caller waits for an answer of its flow's target.
+// beginWait records that the caller of a flow waits for an answer.
 func (c *Core) beginWait(now kernel.Instant, flow *flowEntry) {
 	flow.waitingSince = now
 	if flow.waitingForAnswer {
@@ -25,7 +25,7 @@
 	c.waiting[flow] = struct{}{}
 }
 
-// endWait notes that the target has answered, or that the flow is gone.
+// endWait records that the target has answered, or that the flow was removed.
 func (c *Core) endWait(flow *flowEntry) {
 	if !flow.waitingForAnswer {
 		return
@@ -35,12 +35,12 @@
 	delete(c.waiting, flow)
 }
 
-// endOldWaits ends the wait of callers that would have sent their data again:
-// an answer of one packet need not be acknowledged.
+// expireWaits ends the waits of callers that would have retransmitted by now: they need not
+// acknowledge a response of one packet.
 func (c *Core) expireWaits(now kernel.Instant) {
 	for flow := range c.waiting {
-		patience := retransmitTimeout << min(flow.pending.resends, maxRetransmitDoublings)
-		if now.Sub(flow.waitingSince) > patience {
+		timeout := retransmitTimeout << min(flow.pending.resends, maxRetransmitDoublings)
+		if now.Sub(flow.waitingSince) > timeout {
 			c.endWait(flow)
 		}
 	}
--- a/internal/steer/warmup.go
+++ b/internal/steer/warmup.go
@@ -8,22 +8,19 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// budgetWindow is the time in which a node sends a cold target no more than its
-// share. It is a second, for which budgets are stated, and a margin: packets that
-// leave in one second may arrive closer together, by the time that links and
-// sockets hold them up.
+// budgetWindow is the window over which a node's share of a warm-up budget applies. Budgets
+// are per second; the margin allows for packets that links and sockets delay and bunch up.
 const budgetWindow = 1250 * time.Millisecond
 
-// coldness is what a node knows of a target that has just started, or whose zone
-// was just taken back. It is spared: its part of the new flows grows from nothing
-// to that of a warm target.
+// warmupState limits the new flows to a target that has just started, or whose zone was
+// evacuated until recently. Its share of the flows grows from zero to that of a warm target.
 type warmupState struct {
 	since, until kernel.Instant
-	// share is the number of opening packets that this node may send in
-	// budgetWindow; it holds where bounded is set.
+	// share is the number of opening packets that this node may send per budgetWindow, if
+	// bounded is set.
 	share   uint32
 	bounded bool
-	// sent holds the times of the opening packets of the last budgetWindow.
+	// sent holds the times of the opening packets in the last budgetWindow.
 	sent []kernel.Instant
 }
 
@@ -32,7 +29,7 @@
 	return &warmupState{since: now, until: now.Add(warmup.Left), share: share, bounded: bounded}
 }
 
-// left returns the part of the time that is left, from 1 to 0.
+// remaining returns the fraction of the warm-up that is left, from 1 to 0.
 func (c *warmupState) remaining(now kernel.Instant) float64 {
 	if !now.Before(c.until) {
 		return 0
@@ -40,7 +37,7 @@
 	return float64(c.until.Sub(now)) / float64(c.until.Sub(c.since))
 }
 
-// hasRoom reports whether the target may get another opening packet from this node.
+// hasBudget reports whether this node may send the target another opening packet.
 func (c *warmupState) hasBudget(now kernel.Instant) bool {
 	if !c.bounded || !now.Before(c.until) {
 		return true
@@ -49,7 +46,7 @@
 	return uint32(len(c.sent)) < c.share
 }
 
-// noteSent notes that an opening packet goes to a target.
+// recordOpening counts an opening packet against the budget of a warming target.
 func (entry *targetEntry) recordOpening(now kernel.Instant) {
 	if entry.warmup == nil {
 		return
@@ -63,9 +60,9 @@
 	}
 }
 
-// isClosed reports whether a target may not get an opening packet at all: its zone
-// is being evacuated, or it is cold and this node has used its share. A node that
-// has just started does not know what it sent before.
+// isBlocked reports whether a target may not get any opening packet: its zone is evacuated, or
+// it is warming up and this node has no budget left. A node that has just started does not
+// know what it sent before and waits for one budgetWindow.
 func (c *Core) isBlocked(now kernel.Instant, entry *targetEntry) bool {
 	if c.evacuated[entry.target.Zone] {
 		return true
@@ -76,7 +73,7 @@
 	return !entry.warmup.hasBudget(now) || entry.warmup.bounded && now.Before(c.budgetFrom)
 }
 
-// isSpared draws whether a cold target is passed over while others are left.
+// skipsWhileWarming decides at random whether to skip a warming target.
 func (c *Core) skipsWhileWarming(now kernel.Instant, entry *targetEntry) bool {
 	if entry.warmup == nil {
 		return false
@@ -85,7 +82,7 @@
 	return left > 0 && c.settings.Random.Float64() < left
 }
 
-// setEvacuations takes over what was ordered about zones.
+// setEvacuations applies the evacuation orders of zones.
 func (c *Core) setEvacuations(now kernel.Instant, evacuations []directory.Evacuation) {
 	for _, evacuation := range evacuations {
 		known := c.evacuationRevisions[evacuation.Zone]
@@ -97,8 +94,8 @@
 	}
 }
 
-// takeBack spares the targets of a zone that may get new flows again. One that has
-// registered since has stewards of its own.
+// endEvacuation starts the warm-up of the targets of a zone that takes flows again. Targets
+// that have registered since then have a warm-up and stewards of their own.
 func (c *Core) endEvacuation(now kernel.Instant, evacuation directory.Evacuation) {
 	for _, entry := range c.targets {
 		if entry.target.Zone != evacuation.Zone || entry.target.Revision > evacuation.Revision {
