--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -20,7 +20,7 @@
 	return nodes
 }
 
-// A node that goes is the last one, so that the positions of the others stay.
+// Only the last node is removed, so that the indexes of the others stay.
 func TestChangingOneNodeMovesOnlyItsKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := randomNodes(t)
@@ -44,7 +44,7 @@
 	})
 }
 
-// The search without logarithms finds what sorting all costs does.
+// The search that avoids logarithms must agree with sorting all costs.
 func TestBestNHasLowestCosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := randomNodes(t)
@@ -72,7 +72,7 @@
 	}
 	for position, node := range nodes {
 		share := node.Weight / 10
-		// Five standard deviations of a draw by chance.
+		// Five standard deviations of the sampled share.
 		assert.InDelta(t, share, counts[position]/keys, 5*math.Sqrt(share*(1-share)/keys)+1e-9)
 	}
 }
--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -13,10 +13,10 @@
 	"github.com/beamdoor/beamdoor/internal/speed"
 )
 
-// largeService is the number of targets of the largest service of a small team.
+// largeService is the number of targets of a large service.
 const largeService = 120
 
-// manyTargets returns a core with a service of many targets in three zones.
+// newLargeFixture returns a fixture with a large service in three zones.
 func newLargeFixture(t *testing.T) (*coreFixture, []directory.Target) {
 	b := newBookingFixture(t)
 	var targets []directory.Target
@@ -53,7 +53,7 @@
 	}
 }
 
-// flowsPerReport is the number of new flows between two reports of a busy node.
+// flowsPerReport is the number of new flows between two reports.
 const flowsPerReport = 100
 
 func BenchmarkNewFlow(b *testing.B) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// BenchmarkAReleaseAtABusyNode lets targets be replaced one after the other at a node with
-// 100,000 flows: an end must not cost a look at all of them.
+// BenchmarkRollingReleaseAtBusyNode replaces targets one by one at a node with 100,000 flows;
+// an ended target must not cause a scan of all flows.
 func BenchmarkRollingReleaseAtBusyNode(b *testing.B) {
 	const flows = 100_000
 	settings := DefaultSettings()
--- a/internal/steer/choicealternatives_test.go
+++ b/internal/steer/choicealternatives_test.go
@@ -6,9 +6,9 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// The ways of choosing that rateChoice is held against.
+// Alternative choosers, for comparison with rateChoice.
 
-// delay returns the expected time of a new flow's request: the wait and its own service.
+// delay returns the expected time of a new request: the queue and its own service.
 func (c Candidate) delay() float64 {
 	delay := float64(c.Waiting+1) / c.rate()
 	if !c.Local {
@@ -17,8 +17,8 @@
 	return delay
 }
 
-// delayChoice takes the candidate with the least expected delay, equal ones by lot. It
-// fits few nodes that each see most of a target's flows.
+// leastDelayChoice selects the candidate with the least expected delay and breaks ties at
+// random. It suits few nodes that each see most of a target's flows.
 type leastDelayChoice struct{}
 
 var _ Chooser = (*leastDelayChoice)(nil)
@@ -46,7 +46,7 @@
 	return best
 }
 
-// twoChoice draws two candidates and takes the one with the least expected delay.
+// twoRandomChoice draws two candidates and selects the one with the smaller delay.
 type twoRandomChoice struct{}
 
 var _ Chooser = (*twoRandomChoice)(nil)
--- a/internal/steer/choicerate_test.go
+++ b/internal/steer/choicerate_test.go
@@ -15,21 +15,20 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// The simulated service: its size, and what a target does with requests that find no
-// free slot.
+// The size of the simulated service.
 const (
 	simulatedTargets  = 120
 	simulatedSlots    = 2
 	simulatedQueue    = 8
 	simulatedRequests = 12_000
-	// simulatedSpread is the deviation of the logarithm of single requests' work.
+	// simulatedSpread is the standard deviation of the logarithm of the work per request.
 	simulatedSpread = 0.5
 )
 
-// simulatedTarget works on requests in the order in which they come.
+// simulatedTarget serves requests in the order of their arrival.
 type simulatedTarget struct {
 	time float64
-	// freeAt is when each slot is free.
+	// freeAt is when each slot becomes free.
 	freeAt     [simulatedSlots]float64
 	inProgress int
 	work       float64
@@ -53,16 +52,16 @@
 	return last
 }
 
-// simulated is how the requests of a run went.
+// simulationResult summarizes the requests of a run.
 type simulationResult struct {
 	mean, p99 float64
 	rejected  float64
-	// imbalance is the work of the busiest target over the mean.
+	// imbalance is the work of the busiest target divided by the mean.
 	imbalance float64
 }
 
-// simulate lets many nodes, each of which knows only its own waiting flows, place
-// requests on the targets of a service. Load is the part of the slots that the work needs.
+// simulate lets nodes, each of which knows only its own waiting flows, place requests on the
+// targets of a service. The load is the share of the slots that the work needs.
 func simulate(chooser Chooser, nodes int, times []float64, load float64, requests int) simulationResult {
 	random := rand.New(rand.NewPCG(uint64(nodes), uint64(100*load)))
 	targets := make([]simulatedTarget, len(times))
@@ -107,7 +106,7 @@
 	return result.summarize(durations, targets)
 }
 
-// serve gives a request the slot that is free first, and returns when it ends.
+// serve assigns a request to the first free slot and returns when it ends.
 func (t *simulatedTarget) serve(now, work float64) float64 {
 	slot := 0
 	for other := range t.freeAt {
@@ -138,7 +137,7 @@
 	return s
 }
 
-// timesOf returns the relative times of a service whose targets have some speeds by turns.
+// relativeTimesOf returns the relative times of targets whose speeds repeat in turn.
 func relativeTimesOf(speeds ...float64) []float64 {
 	times := make([]float64, simulatedTargets)
 	for number := range times {
@@ -153,9 +152,8 @@
 	oneSpeed    = relativeTimesOf(1)
 )
 
-// TestChoicesOnASimulatedService prints the comparison of the choices, and holds what the
-// default is chosen for: where it is no better than the choice by waiting flows it is no
-// worse, and it does not fail where the least expected delay does.
+// Compares the choosers: rateChoice must not be worse than nearbyChoice, and must not
+// overload targets where leastDelayChoice does.
 func TestChoosersOnSimulatedService(t *testing.T) {
 	for name, times := range map[string][]float64{"three speeds": threeSpeeds, "ten speeds": tenSpeeds} {
 		for _, nodes := range []int{8, 100, 1000} {
@@ -181,14 +179,14 @@
 	}
 }
 
-// Over a longer run no target has a fifth more work than the mean.
+// In a long run no target gets 20 percent more work than the mean.
 func TestRateChoiceBalancesWork(t *testing.T) {
 	const requests = 10 * simulatedRequests
 	assert.Less(t, simulate(&rateChoice{}, 100, threeSpeeds, 0.8, requests).imbalance, 1.2)
 	assert.Greater(t, simulate(&leastDelayChoice{}, 100, threeSpeeds, 0.8, requests).imbalance, 1.2)
 }
 
-// With one speed the default is the choice by waiting flows in effect.
+// At equal speeds rateChoice performs like nearbyChoice.
 func TestChoosersAgreeAtOneSpeed(t *testing.T) {
 	for _, load := range []float64{0.5, 0.8} {
 		nearby := simulate(&nearbyChoice{}, 100, oneSpeed, load, simulatedRequests)
@@ -198,8 +196,8 @@
 	}
 }
 
-// Flows stay in the zone while its targets serve about as fast as the others, and leave
-// it in proportion where they do not.
+// Flows stay in the zone while its targets are about as fast as others, and spill in
+// proportion to the missing capacity otherwise.
 func TestSpillIsProportional(t *testing.T) {
 	cases := []struct {
 		name                  string
--- a/internal/steer/core_test.go
+++ b/internal/steer/core_test.go
@@ -20,7 +20,7 @@
 	otherAddress   = netip.MustParseAddrPort("198.18.0.9:443")
 )
 
-// bench is a core with a directory state that its updates come from.
+// coreFixture is a core with the directory state from which it is updated.
 type coreFixture struct {
 	*testing.T
 	core     *Core
@@ -166,8 +166,7 @@
 	}
 }
 
-// A packet that a caller sends again to a dead target is no answer of the
-// target (bench day scale-1, 2 targets dark: copies until 10 s after).
+// A packet that a caller retransmits to a dead target must not count as its answer.
 func TestRetransmissionIsNoAnswer(t *testing.T) {
 	b := newBookingFixture(t)
 	dead := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
@@ -269,7 +268,7 @@
 	return packet
 }
 
-// report returns the weight against a target in the next report.
+// reportedWeight returns the weight against a target in the next report.
 func (b *coreFixture) reportedWeight(now kernel.Instant, token directory.Token) uint32 {
 	const interval = 100 * time.Millisecond
 	b.core.Report(now.Add(-interval), interval)
@@ -295,8 +294,8 @@
 	assert.Equal(t, uint32(2), b.reportedWeight(second, target.Token))
 }
 
-// A caller need not acknowledge an answer of one packet. Flows that rest after
-// one repeated request made a living target look lost (quiet-1, 62e07143).
+// A caller need not acknowledge a one-packet response; a flow that idles after one
+// retransmission must not make a live target look lost.
 func TestIdleCallerIsNoEvidenceOfSilence(t *testing.T) {
 	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
@@ -333,10 +332,8 @@
 	assert.Empty(t, b.core.Report(now, 100*time.Millisecond).Silent)
 }
 
-// 38 nodes woke after 3.5 s and read what had waited, data and its repetitions
-// together; routers had taken their callers elsewhere, so no answer showed. Four
-// open flows of living targets were reset 0.95 s later (patitas-uio-large, mix of
-// hunt ec9566fd).
+// After a stall, data and its retransmissions are read together while answers went through
+// other nodes. Flows of live targets must not be reset for it.
 func TestBacklogAfterStallIsNoEvidence(t *testing.T) {
 	const interval = 100 * time.Millisecond
 	b := newBookingFixture(t)
@@ -385,8 +382,8 @@
 	assert.NotEqual(t, first.Target.ID, late.Target.ID)
 }
 
-// A target starts again under its ID, elsewhere or at its address: what it had open is
-// reset at its next packet and never reaches the new process, which gets new flows.
+// A target restarts under its ID, at the same or another address. Packets of old flows are
+// reset and never reach the new process, which gets new flows.
 func TestFlowsOfRestartedTargetAreReset(t *testing.T) {
 	for _, place := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
 		b := newBookingFixture(t)
@@ -411,8 +408,7 @@
 	}
 }
 
-// The caller waits for an answer when its target starts again: it is told at once, and
-// only once.
+// A caller that waits for an answer while its target restarts is told at once, and only once.
 func TestWaitingFlowsOfEndedTargetAreResetOnce(t *testing.T) {
 	b := newBookingFixture(t)
 	first := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
--- a/internal/steer/ejection_test.go
+++ b/internal/steer/ejection_test.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// bookingOf returns a bench whose only route is of a kind, with some targets.
+// newKindFixture returns a fixture whose only route has the given kind, with some targets.
 func newKindFixture(t *testing.T, kind directory.RouteKind, count int) (*coreFixture, []directory.Token) {
 	b := newFixture(t)
 	r := route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1})
@@ -53,8 +53,7 @@
 	assert.Len(t, seen, 3)
 }
 
-// What was not tried is taken before what fails its work, and that before a target
-// that has just left an opening packet unanswered.
+// Doubtful targets are used before failing ones, and those before lost ones.
 func TestFallbackOrderWithoutHealthyTargets(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -94,7 +93,7 @@
 	assert.Equal(t, tokens[2], seen[2])
 }
 
-// trials plays new flows at an even rate and returns how many a target got.
+// countFlowsTo opens flows at regular intervals and returns how many a target got.
 func (b *coreFixture) countFlowsTo(now kernel.Instant, flows int, pause time.Duration, token directory.Token) int {
 	got := 0
 	for number := range flows {
--- a/internal/steer/endedtargets_test.go
+++ b/internal/steer/endedtargets_test.go
@@ -9,8 +9,8 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// A node that runs through many releases remembers as many ended targets as members do,
-// not each one that ever was. What it still remembers it resets; the rest is silence.
+// Guards against unbounded memory over many releases: a node keeps as many ended targets as
+// the control members, and no longer answers packets of older ones.
 func TestOldestEndedTargetsAreDropped(t *testing.T) {
 	b := newBookingFixture(t)
 	limit := directory.EndedLimit(1)
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -10,7 +10,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// evacuate gives an order about a zone and hands the update to the core.
+// setEvacuated orders or ends the evacuation of a zone and updates the core.
 func (b *coreFixture) setEvacuated(now kernel.Instant, zone string, active bool) {
 	order := directory.Evacuation{Zone: zone, Active: active, Revision: b.state.Evacuation(zone).Revision}
 	b.apply(now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
@@ -31,8 +31,7 @@
 	assert.Empty(t, b.core.EvacuatedZones())
 }
 
-// A copy that comes soon after its opening packet goes to the same target, unless
-// that may get nothing new any more.
+// An early retransmission goes to the same target, unless that is blocked meanwhile.
 func TestRetransmissionAvoidsEvacuatedZone(t *testing.T) {
 	b := newBookingFixture(t)
 	near := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
@@ -43,8 +42,8 @@
 	assert.Equal(t, far.ID, b.core.Decide(soon, opening(1, 1)).Target.ID)
 }
 
-// With the last zone that has targets evacuated there is nobody to serve a new
-// flow: its caller is told at once, and the order holds.
+// With all zones of a service evacuated, new flows are reset at once, whatever the health of
+// the targets.
 func TestEvacuationOfAllZonesResetsNewFlows(t *testing.T) {
 	b := newBookingFixture(t)
 	north := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
@@ -64,7 +63,7 @@
 	assert.Equal(t, "i-2", b.core.Decide(later, opening(3, 0)).Target.ID)
 }
 
-// A node that starts takes no packet before it knows the evacuated zones.
+// A node that starts must know the evacuated zones before it places flows.
 func TestFirstUpdateCarriesEvacuatedZones(t *testing.T) {
 	b := newBookingFixture(t)
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
--- a/internal/steer/exchange_oracle_test.go
+++ b/internal/steer/exchange_oracle_test.go
@@ -12,7 +12,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// fate is what truly becomes of an exchange.
+// outcome is the actual result of an exchange.
 type outcome int
 
 const (
@@ -23,33 +23,33 @@
 	outcomeCount
 )
 
-// trueExchange is an exchange as its two ends know it.
+// simulatedExchange is an exchange as its two ends see it.
 type simulatedExchange struct {
 	outcome outcome
-	// base is the caller's acknowledgement before it, answer the size of its answer.
+	// base is the caller's acknowledgement before it, answer the size of the response.
 	base, answer uint32
-	// dropped is set when the node dropped what the caller sent.
+	// dropped is set when the node dropped the request.
 	dropped bool
 }
 
-// sight is a packet of a flow as a node may see it.
+// observedPacket is a packet of a flow that a node may see.
 type observedPacket struct {
 	at       time.Duration
 	packet   Packet
 	exchange int
-	// first is set on the first data of an exchange, progress on what acknowledges a
-	// part of its answer, last on what ends it.
+	// first is set on the first data of an exchange, progress on a packet that acknowledges
+	// part of the response, and last on the packet that ends the exchange.
 	first, progress, last bool
 }
 
-// trueFlow is a flow as its two ends know it, and what a node sees of it.
+// simulatedFlow is a flow as its two ends see it, and the packets that pass a node.
 type simulatedFlow struct {
 	target    directory.Token
 	exchanges []simulatedExchange
 	packets   []observedPacket
 }
 
-// script draws what happens on a flow.
+// flowScript draws the events of a flow.
 type flowScript struct {
 	*rapid.T
 	flow         simulatedFlow
@@ -75,7 +75,7 @@
 	s.flow.packets = append(s.flow.packets, seen)
 }
 
-// request draws the packets of a request: they may come in any order, and again.
+// sendRequest draws the packets of a request, possibly reordered and retransmitted.
 func (s *flowScript) sendRequest() {
 	const part = 400
 	parts := rapid.IntRange(1, 3).Draw(s.T, "parts")
@@ -92,7 +92,7 @@
 	s.sequence += uint32(parts * part)
 }
 
-// play draws an exchange; it returns false when it was the flow's last one.
+// playExchange draws an exchange; it returns false if that was the flow's last one.
 func (s *flowScript) playExchange() bool {
 	exchange := simulatedExchange{outcome: outcome(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 3}).Draw(s.T, "fate")), base: s.acknowledged}
 	exchange.dropped = rapid.IntRange(0, 9).Draw(s.T, "dropped") == 0
@@ -124,7 +124,7 @@
 	return true
 }
 
-// abandon ends a flow whose caller gets no answer, or lets it fall silent.
+// abandon ends a flow without a response, or leaves it open.
 func (s *flowScript) abandon(after time.Duration) {
 	s.at += after
 	switch rapid.IntRange(0, 2).Draw(s.T, "leaves") {
@@ -151,7 +151,7 @@
 		if more = s.playExchange(); !more {
 			break
 		}
-		// Quiet says nothing where flows rest with an answer that does not show.
+		// The pause is short, so that no exchange is quiet before its response is acknowledged.
 		s.at += s.millis(1, 40, "rest")
 	}
 	if more {
@@ -161,7 +161,7 @@
 	return s.flow
 }
 
-// expect returns what a node that sees a part of a flow ought to count.
+// expect returns the outcomes that a node should count if it sees packets from to to.
 func (f simulatedFlow) expect(from, to int) directory.Outcomes {
 	var counted directory.Outcomes
 	seen := f.packets[from:to]
@@ -182,8 +182,8 @@
 	return counted
 }
 
-// isLater reports whether an exchange began after a node that joined the flow had seen
-// another one end, and after the time of stray copies.
+// isLater reports whether an exchange began after the node had seen the previous one end, and
+// after the time of stray packets.
 func (f simulatedFlow) isLater(seen []observedPacket, number int) bool {
 	if !advances(seen[0].packet.Acknowledged, f.exchanges[number].base) {
 		return false
@@ -193,14 +193,13 @@
 	})
 }
 
-// falls reports whether what a node sees of a flow leaves its caller waiting, not ended.
-// Copies of its packets may come after its end: a caller that has reset its flow waits no
-// more, whatever comes last.
+// isLeftOpen reports whether the observed packets leave the caller waiting. Retransmissions may
+// follow a close or a reset, so any of these in the flow counts.
 func (f simulatedFlow) isLeftOpen(seen []observedPacket) bool {
 	return !slices.ContainsFunc(seen, func(sight observedPacket) bool { return sight.packet.Closing || sight.packet.Reset })
 }
 
-// signs returns what a node sees of an exchange.
+// observe returns what the observed packets show of an exchange.
 func (f simulatedFlow) observe(seen []observedPacket, number int) (began, progressed, ended bool) {
 	whole := f.exchanges[number].base + f.exchanges[number].answer
 	for _, sight := range seen {
--- a/internal/steer/exchange_test.go
+++ b/internal/steer/exchange_test.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// usualAnswer is the size in bytes of the answers that a node has seen, and
-	// usualTime the time to their first progress.
+	// typicalAnswerSize is the size in bytes of the responses that the node has seen, and
+	// typicalTime the time to their first progress.
 	typicalAnswerSize = 2000
 	typicalTime       = 20 * time.Millisecond
-	// isn is the first position of callers, near the wrap of positions.
+	// initialSequence is the first position of callers, shortly before positions wrap.
 	initialSequence = math.MaxUint32 - 400
 )
 
-// watched is a bench whose node has seen usual exchanges, and which turns the reports
-// of a test into sums.
+// exchangeFixture is a fixture whose node has learned a route's baseline, and which sums up
+// the outcomes of its reports.
 type exchangeFixture struct {
 	*coreFixture
 	now      kernel.Instant
 	reported kernel.Instant
 	outcomes map[directory.Token]directory.Outcomes
-	// port is that of the caller whose flows keep the node busy.
+	// port is the port of the latest background caller.
 	port uint16
-	// alone is set while nobody else's exchanges are answered at the node.
+	// idle is set when there are no background exchanges.
 	idle bool
-	// busy is the target of the flows that keep the node busy.
+	// busyTarget is the target of the background exchanges.
 	busyTarget directory.Token
 }
 
@@ -49,7 +49,7 @@
 	return w, tokens[0]
 }
 
-// advance lets time pass, with reports when they are due.
+// advance lets time pass, and reports whenever that is due.
 func (w *exchangeFixture) advance(passed time.Duration) {
 	end := w.now.Add(passed)
 	for due := w.reported.Add(reportPeriod); !end.Before(due); due = w.reported.Add(reportPeriod) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// exchange plays a flow with one exchange that is answered in the usual time.
+// exchange plays a flow of one exchange with a response in the typical time.
 func (w *exchangeFixture) exchange(token directory.Token, size uint32) {
 	w.port++
 	w.core.Decide(w.now.Add(-typicalTime), opening(w.port, 0))
@@ -79,7 +79,7 @@
 	w.core.Decide(w.now, closing)
 }
 
-// sending returns a packet with positions.
+// dataPacket returns a packet with the given positions.
 func dataPacket(port uint16, token directory.Token, sequence, acknowledged uint32, size int) Packet {
 	packet := flowPacket(port, token, acknowledged)
 	packet.Sequence = sequence
@@ -87,11 +87,11 @@
 	return packet
 }
 
-// step is what a caller does on a flow.
+// step is a packet of a caller.
 type step struct {
 	after    time.Duration
 	sequence uint32
-	// answered is the number of bytes of the target that the caller acknowledges.
+	// answered is the number of the target's bytes that the caller acknowledges.
 	answered uint32
 	size     int
 	opening  bool
@@ -101,9 +101,9 @@
 	dropped bool
 }
 
-// play plays a caller's flow to a target and returns what was counted of it.
+// play sends the packets of a flow to a target and returns the outcomes counted for it.
 func (w *exchangeFixture) play(token directory.Token, steps ...step) directory.Outcomes {
-	// The target's first position, so that acknowledgements wrap too.
+	// The target's first position, which makes acknowledgements wrap as well.
 	const base = math.MaxUint32 - 100
 	began := w.now
 	for _, step := range steps {
@@ -243,7 +243,7 @@
 	assert.Equal(t, outcomeOneUnanswered, w.play(token, step{opening: true}, step{size: 100}), "a later one speaks")
 }
 
-// Callers on long flows acknowledge an answer of one packet with their next request.
+// On reused flows callers acknowledge a one-packet response with their next request.
 func TestQuietIsIgnoredOnRoutesWithoutAcknowledgements(t *testing.T) {
 	w, token := newExchangeFixture(t)
 	w.idle = true
@@ -270,7 +270,7 @@
 	assert.Greater(t, w.outcomes[token].Answered, uint32(9*flows))
 }
 
-// The usual answers of an upload are as short as those of failures elsewhere.
+// Normal responses of an upload are as short as failures on other routes.
 func TestShortIsRelativeToRouteBaseline(t *testing.T) {
 	b := newBookingFixture(t)
 	tokens := b.addTargets(start, 1, 2)
@@ -324,7 +324,7 @@
 	assert.Equal(t, noOutcome, w.outcomes[token])
 }
 
-// Targets that reset what they get look idlest: nobody waits at them.
+// Targets that reset their flows look idle and must not attract more of them.
 func TestFailedTargetIsAvoidedTemporarily(t *testing.T) {
 	w, token := newExchangeFixture(t)
 	w.core.Decide(w.now, opening(1, 0))
--- a/internal/steer/follower_test.go
+++ b/internal/steer/follower_test.go
@@ -16,8 +16,7 @@
 	return f
 }
 
-// All nodes that had followed a member of another zone left it within 80 ms of
-// each other, 8 s after an outage (patitas-uio-large and swancoast-geo-large).
+// After an outage the nodes must not all return to their own zone at the same time.
 func TestReturnToLocalZoneIsJittered(t *testing.T) {
 	f := newTestFollower()
 	times := map[time.Duration]bool{}
--- a/internal/steer/leaderless_test.go
+++ b/internal/steer/leaderless_test.go
@@ -13,21 +13,20 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// usualSilence stands for the limit of the process that follows members.
+// defaultReadTimeout is the usual read timeout of a connection to a member.
 const defaultReadTimeout = 1300 * time.Millisecond
 
-// splitGroup is a group of members of which those in behind have had no leader
-// since a moment. Members stand in three zones by turns.
+// partitionedGroup is a group in which some members have lost the leader. Its members are
+// spread over three zones.
 type partitionedGroup struct {
 	members       []directory.Member
 	leaderless    map[string]bool
 	partitionedAt kernel.Instant
-	// signAfter is how long a member takes to its first sign of life.
+	// statusDelay returns the time until a member's first status.
 	statusDelay func(address string) time.Duration
 }
 
-// newSplitGroup puts the members of zone 0, and others until only a quorum is
-// left, behind.
+// newPartitionedGroup cuts off the members of zone 0, and more until only a quorum is left.
 func newPartitionedGroup(size int, now kernel.Instant) *partitionedGroup {
 	g := &partitionedGroup{leaderless: map[string]bool{}, partitionedAt: now, statusDelay: func(string) time.Duration { return 3 * time.Millisecond }}
 	for number := range size {
@@ -44,7 +43,7 @@
 	return g
 }
 
-// visit is a connection of a node to a member.
+// connectionAttempt is a connection of a node to a member.
 type connectionAttempt struct {
 	address string
 	at      kernel.Instant
@@ -53,8 +52,8 @@
 // connectTime is the time to connect to a member of another zone.
 const connectTime = 3 * time.Millisecond
 
-// seek follows members as a node's process does, from the moment at which its own
-// says that it has no leader any more, and returns when one is current.
+// findCurrent follows members like a node does, from the moment at which its own member
+// reports the loss of its leader, and returns when a current one is found.
 func (g *partitionedGroup) findCurrent(f *Follower, now kernel.Instant) (kernel.Instant, []connectionAttempt) {
 	var visits []connectionAttempt
 	reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.partitionedAt)}, false)
@@ -76,7 +75,7 @@
 	return now, visits
 }
 
-// stay follows one member until it is left; the reason is nil when it is current.
+// stay follows one member until it is left; the error is nil if it is current.
 func (g *partitionedGroup) stay(f *Follower, now kernel.Instant, member directory.Member) (kernel.Instant, error) {
 	wait := g.statusDelay(member.Address)
 	if limit := f.ReadTimeout(defaultReadTimeout, false); wait > limit {
@@ -94,7 +93,7 @@
 	}
 }
 
-// followerIn returns a follower in a zone that follows a member which is behind.
+// followerIn returns a follower in a zone that is connected to a member without a leader.
 func (g *partitionedGroup) followerIn(zone string, seed uint64, now kernel.Instant) *Follower {
 	random := rand.New(rand.NewPCG(seed, 1))
 	f := NewFollower(NewMemberList(zone, WithShuffle(random.Shuffle)), random)
@@ -105,9 +104,8 @@
 	return f
 }
 
-// Bench day trouble-1 of patitas-uio-now-grown: a node of a zone whose members were
-// all cut off went from one to the next for 5.1 s, 0.85 s at each, and placed flows
-// by the version before (CONFIG).
+// A node whose zone has only cut-off members must not wait for each of them in turn and place
+// flows by an old configuration meanwhile.
 func TestCurrentMemberIsFoundWithinASecondOfPartition(t *testing.T) {
 	for _, size := range []int{3, 5, 9, 13} {
 		for seed := range uint64(200) {
@@ -120,7 +118,7 @@
 	}
 }
 
-// A member that is frozen accepts connections and says nothing.
+// A frozen member accepts connections and sends nothing.
 func TestUnresponsiveMemberIsLeftSoonWithoutLeader(t *testing.T) {
 	for seed := range uint64(200) {
 		cut := start
@@ -138,8 +136,7 @@
 	}
 }
 
-// Hundreds of nodes lose their leader together. Members that could not answer them
-// in time would be left as well.
+// Many nodes lose their leader together and must not overload the remaining members.
 func TestReconnectsAreSpreadOverTime(t *testing.T) {
 	const nodes = 346
 	const window = 50 * time.Millisecond
@@ -163,8 +160,8 @@
 	}
 }
 
-// A group without a quorum holds its election while nodes go round: each looks at
-// every member once, then stays with one for the time of some elections.
+// A group without a quorum must be able to hold its election: each node tries every member
+// once, then stays with one for several election timeouts.
 func TestGroupWithoutQuorumIsTriedOnce(t *testing.T) {
 	cut := start
 	told := cut.Add(LeaderlessTimeout)
--- a/internal/steer/locallink_test.go
+++ b/internal/steer/locallink_test.go
@@ -9,7 +9,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// silentAfter lets a caller send its data again at two times and returns the report.
+// reportAfterRetransmission lets a caller send data twice and returns the report after that.
 func (b *coreFixture) reportAfterRetransmission(target directory.Target, between func()) []SilentTarget {
 	b.core.Decide(start, flowData(1, target.Token, 10))
 	between()
@@ -74,8 +74,7 @@
 	}
 }
 
-// An exchange that the node's own link holds up tells nothing of its target, whether it
-// falls quiet or is answered late.
+// An exchange during a delay at this node's link is ignored, whether quiet or answered late.
 func TestLinkDelayThresholdForExchanges(t *testing.T) {
 	for delay, want := range map[time.Duration]directory.Outcomes{
 		linkDelayThreshold - time.Millisecond: outcomeOneUnanswered,
@@ -116,8 +115,7 @@
 	assert.False(t, b.core.targets[near.Token].hasRefused(start.Add(2*reportPeriod)))
 }
 
-// Zones whose nodes were gone but for two with choked links were avoided by turns (own
-// day of nodes that are removed twice).
+// Nodes with choked links must not cause zones to be avoided.
 func TestRefusalsInEveryZoneAreNotReported(t *testing.T) {
 	b, near, _ := newTwoZoneFixture(t)
 	now := start
--- a/internal/steer/memberlist_test.go
+++ b/internal/steer/memberlist_test.go
@@ -19,8 +19,7 @@
 	return list
 }
 
-// A node that found its first member by a seed went on through the old list of
-// seeds, each of another zone, every 8 s (300 machines: 180 of 280 nodes).
+// A node that found its first member by a seed must not keep rotating through the seeds.
 func TestLocalMembersComeFirstOnceKnown(t *testing.T) {
 	l := NewMemberList("north")
 	l.Seeds = []string{"a", "b", "c"}
@@ -42,9 +41,7 @@
 	assert.Equal(t, "b", order[len(order)-1])
 }
 
-// Two of five members were on the wrong side of a cut. Nodes that went to both
-// by chance tried them in turns, 0.85 s each, and had no new configuration for
-// 5.2 s (swancoast-geo-grown trouble-3, 2054e93a).
+// A node must not alternate between two members on the wrong side of a partition.
 func TestFailedMembersAreNotAlternated(t *testing.T) {
 	members := []directory.Member{
 		{Address: "own", Zone: "north"}, {Address: "b", Zone: "south"}, {Address: "c", Zone: "south"},
--- a/internal/steer/openings_test.go
+++ b/internal/steer/openings_test.go
@@ -10,7 +10,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// twoZones returns a core with a near and a far target.
+// newTwoZoneFixture returns a fixture with a target in the node's zone and one in another.
 func newTwoZoneFixture(t *testing.T) (b *coreFixture, near, far directory.Target) {
 	b = newBookingFixture(t)
 	near = b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
@@ -21,7 +21,7 @@
 
 const reportPeriod = 100 * time.Millisecond
 
-// tick reports every 100 ms until a moment and returns the last report.
+// reportUntil reports periodically until a moment and returns the last report.
 func (b *coreFixture) reportUntil(from, to kernel.Instant) Evidence {
 	var evidence Evidence
 	for now := from.Add(reportPeriod); now <= to; now = now.Add(reportPeriod) {
@@ -30,9 +30,7 @@
 	return evidence
 }
 
-// Own bench day cold-return-with-release on patitas-uio-now-grown: 45 of 50 targets of
-// a zone refused opening packets for two seconds; callers came back at once, met the
-// next such target and gave up after three tries (915 requests).
+// Callers retry at once after a refusal and must not meet refusing targets repeatedly.
 func TestRefusingTargetIsAvoidedTemporarily(t *testing.T) {
 	b, near, far := newTwoZoneFixture(t)
 	assert.Equal(t, near.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
@@ -67,7 +65,7 @@
 	assert.Equal(t, near.ID, b.core.Decide(start.Add(4*reportPeriod), opening(2, 0)).Target.ID)
 }
 
-// What shows that its packets were taken waits at a node that was stopped.
+// During a stall the packets that show an acceptance wait in the socket.
 func TestOpeningsDuringStallAreNotCounted(t *testing.T) {
 	b, _, _ := newTwoZoneFixture(t)
 	b.core.Decide(start.Add(time.Millisecond), opening(1, 0))
@@ -87,7 +85,7 @@
 	assert.Equal(t, near.ID, b.core.Decide(start, opening(3, 0)).Target.ID, "no other zone is left")
 }
 
-// Callers and zones may be farther away than those of the deployments so far.
+// Callers and zones may be far away.
 func TestOpeningTimeoutAdaptsToRoundTrip(t *testing.T) {
 	b, near, _ := newTwoZoneFixture(t)
 	assert.Equal(t, minOpeningTimeout, b.core.openings.timeout())
--- a/internal/steer/probe_test.go
+++ b/internal/steer/probe_test.go
@@ -12,22 +12,22 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// tick is the time between two looks of a node at its flows.
+// reportInterval is the time between two reports.
 const reportInterval = 100 * time.Millisecond
 
-// waitingCaller has a flow open to the first of two targets and sends a request that is
-// not answered, with the pauses of callers: 0.2 s, 0.4 s and so on.
+// probeFixture has a flow to the first of two targets with a request that is never answered.
+// The caller retransmits after 0.2 s, 0.4 s and so on.
 type probeFixture struct {
 	*coreFixture
 	target directory.Target
 	packet Packet
 	now    kernel.Instant
 	resets []Packet
-	// outcome is that of each probe, which takes as long as a target has.
+	// outcome is the result of each probe.
 	outcome     ProbeOutcome
 	probes      int
 	outcomesDue map[kernel.Instant]directory.Token
-	// silent is set when the target has taken the request, so that nothing is sent again.
+	// quiet is set when the target has acknowledged the request, so nothing is retransmitted.
 	quiet bool
 }
 
@@ -44,7 +44,7 @@
 	return w
 }
 
-// runUntil plays until a time after the request, and returns when the flow was reset.
+// runUntil runs until a time after the request, and returns when the flow was reset.
 func (w *probeFixture) runUntil(end time.Duration) (reset time.Duration) {
 	sends := map[time.Duration]bool{0: true}
 	if !w.quiet {
@@ -70,8 +70,8 @@
 	return 0
 }
 
-// The load: a fleet so large that no second node sees this target. Without a verdict of
-// the members a caller with 3 s learns in time for another try that its target is dead.
+// In a large fleet no second node sees the dead target; its caller must be told in time for
+// another try, without a verdict of the control members.
 func TestFlowsOfUnreachableTargetAreReset(t *testing.T) {
 	w := newProbeFixture(t, ProbeFailed)
 	reset := w.runUntil(3 * time.Second)
@@ -85,7 +85,7 @@
 	}
 }
 
-// The target took the request and died: its caller waits and sends nothing.
+// The target acknowledged the request and died, so its caller waits without retransmissions.
 func TestQuietFlowsOfUnreachableTargetAreReset(t *testing.T) {
 	w := newProbeFixture(t, ProbeFailed)
 	w.quiet = true
@@ -95,7 +95,7 @@
 	assert.Len(t, w.resets, 1)
 }
 
-// On a route whose callers do not acknowledge their answers quiet says nothing.
+// Quiet is no evidence on a route whose callers do not acknowledge responses.
 func TestNoProbeWhereQuietIsNormal(t *testing.T) {
 	w := newProbeFixture(t, ProbeFailed)
 	w.quiet = true
@@ -104,7 +104,7 @@
 	assert.Zero(t, w.probes)
 }
 
-// One that leaves may take no connections while it still serves its flows.
+// A draining target may refuse connections while it still serves its flows.
 func TestDrainingTargetIsNotProbed(t *testing.T) {
 	w := newProbeFixture(t, ProbeFailed)
 	w.coreFixture.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetDraining)
@@ -112,7 +112,7 @@
 	assert.Zero(t, w.probes)
 }
 
-// A target that lives and is slow keeps its flow however long the caller waits.
+// A slow but live target keeps its flow however long the caller waits.
 func TestReachableSlowTargetKeepsFlows(t *testing.T) {
 	w := newProbeFixture(t, ProbeReached)
 	assert.Zero(t, w.runUntil(4*time.Second))
@@ -125,7 +125,7 @@
 	assert.Zero(t, w.runUntil(4*time.Second))
 }
 
-// What shows that the node itself may be at fault keeps it from acting alone.
+// A node whose evidence may have a local cause must not reset flows on its own.
 func TestUnreliableNodeResetsNoFlows(t *testing.T) {
 	cases := map[string]func(c *Core, now kernel.Instant){
 		"its packets wait for its link":   func(c *Core, now kernel.Instant) { c.linkDelayedUntil = now.Add(time.Minute) },
@@ -151,7 +151,7 @@
 	}
 }
 
-// Hundreds of targets die at once under one node.
+// Many targets of one node may die at once.
 func TestProbesInFlightAreBounded(t *testing.T) {
 	b := newBookingFixture(t)
 	b.core.Report(start, reportInterval)
--- a/internal/steer/progress_test.go
+++ b/internal/steer/progress_test.go
@@ -12,10 +12,10 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// windowPackets is the number of packets under way from a caller.
+// windowPackets is the number of unacknowledged packets of a caller.
 const windowPackets = 16
 
-// part returns the packet of an upload with a number, in packets of full size.
+// uploadPacket returns the packet with a number of an upload in packets of full size.
 func uploadPacket(target directory.Target, number int) Packet {
 	packet := flowData(1, target.Token, math.MaxUint32-5*maxPacketData+uint32(number*maxPacketData))
 	packet.Size = maxPacketData
@@ -68,7 +68,7 @@
 	}
 }
 
-// windowSim is a caller with one request, and the truth of what its target has.
+// uploadSimulation simulates a caller with one request and its target.
 type uploadSimulation struct {
 	*rapid.T
 	pending pendingData
@@ -76,7 +76,7 @@
 	sizes   []int
 	first   uint32
 	stopsAt time.Duration
-	// arrivals at the node and acknowledgements at the caller, by packet.
+	// arrivals are pending packets to the node, acks pending acknowledgements to the caller.
 	arrivals, acks                []simulatedPacket
 	acknowledged                  []bool
 	received                      []bool
@@ -131,8 +131,8 @@
 	return position
 }
 
-// arrive takes the packets that come to the node now, and reports whether one of them
-// showed an answer.
+// deliver passes the packets that are due to the node and the target, and reports whether one
+// of them implied an answer.
 func (s *uploadSimulation) deliver(now time.Duration) bool {
 	answered := false
 	left := s.arrivals[:0]
@@ -168,7 +168,7 @@
 	return true
 }
 
-// call lets the caller send what it may.
+// sendPackets lets the caller send and retransmit what is due.
 func (s *uploadSimulation) sendPackets(now time.Duration) {
 	for position := 0; position < len(s.acks); {
 		if s.acks[position].at > now {
@@ -190,8 +190,8 @@
 	}
 }
 
-// A flow whose data all comes, in order or within 100 ms, never speaks against its
-// target; once the target is dead it never shows an answer, and soon speaks against it.
+// Without loss and with delays up to 100 ms, a flow is never evidence against a live target; a
+// dead target never seems to answer, and evidence against it appears soon.
 func TestPendingDataMatchesSimulatedTarget(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := drawUpload(r)
@@ -203,7 +203,7 @@
 			if now < s.stopsAt {
 				assert.Zero(r, s.pending.resends, "%v", now)
 			}
-			// The last acknowledgement lets packets out that come late.
+			// Packets that the last acknowledgement has allowed may arrive late.
 			if now > s.stopsAt+(maxAckDelayMillis+maxDelayMillis)*time.Millisecond {
 				assert.False(r, answered, "%v after the end", now-s.stopsAt)
 			}
--- a/internal/steer/remembered_test.go
+++ b/internal/steer/remembered_test.go
@@ -12,7 +12,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// memoryEnd is until when the tests' nodes may place by what a disk remembers.
+// rememberedUntil is until when remembered state may place new flows.
 const rememberedUntil = start + kernel.Instant(3*time.Second)
 
 func rememberedTarget(id string, token directory.Token) directory.Target {
@@ -22,8 +22,7 @@
 	}
 }
 
-// Packets of open flows waited for a leader though their targets stood on the disk of a
-// member that was up.
+// Packets of open flows must not wait for a leader if a member's disk knows their targets.
 func TestOpenFlowsUseRememberedTargets(t *testing.T) {
 	b := newFixture(t)
 	assert.False(t, b.core.CanDecide(flowPacket(1, 7, 1)))
--- a/internal/steer/rememberedconfig_test.go
+++ b/internal/steer/rememberedconfig_test.go
@@ -10,7 +10,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// rememberedBooking is a configuration that a disk knows to be committed.
+// rememberedConfiguration returns a committed configuration, as read from a member's disk.
 func rememberedConfiguration(version uint64) directory.Configuration {
 	return directory.Configuration{Version: version, Routes: []directory.Route{
 		route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}),
--- a/internal/steer/speeds_test.go
+++ b/internal/steer/speeds_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// way is the time from a node to a target, on to the caller and back to the node.
+	// roundTrip is the time from the node to a target, on to the caller and back to the node.
 	roundTrip = 8 * time.Millisecond
-	// usualWorkTime is the work of a request at a target of usual speed.
+	// typicalWork is the time of a request at a target of normal speed.
 	typicalWork = 20 * time.Millisecond
 )
 
-// timed is a bench whose callers' requests are timed.
+// speedFixture is a fixture whose requests are timed.
 type speedFixture struct {
 	*coreFixture
 	now    kernel.Instant
@@ -36,7 +36,7 @@
 	return &speedFixture{coreFixture: b, now: start, tokens: b.addTargets(start, 1, 3)}
 }
 
-// open opens a flow to a target that answers after the way, and returns its port.
+// open opens a flow to a target, which answers after a round trip, and returns its port.
 func (b *speedFixture) open(token directory.Token) uint16 {
 	b.port++
 	b.core.Decide(b.now, opening(b.port, 0))
@@ -45,7 +45,7 @@
 	return b.port
 }
 
-// request plays a flow of one request; its caller ends it with the whole answer.
+// request plays a flow of one request; the caller closes it with the whole response.
 func (b *speedFixture) request(token directory.Token, work time.Duration, size uint32) {
 	port := b.open(token)
 	b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
@@ -61,10 +61,10 @@
 	}
 }
 
-// learn makes usual work usual.
+// learnBaseline makes typicalWork the route's baseline.
 func (b *speedFixture) learnBaseline() { b.requests(2*workSampleLimit, b.tokens[0], typicalWork) }
 
-// words returns what the node tells of its targets.
+// takeReports returns the next report of request times by target.
 func (b *speedFixture) takeReports() map[directory.Token]speed.Sums {
 	b.now = b.now.Add(speedReportInterval)
 	words := map[directory.Token]speed.Sums{}
@@ -85,7 +85,7 @@
 	assert.NotContains(t, words, b.tokens[2])
 }
 
-// Two routes with other work: what counts is the ratio to each route's own.
+// Request times are relative to those of their own route.
 func TestWorkTimeIsRelativeToRoute(t *testing.T) {
 	b := newSpeedFixture(t)
 	b.publish(b.now, 2, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}), route("s", otherAddress, directory.Backend{Service: "booking", Weight: 1}))
@@ -147,8 +147,8 @@
 	}
 }
 
-// A node whose flows all stay in a zone sees no others to compare with: that all targets
-// there take longer must not become usual before the leader knows it.
+// Load on all targets of a zone must not become the baseline before the leader knows of it,
+// at a node whose flows all stay in that zone.
 func TestLoadOnAllTargetsIsDetected(t *testing.T) {
 	b := newSpeedFixture(t)
 	b.learnBaseline()
@@ -168,7 +168,7 @@
 	assert.Less(t, b.takeReports()[b.tokens[1]].Mean(), 0.3)
 }
 
-// A node tells of many targets part by part, and of each again when nothing is new.
+// Many targets take several reports, and each is repeated when nothing changes.
 func TestSpeedReportsAreBoundedAndRepeated(t *testing.T) {
 	b := newSpeedFixture(t)
 	b.learnBaseline()
@@ -192,8 +192,7 @@
 	assert.Empty(t, b.core.speeds.sampled)
 }
 
-// What the leader told holds for a while when nobody tells it again, and belongs to one
-// start of a target.
+// A relative time expires if it is not repeated, and does not apply to a restarted target.
 func TestRelativeTimeExpires(t *testing.T) {
 	b := newSpeedFixture(t)
 	slow := b.tokens[1]
@@ -212,7 +211,7 @@
 	assert.Equal(t, 1.0, b.core.targets[started.Token].relativeTime(b.now))
 }
 
-// The share of new flows follows the rate; a decision tells the time that it rested on.
+// New flows are distributed by rate, and each decision tells the relative time it used.
 func TestNewFlowsFollowServiceRate(t *testing.T) {
 	b := newSpeedFixture(t)
 	b.core.settings.Chooser = &rateChoice{}
@@ -234,8 +233,8 @@
 	assert.InDelta(t, 2*all, counts[b.tokens[1]], 0.2*all)
 }
 
-// Targets that are cold, or that a copy has tried, have lost no slots: the flows of their
-// zone stay in it. Those of ejected ones leave it.
+// Warming targets and those that a retransmission has tried are not lost capacity; ejected
+// ones are.
 func TestOnlyLostSlotsCauseSpill(t *testing.T) {
 	const each = 10
 	ids := func(prefix string, count int) []string {
@@ -291,9 +290,8 @@
 	}
 }
 
-// Work of one kind on targets of three speeds differs by a factor of twenty: a node takes
-// none of the slow third for ill, and finds the fast one whose work takes twenty times as
-// long as usual.
+// Targets of three speeds with widely varying requests must not count as slow, but one that
+// is twenty times slower must.
 func TestSlowTargetsAreNotOutliers(t *testing.T) {
 	const requests, spread = 400, 0.5
 	b := newSpeedFixture(t)
--- a/internal/steer/waiting_test.go
+++ b/internal/steer/waiting_test.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// openFlow places a flow and lets its target answer at once, so that it rests.
+// openFlow places a flow whose target answers at once, so that it is idle.
 func (b *coreFixture) openFlow(now kernel.Instant, port uint16) directory.Token {
 	decision := b.core.Decide(now, opening(port, 0))
 	packet := flowPacket(port, decision.Target.Token, 1)
@@ -19,7 +19,7 @@
 	return decision.Target.Token
 }
 
-// addTargets registers targets of the node's zone.
+// addTargets registers targets in the node's zone.
 func (b *coreFixture) addTargets(now kernel.Instant, first, count int) []directory.Token {
 	var tokens []directory.Token
 	for number := first; number < first+count; number++ {
@@ -30,8 +30,7 @@
 	return tokens
 }
 
-// Bench day scale-2 of the third customer: four targets that had just started
-// took 518 of 890 new flows, since every node held them for empty.
+// New targets have no flows, but must not attract the new flows of every node.
 func TestNewTargetsAreNotFlooded(t *testing.T) {
 	b := newBookingFixture(t)
 	b.addTargets(start, 1, 10)
@@ -101,7 +100,7 @@
 	assert.Empty(t, b.core.waiting)
 }
 
-// withSequence returns a packet with other positions.
+// withPositions returns a packet with the given positions.
 func withPositions(packet Packet, acknowledged, sequence uint32) Packet {
 	packet.Acknowledged = acknowledged
 	packet.Sequence = sequence
--- a/internal/steer/warmup_test.go
+++ b/internal/steer/warmup_test.go
@@ -16,7 +16,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// coldTarget registers a target that is cold for a time.
+// coldTarget registers a target that warms up.
 func (b *coreFixture) coldTarget(now kernel.Instant, id, zone, address string, warmup directory.Warmup) directory.Target {
 	b.apply(now, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 		ID: id, Service: "booking", Zone: zone, Slots: 2, State: directory.TargetReady, Address: netip.MustParseAddrPort(address), Warmup: &warmup,
@@ -40,7 +40,7 @@
 			if decision.Target.ID == "i-2" {
 				counts[quarter]++
 			}
-			// The caller is answered, so that waiting flows decide nothing.
+			// The answer makes the flow idle, so that waiting flows do not affect the choice.
 			b.core.Decide(now, flowPacket(port, decision.Target.Token, 1))
 		}
 	}
@@ -56,7 +56,7 @@
 	assert.Equal(t, cold.ID, b.core.Decide(start, opening(1, 0)).Target.ID, "no rate is stated")
 }
 
-// Where only cold targets are left that bear no more, callers hear it at once.
+// If only warming targets without budget are left, new flows are reset at once.
 func TestExhaustedColdTargetsResetNewFlows(t *testing.T) {
 	b := newBookingFixture(t)
 	b.core.nodeKey = directory.NodeKey("me")
@@ -93,9 +93,8 @@
 	assert.Equal(t, "i-1", b.core.Decide(warm, opening(2, 0)).Target.ID, "near, and warm by now")
 }
 
-// Simulated fleet, seed 153: a node that started after a zone had been taken back, and
-// after a target had registered there, was a steward of the zone and took the budget of
-// the target's own steward besides.
+// A node that starts after the end of an evacuation must not use the zone's budget for a
+// target that has registered since and has stewards of its own.
 func TestTargetRegisteredAfterEvacuationKeepsItsStewards(t *testing.T) {
 	b := newBookingFixture(t)
 	b.core.nodeKey = directory.NodeKey("me")
@@ -113,8 +112,8 @@
 	assert.Equal(t, ReasonCold, fresh.Decide(start.Add(2*budgetWindow), opening(1, 0)).Reason)
 }
 
-// coldRun plays a fleet of nodes that open flows to targets of which tens turn cold,
-// and counts what each target takes. Nodes start anew, learn late and are frozen.
+// coldSimulation lets a fleet of nodes open flows to warming targets and records what each
+// target gets. Nodes restart, and learn of targets late.
 type coldSimulation struct {
 	random  *rand.Rand
 	state   *directory.State
@@ -128,7 +127,7 @@
 	coldTargets = 12
 	coldLeft    = 2 * time.Second
 	coldStep    = 5 * time.Millisecond
-	// flowsPerStep is the number of flows that come to a node in each step at most.
+	// flowsPerStep is the largest number of new flows at a node per step.
 	flowsPerStep = 4
 )
 
@@ -151,7 +150,7 @@
 	return New(settings)
 }
 
-// register lets a cold target register; some of the nodes are its stewards.
+// register registers a warming target with some of the nodes as its stewards.
 func (r *coldSimulation) register(position uint64) {
 	warmup := directory.Warmup{Left: coldLeft, Budget: r.budget}
 	for _, number := range r.random.Perm(coldNodes)[:min(int(r.budget), 4)] {
@@ -163,8 +162,7 @@
 	}})
 }
 
-// play returns the largest number of opening packets that a cold target took in any
-// second.
+// run returns the largest number of opening packets that a warming target got in any second.
 func (r *coldSimulation) run() int {
 	end := start.Add(5 * time.Second)
 	born := map[string]kernel.Instant{}
@@ -210,7 +208,7 @@
 	return most
 }
 
-// coldSeeds is the number of seeds in CI; more by the environment variable.
+// coldSeeds returns the number of seeds, which an environment variable may set.
 func coldSeeds() int {
 	if asked, err := strconv.Atoi(os.Getenv("BEAMDOOR_COLD_SEEDS")); err == nil {
 		return asked
@@ -218,8 +216,7 @@
 	return 60
 }
 
-// Cold targets bear a number of requests a second that holds over all nodes together.
-// A limit at each node by its number of nodes would need all of them to know it.
+// The budget of a warming target is shared by all nodes, even if some do not know all others.
 func TestColdBudgetHoldsOverAllNodes(t *testing.T) {
 	used := 0
 	for seed := range uint64(coldSeeds()) {
