--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -34,12 +34,12 @@
 		}
 		for number := range 200 {
 			key := Hash(fmt.Sprint("i-", number))
-			was, is := Best(before, key), Best(after, key)
-			if was == is {
+			ownerBefore, ownerAfter := Best(before, key), Best(after, key)
+			if ownerBefore == ownerAfter {
 				continue
 			}
-			assert.Equal(t, grows, is == changed, "a node that grows only gains, another only loses")
-			assert.Equal(t, !grows, was == changed)
+			assert.Equal(t, grows, ownerAfter == changed, "a node with more weight only gains keys, one with less only loses")
+			assert.Equal(t, !grows, ownerBefore == changed)
 		}
 	})
 }
@@ -57,9 +57,9 @@
 		costOf := func(position int) float64 { return cost(uniform(nodes[position].Seed, key), nodes[position].Weight) }
 		slices.SortFunc(order, func(a, b int) int { return cmp.Compare(costOf(a), costOf(b)) })
 		assert.Equal(t, order[0], Best(nodes, key))
-		first := BestN(nodes, key, limit)
-		assert.Len(t, first, min(limit, len(nodes)))
-		assert.True(t, slices.Equal(order[:len(first)], first))
+		best := BestN(nodes, key, limit)
+		assert.Len(t, best, min(limit, len(nodes)))
+		assert.True(t, slices.Equal(order[:len(best)], best))
 	})
 }
 
@@ -80,7 +80,7 @@
 func TestBestWithoutNodesOrWeights(t *testing.T) {
 	assert.Equal(t, -1, Best(nil, 1))
 	assert.Empty(t, BestN(nil, 1, 3))
-	assert.Equal(t, 0, Best([]Node{{Seed: 1}}, 1), "a single one without a weight")
+	assert.Equal(t, 0, Best([]Node{{Seed: 1}}, 1), "a single node of weight 0")
 }
 
 func BenchmarkThousandNodes(b *testing.B) {
--- a/internal/steer/announced_test.go
+++ b/internal/steer/announced_test.go
@@ -22,10 +22,10 @@
 		first   string
 		length  int
 	}{
-		{"a near one", nil, "10.0.0.3:1", members, "10.0.0.3:1", 4},
-		{"a far one is up, and others may not be", nil, "10.0.0.2:1", members, "10.0.0.2:1", 4},
-		{"the node knows members", members[:1], "10.0.0.3:1", members, "", 0},
-		{"no members", nil, "10.0.0.3:1", nil, "", 0},
+		{"local member announces", nil, "10.0.0.3:1", members, "10.0.0.3:1", 4},
+		{"remote member announces", nil, "10.0.0.2:1", members, "10.0.0.2:1", 4},
+		{"members already known", members[:1], "10.0.0.3:1", members, "", 0},
+		{"empty announcement", nil, "10.0.0.3:1", nil, "", 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/steer/choicerate_test.go
+++ b/internal/steer/choicerate_test.go
@@ -163,7 +163,7 @@
 					byRate := simulate(&rateChoice{}, nodes, times, load, simulatedRequests)
 					delay := simulate(&leastDelayChoice{}, nodes, times, load, simulatedRequests)
 					two := simulate(&twoRandomChoice{}, nodes, times, load, simulatedRequests)
-					t.Logf("mean, 99 of 100, shed, imbalance: waiting flows %.3f, by rate %.3f, least delay %.3f, two choices %.3f", nearby, byRate, delay, two)
+					t.Logf("mean, p99, rejected, imbalance: nearby %.3f, by rate %.3f, least delay %.3f, two random %.3f", nearby, byRate, delay, two)
 					assert.Less(t, byRate.mean, nearby.mean)
 					assert.Less(t, byRate.p99, nearby.p99)
 					assert.LessOrEqual(t, byRate.rejected, nearby.rejected)
@@ -171,7 +171,7 @@
 						assert.Less(t, byRate.rejected, delay.rejected)
 					}
 					if nodes >= 100 && load == 0.8 {
-						assert.Less(t, byRate.rejected, nearby.rejected/2, "half of what is lost at four fifths of the slots")
+						assert.Less(t, byRate.rejected, nearby.rejected/2, "less than half of the rejections at 80 percent load")
 					}
 				})
 			}
@@ -205,12 +205,12 @@
 		nearUsable, nearSlots int
 		want                  float64
 	}{
-		{"alike", 1, 4, 4, 0},
-		{"a little slower", 1.05, 4, 4, 0},
+		{"equal", 1, 4, 4, 0},
+		{"slightly slower", 1.05, 4, 4, 0},
 		{"half as fast", 2, 4, 4, 1 - spillThreshold/2},
-		{"a tenth as fast", 10, 4, 4, 1 - spillThreshold/10},
-		{"half of them passed over", 1, 2, 4, 1 - spillThreshold/2},
-		{"faster, and some passed over", 0.5, 2, 4, 0},
+		{"one tenth as fast", 10, 4, 4, 1 - spillThreshold/10},
+		{"half of them skipped", 1, 2, 4, 1 - spillThreshold/2},
+		{"faster, and half skipped", 0.5, 2, 4, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -224,13 +224,13 @@
 			assert.InDelta(t, test.want, choice.spill(), 1e-9)
 			const draws = 4000
 			random := rand.New(rand.NewPCG(1, 2))
-			left := 0
+			spilled := 0
 			for range draws {
 				if !choice.Candidates[(&rateChoice{}).Choose(choice, random)].Local {
-					left++
+					spilled++
 				}
 			}
-			assert.InDelta(t, test.want, float64(left)/draws, 0.05)
+			assert.InDelta(t, test.want, float64(spilled)/draws, 0.05)
 		})
 	}
 }
--- a/internal/steer/core_test.go
+++ b/internal/steer/core_test.go
@@ -83,7 +83,7 @@
 	assert.Equal(t, ReasonNotReady, b.core.Decide(start, opening(1, 0)).Reason)
 	assert.False(t, b.core.IsReady())
 	b.publish(start, 1, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}))
-	assert.False(t, b.core.IsReady(), "no target yet")
+	assert.False(t, b.core.IsReady(), "no target")
 	decision := b.core.Decide(start, opening(1, 0))
 	assert.Equal(t, ActionReset, decision.Action)
 	assert.Equal(t, ReasonNoTarget, decision.Reason)
@@ -140,9 +140,9 @@
 	decision := b.core.Decide(start, flowPacket(9, old.Token, 5))
 	assert.Equal(t, ActionReset, decision.Action)
 	assert.Equal(t, ReasonEnded, decision.Reason)
-	broken := flowPacket(9, old.Token, 5)
-	broken.Reset = true
-	assert.Equal(t, ActionDrop, b.core.Decide(start, broken).Action, "a reset is not answered")
+	reset := flowPacket(9, old.Token, 5)
+	reset.Reset = true
+	assert.Equal(t, ActionDrop, b.core.Decide(start, reset).Action, "a reset gets no reply")
 }
 
 func TestLeavingTargetKeepsOpenFlowsOnly(t *testing.T) {
@@ -182,7 +182,7 @@
 	assert.Equal(t, 1, decision.Doubtful)
 	b.core.Decide(now.Add(500*time.Millisecond), flowPacket(1, dead.Token, 8))
 	decision = b.core.Decide(now.Add(600*time.Millisecond), opening(4, 0))
-	assert.Equal(t, "i-1", decision.Target.ID, "an acknowledgement that moves on shows an answer")
+	assert.Equal(t, "i-1", decision.Target.ID, "a new acknowledgement is an answer")
 }
 
 func TestSuspectedTargetsAreAvoidedWhileOthersRemain(t *testing.T) {
@@ -218,7 +218,7 @@
 	b.target(start, "i-1", "off", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-2", "old", "north", "10.0.0.2:1", directory.TargetReady)
 	for port := range uint16(100) {
-		assert.Equal(t, "old", b.core.Decide(start, opening(port, 0)).Target.Service, "a weight of 0 takes nothing")
+		assert.Equal(t, "old", b.core.Decide(start, opening(port, 0)).Target.Service, "a backend of weight 0 gets no flows")
 	}
 }
 
@@ -238,7 +238,7 @@
 	assert.True(t, b.core.Update(start, first))
 	assert.Equal(t, uint64(3), b.core.Version())
 	fresh := New(b.core.settings)
-	assert.False(t, fresh.Update(start, b.state.Since(2)), "an edit without its base")
+	assert.False(t, fresh.Update(start, b.state.Since(2)), "an edit without its base version")
 	assert.Equal(t, uint64(0), fresh.Revision())
 }
 
@@ -254,7 +254,7 @@
 	b.core.Decide(start, closing)
 	assert.Equal(t, 3, b.core.Flows())
 	b.core.Tick(start.Add(4 * time.Second))
-	assert.Equal(t, 1, b.core.Flows(), "openings without an answer are forgotten")
+	assert.Equal(t, 1, b.core.Flows(), "unopened flows expire early")
 	b.core.Tick(start.Add(time.Minute))
 	assert.Equal(t, 0, b.core.Flows())
 	assert.Equal(t, 0, b.core.targets[target.Token].waitingFlows)
@@ -340,17 +340,17 @@
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.core.Decide(start, opening(1, 0))
 	b.core.Report(start, interval)
-	woken := start.Add(3500 * time.Millisecond)
+	resumed := start.Add(3500 * time.Millisecond)
 	for range 3 {
-		b.core.Decide(woken, flowData(1, target.Token, 10))
+		b.core.Decide(resumed, flowData(1, target.Token, 10))
 	}
-	for now := woken; now.Sub(woken) <= time.Second; now = now.Add(interval) {
-		assert.Empty(t, b.core.Report(now, interval).Silent, "%v after it woke", now.Sub(woken))
+	for now := resumed; now.Sub(resumed) <= time.Second; now = now.Add(interval) {
+		assert.Empty(t, b.core.Report(now, interval).Silent, "%v after the stall", now.Sub(resumed))
 	}
-	later := woken.Add(1100 * time.Millisecond)
+	later := resumed.Add(1100 * time.Millisecond)
 	b.core.Report(later, interval)
 	b.core.Decide(later, flowData(1, target.Token, 10))
-	assert.NotEmpty(t, b.core.Report(later.Add(interval), interval).Silent, "the caller still waits")
+	assert.NotEmpty(t, b.core.Report(later.Add(interval), interval).Silent, "new retransmissions count again")
 }
 
 func TestFlowsOfLostTargetAreResetOnce(t *testing.T) {
@@ -361,7 +361,7 @@
 	b.core.Decide(start, opening(2, 0))
 	lost := []directory.Token{target.Token}
 	packets := b.core.ApplyVerdicts(directory.Verdicts{Lost: lost})
-	require.Len(t, packets, 1, "a flow that is not open has nothing to reset")
+	require.Len(t, packets, 1, "unopened flows are not reset")
 	assert.Equal(t, uint32(77), packets[0].Acknowledged)
 	assert.Empty(t, b.core.ApplyVerdicts(directory.Verdicts{Lost: lost}))
 	decision := b.core.Decide(start, flowPacket(5, target.Token, 3))
@@ -376,8 +376,8 @@
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-2", "booking", "north", "10.0.0.2:1", directory.TargetReady)
 	first := b.core.Decide(start, opening(1, 1))
-	again := b.core.Decide(start.Add(50*time.Millisecond), opening(1, 2))
-	assert.Equal(t, first.Target.ID, again.Target.ID)
+	early := b.core.Decide(start.Add(50*time.Millisecond), opening(1, 2))
+	assert.Equal(t, first.Target.ID, early.Target.ID)
 	late := b.core.Decide(start.Add(200*time.Millisecond), opening(1, 2))
 	assert.NotEqual(t, first.Target.ID, late.Target.ID)
 }
@@ -385,26 +385,26 @@
 // A target restarts under its ID, at the same or another address. Packets of old flows are
 // reset and never reach the new process, which gets new flows.
 func TestFlowsOfRestartedTargetAreReset(t *testing.T) {
-	for _, place := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
+	for _, address := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
 		b := newBookingFixture(t)
-		again := func(born uint64, place string, state directory.TargetState) directory.Target {
+		register := func(startedAt uint64, address string, state directory.TargetState) directory.Target {
 			b.apply(start, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
-				ID: "i-1", Born: born, Service: "booking", Zone: "north", Slots: 2, State: state, Address: netip.MustParseAddrPort(place),
+				ID: "i-1", Born: startedAt, Service: "booking", Zone: "north", Slots: 2, State: state, Address: netip.MustParseAddrPort(address),
 			}})
 			target, _ := b.state.Target("i-1")
 			return target
 		}
-		first := again(100, "10.0.0.1:1", directory.TargetReady)
+		first := register(100, "10.0.0.1:1", directory.TargetReady)
 		require.Equal(t, ActionForward, b.core.Decide(start, flowPacket(9, first.Token, 5)).Action)
-		again(100, "10.0.0.1:1", directory.TargetDraining)
-		later := again(200, place, directory.TargetReady)
-		assert.Empty(t, b.core.ResetUnanswered(), "a caller that does not wait learns it with its next packet")
+		register(100, "10.0.0.1:1", directory.TargetDraining)
+		second := register(200, address, directory.TargetReady)
+		assert.Empty(t, b.core.ResetUnanswered(), "a caller that does not wait is reset at its next packet")
 		decision := b.core.Decide(start, flowPacket(9, first.Token, 6))
 		assert.Equal(t, []any{ActionReset, ReasonEnded}, []any{decision.Action, decision.Reason})
 		placed := b.core.Decide(start, opening(3, 0))
 		assert.Equal(t, ActionForward, placed.Action)
-		assert.Equal(t, later.Token, placed.Target.Token)
-		assert.Equal(t, place, placed.Target.Address.String())
+		assert.Equal(t, second.Token, placed.Target.Token)
+		assert.Equal(t, address, placed.Target.Address.String())
 	}
 }
 
@@ -413,15 +413,15 @@
 	b := newBookingFixture(t)
 	first := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-3", "booking", "north", "10.0.0.3:1", directory.TargetReady)
-	asks := flowPacket(9, first.Token, 5)
-	asks.Size = 100
+	request := flowPacket(9, first.Token, 5)
+	request.Size = 100
 	for _, after := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
-		require.Equal(t, ActionForward, b.core.Decide(start.Add(after), asks).Action)
+		require.Equal(t, ActionForward, b.core.Decide(start.Add(after), request).Action)
 	}
-	assert.Empty(t, b.core.ResetUnanswered(), "its target lives")
+	assert.Empty(t, b.core.ResetUnanswered(), "the target has not ended")
 	b.target(start.Add(time.Second), "i-2", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	packets := b.core.ResetUnanswered()
 	require.Len(t, packets, 1)
-	assert.Equal(t, Packet{Flow: asks.Flow, Token: first.Token, Acknowledged: asks.Acknowledged}, packets[0])
+	assert.Equal(t, Packet{Flow: request.Flow, Token: first.Token, Acknowledged: request.Acknowledged}, packets[0])
 	assert.Empty(t, b.core.ResetUnanswered())
 }
--- a/internal/steer/ejection_test.go
+++ b/internal/steer/ejection_test.go
@@ -23,7 +23,7 @@
 func TestEjectedTargetKeepsOpenFlowsOnly(t *testing.T) {
 	b, tokens := newKindFixture(t, directory.RouteRepeatable, 3)
 	b.core.Decide(start, flowPacket(1, tokens[0], 5))
-	assert.Empty(t, b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokens[:1]}), "nothing is reset")
+	assert.Empty(t, b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokens[:1]}), "no flow is reset")
 	for port := range uint16(60) {
 		decision := b.core.Decide(start, opening(100+port, 0))
 		assert.NotEqual(t, tokens[0], decision.Target.Token)
@@ -31,13 +31,13 @@
 	}
 	assert.Equal(t, ActionForward, b.core.Decide(start, flowPacket(1, tokens[0], 6)).Action)
 	b.core.ApplyVerdicts(directory.Verdicts{})
-	taken := 0
+	count := 0
 	for port := range uint16(60) {
 		if b.openFlow(start, 200+port) == tokens[0] {
-			taken++
+			count++
 		}
 	}
-	assert.Positive(t, taken, "it was readmitted")
+	assert.Positive(t, count, "the target gets flows again")
 }
 
 func TestAllTargetsEjectedMeansNoneIsSkipped(t *testing.T) {
@@ -60,13 +60,13 @@
 		verdicts func(tokens []directory.Token) directory.Verdicts
 		want     int
 	}{
-		{"silent before failing", func(tokens []directory.Token) directory.Verdicts {
+		{"suspected before ejected", func(tokens []directory.Token) directory.Verdicts {
 			return directory.Verdicts{Ejected: tokens[:2], Suspects: tokens[2:]}
 		}, 2},
-		{"on probation before failing", func(tokens []directory.Token) directory.Verdicts {
+		{"probation before ejected", func(tokens []directory.Token) directory.Verdicts {
 			return directory.Verdicts{Ejected: tokens[:2], Probation: tokens[2:]}
 		}, 2},
-		{"failing before lost", func(tokens []directory.Token) directory.Verdicts {
+		{"ejected before lost", func(tokens []directory.Token) directory.Verdicts {
 			return directory.Verdicts{Ejected: tokens[1:2], Lost: []directory.Token{tokens[0], tokens[2]}}
 		}, 1},
 	}
@@ -95,30 +95,30 @@
 
 // countFlowsTo opens flows at regular intervals and returns how many a target got.
 func (b *coreFixture) countFlowsTo(now kernel.Instant, flows int, pause time.Duration, token directory.Token) int {
-	got := 0
+	count := 0
 	for number := range flows {
 		at := now.Add(time.Duration(number) * pause)
 		if b.openFlow(at, uint16(1000+number)) == token {
-			got++
+			count++
 		}
 	}
-	return got
+	return count
 }
 
 func TestProbationAdmitsOnlyRepeatableFlows(t *testing.T) {
 	const flows = 20_000
 	const pause = 10 * time.Millisecond
-	for kind, most := range map[directory.RouteKind]int{
+	for kind, limit := range map[directory.RouteKind]int{
 		directory.RouteRepeatable: 200, directory.RouteDownload: 200,
 		directory.RouteOnce: 0, directory.RouteUpload: 0, directory.RouteUnstated: 0,
 	} {
 		t.Run(kind.String(), func(t *testing.T) {
 			b, tokens := newKindFixture(t, kind, 10)
 			b.core.ApplyVerdicts(directory.Verdicts{Probation: tokens[:1]})
-			got := b.countFlowsTo(start, flows, pause, tokens[0])
-			assert.LessOrEqual(t, got, most, "one a second in 200 s")
-			if most > 0 {
-				assert.Greater(t, got, most/3)
+			count := b.countFlowsTo(start, flows, pause, tokens[0])
+			assert.LessOrEqual(t, count, limit, "one flow per second for 200 s")
+			if limit > 0 {
+				assert.Greater(t, count, limit/3)
 			}
 		})
 	}
@@ -128,8 +128,8 @@
 	b, tokens := newKindFixture(t, directory.RouteRepeatable, 10)
 	b.core.ApplyVerdicts(directory.Verdicts{Probation: tokens[:1]})
 	const flows = 10_000
-	got := b.countFlowsTo(start, flows, probationInterval, tokens[0])
-	assert.InEpsilon(t, flows/10*probationShare, got, 0.2)
+	count := b.countFlowsTo(start, flows, probationInterval, tokens[0])
+	assert.InEpsilon(t, flows/10*probationShare, count, 0.2)
 }
 
 func TestProbationRefusesRetransmissions(t *testing.T) {
@@ -140,7 +140,7 @@
 		if b.core.Decide(now, opening(port, 0)).Target.Token == tokens[0] {
 			continue
 		}
-		again := b.core.Decide(now.Add(b.core.settings.AnswerTimeout), opening(port, 1))
-		assert.NotEqual(t, tokens[0], again.Target.Token)
+		retransmitted := b.core.Decide(now.Add(b.core.settings.AnswerTimeout), opening(port, 1))
+		assert.NotEqual(t, tokens[0], retransmitted.Target.Token)
 	}
 }
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -26,7 +26,7 @@
 	for port := range uint16(20) {
 		assert.Equal(t, far.ID, b.core.Decide(start, opening(100+port, 0)).Target.ID)
 	}
-	assert.Equal(t, near.ID, b.core.Decide(start, flowPacket(50, near.Token, 1)).Target.ID, "an open flow stays")
+	assert.Equal(t, near.ID, b.core.Decide(start, flowPacket(50, near.Token, 1)).Target.ID, "open flows stay")
 	b.setEvacuated(start, "north", false)
 	assert.Empty(t, b.core.EvacuatedZones())
 }
@@ -57,7 +57,7 @@
 	assert.Equal(t, ReasonEvacuated, decision.Reason)
 	assert.Equal(t, north.ID, b.core.Decide(start, flowPacket(50, north.Token, 1)).Target.ID)
 	b.core.ApplyVerdicts(directory.Verdicts{Suspects: []directory.Token{north.Token}})
-	assert.Equal(t, ReasonEvacuated, b.core.Decide(start, opening(2, 0)).Reason, "doubt about targets opens no way there")
+	assert.Equal(t, ReasonEvacuated, b.core.Decide(start, opening(2, 0)).Reason, "suspicion does not unblock a zone")
 	b.setEvacuated(start, "south", false)
 	later := start.Add(time.Minute)
 	assert.Equal(t, "i-2", b.core.Decide(later, opening(3, 0)).Target.ID)
--- a/internal/steer/exchange_oracle_test.go
+++ b/internal/steer/exchange_oracle_test.go
@@ -63,16 +63,16 @@
 	return time.Duration(rapid.IntRange(least, most).Draw(s.T, label)) * ms
 }
 
-func (s *flowScript) emit(seen observedPacket, size int) {
-	seen.at = s.at
-	seen.packet.Flow = FlowKey{Caller: caller(s.port), Virtual: bookingAddress}
-	seen.packet.Token = s.flow.target
-	seen.packet.Size = size
-	if seen.packet.Acknowledged == 0 {
-		seen.packet.Acknowledged = s.acknowledged
+func (s *flowScript) emit(observed observedPacket, size int) {
+	observed.at = s.at
+	observed.packet.Flow = FlowKey{Caller: caller(s.port), Virtual: bookingAddress}
+	observed.packet.Token = s.flow.target
+	observed.packet.Size = size
+	if observed.packet.Acknowledged == 0 {
+		observed.packet.Acknowledged = s.acknowledged
 	}
-	seen.exchange = len(s.flow.exchanges) - 1
-	s.flow.packets = append(s.flow.packets, seen)
+	observed.exchange = len(s.flow.exchanges) - 1
+	s.flow.packets = append(s.flow.packets, observed)
 }
 
 // sendRequest draws the packets of a request, possibly reordered and retransmitted.
@@ -84,10 +84,10 @@
 		s.emit(observedPacket{packet: Packet{Sequence: s.sequence + uint32(number*part)}, first: position == 0}, part)
 	}
 	if rapid.Bool().Draw(s.T, "copied") {
-		later := s.at
+		before := s.at
 		s.at += s.millis(1, 100, "copy after")
 		s.emit(observedPacket{packet: Packet{Sequence: s.sequence}}, part)
-		s.at = later
+		s.at = before
 	}
 	s.sequence += uint32(parts * part)
 }
@@ -164,13 +164,13 @@
 // expect returns the outcomes that a node should count if it sees packets from to to.
 func (f simulatedFlow) expect(from, to int) directory.Outcomes {
 	var counted directory.Outcomes
-	seen := f.packets[from:to]
+	observed := f.packets[from:to]
 	for number, exchange := range f.exchanges {
-		began, progressed, ended := f.observe(seen, number)
-		joined := from > 0 && !f.isLater(seen, number)
+		began, progressed, ended := f.observe(observed, number)
+		joined := from > 0 && !f.isLater(observed, number)
 		switch {
 		case !began || joined || exchange.dropped:
-		case exchange.outcome == outcomeUnanswered, !progressed && !ended && to < len(f.packets) && f.isLeftOpen(seen):
+		case exchange.outcome == outcomeUnanswered, !progressed && !ended && to < len(f.packets) && f.isLeftOpen(observed):
 			counted.Unanswered++
 		case !ended:
 		case exchange.outcome == outcomeFailed:
@@ -184,29 +184,29 @@
 
 // isLater reports whether an exchange began after the node had seen the previous one end, and
 // after the time of stray packets.
-func (f simulatedFlow) isLater(seen []observedPacket, number int) bool {
-	if !advances(seen[0].packet.Acknowledged, f.exchanges[number].base) {
+func (f simulatedFlow) isLater(observed []observedPacket, number int) bool {
+	if !advances(observed[0].packet.Acknowledged, f.exchanges[number].base) {
 		return false
 	}
-	return slices.ContainsFunc(seen, func(sight observedPacket) bool {
-		return sight.first && sight.exchange == number && sight.at-seen[0].at >= strayPacketTime
+	return slices.ContainsFunc(observed, func(packet observedPacket) bool {
+		return packet.first && packet.exchange == number && packet.at-observed[0].at >= strayPacketTime
 	})
 }
 
 // isLeftOpen reports whether the observed packets leave the caller waiting. Retransmissions may
 // follow a close or a reset, so any of these in the flow counts.
-func (f simulatedFlow) isLeftOpen(seen []observedPacket) bool {
-	return !slices.ContainsFunc(seen, func(sight observedPacket) bool { return sight.packet.Closing || sight.packet.Reset })
+func (f simulatedFlow) isLeftOpen(observed []observedPacket) bool {
+	return !slices.ContainsFunc(observed, func(packet observedPacket) bool { return packet.packet.Closing || packet.packet.Reset })
 }
 
 // observe returns what the observed packets show of an exchange.
-func (f simulatedFlow) observe(seen []observedPacket, number int) (began, progressed, ended bool) {
-	whole := f.exchanges[number].base + f.exchanges[number].answer
-	for _, sight := range seen {
-		began = began || sight.first && sight.exchange == number
-		moved := began && advances(f.exchanges[number].base, sight.packet.Acknowledged) && !sight.packet.Opening
-		progressed = progressed || moved
-		ended = ended || moved && sight.packet.Acknowledged == whole && (sight.last || sight.first && sight.exchange == number+1)
+func (f simulatedFlow) observe(observed []observedPacket, number int) (began, progressed, ended bool) {
+	responseEnd := f.exchanges[number].base + f.exchanges[number].answer
+	for _, packet := range observed {
+		began = began || packet.first && packet.exchange == number
+		progress := began && advances(f.exchanges[number].base, packet.packet.Acknowledged) && !packet.packet.Opening
+		progressed = progressed || progress
+		ended = ended || progress && packet.packet.Acknowledged == responseEnd && (packet.last || packet.first && packet.exchange == number+1)
 	}
 	return began, progressed, ended
 }
@@ -219,11 +219,11 @@
 		}
 		w.advance(reportPeriod)
 		clear(w.outcomes)
-		third := w.target(w.now, "i-3", "booking", "north", "10.0.0.3:1", directory.TargetReady).Token
+		otherToken := w.target(w.now, "i-3", "booking", "north", "10.0.0.3:1", directory.TargetReady).Token
 		want := map[directory.Token]directory.Outcomes{}
-		var play []observedPacket
+		var packets []observedPacket
 		for port := range uint16(rapid.IntRange(1, 8).Draw(rt, "flows")) {
-			flow := drawFlow(rt, port+1, []directory.Token{token, third})
+			flow := drawFlow(rt, port+1, []directory.Token{token, otherToken})
 			from, to := 0, len(flow.packets)
 			switch rapid.IntRange(0, 5).Draw(rt, "view") {
 			case 0:
@@ -232,26 +232,26 @@
 				to = rapid.IntRange(1, to).Draw(rt, "leaves at")
 			}
 			want[flow.target] = want[flow.target].Add(flow.expect(from, to))
-			for _, seen := range flow.packets[from:to] {
-				if seen.first && flow.exchanges[seen.exchange].dropped {
-					seen.packet.Forged = true
+			for _, observed := range flow.packets[from:to] {
+				if observed.first && flow.exchanges[observed.exchange].dropped {
+					observed.packet.Forged = true
 				}
-				play = append(play, seen)
+				packets = append(packets, observed)
 			}
 		}
-		slices.SortStableFunc(play, func(a, b observedPacket) int { return cmp.Compare(a.at, b.at) })
+		slices.SortStableFunc(packets, func(a, b observedPacket) int { return cmp.Compare(a.at, b.at) })
 		began := w.now
-		for _, seen := range play {
-			w.advance(began.Add(seen.at).Sub(w.now))
-			dropped := seen.packet.Forged
-			seen.packet.Forged = false
-			w.core.Decide(w.now, seen.packet)
+		for _, observed := range packets {
+			w.advance(began.Add(observed.at).Sub(w.now))
+			dropped := observed.packet.Forged
+			observed.packet.Forged = false
+			w.core.Decide(w.now, observed.packet)
 			if dropped {
-				w.core.RecordDrop(w.now, seen.packet.Flow)
+				w.core.RecordDrop(w.now, observed.packet.Flow)
 			}
 		}
 		w.advance(3 * time.Second)
-		for _, target := range []directory.Token{token, third} {
+		for _, target := range []directory.Token{token, otherToken} {
 			counted := w.outcomes[target]
 			counted.Token = 0
 			assert.Equal(rt, want[target], counted)
--- a/internal/steer/exchange_test.go
+++ b/internal/steer/exchange_test.go
@@ -140,69 +140,69 @@
 		steps []step
 		want  directory.Outcomes
 	}{
-		{"answered and ended", []step{open, request, {after: 30 * ms, sequence: 100, answered: 2000}, {after: 31 * ms, sequence: 100, answered: 2400, closing: true}}, outcomeOneAnswered},
-		{"an answer of one packet is seen with the end", []step{open, request, {after: 30 * ms, sequence: 100, answered: 1100, closing: true}}, outcomeOneAnswered},
+		{"answered, then closed", []step{open, request, {after: 30 * ms, sequence: 100, answered: 2000}, {after: 31 * ms, sequence: 100, answered: 2400, closing: true}}, outcomeOneAnswered},
+		{"one-packet response acknowledged by the close", []step{open, request, {after: 30 * ms, sequence: 100, answered: 1100, closing: true}}, outcomeOneAnswered},
 		{"quiet", []step{open, request}, outcomeOneUnanswered},
-		{"quiet after copies", []step{open, request, {after: 205 * ms, size: 100}, {after: 605 * ms, size: 100}}, outcomeOneUnanswered},
-		{"reset by its caller at the deadline", []step{open, request, {after: 2 * time.Second, sequence: 100, reset: true}}, outcomeOneUnanswered},
-		{"ended by its caller at the deadline", []step{open, request, {after: 2 * time.Second, sequence: 100, closing: true}}, outcomeOneUnanswered},
-		{"ended by the target without an answer", []step{open, request, {after: 10 * ms, sequence: 100, answered: finLength, closing: true}}, outcomeOneUnanswered},
-		{"broken off early by its caller", []step{open, request, {after: 20 * ms, sequence: 100, reset: true}}, noOutcome},
-		{"given up early by its caller", []step{open, request, {after: 20 * ms, sequence: 100, closing: true}}, noOutcome},
-		{"a failure", []step{open, request, {after: 30 * ms, sequence: 100, answered: 200, closing: true}}, outcomeOneShort},
-		{"broken off amid its answer", []step{open, request, {after: 30 * ms, sequence: 100, answered: 200, reset: true}}, noOutcome},
-		{"whole, then reset", []step{open, request, {after: 30 * ms, sequence: 100, answered: 2000, reset: true}}, outcomeOneAnswered},
-		{"a late answer", []step{open, request, {after: 245 * ms, sequence: 100, answered: 2000}, {after: 246 * ms, sequence: 100, answered: 2000, closing: true}}, outcomeOneSlow},
-		{"a lost packet sent again", []step{open, request, {after: 205 * ms, size: 100}, {after: 220 * ms, sequence: 100, answered: 2000, closing: true}}, outcomeOneSlow},
-		{"an upload, out of order", []step{
+		{"quiet after retransmissions", []step{open, request, {after: 205 * ms, size: 100}, {after: 605 * ms, size: 100}}, outcomeOneUnanswered},
+		{"reset by the caller at its deadline", []step{open, request, {after: 2 * time.Second, sequence: 100, reset: true}}, outcomeOneUnanswered},
+		{"closed by the caller at its deadline", []step{open, request, {after: 2 * time.Second, sequence: 100, closing: true}}, outcomeOneUnanswered},
+		{"closed by the target without a response", []step{open, request, {after: 10 * ms, sequence: 100, answered: finLength, closing: true}}, outcomeOneUnanswered},
+		{"reset early by the caller", []step{open, request, {after: 20 * ms, sequence: 100, reset: true}}, noOutcome},
+		{"closed early by the caller", []step{open, request, {after: 20 * ms, sequence: 100, closing: true}}, noOutcome},
+		{"short response", []step{open, request, {after: 30 * ms, sequence: 100, answered: 200, closing: true}}, outcomeOneShort},
+		{"reset during the response", []step{open, request, {after: 30 * ms, sequence: 100, answered: 200, reset: true}}, noOutcome},
+		{"complete response, then reset", []step{open, request, {after: 30 * ms, sequence: 100, answered: 2000, reset: true}}, outcomeOneAnswered},
+		{"late response", []step{open, request, {after: 245 * ms, sequence: 100, answered: 2000}, {after: 246 * ms, sequence: 100, answered: 2000, closing: true}}, outcomeOneSlow},
+		{"retransmitted request", []step{open, request, {after: 205 * ms, size: 100}, {after: 220 * ms, sequence: 100, answered: 2000, closing: true}}, outcomeOneSlow},
+		{"upload with reordering", []step{
 			open, {after: 5 * ms, size: 1000}, {after: 5 * ms, sequence: 2000, size: 1000}, {after: 5 * ms, sequence: 1000, size: 1000},
 			{after: 300 * ms, sequence: 3000, size: 1000}, {after: 600 * ms, sequence: 4000, size: 1000},
 			{after: 900 * ms, sequence: 5000, size: 1000}, {after: 930 * ms, sequence: 6000, answered: 2000, closing: true},
 		}, outcomeOneAnswered},
-		{"an upload with a packet lost twice", []step{
+		{"upload with a packet lost twice", []step{
 			open, {after: 5 * ms, size: 1000}, {after: 5 * ms, sequence: 2000, size: 1000}, {after: 205 * ms, sequence: 1000, size: 1000},
 			{after: 605 * ms, sequence: 1000, size: 1000}, {after: 640 * ms, sequence: 3000, answered: 2000, closing: true},
 		}, outcomeOneAnswered},
-		{"an upload that stops", []step{open, {after: 5 * ms, size: 1000}, {after: 400 * ms, sequence: 1000, size: 1000}}, outcomeOneUnanswered},
-		{"a download", []step{
+		{"upload that stalls", []step{open, {after: 5 * ms, size: 1000}, {after: 400 * ms, sequence: 1000, size: 1000}}, outcomeOneUnanswered},
+		{"download", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2400}, {after: 400 * ms, sequence: 100, answered: 4800},
 			{after: 3000 * ms, sequence: 100, answered: 40000, closing: true},
 		}, outcomeOneAnswered},
 		{"no data", []step{open, {after: 5 * ms}, {after: 3 * time.Second, closing: true}}, noOutcome},
-		{"two requests on a flow that rests", []step{
+		{"two requests on an idle flow", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2000},
 			{after: 4 * time.Second, sequence: 100, answered: 2000, size: 100}, {after: 4030 * ms, sequence: 200, answered: 4000},
 			{after: 9 * time.Second, sequence: 200, answered: 4000, closing: true},
 		}, answeredTwice},
-		{"the second request fails", []step{
+		{"short response to the second request", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2000},
 			{after: 4 * time.Second, sequence: 100, answered: 2000, size: 100}, {after: 4030 * ms, sequence: 200, answered: 2200, closing: true},
 		}, directory.Outcomes{Answered: 1, Short: 1}},
-		{"a copy of the first request after the second", []step{
+		{"stray retransmission of the first request", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2000, size: 100},
 			{after: 31 * ms, size: 100, answered: 0}, {after: 60 * ms, sequence: 200, answered: 4000, closing: true},
 		}, answeredTwice},
-		{"an old acknowledgement comes late", []step{
+		{"reordered acknowledgement", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2000}, {after: 31 * ms, sequence: 100, answered: 1000},
 			{after: 32 * ms, sequence: 100, answered: 2000, closing: true},
 		}, outcomeOneAnswered},
-		{"the node drops the request", []step{open, {after: 5 * ms, size: 100, dropped: true}}, noOutcome},
-		{"the node drops the request, and it is answered late", []step{
+		{"request dropped by the node", []step{open, {after: 5 * ms, size: 100, dropped: true}}, noOutcome},
+		{"dropped request, answered after retransmission", []step{
 			open, {after: 5 * ms, size: 100, dropped: true}, {after: 400 * ms, sequence: 100, answered: 2000, closing: true},
 		}, noOutcome},
-		{"the node drops one request and forwards the next", []step{
+		{"dropped request, then another one", []step{
 			open, {after: 5 * ms, size: 100, dropped: true}, {after: 400 * ms, sequence: 100, answered: 2000, size: 100},
 			{after: 430 * ms, sequence: 200, answered: 4000, closing: true},
 		}, outcomeOneAnswered},
-		{"joined in its middle", []step{request, {after: 700 * ms, sequence: 100, answered: 1200, closing: true}}, noOutcome},
-		{"joined in its middle, and quiet", []step{request}, noOutcome},
-		{"joined amid an upload that stops", []step{{size: 1000}, {after: 400 * ms, sequence: 1000, size: 1000}}, noOutcome},
-		{"a new flow from the same port", []step{open, request, {after: 100 * ms, opening: true}}, noOutcome},
+		{"joined midway", []step{request, {after: 700 * ms, sequence: 100, answered: 1200, closing: true}}, noOutcome},
+		{"joined midway, then quiet", []step{request}, noOutcome},
+		{"joined during an upload that stalls", []step{{size: 1000}, {after: 400 * ms, sequence: 1000, size: 1000}}, noOutcome},
+		{"new flow from the same port", []step{open, request, {after: 100 * ms, opening: true}}, noOutcome},
 		{"joined at an acknowledgement", []step{{sequence: 100, answered: 1200}, {after: 5 * ms, sequence: 100, answered: 1300, closing: true}}, noOutcome},
-		{"joined, then another request", []step{
+		{"joined midway, then another request", []step{
 			request, {after: 230 * ms, sequence: 100, answered: 1200, size: 100}, {after: 260 * ms, sequence: 200, answered: 1300, closing: true},
 		}, outcomeOneShort},
-		{"copies that come after the end", []step{
+		{"stray packets after the close", []step{
 			open, request, {after: 30 * ms, sequence: 100, answered: 2000, size: 100}, {after: 60 * ms, sequence: 200, answered: 4000, closing: true},
 			{after: 62 * ms, size: 100}, {after: 64 * ms, sequence: 100, answered: 2000, size: 100},
 		}, answeredTwice},
@@ -228,7 +228,7 @@
 	w.core.RecordLinkDelay(w.now, linkDelayThreshold)
 	w.advance(2 * time.Second)
 	assert.Equal(t, noOutcome, w.outcomes[token])
-	assert.Equal(t, outcomeOneUnanswered, w.play(token, step{opening: true}, step{size: 100}), "a later one speaks")
+	assert.Equal(t, outcomeOneUnanswered, w.play(token, step{opening: true}, step{size: 100}), "later exchanges are counted")
 }
 
 func TestExchangesDuringStallAreIgnored(t *testing.T) {
@@ -240,7 +240,7 @@
 	w.report()
 	w.advance(2 * time.Second)
 	assert.Equal(t, noOutcome, w.outcomes[token])
-	assert.Equal(t, outcomeOneUnanswered, w.play(token, step{opening: true}, step{size: 100}), "a later one speaks")
+	assert.Equal(t, outcomeOneUnanswered, w.play(token, step{opening: true}, step{size: 100}), "later exchanges are counted")
 }
 
 // On reused flows callers acknowledge a one-packet response with their next request.
@@ -248,12 +248,12 @@
 	w, token := newExchangeFixture(t)
 	w.idle = true
 	const flows = 20
-	turn := uint32(0)
-	turns := func(count int) {
+	round := uint32(0)
+	playRounds := func(count int) {
 		for range count {
-			turn++
+			round++
 			for port := range uint16(flows) {
-				w.core.Decide(w.now, dataPacket(port+1, token, initialSequence+100*turn, 1500*turn, 100))
+				w.core.Decide(w.now, dataPacket(port+1, token, initialSequence+100*round, 1500*round, 100))
 				w.advance(reportPeriod)
 			}
 		}
@@ -261,11 +261,11 @@
 	for port := range uint16(flows) {
 		w.core.Decide(w.now, opening(port+1, 0))
 	}
-	turns(2)
+	playRounds(2)
 	learning := w.outcomes[token].Unanswered
 	assert.Positive(t, learning)
-	assert.Less(t, learning, uint32(2*flows), "until the node has learned it")
-	turns(10)
+	assert.Less(t, learning, uint32(2*flows), "only until the baseline is known")
+	playRounds(10)
 	assert.Equal(t, learning, w.outcomes[token].Unanswered)
 	assert.Greater(t, w.outcomes[token].Answered, uint32(9*flows))
 }
@@ -339,7 +339,7 @@
 	assert.True(t, entry.hasFailed(w.now))
 	assert.False(t, entry.hasFailed(w.now.Add(failureLifetime)))
 	w.exchange(token, typicalAnswerSize)
-	assert.False(t, entry.hasFailed(w.now), "it serves again")
+	assert.False(t, entry.hasFailed(w.now), "the target serves again")
 }
 
 func TestBaselinesOfRemovedRoutesAreDropped(t *testing.T) {
@@ -365,14 +365,14 @@
 		wheel.add(now, flows[position], after/2)
 		due[flows[position]] = now.Add(after)
 	}
-	again := map[*flowEntry]bool{}
+	rescheduled := map[*flowEntry]bool{}
 	for len(due) > 0 {
 		now = now.Add(30 * ms)
 		wheel.advance(now, func(now kernel.Instant, flow *flowEntry) time.Duration {
 			assert.False(t, now.Before(due[flow]))
 			assert.Less(t, now.Sub(due[flow]), 2*wheelSlot+30*ms)
-			if !again[flow] {
-				again[flow] = true
+			if !rescheduled[flow] {
+				rescheduled[flow] = true
 				due[flow] = now.Add(200 * ms)
 				return 200 * ms
 			}
@@ -385,7 +385,7 @@
 	}
 	wheel.add(now, flows[0], time.Second)
 	wheel.advance(now.Add(time.Hour), func(kernel.Instant, *flowEntry) time.Duration { return 0 })
-	assert.False(t, flows[0].exchange.inWheel, "found after a long stop")
+	assert.False(t, flows[0].exchange.inWheel, "due after a long pause")
 }
 
 func TestLogHistogramQuantiles(t *testing.T) {
@@ -399,6 +399,6 @@
 	for range 3 * histogramDecayCount {
 		histogram.add(math.MaxFloat64)
 	}
-	assert.Greater(t, histogram.quantile(0.25), float64(math.MaxUint32/2), "older values fade out")
+	assert.Greater(t, histogram.quantile(0.25), float64(math.MaxUint32/2), "older values decay")
 	assert.Less(t, histogram.total, histogramDecayCount)
 }
--- a/internal/steer/follower_test.go
+++ b/internal/steer/follower_test.go
@@ -22,7 +22,7 @@
 	times := map[time.Duration]bool{}
 	for range 100 {
 		wait := f.remoteStayTime()
-		assert.Less(t, wait, ReturnJitter, "the near member was never tried")
+		assert.Less(t, wait, ReturnJitter, "the local member has not been tried")
 		times[wait/(ReturnJitter/10)] = true
 	}
 	assert.Greater(t, len(times), 5)
@@ -38,11 +38,11 @@
 	f.List.RecordFailure("b", start)
 	f.Follow(start, f.List.Members[0])
 	assert.NoError(t, f.CheckZone(start))
-	assert.NoError(t, f.CheckZone(start.Add(RemoteStay-time.Millisecond)), "the near one was left for a fault")
+	assert.NoError(t, f.CheckZone(start.Add(RemoteStay-time.Millisecond)), "the local member has failed")
 	assert.ErrorIs(t, f.CheckZone(start.Add(RemoteStay+ReturnJitter)), ErrCloserMember)
 	assert.Equal(t, "b", f.List.Order()[0].Address)
 	f.Follow(start, f.List.Members[1])
-	assert.NoError(t, f.CheckZone(start.Add(time.Hour)), "a near member is never left for that")
+	assert.NoError(t, f.CheckZone(start.Add(time.Hour)), "a local member is kept")
 }
 
 func TestNotCurrentMemberIsLeftAfterTimeout(t *testing.T) {
@@ -52,7 +52,7 @@
 	assert.NoError(t, f.HandleStatus(later, MemberStatus{}, false))
 	assert.ErrorIs(t, f.HandleStatus(later.Add(1), MemberStatus{}, false), ErrNotCurrent)
 	assert.NoError(t, f.HandleStatus(later.Add(2), MemberStatus{Current: true}, false))
-	assert.NoError(t, f.HandleStatus(later.Add(3), MemberStatus{}, false), "it has been current since")
+	assert.NoError(t, f.HandleStatus(later.Add(3), MemberStatus{}, false), "the timeout restarts when the member is current")
 }
 
 func TestEmptyMemberIsLeftUntilAllWereTried(t *testing.T) {
@@ -60,10 +60,10 @@
 	f.List.Seeds = []string{"c"}
 	empty := MemberStatus{Empty: true}
 	f.Follow(start, f.List.Members[1])
-	assert.NoError(t, f.HandleStatus(start, empty, false), "a node that has state waits")
+	assert.NoError(t, f.HandleStatus(start, empty, false), "a node with state waits")
 	assert.ErrorIs(t, f.HandleStatus(start, empty, true), ErrEmpty)
 	assert.ErrorIs(t, f.HandleStatus(start, empty, true), ErrEmpty)
-	assert.NoError(t, f.HandleStatus(start, empty, true), "all three were met")
+	assert.NoError(t, f.HandleStatus(start, empty, true), "all three have been tried")
 	assert.NoError(t, f.HandleStatus(start, MemberStatus{Current: true}, true))
 	assert.ErrorIs(t, f.HandleStatus(start, empty, true), ErrEmpty)
 }
--- a/internal/steer/leaderless_test.go
+++ b/internal/steer/leaderless_test.go
@@ -32,10 +32,10 @@
 	for number := range size {
 		g.members = append(g.members, directory.Member{Address: fmt.Sprint("m", number), Zone: fmt.Sprint("zone-", number%3)})
 	}
-	left := (size - 1) / 2
+	limit := (size - 1) / 2
 	for _, zone := range []string{"zone-0", "zone-1", "zone-2"} {
 		for _, member := range g.members {
-			if member.Zone == zone && len(g.leaderless) < left {
+			if member.Zone == zone && len(g.leaderless) < limit {
 				g.leaderless[member.Address] = true
 			}
 		}
@@ -55,24 +55,24 @@
 // findCurrent follows members like a node does, from the moment at which its own member
 // reports the loss of its leader, and returns when a current one is found.
 func (g *partitionedGroup) findCurrent(f *Follower, now kernel.Instant) (kernel.Instant, []connectionAttempt) {
-	var visits []connectionAttempt
+	var attempts []connectionAttempt
 	reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.partitionedAt)}, false)
 	for reason == nil {
 		now = now.Add(400 * time.Millisecond)
 		reason = f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.partitionedAt)}, false)
 	}
-	for len(visits) < 100 {
+	for len(attempts) < 100 {
 		now = now.Add(f.RetryDelay(reason))
 		member := f.List.Order()[0]
 		f.List.RecordFailure(member.Address, now)
 		now = now.Add(connectTime)
 		f.Follow(now, member)
-		visits = append(visits, connectionAttempt{address: member.Address, at: now})
+		attempts = append(attempts, connectionAttempt{address: member.Address, at: now})
 		if now, reason = g.stay(f, now, member); reason == nil {
-			return now, visits
+			return now, attempts
 		}
 	}
-	return now, visits
+	return now, attempts
 }
 
 // stay follows one member until it is left; the error is nil if it is current.
@@ -109,11 +109,11 @@
 func TestCurrentMemberIsFoundWithinASecondOfPartition(t *testing.T) {
 	for _, size := range []int{3, 5, 9, 13} {
 		for seed := range uint64(200) {
-			cut := start
-			told := cut.Add(LeaderlessTimeout)
-			g := newPartitionedGroup(size, cut)
-			found, visits := g.findCurrent(g.followerIn("zone-0", seed, cut), told)
-			assert.LessOrEqual(t, found.Sub(told), time.Second, "%d members, seed %d, visits %v", size, seed, visits)
+			partitionedAt := start
+			reportedAt := partitionedAt.Add(LeaderlessTimeout)
+			g := newPartitionedGroup(size, partitionedAt)
+			found, attempts := g.findCurrent(g.followerIn("zone-0", seed, partitionedAt), reportedAt)
+			assert.LessOrEqual(t, found.Sub(reportedAt), time.Second, "%d members, seed %d, attempts %v", size, seed, attempts)
 		}
 	}
 }
@@ -121,9 +121,9 @@
 // A frozen member accepts connections and sends nothing.
 func TestUnresponsiveMemberIsLeftSoonWithoutLeader(t *testing.T) {
 	for seed := range uint64(200) {
-		cut := start
-		told := cut.Add(LeaderlessTimeout)
-		g := newPartitionedGroup(9, cut)
+		partitionedAt := start
+		reportedAt := partitionedAt.Add(LeaderlessTimeout)
+		g := newPartitionedGroup(9, partitionedAt)
 		silent := g.members[seed%9].Address
 		g.statusDelay = func(address string) time.Duration {
 			if address == silent {
@@ -131,8 +131,8 @@
 			}
 			return 50 * time.Millisecond
 		}
-		found, visits := g.findCurrent(g.followerIn("zone-0", seed, cut), told)
-		assert.LessOrEqual(t, found.Sub(told), time.Second, "seed %d, visits %v", seed, visits)
+		found, attempts := g.findCurrent(g.followerIn("zone-0", seed, partitionedAt), reportedAt)
+		assert.LessOrEqual(t, found.Sub(reportedAt), time.Second, "seed %d, attempts %v", seed, attempts)
 	}
 }
 
@@ -140,17 +140,17 @@
 func TestReconnectsAreSpreadOverTime(t *testing.T) {
 	const nodes = 346
 	const window = 50 * time.Millisecond
-	cut := start
-	told := cut.Add(LeaderlessTimeout)
-	g := newPartitionedGroup(9, cut)
+	partitionedAt := start
+	reportedAt := partitionedAt.Add(LeaderlessTimeout)
+	g := newPartitionedGroup(9, partitionedAt)
 	counts := map[string]map[int]int{}
 	for node := range nodes {
-		_, visits := g.findCurrent(g.followerIn(fmt.Sprint("zone-", node%3), uint64(node), cut), told)
-		for _, v := range visits {
-			if counts[v.address] == nil {
-				counts[v.address] = map[int]int{}
+		_, attempts := g.findCurrent(g.followerIn(fmt.Sprint("zone-", node%3), uint64(node), partitionedAt), reportedAt)
+		for _, attempt := range attempts {
+			if counts[attempt.address] == nil {
+				counts[attempt.address] = map[int]int{}
 			}
-			counts[v.address][int(v.at.Sub(told)/window)]++
+			counts[attempt.address][int(attempt.at.Sub(reportedAt)/window)]++
 		}
 	}
 	for address, windows := range counts {
@@ -163,22 +163,22 @@
 // A group without a quorum must be able to hold its election: each node tries every member
 // once, then stays with one for several election timeouts.
 func TestGroupWithoutQuorumIsTriedOnce(t *testing.T) {
-	cut := start
-	told := cut.Add(LeaderlessTimeout)
-	g := newPartitionedGroup(9, cut)
+	partitionedAt := start
+	reportedAt := partitionedAt.Add(LeaderlessTimeout)
+	g := newPartitionedGroup(9, partitionedAt)
 	for _, member := range g.members {
 		g.leaderless[member.Address] = true
 	}
-	_, visits := g.findCurrent(g.followerIn("zone-0", 1, cut), told)
-	inRound := 0
-	for _, v := range visits {
-		if v.at.Sub(told) < 3*time.Second {
-			inRound++
+	_, attempts := g.findCurrent(g.followerIn("zone-0", 1, partitionedAt), reportedAt)
+	early := 0
+	for _, attempt := range attempts {
+		if attempt.at.Sub(reportedAt) < 3*time.Second {
+			early++
 		}
 	}
-	assert.LessOrEqual(t, inRound, 13)
-	first, last := visits[0].at, visits[len(visits)-1].at
-	assert.Greater(t, last.Sub(first)/time.Duration(len(visits)), 600*time.Millisecond)
+	assert.LessOrEqual(t, early, 13)
+	first, last := attempts[0].at, attempts[len(attempts)-1].at
+	assert.Greater(t, last.Sub(first)/time.Duration(len(attempts)), 600*time.Millisecond)
 }
 
 func TestMemberIsKeptDuringElection(t *testing.T) {
--- a/internal/steer/locallink_test.go
+++ b/internal/steer/locallink_test.go
@@ -27,7 +27,7 @@
 	second := start.Add(600 * time.Millisecond)
 	b.core.Decide(second, flowData(1, target.Token, 10))
 	evidence := b.reportUntil(start.Add(300*time.Millisecond), second)
-	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, evidence.Silent, "the first copy was passed on")
+	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, evidence.Silent, "the first retransmission was forwarded")
 	b.core.RecordDrop(second, flowData(1, target.Token, 10).Flow)
 	assert.Empty(t, b.reportUntil(second, second.Add(reportPeriod)).Silent)
 	b.core.RecordDrop(start, opening(99, 0).Flow)
@@ -46,9 +46,9 @@
 	b.core.Decide(second, packet)
 	b.core.RecordHeld(second, packet.Flow)
 	b.core.RecordHeld(second, packet.Flow)
-	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, b.reportUntil(start, second).Silent, "the first copy had left")
+	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, b.reportUntil(start, second).Silent, "the first retransmission was sent")
 	last := first.Add(resentLifetime)
-	assert.Empty(t, b.reportUntil(second, last).Silent, "and counts no longer than without the second")
+	assert.Empty(t, b.reportUntil(second, last).Silent, "the second retransmission does not extend the first")
 }
 
 func TestLinkDelayMakesEvidenceDoubtful(t *testing.T) {
@@ -59,9 +59,9 @@
 		want  SilentTarget
 	}{
 		{"no delay", 0, 0, SilentTarget{Weight: 1}},
-		{"a short delay", linkDelayThreshold - time.Millisecond, 0, SilentTarget{Weight: 1}},
-		{"a long delay", linkDelayThreshold, 0, SilentTarget{Doubtful: 1}},
-		{"long before", linkDelayThreshold, -linkRecoveryTime, SilentTarget{Weight: 1}},
+		{"delay below the threshold", linkDelayThreshold - time.Millisecond, 0, SilentTarget{Weight: 1}},
+		{"delay at the threshold", linkDelayThreshold, 0, SilentTarget{Doubtful: 1}},
+		{"recovered from a delay", linkDelayThreshold, -linkRecoveryTime, SilentTarget{Weight: 1}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 	now := start.Add(200 * time.Millisecond)
 	assert.Equal(t, far.ID, b.core.Decide(now, opening(1, 1)).Target.ID)
 	assert.Empty(t, b.core.Report(now, reportPeriod).Silent)
-	assert.Equal(t, near.ID, b.core.Decide(now, opening(2, 0)).Target.ID, "it is not passed over")
+	assert.Equal(t, near.ID, b.core.Decide(now, opening(2, 0)).Target.ID, "the target is not avoided")
 }
 
 func TestOpeningsDuringLinkDelayAreNotRefused(t *testing.T) {
@@ -123,11 +123,11 @@
 	for port := range uint16(30) {
 		b.core.Decide(now, opening(port+1, 0))
 		now = now.Add(reportPeriod)
-		for _, counted := range b.core.Report(now, reportPeriod).Openings {
-			reported[counted.Zone]++
+		for _, openings := range b.core.Report(now, reportPeriod).Openings {
+			reported[openings.Zone]++
 		}
 	}
-	assert.Equal(t, map[string]int{"north": 1}, reported, "until the other zone takes none either")
+	assert.Equal(t, map[string]int{"north": 1}, reported, "until the other zone refuses as well")
 	assert.True(t, b.core.openings.refusedEverywhere())
 	for port := range uint16(10) {
 		b.core.Decide(now, opening(port+100, 0))
--- a/internal/steer/losstracker_test.go
+++ b/internal/steer/losstracker_test.go
@@ -37,7 +37,7 @@
 	for range 20 {
 		w.addAnswered(0)
 	}
-	assert.False(t, w.isLossy(), "one of twenty")
+	assert.False(t, w.isLossy(), "one in twenty")
 	w.decay(time.Minute)
 	assert.Zero(t, w.answered)
 }
--- a/internal/steer/memberlist_test.go
+++ b/internal/steer/memberlist_test.go
@@ -28,7 +28,7 @@
 	for range 20 {
 		assert.Equal(t, "b", l.Order()[0].Address)
 	}
-	assert.True(t, l.HasCloserThan(directory.Member{Address: "a"}), "a seed whose zone is known by now")
+	assert.True(t, l.HasCloserThan(directory.Member{Address: "a"}), "a seed whose zone is known")
 	assert.False(t, l.HasCloserThan(directory.Member{Address: "b"}))
 }
 
@@ -50,13 +50,13 @@
 	l := NewMemberList("north")
 	l.Members = members
 	tried := map[string]bool{}
-	for visit := range len(members) {
+	for attempt := range len(members) {
 		next := l.Order()[0].Address
-		assert.False(t, tried[next], "visit %d goes to %s again", visit, next)
+		assert.False(t, tried[next], "attempt %d goes to %s again", attempt, next)
 		tried[next] = true
-		l.RecordFailure(next, faultTime.Add(time.Duration(visit)*time.Second))
+		l.RecordFailure(next, faultTime.Add(time.Duration(attempt)*time.Second))
 	}
-	assert.Equal(t, "own", l.Order()[0].Address, "the own zone comes first in the next round")
+	assert.Equal(t, "own", l.Order()[0].Address, "the local member comes first in the next round")
 }
 
 func TestClearFailuresRestoresLocalMember(t *testing.T) {
--- a/internal/steer/openings_test.go
+++ b/internal/steer/openings_test.go
@@ -41,7 +41,7 @@
 	later := start.Add(reportPeriod + refusalLifetime)
 	b.core.Decide(start.Add(2*reportPeriod), flowPacket(2, far.Token, 1))
 	b.reportUntil(start.Add(reportPeriod), later)
-	assert.Equal(t, near.ID, b.core.Decide(later, opening(3, 0)).Target.ID, "it is tried again")
+	assert.Equal(t, near.ID, b.core.Decide(later, opening(3, 0)).Target.ID, "the target is tried again")
 }
 
 func TestAcceptedOpeningIsCountedOnce(t *testing.T) {
@@ -52,7 +52,7 @@
 	assert.Empty(t, evidence.Refused)
 	assert.Equal(t, []directory.ZoneOpenings{{Zone: "north", Opened: 1}}, evidence.Openings)
 	evidence = b.reportUntil(start.Add(reportPeriod), start.Add(2*reportPeriod))
-	assert.Empty(t, evidence.Openings, "each is counted once")
+	assert.Empty(t, evidence.Openings, "openings are counted once")
 }
 
 func TestAnsweringTargetIsNotRefusing(t *testing.T) {
@@ -82,7 +82,7 @@
 	assert.Equal(t, far.ID, b.core.Decide(start, opening(2, 0)).Target.ID)
 	assert.Equal(t, near.ID, b.core.Decide(start, flowPacket(1, near.Token, 1)).Target.ID)
 	b.core.ApplyVerdicts(directory.Verdicts{AvoidedZones: []string{"north", "south"}})
-	assert.Equal(t, near.ID, b.core.Decide(start, opening(3, 0)).Target.ID, "no other zone is left")
+	assert.Equal(t, near.ID, b.core.Decide(start, opening(3, 0)).Target.ID, "no other zone remains")
 }
 
 // Callers and zones may be far away.
@@ -100,5 +100,5 @@
 	assert.Greater(t, b.core.openings.timeout(), way)
 	assert.LessOrEqual(t, b.core.openings.timeout(), maxOpeningTimeout)
 	b.core.Decide(now, opening(100, 0))
-	assert.Empty(t, b.core.Report(now.Add(way), reportPeriod).Refused, "it can still be taken")
+	assert.Empty(t, b.core.Report(now.Add(way), reportPeriod).Refused, "the opening has not timed out")
 }
--- a/internal/steer/probe_test.go
+++ b/internal/steer/probe_test.go
@@ -81,7 +81,7 @@
 	assert.Equal(t, w.packet.Flow, w.resets[0].Flow)
 	for port := range uint16(20) {
 		decision := w.core.Decide(w.now, opening(100+port, 0))
-		assert.Equal(t, "i-2", decision.Target.ID, "new flows pass it over")
+		assert.Equal(t, "i-2", decision.Target.ID, "new flows avoid the target")
 	}
 }
 
@@ -116,7 +116,7 @@
 func TestReachableSlowTargetKeepsFlows(t *testing.T) {
 	w := newProbeFixture(t, ProbeReached)
 	assert.Zero(t, w.runUntil(4*time.Second))
-	assert.LessOrEqual(t, w.probes, 2, "it is not asked again and again")
+	assert.LessOrEqual(t, w.probes, 2, "probes are rate limited")
 	assert.Positive(t, w.probes)
 }
 
@@ -128,21 +128,21 @@
 // A node whose evidence may have a local cause must not reset flows on its own.
 func TestUnreliableNodeResetsNoFlows(t *testing.T) {
 	cases := map[string]func(c *Core, now kernel.Instant){
-		"its packets wait for its link":   func(c *Core, now kernel.Instant) { c.linkDelayedUntil = now.Add(time.Minute) },
-		"it stood still":                  func(c *Core, now kernel.Instant) { c.stalledUntil = now.Add(time.Minute) },
-		"packets get lost at living ones": func(c *Core, _ kernel.Instant) { c.losses = lossTracker{answered: 50, recovered: 50} },
-		"the target has answered meanwhile": func(c *Core, now kernel.Instant) {
+		"link delay":      func(c *Core, now kernel.Instant) { c.linkDelayedUntil = now.Add(time.Minute) },
+		"stalled process": func(c *Core, now kernel.Instant) { c.stalledUntil = now.Add(time.Minute) },
+		"packet loss":     func(c *Core, _ kernel.Instant) { c.losses = lossTracker{answered: 50, recovered: 50} },
+		"target answered meanwhile": func(c *Core, now kernel.Instant) {
 			for _, entry := range c.targets {
 				c.recordAnswer(now, entry)
 			}
 		},
 	}
-	for name, trouble := range cases {
+	for name, disturb := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newProbeFixture(t, ProbeFailed)
 			w.runUntil(600 * time.Millisecond)
 			require.Equal(t, 1, w.probes)
-			trouble(w.core, w.now)
+			disturb(w.core, w.now)
 			later := w.now.Add(time.Millisecond)
 			assert.Empty(t, w.core.HandleProbeOutcome(later, w.target.Token, ProbeFailed))
 			assert.Empty(t, w.core.HandleProbeOutcome(later, w.target.Token, ProbeFailed))
@@ -164,9 +164,9 @@
 		b.core.Decide(start.Add(2*reportInterval), packet)
 	}
 	now := start.Add(3 * reportInterval)
-	asked := b.core.Probes(now)
-	assert.Len(t, asked, maxProbes)
+	probed := b.core.Probes(now)
+	assert.Len(t, probed, maxProbes)
 	assert.Empty(t, b.core.Probes(now))
-	assert.Empty(t, b.core.HandleProbeOutcome(now, asked[0].Token, ProbeFailed))
+	assert.Empty(t, b.core.HandleProbeOutcome(now, probed[0].Token, ProbeFailed))
 	assert.Len(t, b.core.Probes(now), 1)
 }
--- a/internal/steer/progress_test.go
+++ b/internal/steer/progress_test.go
@@ -48,7 +48,7 @@
 	assert.Empty(t, evidence.Answering)
 	assert.Equal(t, []SilentTarget{{Token: target.Token, Weight: weightResent}}, evidence.Silent)
 	b.core.Decide(start.Add(310*time.Millisecond), uploadPacket(target, 3))
-	assert.Empty(t, b.reportUntil(start.Add(300*time.Millisecond), start.Add(400*time.Millisecond)).Answering, "the same packet")
+	assert.Empty(t, b.reportUntil(start.Add(300*time.Millisecond), start.Add(400*time.Millisecond)).Answering, "a repeated packet is no answer")
 	b.core.Decide(start.Add(410*time.Millisecond), uploadPacket(target, 5))
 	evidence = b.reportUntil(start.Add(400*time.Millisecond), start.Add(500*time.Millisecond))
 	assert.Equal(t, []directory.Token{target.Token}, evidence.Answering)
@@ -119,8 +119,8 @@
 }
 
 func (s *uploadSimulation) send(now time.Duration, number int) {
-	late := time.Duration(rapid.IntRange(0, maxDelayMillis-1).Draw(s.T, "late")) * time.Millisecond
-	s.arrivals = append(s.arrivals, simulatedPacket{at: now + late, number: number})
+	delay := time.Duration(rapid.IntRange(0, maxDelayMillis-1).Draw(s.T, "late")) * time.Millisecond
+	s.arrivals = append(s.arrivals, simulatedPacket{at: now + delay, number: number})
 }
 
 func (s *uploadSimulation) position(number int) uint32 {
@@ -135,10 +135,10 @@
 // of them implied an answer.
 func (s *uploadSimulation) deliver(now time.Duration) bool {
 	answered := false
-	left := s.arrivals[:0]
+	remaining := s.arrivals[:0]
 	for _, arrival := range s.arrivals {
 		if arrival.at > now {
-			left = append(left, arrival)
+			remaining = append(remaining, arrival)
 			continue
 		}
 		packet := Packet{Sequence: s.position(arrival.number), Size: s.sizes[arrival.number]}
@@ -147,11 +147,11 @@
 		}
 		if now < s.stopsAt {
 			s.received[arrival.number] = true
-			turn := time.Duration(rapid.IntRange(1, maxAckDelayMillis).Draw(s.T, "turn")) * time.Millisecond
-			s.acks = append(s.acks, simulatedPacket{at: now + turn, number: arrival.number})
+			delay := time.Duration(rapid.IntRange(1, maxAckDelayMillis).Draw(s.T, "turn")) * time.Millisecond
+			s.acks = append(s.acks, simulatedPacket{at: now + delay, number: arrival.number})
 		}
 	}
-	s.arrivals = left
+	s.arrivals = remaining
 	return answered
 }
 
@@ -196,7 +196,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		s := drawUpload(r)
 		const last = 3 * time.Second
-		spoken := false
+		reported := false
 		for now := time.Duration(0); now < last && s.firstUnacknowledged() < len(s.sizes); now += time.Millisecond {
 			s.sendPackets(now)
 			answered := s.deliver(now)
@@ -205,11 +205,11 @@
 			}
 			// Packets that the last acknowledgement has allowed may arrive late.
 			if now > s.stopsAt+(maxAckDelayMillis+maxDelayMillis)*time.Millisecond {
-				assert.False(r, answered, "%v after the end", now-s.stopsAt)
+				assert.False(r, answered, "%v after the target died", now-s.stopsAt)
 			}
-			spoken = spoken || s.pending.weight(start.Add(now)) > 0
+			reported = reported || s.pending.weight(start.Add(now)) > 0
 			if now == s.stopsAt+time.Second && s.sent > s.firstUnacknowledged() {
-				assert.True(r, spoken)
+				assert.True(r, reported)
 			}
 		}
 	})
--- a/internal/steer/remembered_test.go
+++ b/internal/steer/remembered_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, "i-7", decision.Target.ID)
 	assert.False(t, b.core.CanDecide(flowPacket(1, 8, 1)))
 	assert.False(t, b.core.CanDecide(opening(2, 0)))
-	assert.False(t, b.core.IsReady(), "the disk knows no configuration to be committed")
+	assert.False(t, b.core.IsReady(), "no remembered configuration")
 }
 
 func TestFirstUpdateConfirmsOrDropsRemembered(t *testing.T) {
@@ -47,5 +47,5 @@
 	assert.Equal(t, ReasonUnknownToken, b.core.Decide(start, flowPacket(1, 7, 2)).Reason)
 	assert.Equal(t, ActionForward, b.core.Decide(start, flowPacket(2, confirmed.Token, 1)).Action)
 	assert.Len(t, b.core.services["booking"], 1)
-	assert.Equal(t, 0, b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{rememberedTarget("i-8", 8)}}, rememberedUntil), "the core has state of its own")
+	assert.Equal(t, 0, b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{rememberedTarget("i-8", 8)}}, rememberedUntil), "the core has current state")
 }
--- a/internal/steer/rememberedconfig_test.go
+++ b/internal/steer/rememberedconfig_test.go
@@ -35,7 +35,7 @@
 	}
 	other := opening(1, 0)
 	other.Flow.Virtual = otherAddress
-	assert.False(t, b.core.CanDecide(other), "a route that the disk does not know may be newer")
+	assert.False(t, b.core.CanDecide(other), "an unknown route may be newer than the remembered state")
 	assert.False(t, b.core.CanDecide(flowPacket(1, 9, 1)))
 }
 
@@ -51,14 +51,14 @@
 	b := newFixture(t)
 	b.core.ApplyRemembered(start, newRemembered(4, rememberedTarget("i-7", 7)), rememberedUntil)
 	assert.False(t, b.core.ExpireRemembered(rememberedUntil-1))
-	assert.Equal(t, ReasonNotReady, b.core.Decide(rememberedUntil, opening(1, 0)).Reason, "also before its end was noted")
+	assert.Equal(t, ReasonNotReady, b.core.Decide(rememberedUntil, opening(1, 0)).Reason, "the limit holds before ExpireRemembered")
 	assert.True(t, b.core.ExpireRemembered(rememberedUntil))
 	assert.False(t, b.core.ExpireRemembered(rememberedUntil))
 	assert.False(t, b.core.IsReady())
 	assert.False(t, b.core.CanDecide(opening(1, 0)))
-	assert.True(t, b.core.CanDecide(flowPacket(1, 7, 1)), "open flows go on")
+	assert.True(t, b.core.CanDecide(flowPacket(1, 7, 1)), "open flows continue")
 	b.core.ApplyRemembered(rememberedUntil, newRemembered(5, rememberedTarget("i-9", 9)), rememberedUntil)
-	assert.False(t, b.core.IsReady(), "a later word comes too late")
+	assert.False(t, b.core.IsReady(), "remembered state past the limit is not used")
 }
 
 func TestNewestRememberedStateWins(t *testing.T) {
@@ -67,7 +67,7 @@
 	draining.State = directory.TargetDraining
 	b.core.ApplyRemembered(start, newRemembered(4, rememberedTarget("i-7", 7), rememberedTarget("i-8", 8)), rememberedUntil)
 	assert.Equal(t, 0, b.core.ApplyRemembered(start, newRemembered(3, draining, rememberedTarget("i-8", 8)), rememberedUntil))
-	assert.Equal(t, uint64(4), b.core.Version(), "a node never goes back")
+	assert.Equal(t, uint64(4), b.core.Version(), "the version does not decrease")
 	for port := range uint16(20) {
 		assert.Equal(t, "i-8", b.core.Decide(start, opening(port, 0)).Target.ID)
 	}
@@ -84,14 +84,14 @@
 	next := rememberedConfiguration(5)
 	state.Apply(2, directory.Command{Kind: directory.CommandPublish, Edit: directory.Difference(directory.Configuration{}, next)})
 	confirmed, _ := state.Target("i-1")
-	told := confirmed
-	told.Warmup = nil
-	b.core.ApplyRemembered(start, newRemembered(4, told, rememberedTarget("i-7", 7)), rememberedUntil)
+	remembered := confirmed
+	remembered.Warmup = nil
+	b.core.ApplyRemembered(start, newRemembered(4, remembered, rememberedTarget("i-7", 7)), rememberedUntil)
 	require.True(t, b.core.Update(start, state.Since(0)))
 	assert.False(t, b.core.UsesRemembered())
 	assert.Equal(t, uint64(5), b.core.Version())
 	assert.Len(t, b.core.services["booking"], 1)
-	assert.Equal(t, ReasonCold, b.core.Decide(start, opening(1, 0)).Reason, "what the node is not a steward of is closed")
+	assert.Equal(t, ReasonCold, b.core.Decide(start, opening(1, 0)).Reason, "a node without a budget share is blocked")
 	assert.False(t, b.core.ExpireRemembered(rememberedUntil))
 	assert.Equal(t, 0, b.core.ApplyRemembered(start, newRemembered(9, rememberedTarget("i-8", 8)), rememberedUntil))
 	assert.Equal(t, uint64(5), b.core.Version())
--- a/internal/steer/speeds_test.go
+++ b/internal/steer/speeds_test.go
@@ -112,7 +112,7 @@
 			b.now = b.now.Add(time.Second)
 			b.core.Decide(b.now, dataPacket(port, token, 101, 1+typicalAnswerSize, 100))
 		},
-		"acknowledged with the end of a long flow": func(b *speedFixture, port uint16, token directory.Token) {
+		"acknowledged with the close of a reused flow": func(b *speedFixture, port uint16, token directory.Token) {
 			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
 			b.core.Decide(b.now.Add(time.Millisecond), dataPacket(port, token, 101, 1+typicalAnswerSize, 100))
 			b.now = b.now.Add(time.Second)
@@ -120,7 +120,7 @@
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
-		"sent again": func(b *speedFixture, port uint16, token directory.Token) {
+		"retransmitted": func(b *speedFixture, port uint16, token directory.Token) {
 			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
 			b.core.Decide(b.now.Add(200*time.Millisecond), dataPacket(port, token, 1, 1, 100))
 			b.now = b.now.Add(250 * time.Millisecond)
@@ -128,7 +128,7 @@
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
-		"refused at once": func(b *speedFixture, port uint16, token directory.Token) {
+		"refused immediately": func(b *speedFixture, port uint16, token directory.Token) {
 			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
 			b.now = b.now.Add(roundTrip)
 			closing := dataPacket(port, token, 101, 1+typicalAnswerSize/10, 0)
@@ -157,7 +157,7 @@
 	assert.Greater(t, b.takeReports()[b.tokens[0]].Mean(), math.Log(3)/2)
 	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: b.tokens[0], Step: speed.Step(0).Next(math.Log(3))}})
 	b.requests(4*workSampleLimit, b.tokens[0], 3*typicalWork)
-	assert.Greater(t, b.takeReports()[b.tokens[0]].Mean(), math.Log(3)/2, "what is told is no part of what is usual")
+	assert.Greater(t, b.takeReports()[b.tokens[0]].Mean(), math.Log(3)/2, "known relative times do not change the baseline")
 }
 
 func TestOutlierSampleIsClamped(t *testing.T) {
@@ -176,19 +176,19 @@
 	for _, token := range tokens {
 		b.requests(4, token, typicalWork)
 	}
-	told := map[directory.Token]int{}
+	reports := map[directory.Token]int{}
 	for range 2 * int(speedRepeatInterval/speedReportInterval) {
 		words := b.takeReports()
 		assert.LessOrEqual(t, len(words), maxTargetsPerReport)
 		for token := range words {
-			told[token]++
+			reports[token]++
 		}
 	}
 	for _, token := range tokens {
-		assert.GreaterOrEqual(t, told[token], 2)
+		assert.GreaterOrEqual(t, reports[token], 2)
 	}
 	b.now = b.now.Add(10 * speed.HalfLife)
-	assert.Empty(t, b.takeReports(), "all has faded")
+	assert.Empty(t, b.takeReports(), "all samples have decayed")
 	assert.Empty(t, b.core.speeds.sampled)
 }
 
@@ -249,14 +249,14 @@
 		cold, tried, ejected []string
 		least, most          float64
 	}{
-		{"nothing passed over", nil, nil, nil, 0, 0},
-		{"a release in progress", ids("near-", each/2), nil, nil, 0, 0},
-		{"a zone that has just started", ids("near-", each), nil, nil, 0, 0},
-		{"other zones that have just started", ids("far-", each), nil, nil, 0, 0},
-		{"copies", nil, ids("near-", 3), nil, 0, 0},
-		{"copies to a zone that has just started", ids("near-", each), ids("near-", 3), nil, 0, 0},
-		{"half of the zone ejected", nil, nil, ids("near-", each/2), 1 - spillThreshold/2, 1 - spillThreshold/2},
-		{"half ejected while other zones start", ids("far-", each), nil, ids("near-", each/2), 0, 1 - spillThreshold/2},
+		{"nothing skipped", nil, nil, nil, 0, 0},
+		{"release in progress", ids("near-", each/2), nil, nil, 0, 0},
+		{"local zone warming up", ids("near-", each), nil, nil, 0, 0},
+		{"other zones warming up", ids("far-", each), nil, nil, 0, 0},
+		{"retransmissions", nil, ids("near-", 3), nil, 0, 0},
+		{"retransmissions while the local zone warms up", ids("near-", each), ids("near-", 3), nil, 0, 0},
+		{"half of the local zone ejected", nil, nil, ids("near-", each/2), 1 - spillThreshold/2, 1 - spillThreshold/2},
+		{"half ejected while other zones warm up", ids("far-", each), nil, ids("near-", each/2), 0, 1 - spillThreshold/2},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/steer/waiting_test.go
+++ b/internal/steer/waiting_test.go
@@ -41,16 +41,16 @@
 	}
 	later := start.Add(5 * time.Second)
 	added := b.addTargets(later, 20, 4)
-	taken := 0
+	count := 0
 	for range 140 {
 		token := b.openFlow(later, port)
 		port++
 		if contains(added, token) {
-			taken++
+			count++
 		}
 	}
-	assert.Less(t, taken, 140*2/3, "4 of 14 targets")
-	assert.Greater(t, taken, 140/14*4/2)
+	assert.Less(t, count, 140*2/3, "4 of 14 targets")
+	assert.Greater(t, count, 140/14*4/2)
 }
 
 func TestTargetWithWaitingCallersIsAvoided(t *testing.T) {
@@ -79,24 +79,24 @@
 		packet  Packet
 		waiting int
 	}{
-		{"a request", 0, request, 1},
-		{"an acknowledgement that moves on", 20 * time.Millisecond, flowPacket(1, token, 9), 0},
-		{"another request", 100 * time.Millisecond, withPositions(request, 9, 200), 1},
-		{"the same again", 300 * time.Millisecond, withPositions(request, 9, 200), 1},
+		{"request", 0, request, 1},
+		{"new acknowledgement", 20 * time.Millisecond, flowPacket(1, token, 9), 0},
+		{"second request", 100 * time.Millisecond, withPositions(request, 9, 200), 1},
+		{"retransmission", 300 * time.Millisecond, withPositions(request, 9, 200), 1},
 	}
 	for _, step := range steps {
 		b.core.Decide(start.Add(step.after), step.packet)
 		assert.Equal(t, step.waiting, entry.waitingFlows, step.name)
 	}
 	b.core.expireWaits(start.Add(700 * time.Millisecond))
-	assert.Equal(t, 1, entry.waitingFlows, "the next copy is due 400 ms after the first")
+	assert.Equal(t, 1, entry.waitingFlows, "the next retransmission is due after 400 ms")
 	b.core.expireWaits(start.Add(900 * time.Millisecond))
 	assert.Equal(t, 0, entry.waitingFlows)
 	b.core.Decide(start.Add(time.Second), withPositions(request, 9, 300))
 	closing := flowPacket(1, token, 9)
 	closing.Closing = true
 	b.core.Decide(start.Add(time.Second), closing)
-	assert.Equal(t, 0, entry.waitingFlows, "a flow that ends waits no more")
+	assert.Equal(t, 0, entry.waitingFlows, "a closed flow does not wait")
 	assert.Empty(t, b.core.waiting)
 }
 
--- a/internal/steer/warmup_test.go
+++ b/internal/steer/warmup_test.go
@@ -53,7 +53,7 @@
 func TestColdTargetServesWhenAlone(t *testing.T) {
 	b := newBookingFixture(t)
 	cold := b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
-	assert.Equal(t, cold.ID, b.core.Decide(start, opening(1, 0)).Target.ID, "no rate is stated")
+	assert.Equal(t, cold.ID, b.core.Decide(start, opening(1, 0)).Target.ID, "no budget is set")
 }
 
 // If only warming targets without budget are left, new flows are reset at once.
@@ -73,7 +73,7 @@
 	b.coldTarget(start, "i-3", "north", "10.0.0.3:1", directory.Warmup{
 		Left: time.Hour, Budget: 1, Stewards: []uint32{directory.NodeKey("me")},
 	})
-	assert.Equal(t, ReasonCold, b.core.Decide(now, opening(4, 0)).Reason, "a node that is no steward sends nothing")
+	assert.Equal(t, ReasonCold, b.core.Decide(now, opening(4, 0)).Reason, "a node that is not a steward sends nothing")
 }
 
 func TestZoneWarmsUpAfterEvacuation(t *testing.T) {
@@ -90,7 +90,7 @@
 		ID: "i-9", Service: "other", Zone: "south", State: directory.TargetReady, Address: netip.MustParseAddrPort("10.0.0.9:1"),
 	}})
 	warm := start.Add(3 * time.Second)
-	assert.Equal(t, "i-1", b.core.Decide(warm, opening(2, 0)).Target.ID, "near, and warm by now")
+	assert.Equal(t, "i-1", b.core.Decide(warm, opening(2, 0)).Target.ID, "the local target is warm")
 }
 
 // A node that starts after the end of an evacuation must not use the zone's budget for a
@@ -165,14 +165,14 @@
 // run returns the largest number of opening packets that a warming target got in any second.
 func (r *coldSimulation) run() int {
 	end := start.Add(5 * time.Second)
-	born := map[string]kernel.Instant{}
+	registeredAt := map[string]kernel.Instant{}
 	position := uint64(1)
 	port := uint16(0)
 	for now := start; now < end; now = now.Add(coldStep) {
 		if now.Sub(start) < time.Second && int(position) <= coldTargets {
 			position++
 			r.register(position)
-			born[fmt.Sprint("i-", position)] = now
+			registeredAt[fmt.Sprint("i-", position)] = now
 		}
 		for number, node := range r.nodes {
 			switch chance := r.random.IntN(1000); {
@@ -192,26 +192,26 @@
 			}
 		}
 	}
-	most := 0
+	highest := 0
 	for id, times := range r.arrived {
 		first := 0
 		for last, at := range times {
-			if at.Sub(born[id]) >= coldLeft {
+			if at.Sub(registeredAt[id]) >= coldLeft {
 				break
 			}
 			for at.Sub(times[first]) >= time.Second {
 				first++
 			}
-			most = max(most, last-first+1)
+			highest = max(highest, last-first+1)
 		}
 	}
-	return most
+	return highest
 }
 
 // coldSeeds returns the number of seeds, which an environment variable may set.
 func coldSeeds() int {
-	if asked, err := strconv.Atoi(os.Getenv("BEAMDOOR_COLD_SEEDS")); err == nil {
-		return asked
+	if count, err := strconv.Atoi(os.Getenv("BEAMDOOR_COLD_SEEDS")); err == nil {
+		return count
 	}
 	return 60
 }
@@ -221,9 +221,9 @@
 	used := 0
 	for seed := range uint64(coldSeeds()) {
 		budget := []uint32{1, 3, 7, 100}[seed%4]
-		most := newColdSimulation(seed, budget).run()
-		require.LessOrEqual(t, most, int(budget), "seed %d", seed)
-		if most > 0 {
+		highest := newColdSimulation(seed, budget).run()
+		require.LessOrEqual(t, highest, int(budget), "seed %d", seed)
+		if highest > 0 {
 			used++
 		}
 	}
