--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -26,7 +26,7 @@
 		before := randomNodes(t)
 		changed := len(before) - 1
 		after, grows := before[:changed], false
-		if !rapid.Bool().Draw(t, "goes") {
+		if !rapid.Bool().Draw(t, "removed") {
 			changed = rapid.IntRange(0, changed).Draw(t, "changed")
 			after = append([]Node{}, before...)
 			after[changed].Weight = rapid.Float64Range(0.001, 100).Draw(t, "changed weight")
--- a/internal/steer/baseline.go
+++ b/internal/steer/baseline.go
@@ -40,69 +40,69 @@
 	work                 workBaseline
 }
 
-func (h *routeBaseline) addSize(size uint32) {
-	h.sizes.add(float64(size))
-	low, high := h.sizes.quantile(0.25), h.sizes.quantile(0.75)
-	h.smallSize = uint32(low * shortFraction)
-	h.shortSize = uint32(low * min(shortFraction, math.Pow(low/high, shortFenceFactor)))
+func (b *routeBaseline) addSize(size uint32) {
+	b.sizes.add(float64(size))
+	low, high := b.sizes.quantile(0.25), b.sizes.quantile(0.75)
+	b.smallSize = uint32(low * shortFraction)
+	b.shortSize = uint32(low * min(shortFraction, math.Pow(low/high, shortFenceFactor)))
 }
 
-func (h *routeBaseline) addTime(elapsed time.Duration) {
-	h.times.add(float64(elapsed.Microseconds()))
-	h.medianTime = time.Duration(h.times.quantile(0.5)) * time.Microsecond
-	h.lateTime = time.Duration(h.times.quantile(lateQuantile)) * time.Microsecond
+func (b *routeBaseline) addTime(elapsed time.Duration) {
+	b.times.add(float64(elapsed.Microseconds()))
+	b.medianTime = time.Duration(b.times.quantile(0.5)) * time.Microsecond
+	b.lateTime = time.Duration(b.times.quantile(lateQuantile)) * time.Microsecond
 }
 
 // addQuiet records whether an answered exchange had been quiet.
-func (h *routeBaseline) addQuiet(wasQuiet bool) {
-	h.answeredCount++
+func (b *routeBaseline) addQuiet(wasQuiet bool) {
+	b.answeredCount++
 	value := 0.0
 	if wasQuiet {
 		value = 1
 	}
-	h.quietShare += (value - h.quietShare) * max(quietWeight, 1/float64(h.answeredCount))
+	b.quietShare += (value - b.quietShare) * max(quietWeight, 1/float64(b.answeredCount))
 }
 
 // isQuietSignificant reports whether a quiet exchange is evidence against its target.
-func (h *routeBaseline) isQuietSignificant() bool {
-	return h.answeredCount >= minBaselineSamples && h.quietShare <= maxQuietShare
+func (b *routeBaseline) isQuietSignificant() bool {
+	return b.answeredCount >= minBaselineSamples && b.quietShare <= maxQuietShare
 }
 
 // mayProbeOnQuiet reports whether a quiet exchange justifies a probe of its target. It does
 // unless quiet is known to be normal on the route; in a large fleet a node takes long to
 // learn that.
-func (h *routeBaseline) mayProbeOnQuiet() bool {
-	return h.answeredCount < minBaselineSamples || h.isQuietSignificant()
+func (b *routeBaseline) mayProbeOnQuiet() bool {
+	return b.answeredCount < minBaselineSamples || b.isQuietSignificant()
 }
 
 // quietTime returns the time without progress after which an exchange is quiet.
-func (h *routeBaseline) quietTime() time.Duration {
-	return min(max(quietFactor*h.lateTime, minQuietTime), maxQuietTime)
+func (b *routeBaseline) quietTime() time.Duration {
+	return min(max(quietFactor*b.lateTime, minQuietTime), maxQuietTime)
 }
 
 // isShort reports whether a response is far shorter than normal.
-func (h *routeBaseline) isShort(size uint32) bool {
-	return h.sizes.total >= minBaselineSamples && size < h.shortSize
+func (b *routeBaseline) isShort(size uint32) bool {
+	return b.sizes.total >= minBaselineSamples && size < b.shortSize
 }
 
 // isSmall reports whether a response is clearly smaller than normal.
-func (h *routeBaseline) isSmall(size uint32) bool {
-	return h.sizes.total >= minBaselineSamples && size < h.smallSize
+func (b *routeBaseline) isSmall(size uint32) bool {
+	return b.sizes.total >= minBaselineSamples && size < b.smallSize
 }
 
 // isSlow reports whether the first progress came far later than normal.
-func (h *routeBaseline) isSlow(elapsed time.Duration) bool {
-	return h.times.total >= minBaselineSamples && h.isQuietSignificant() && elapsed > max(slowFactor*h.medianTime, minSlowTime)
+func (b *routeBaseline) isSlow(elapsed time.Duration) bool {
+	return b.times.total >= minBaselineSamples && b.isQuietSignificant() && elapsed > max(slowFactor*b.medianTime, minSlowTime)
 }
 
 // baselineOf returns the baseline of a flow's route.
 func (c *Core) baselineOf(flow FlowKey) *routeBaseline {
-	habit, known := c.baselines[flow.Virtual]
+	baseline, known := c.baselines[flow.Virtual]
 	if !known {
-		habit = &routeBaseline{}
-		c.baselines[flow.Virtual] = habit
+		baseline = &routeBaseline{}
+		c.baselines[flow.Virtual] = baseline
 	}
-	return habit
+	return baseline
 }
 
 // dropBaselines removes the baselines of routes that no longer exist.
--- a/internal/steer/exchange.go
+++ b/internal/steer/exchange.go
@@ -110,7 +110,7 @@
 	withOutcomes []*targetEntry
 	// lastProgressAt is when an exchange with any target last made progress.
 	lastProgressAt kernel.Instant
-	// ignoreBefore is the time before which started exchanges are ignored.
+	// Exchanges whose last new data arrived before ignoreBefore are ignored.
 	ignoreBefore kernel.Instant
 }
 
@@ -157,14 +157,14 @@
 		return
 	}
 	c.exchanges.lastProgressAt = now
-	habit := x.baseline
+	baseline := x.baseline
 	if !c.exchanges.isIgnored(x) {
-		habit.addQuiet(x.stage == exchangeQuiet)
+		baseline.addQuiet(x.stage == exchangeQuiet)
 		elapsed := now.Sub(x.lastDataAt)
 		timed := packet.Size == 0 && !(x.multiPacket && x.retransmitted)
-		x.slow = timed && habit.isSlow(elapsed)
+		x.slow = timed && baseline.isSlow(elapsed)
 		if timed {
-			habit.addTime(elapsed)
+			baseline.addTime(elapsed)
 		}
 		x.responseTime = 0
 		if timed && x.measuresWork(packet) {
@@ -266,10 +266,10 @@
 }
 
 // isIgnored reports whether an exchange is not evidence about its target.
-func (w *exchangeTracker) isIgnored(x *exchange) bool {
-	return x.ignored || x.lastDataAt < w.ignoreBefore
+func (t *exchangeTracker) isIgnored(x *exchange) bool {
+	return x.ignored || x.lastDataAt < t.ignoreBefore
 }
 
-// ignoreExchanges discards the exchanges in progress: the process was stalled or delayed
-// packets.
+// ignoreExchanges makes the exchanges without new data after now count as no evidence: the
+// process was stalled or delayed packets.
 func (c *Core) ignoreExchanges(now kernel.Instant) { c.exchanges.ignoreBefore = now }
--- a/internal/steer/exchange_oracle_test.go
+++ b/internal/steer/exchange_oracle_test.go
@@ -83,9 +83,9 @@
 	for position, number := range order {
 		s.emit(observedPacket{packet: Packet{Sequence: s.sequence + uint32(number*part)}, first: position == 0}, part)
 	}
-	if rapid.Bool().Draw(s.T, "copied") {
+	if rapid.Bool().Draw(s.T, "retransmitted") {
 		before := s.at
-		s.at += s.millis(1, 100, "copy after")
+		s.at += s.millis(1, 100, "retransmitted after")
 		s.emit(observedPacket{packet: Packet{Sequence: s.sequence}}, part)
 		s.at = before
 	}
@@ -94,7 +94,7 @@
 
 // playExchange draws an exchange; it returns false if that was the flow's last one.
 func (s *flowScript) playExchange() bool {
-	exchange := simulatedExchange{outcome: outcome(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 3}).Draw(s.T, "fate")), base: s.acknowledged}
+	exchange := simulatedExchange{outcome: outcome(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 3}).Draw(s.T, "outcome")), base: s.acknowledged}
 	exchange.dropped = rapid.IntRange(0, 9).Draw(s.T, "dropped") == 0
 	s.flow.exchanges = append(s.flow.exchanges, exchange)
 	current := &s.flow.exchanges[len(s.flow.exchanges)-1]
@@ -104,7 +104,7 @@
 		s.abandon(s.millis(1500, 2500, "deadline"))
 		return false
 	case outcomeAbandoned:
-		s.abandon(s.millis(1, 150, "patience"))
+		s.abandon(s.millis(1, 150, "caller timeout"))
 		return false
 	case outcomeFailed:
 		current.answer = uint32(rapid.IntRange(150, 250).Draw(s.T, "failure"))
@@ -127,7 +127,7 @@
 // abandon ends a flow without a response, or leaves it open.
 func (s *flowScript) abandon(after time.Duration) {
 	s.at += after
-	switch rapid.IntRange(0, 2).Draw(s.T, "leaves") {
+	switch rapid.IntRange(0, 2).Draw(s.T, "ending") {
 	case 0:
 		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Closing: true}}, 0)
 	case 1:
@@ -152,7 +152,7 @@
 			break
 		}
 		// The pause is short, so that no exchange is quiet before its response is acknowledged.
-		s.at += s.millis(1, 40, "rest")
+		s.at += s.millis(1, 40, "pause")
 	}
 	if more {
 		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Closing: true}, last: true}, 0)
--- a/internal/steer/follower.go
+++ b/internal/steer/follower.go
@@ -106,19 +106,19 @@
 
 // HandleStatus processes a member's status and returns why to leave the member, or nil. The
 // stateless flag is set while the node waits for its first state.
-func (f *Follower) HandleStatus(now kernel.Instant, presence MemberStatus, stateless bool) error {
+func (f *Follower) HandleStatus(now kernel.Instant, status MemberStatus, stateless bool) error {
 	f.gotStatus = true
-	if presence.Current {
+	if status.Current {
 		f.currentAt = now
 		f.emptyCount = 0
 		f.leaderlessCount = 0
 		return nil
 	}
-	if presence.Leaderless >= LeaderlessTimeout && f.mayFindLeader() {
+	if status.Leaderless >= LeaderlessTimeout && f.mayFindLeader() {
 		f.leaderlessCount++
 		return ErrLeaderless
 	}
-	if presence.Empty && stateless && f.shouldLeaveEmpty() {
+	if status.Empty && stateless && f.shouldLeaveEmpty() {
 		return ErrEmpty
 	}
 	if now.Sub(f.currentAt) > NotCurrentTimeout {
@@ -148,11 +148,11 @@
 // maxBackoffDoublings keeps the shift from overflowing.
 const maxBackoffDoublings = 16
 
-// ReadTimeout returns how long to wait for the next byte of the member, where usual is the
-// timeout for a current one. A node without state stays with the member that prepares it.
-func (f *Follower) ReadTimeout(usual time.Duration, stateless bool) time.Duration {
+// ReadTimeout returns how long to wait for the next byte of the member, given the timeout for
+// a current one. A node without state stays with the member that prepares it.
+func (f *Follower) ReadTimeout(timeout time.Duration, stateless bool) time.Duration {
 	if stateless || f.gotStatus || f.leaderlessCount == 0 || !f.mayFindLeader() {
-		return usual
+		return timeout
 	}
 	return FirstStatusTimeout
 }
@@ -193,9 +193,9 @@
 // remoteStayTime returns how long to stay with a member of another zone; it is short if a
 // member of the node's own zone has not been tried yet.
 func (f *Follower) remoteStayTime() time.Duration {
-	spread := time.Duration(f.random.Int64N(int64(ReturnJitter)))
+	jitter := time.Duration(f.random.Int64N(int64(ReturnJitter)))
 	if f.List.HasUntriedLocal() {
-		return spread
+		return jitter
 	}
-	return RemoteStay + spread
+	return RemoteStay + jitter
 }
--- a/internal/steer/losstracker.go
+++ b/internal/steer/losstracker.go
@@ -19,21 +19,21 @@
 }
 
 // addAnswered counts answered data with its number of retransmissions.
-func (w *lossTracker) addAnswered(resent int) {
-	w.answered++
+func (t *lossTracker) addAnswered(resent int) {
+	t.answered++
 	if resent > 0 {
-		w.recovered++
+		t.recovered++
 	}
 }
 
 // decay reduces the counts by the time that has passed.
-func (w *lossTracker) decay(passed time.Duration) {
+func (t *lossTracker) decay(passed time.Duration) {
 	factor := max(0, 1-passed.Seconds()/lossDecayTime.Seconds())
-	w.answered *= factor
-	w.recovered *= factor
+	t.answered *= factor
+	t.recovered *= factor
 }
 
 // isLossy reports whether much data to live targets gets lost.
-func (w *lossTracker) isLossy() bool {
-	return w.recovered >= minRecovered && w.recovered >= lossThreshold*w.answered
+func (t *lossTracker) isLossy() bool {
+	return t.recovered >= minRecovered && t.recovered >= lossThreshold*t.answered
 }
--- a/internal/steer/memberlist_test.go
+++ b/internal/steer/memberlist_test.go
@@ -9,7 +9,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-const faultTime = start
+const failureTime = start
 
 func addresses(members []directory.Member) []string {
 	var list []string
@@ -35,7 +35,7 @@
 func TestFailedMemberComesLast(t *testing.T) {
 	l := NewMemberList("north")
 	l.Members = []directory.Member{{Address: "a", Zone: "south"}, {Address: "b", Zone: "north"}}
-	l.RecordFailure("b", faultTime)
+	l.RecordFailure("b", failureTime)
 	order := addresses(l.Order())
 	assert.Equal(t, "a", order[0])
 	assert.Equal(t, "b", order[len(order)-1])
@@ -54,7 +54,7 @@
 		next := l.Order()[0].Address
 		assert.False(t, tried[next], "attempt %d goes to %s again", attempt, next)
 		tried[next] = true
-		l.RecordFailure(next, faultTime.Add(time.Duration(attempt)*time.Second))
+		l.RecordFailure(next, failureTime.Add(time.Duration(attempt)*time.Second))
 	}
 	assert.Equal(t, "own", l.Order()[0].Address, "the local member comes first in the next round")
 }
@@ -62,8 +62,8 @@
 func TestClearFailuresRestoresLocalMember(t *testing.T) {
 	l := NewMemberList("north")
 	l.Members = []directory.Member{{Address: "a", Zone: "south"}, {Address: "b", Zone: "north"}}
-	l.RecordFailure("b", faultTime)
-	l.RecordFailure("a", faultTime.Add(time.Second))
+	l.RecordFailure("b", failureTime)
+	l.RecordFailure("a", failureTime.Add(time.Second))
 	l.ClearFailures()
 	assert.Equal(t, "b", l.Order()[0].Address)
 }
@@ -71,7 +71,7 @@
 func TestFailuresOfRemovedAddressesAreDropped(t *testing.T) {
 	l := NewMemberList("north")
 	l.Seeds = []string{"old", "new"}
-	l.RecordFailure("old", faultTime)
+	l.RecordFailure("old", failureTime)
 	l.Seeds = []string{"new", "newer"}
 	l.Order()
 	assert.Empty(t, l.failures)
--- a/internal/steer/openings.go
+++ b/internal/steer/openings.go
@@ -51,100 +51,100 @@
 type zoneCounts struct{ opened, refused float64 }
 
 // timeout returns the time after which an opening packet counts as refused.
-func (w *openingTracker) timeout() time.Duration {
-	return min(max(w.meanTime+deviationFactor*w.deviation, minOpeningTimeout), maxOpeningTimeout)
+func (t *openingTracker) timeout() time.Duration {
+	return min(max(t.meanTime+deviationFactor*t.deviation, minOpeningTimeout), maxOpeningTimeout)
 }
 
 // addTime updates the mean and the deviation with the time of an accepted opening packet.
-func (w *openingTracker) addTime(elapsed time.Duration) {
-	if w.meanTime == 0 {
-		w.meanTime = elapsed
-		w.deviation = elapsed / 2
+func (t *openingTracker) addTime(elapsed time.Duration) {
+	if t.meanTime == 0 {
+		t.meanTime = elapsed
+		t.deviation = elapsed / 2
 		return
 	}
-	w.deviation += ((elapsed - w.meanTime).Abs() - w.deviation) / deviationDivisor
-	w.meanTime += (elapsed - w.meanTime) / meanDivisor
+	t.deviation += ((elapsed - t.meanTime).Abs() - t.deviation) / deviationDivisor
+	t.meanTime += (elapsed - t.meanTime) / meanDivisor
 }
 
 func newOpeningTracker() openingTracker {
 	return openingTracker{inFlight: map[FlowKey]*flowEntry{}, counts: map[string]*directory.ZoneOpenings{}, refused: map[*targetEntry]uint32{}, recent: map[string]zoneCounts{}}
 }
 
-func (w *openingTracker) zone(name string) *directory.ZoneOpenings {
-	known, exists := w.counts[name]
+func (t *openingTracker) zone(name string) *directory.ZoneOpenings {
+	known, exists := t.counts[name]
 	if !exists {
 		known = &directory.ZoneOpenings{Zone: name}
-		w.counts[name] = known
+		t.counts[name] = known
 	}
 	return known
 }
 
 // recordOpened records that an opening packet was accepted. It is counted only if it had
 // not timed out.
-func (w *openingTracker) recordOpened(now kernel.Instant, key FlowKey, flow *flowEntry) {
+func (t *openingTracker) recordOpened(now kernel.Instant, key FlowKey, flow *flowEntry) {
 	if flow.placedAt > 0 {
 		flow.exchange.handshakeTime = now.Sub(flow.placedAt)
-		w.addTime(flow.exchange.handshakeTime)
+		t.addTime(flow.exchange.handshakeTime)
 	}
-	if _, waiting := w.inFlight[key]; waiting {
-		delete(w.inFlight, key)
-		w.zone(flow.target.target.Zone).Opened++
+	if _, waiting := t.inFlight[key]; waiting {
+		delete(t.inFlight, key)
+		t.zone(flow.target.target.Zone).Opened++
 	}
 }
 
 // expireOverdue counts the opening packets that have timed out as refused.
-func (w *openingTracker) expireOverdue(now kernel.Instant) {
-	limit := w.timeout()
-	for key, flow := range w.inFlight {
+func (t *openingTracker) expireOverdue(now kernel.Instant) {
+	limit := t.timeout()
+	for key, flow := range t.inFlight {
 		if now.Sub(flow.placedAt) < limit {
 			continue
 		}
-		delete(w.inFlight, key)
+		delete(t.inFlight, key)
 		flow.target.refusedAt = now
-		w.refused[flow.target]++
-		w.zone(flow.target.target.Zone).Refused++
+		t.refused[flow.target]++
+		t.zone(flow.target.target.Zone).Refused++
 	}
 }
 
 // take returns and clears the counts since the last call.
-func (w *openingTracker) take() (zones []directory.ZoneOpenings, refused []SilentTarget) {
-	for _, counted := range w.counts {
+func (t *openingTracker) take() (zones []directory.ZoneOpenings, refused []SilentTarget) {
+	for _, counted := range t.counts {
 		zones = append(zones, *counted)
 	}
-	for entry, count := range w.refused {
+	for entry, count := range t.refused {
 		if entry.refusedAt > entry.answeredAt {
 			refused = append(refused, SilentTarget{Token: entry.target.Token, Weight: count})
 		}
 	}
 	slices.SortFunc(zones, func(a, b directory.ZoneOpenings) int { return cmp.Compare(a.Zone, b.Zone) })
 	slices.SortFunc(refused, func(a, b SilentTarget) int { return cmp.Compare(a.Token, b.Token) })
-	w.updateRecent()
-	clear(w.counts)
-	clear(w.refused)
+	t.updateRecent()
+	clear(t.counts)
+	clear(t.refused)
 	return zones, refused
 }
 
 // updateRecent decays the recent counts and adds those since the last call.
-func (w *openingTracker) updateRecent() {
-	for zone, share := range w.recent {
-		w.recent[zone] = zoneCounts{opened: share.opened * recentDecay, refused: share.refused * recentDecay}
+func (t *openingTracker) updateRecent() {
+	for zone, share := range t.recent {
+		t.recent[zone] = zoneCounts{opened: share.opened * recentDecay, refused: share.refused * recentDecay}
 		if share.opened+share.refused < minRecent {
-			delete(w.recent, zone)
+			delete(t.recent, zone)
 		}
 	}
-	for zone, counted := range w.counts {
-		share := w.recent[zone]
+	for zone, counted := range t.counts {
+		share := t.recent[zone]
 		share.opened += float64(counted.Opened)
 		share.refused += float64(counted.Refused)
-		w.recent[zone] = share
+		t.recent[zone] = share
 	}
 }
 
 // refusedEverywhere reports whether most recent openings were refused in each of several
 // zones. Then this node's link is the likely cause, or all targets are full.
-func (w *openingTracker) refusedEverywhere() bool {
+func (t *openingTracker) refusedEverywhere() bool {
 	zones := 0
-	for _, share := range w.recent {
+	for _, share := range t.recent {
 		if share.refused <= share.opened {
 			return false
 		}
@@ -155,7 +155,7 @@
 
 // clearInFlight drops the pending opening packets. After a stall, the packets that show their
 // acceptance are still queued in the socket.
-func (w *openingTracker) clearInFlight() { clear(w.inFlight) }
+func (t *openingTracker) clearInFlight() { clear(t.inFlight) }
 
 // hasRefused reports whether a target recently refused an opening packet and has not
 // answered since.
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -168,9 +168,9 @@
 // collectFallbacks fills the list of candidates when every target would be skipped.
 func (c *Core) collectFallbacks(now kernel.Instant, all []*targetEntry, tried []directory.Token) {
 	c.resetCandidates()
-	for step := 0; step < fallbackLevels && len(c.usable) == 0; step++ {
+	for level := 0; level < fallbackLevels && len(c.usable) == 0; level++ {
 		for _, entry := range all {
-			if entry.isFallback(step, contains(tried, entry.target.Token)) {
+			if entry.isFallback(level, contains(tried, entry.target.Token)) {
 				c.addCandidate(now, entry)
 			}
 		}
@@ -178,9 +178,10 @@
 }
 
 // isFallback reports whether a target may be used at a fallback level: first doubtful and
-// warming targets, then failing ones, then lost ones, and at last those tried before.
-func (entry *targetEntry) isFallback(step int, tried bool) bool {
-	switch step {
+// warming targets and those on probation, then ejected ones, then lost ones, and at last
+// those tried before.
+func (entry *targetEntry) isFallback(level int, tried bool) bool {
+	switch level {
 	case 0:
 		return !entry.ejected && !entry.lost && !tried
 	case 1:
--- a/internal/steer/probe.go
+++ b/internal/steer/probe.go
@@ -62,40 +62,40 @@
 func (o ProbeOutcome) String() string { return [...]string{"unknown", "reached", "failed"}[o] }
 
 // isUnreachable reports whether enough recent probes have failed.
-func (r *probeState) isUnreachable(now kernel.Instant) bool {
-	return r.failures >= probeFailuresNeeded && now.Sub(r.endedAt) < probeLifetime
+func (s *probeState) isUnreachable(now kernel.Instant) bool {
+	return s.failures >= probeFailuresNeeded && now.Sub(s.endedAt) < probeLifetime
 }
 
 // isDue reports whether a target for which a caller waits may be probed now.
-func (r *probeState) isDue(now kernel.Instant) bool {
+func (s *probeState) isDue(now kernel.Instant) bool {
 	interval := probeInterval
-	if r.failures == 0 && r.endedAt > 0 {
+	if s.failures == 0 && s.endedAt > 0 {
 		interval = probeLifetime
 	}
-	return !r.inFlight && now.Sub(r.endedAt) >= interval
+	return !s.inFlight && now.Sub(s.endedAt) >= interval
 }
 
 // begin records the start of a probe.
-func (r *probeState) begin(now kernel.Instant) {
-	r.inFlight = true
-	if now.Sub(r.endedAt) >= probeLifetime {
-		r.failures = 0
+func (s *probeState) begin(now kernel.Instant) {
+	s.inFlight = true
+	if now.Sub(s.endedAt) >= probeLifetime {
+		s.failures = 0
 	}
-	if r.failures == 0 {
-		r.startedAt = now
+	if s.failures == 0 {
+		s.startedAt = now
 	}
 }
 
 // end records the result of a probe.
-func (r *probeState) end(now kernel.Instant, outcome ProbeOutcome) {
-	r.inFlight = false
+func (s *probeState) end(now kernel.Instant, outcome ProbeOutcome) {
+	s.inFlight = false
 	switch outcome {
 	case ProbeReached:
-		r.failures = 0
-		r.endedAt = now
+		s.failures = 0
+		s.endedAt = now
 	case ProbeFailed:
-		r.failures++
-		r.endedAt = now
+		s.failures++
+		s.endedAt = now
 	}
 }
 
--- a/internal/steer/progress_test.go
+++ b/internal/steer/progress_test.go
@@ -105,7 +105,7 @@
 	s.first = rapid.Uint32().Draw(t, "first")
 	s.acknowledged = make([]bool, len(s.sizes))
 	s.received = make([]bool, len(s.sizes))
-	s.stopsAt = time.Duration(rapid.IntRange(0, 2000).Draw(t, "dies")) * time.Millisecond
+	s.stopsAt = time.Duration(rapid.IntRange(0, 2000).Draw(t, "stops at")) * time.Millisecond
 	return s
 }
 
@@ -119,7 +119,7 @@
 }
 
 func (s *uploadSimulation) send(now time.Duration, number int) {
-	delay := time.Duration(rapid.IntRange(0, maxDelayMillis-1).Draw(s.T, "late")) * time.Millisecond
+	delay := time.Duration(rapid.IntRange(0, maxDelayMillis-1).Draw(s.T, "delay")) * time.Millisecond
 	s.arrivals = append(s.arrivals, simulatedPacket{at: now + delay, number: number})
 }
 
@@ -147,7 +147,7 @@
 		}
 		if now < s.stopsAt {
 			s.received[arrival.number] = true
-			delay := time.Duration(rapid.IntRange(1, maxAckDelayMillis).Draw(s.T, "turn")) * time.Millisecond
+			delay := time.Duration(rapid.IntRange(1, maxAckDelayMillis).Draw(s.T, "acknowledgement delay")) * time.Millisecond
 			s.acks = append(s.acks, simulatedPacket{at: now + delay, number: arrival.number})
 		}
 	}
--- a/internal/steer/speeds.go
+++ b/internal/steer/speeds.go
@@ -44,20 +44,20 @@
 }
 
 // isKnown reports whether the baseline has enough samples.
-func (u *workBaseline) isKnown() bool { return u.samples >= minWorkSamples }
+func (b *workBaseline) isKnown() bool { return b.samples >= minWorkSamples }
 
 // sample returns the logarithm of a request's work relative to the baseline.
-func (u *workBaseline) sample(work time.Duration) float64 {
-	return math.Log(max(float64(work.Microseconds()), 1)) - u.mean
+func (b *workBaseline) sample(work time.Duration) float64 {
+	return math.Log(max(float64(work.Microseconds()), 1)) - b.mean
 }
 
 // learn updates the baseline with a sample, less the known deviation of its target.
-func (u *workBaseline) learn(sample float64) {
-	if u.isKnown() {
+func (b *workBaseline) learn(sample float64) {
+	if b.isKnown() {
 		sample = min(max(sample, -speed.MaxSample), speed.MaxSample)
 	}
-	u.samples = min(u.samples+1, workSampleLimit)
-	u.mean += sample / float64(u.samples)
+	b.samples = min(b.samples+1, workSampleLimit)
+	b.mean += sample / float64(b.samples)
 }
 
 // targetSpeed holds the request times of a target.
@@ -92,31 +92,31 @@
 		networkTime = c.openings.meanTime
 	}
 	work := max(x.responseTime-networkTime, time.Duration(minWorkFraction*float64(x.responseTime)))
-	usual := &x.baseline.work
-	sample := usual.sample(work)
-	if usual.isKnown() {
+	baseline := &x.baseline.work
+	sample := baseline.sample(work)
+	if baseline.isKnown() {
 		if sample < -speed.MaxSample && x.baseline.isSmall(size) {
 			return
 		}
 		c.addSample(now, x.target, sample)
 	}
-	usual.learn(sample - math.Log(x.target.relativeTime(now)))
+	baseline.learn(sample - math.Log(x.target.relativeTime(now)))
 }
 
 func (c *Core) addSample(now kernel.Instant, target *targetEntry, sample float64) {
-	learned := &target.speed
-	learned.sums = learned.sums.Decayed(now.Sub(learned.summedAt), speed.HalfLife)
-	learned.sums.Add(sample)
-	learned.summedAt = now
-	learned.unreported = true
-	if !learned.inList {
-		learned.inList = true
+	samples := &target.speed
+	samples.sums = samples.sums.Decayed(now.Sub(samples.summedAt), speed.HalfLife)
+	samples.sums.Add(sample)
+	samples.summedAt = now
+	samples.unreported = true
+	if !samples.inList {
+		samples.inList = true
 		c.speeds.sampled = append(c.speeds.sampled, target)
 	}
 }
 
-// TakeSpeeds returns the request times to report to the control member. It returns nil more
-// often than once per speedReportInterval.
+// TakeSpeeds returns the request times to report to the control member, or nil if the last
+// report is less than speedReportInterval old.
 func (c *Core) TakeSpeeds(now kernel.Instant) []speed.Report {
 	if now.Before(c.speeds.nextReportAt) {
 		return nil
@@ -126,18 +126,18 @@
 	remaining := c.speeds.sampled[:0]
 	var reported []*targetEntry
 	for _, entry := range c.speeds.sampled {
-		learned := &entry.speed
-		sums := learned.sums.Decayed(now.Sub(learned.summedAt), speed.HalfLife)
+		samples := &entry.speed
+		sums := samples.sums.Decayed(now.Sub(samples.summedAt), speed.HalfLife)
 		if sums.Count < speed.MinCount || entry.target.State == directory.TargetEnded {
-			learned.inList = false
+			samples.inList = false
 			continue
 		}
-		if len(words) == maxTargetsPerReport || !learned.isDue(now) {
+		if len(words) == maxTargetsPerReport || !samples.isDue(now) {
 			remaining = append(remaining, entry)
 			continue
 		}
-		learned.reportedAt = now
-		learned.unreported = false
+		samples.reportedAt = now
+		samples.unreported = false
 		reported = append(reported, entry)
 		words = append(words, speed.Report{Token: entry.target.Token, Sums: sums})
 	}
--- a/internal/steer/timerwheel.go
+++ b/internal/steer/timerwheel.go
@@ -34,9 +34,9 @@
 	*slot = flow
 }
 
-// advance calls look for each flow that is due. Look returns the delay until the next check,
+// advance calls check for each flow that is due. The result is the delay until the next check,
 // or 0 for none.
-func (w *timerWheel) advance(now kernel.Instant, look func(now kernel.Instant, flow *flowEntry) time.Duration) {
+func (w *timerWheel) advance(now kernel.Instant, check func(now kernel.Instant, flow *flowEntry) time.Duration) {
 	current := int64(now) / int64(wheelSlot)
 	first := max(w.lastSlot+1, current-wheelSlots+1)
 	w.lastSlot = max(w.lastSlot, current)
@@ -47,7 +47,7 @@
 			next := flow.exchange.nextInSlot
 			flow.exchange.inWheel = false
 			flow.exchange.nextInSlot = nil
-			if after := look(now, flow); after > 0 {
+			if after := check(now, flow); after > 0 {
 				w.add(now, flow, after)
 			}
 			flow = next
--- a/internal/steer/warmup.go
+++ b/internal/steer/warmup.go
@@ -30,20 +30,20 @@
 }
 
 // remaining returns the fraction of the warm-up that is left, from 1 to 0.
-func (c *warmupState) remaining(now kernel.Instant) float64 {
-	if !now.Before(c.until) {
+func (w *warmupState) remaining(now kernel.Instant) float64 {
+	if !now.Before(w.until) {
 		return 0
 	}
-	return float64(c.until.Sub(now)) / float64(c.until.Sub(c.since))
+	return float64(w.until.Sub(now)) / float64(w.until.Sub(w.since))
 }
 
 // hasBudget reports whether this node may send the target another opening packet.
-func (c *warmupState) hasBudget(now kernel.Instant) bool {
-	if !c.bounded || !now.Before(c.until) {
+func (w *warmupState) hasBudget(now kernel.Instant) bool {
+	if !w.bounded || !now.Before(w.until) {
 		return true
 	}
-	c.sent = slices.DeleteFunc(c.sent, func(at kernel.Instant) bool { return now.Sub(at) >= budgetWindow })
-	return uint32(len(c.sent)) < c.share
+	w.sent = slices.DeleteFunc(w.sent, func(at kernel.Instant) bool { return now.Sub(at) >= budgetWindow })
+	return uint32(len(w.sent)) < w.share
 }
 
 // recordOpening counts an opening packet against the budget of a warming target.
@@ -78,17 +78,17 @@
 	if entry.warmup == nil {
 		return false
 	}
-	left := entry.warmup.remaining(now)
-	return left > 0 && c.settings.Random.Float64() < left
+	remaining := entry.warmup.remaining(now)
+	return remaining > 0 && c.settings.Random.Float64() < remaining
 }
 
 // setEvacuations applies the evacuation orders of zones.
 func (c *Core) setEvacuations(now kernel.Instant, evacuations []directory.Evacuation) {
 	for _, evacuation := range evacuations {
-		known := c.evacuationRevisions[evacuation.Zone]
+		previous := c.evacuationRevisions[evacuation.Zone]
 		c.evacuationRevisions[evacuation.Zone] = evacuation.Revision
 		c.evacuated[evacuation.Zone] = evacuation.Active
-		if !evacuation.Active && evacuation.Revision > known {
+		if !evacuation.Active && evacuation.Revision > previous {
 			c.endEvacuation(now, evacuation)
 		}
 	}
