--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -219,7 +219,7 @@
 }
 
 // addWarmingSlots adds the slots of a skipped warming target. In the node's own zone they are
-// not missing capacity and must not cause spill; in other zones they take no spill.
+// not missing capacity and must not cause spill. In other zones they add no capacity for spill.
 func (c *Core) addWarmingSlots(entry *targetEntry) {
 	if entry.target.Zone != c.settings.Zone {
 		c.addSlots(entry)
--- a/internal/steer/speeds.go
+++ b/internal/steer/speeds.go
@@ -122,7 +122,7 @@
 		return nil
 	}
 	c.speeds.nextReportAt = now.Add(speedReportInterval)
-	var words []speed.Report
+	var reports []speed.Report
 	remaining := c.speeds.sampled[:0]
 	var reported []*targetEntry
 	for _, entry := range c.speeds.sampled {
@@ -132,18 +132,18 @@
 			samples.inList = false
 			continue
 		}
-		if len(words) == maxTargetsPerReport || !samples.isDue(now) {
+		if len(reports) == maxTargetsPerReport || !samples.isDue(now) {
 			remaining = append(remaining, entry)
 			continue
 		}
 		samples.reportedAt = now
 		samples.unreported = false
 		reported = append(reported, entry)
-		words = append(words, speed.Report{Token: entry.target.Token, Sums: sums})
+		reports = append(reports, speed.Report{Token: entry.target.Token, Sums: sums})
 	}
 	clear(c.speeds.sampled[len(remaining):])
 	c.speeds.sampled = append(remaining, reported...)
-	return words
+	return reports
 }
 
 func (s *targetSpeed) isDue(now kernel.Instant) bool {
--- a/internal/steer/speeds_test.go
+++ b/internal/steer/speeds_test.go
@@ -67,22 +67,22 @@
 // takeReports returns the next report of request times by target.
 func (b *speedFixture) takeReports() map[directory.Token]speed.Sums {
 	b.now = b.now.Add(speedReportInterval)
-	words := map[directory.Token]speed.Sums{}
-	for _, word := range b.core.TakeSpeeds(b.now) {
-		words[word.Token] = word.Sums
+	reports := map[directory.Token]speed.Sums{}
+	for _, report := range b.core.TakeSpeeds(b.now) {
+		reports[report.Token] = report.Sums
 	}
-	return words
+	return reports
 }
 
 func TestWorkTimeExcludesNetworkTime(t *testing.T) {
 	b := newSpeedFixture(t)
 	b.learnBaseline()
 	b.requests(5, b.tokens[1], 2*typicalWork)
-	words := b.takeReports()
-	assert.InDelta(t, 0, words[b.tokens[0]].Mean(), 0.05)
-	assert.InDelta(t, math.Ln2, words[b.tokens[1]].Mean(), 0.15)
-	assert.InDelta(t, 5, words[b.tokens[1]].Count, 0.5)
-	assert.NotContains(t, words, b.tokens[2])
+	reports := b.takeReports()
+	assert.InDelta(t, 0, reports[b.tokens[0]].Mean(), 0.05)
+	assert.InDelta(t, math.Ln2, reports[b.tokens[1]].Mean(), 0.15)
+	assert.InDelta(t, 5, reports[b.tokens[1]].Count, 0.5)
+	assert.NotContains(t, reports, b.tokens[2])
 }
 
 // Request times are relative to those of their own route.
@@ -178,9 +178,9 @@
 	}
 	reports := map[directory.Token]int{}
 	for range 2 * int(speedRepeatInterval/speedReportInterval) {
-		words := b.takeReports()
-		assert.LessOrEqual(t, len(words), maxTargetsPerReport)
-		for token := range words {
+		batch := b.takeReports()
+		assert.LessOrEqual(t, len(batch), maxTargetsPerReport)
+		for token := range batch {
 			reports[token]++
 		}
 	}
