--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func drawNodes(t *rapid.T) []Node {
+func randomNodes(t *rapid.T) []Node {
 	count := rapid.IntRange(1, 40).Draw(t, "count")
 	nodes := make([]Node, count)
 	for position := range nodes {
@@ -20,13 +20,13 @@
 	return nodes
 }
 
-// A node that goes is the last one, so that the positions of the others stay.
-func TestAChangeOfOneNodeMovesOnlyItsOwnKeys(t *testing.T) {
+// Only the last node is removed, so that the indexes of the others stay.
+func TestChangingOneNodeMovesOnlyItsKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		before := drawNodes(t)
+		before := randomNodes(t)
 		changed := len(before) - 1
 		after, grows := before[:changed], false
-		if !rapid.Bool().Draw(t, "goes") {
+		if !rapid.Bool().Draw(t, "removed") {
 			changed = rapid.IntRange(0, changed).Draw(t, "changed")
 			after = append([]Node{}, before...)
 			after[changed].Weight = rapid.Float64Range(0.001, 100).Draw(t, "changed weight")
@@ -34,32 +34,32 @@
 		}
 		for number := range 200 {
 			key := Hash(fmt.Sprint("i-", number))
-			was, is := Best(before, key), Best(after, key)
-			if was == is {
+			ownerBefore, ownerAfter := Best(before, key), Best(after, key)
+			if ownerBefore == ownerAfter {
 				continue
 			}
-			assert.Equal(t, grows, is == changed, "a node that grows only gains, another only loses")
-			assert.Equal(t, !grows, was == changed)
+			assert.Equal(t, grows, ownerAfter == changed, "a node with more weight only gains keys, one with less only loses")
+			assert.Equal(t, !grows, ownerBefore == changed)
 		}
 	})
 }
 
-// The search without logarithms finds what sorting all costs does.
-func TestTheFirstNodesHaveTheLeastCosts(t *testing.T) {
+// The search that avoids logarithms must agree with sorting all costs.
+func TestBestNHasLowestCosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		nodes := drawNodes(t)
+		nodes := randomNodes(t)
 		key := rapid.Uint64().Draw(t, "key")
 		limit := rapid.IntRange(0, 50).Draw(t, "limit")
 		order := make([]int, len(nodes))
 		for position := range nodes {
 			order[position] = position
 		}
-		costOf := func(position int) float64 { return cost(point(nodes[position].Seed, key), nodes[position].Weight) }
+		costOf := func(position int) float64 { return cost(uniform(nodes[position].Seed, key), nodes[position].Weight) }
 		slices.SortFunc(order, func(a, b int) int { return cmp.Compare(costOf(a), costOf(b)) })
 		assert.Equal(t, order[0], Best(nodes, key))
-		first := BestN(nodes, key, limit)
-		assert.Len(t, first, min(limit, len(nodes)))
-		assert.True(t, slices.Equal(order[:len(first)], first))
+		best := BestN(nodes, key, limit)
+		assert.Len(t, best, min(limit, len(nodes)))
+		assert.True(t, slices.Equal(order[:len(best)], best))
 	})
 }
 
@@ -72,18 +72,18 @@
 	}
 	for position, node := range nodes {
 		share := node.Weight / 10
-		// Five standard deviations of a draw by chance.
+		// Five standard deviations of the sampled share.
 		assert.InDelta(t, share, counts[position]/keys, 5*math.Sqrt(share*(1-share)/keys)+1e-9)
 	}
 }
 
-func TestWithoutNodesNobodyHasAKey(t *testing.T) {
+func TestBestWithoutNodesOrWeights(t *testing.T) {
 	assert.Equal(t, -1, Best(nil, 1))
 	assert.Empty(t, BestN(nil, 1, 3))
-	assert.Equal(t, 0, Best([]Node{{Seed: 1}}, 1), "a single one without a weight")
+	assert.Equal(t, 0, Best([]Node{{Seed: 1}}, 1), "a single node of weight 0")
 }
 
-func BenchmarkOfAThousand(b *testing.B) {
+func BenchmarkThousandNodes(b *testing.B) {
 	nodes := make([]Node, 1000)
 	for position := range nodes {
 		nodes[position] = Node{Seed: Hash(fmt.Sprint("n-", position)), Weight: 1 + float64(position%4)}
--- a/internal/steer/choiceothers_test.go
+++ b/internal/steer/choicealternatives_test.go
@@ -6,28 +6,28 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// The ways of choosing that rateChoice is held against.
+// Alternative choosers, for comparison with rateChoice.
 
-// delay returns the expected time of a new flow's request: the wait and its own service.
+// delay returns the expected time of a new request: the queue and its own service.
 func (c Candidate) delay() float64 {
 	delay := float64(c.Waiting+1) / c.rate()
 	if !c.Local {
-		delay += farCost
+		delay += crossZoneCost
 	}
 	return delay
 }
 
-// delayChoice takes the candidate with the least expected delay, equal ones by lot. It
-// fits few nodes that each see most of a target's flows.
-type delayChoice struct{}
+// leastDelayChoice selects the candidate with the least expected delay and breaks ties at
+// random. It suits few nodes that each see most of a target's flows.
+type leastDelayChoice struct{}
 
-var _ Chooser = (*delayChoice)(nil)
+var _ Chooser = (*leastDelayChoice)(nil)
 
 // PluginID implements kernel.Plugin.
-func (*delayChoice) PluginID() kernel.PluginID { return "steer.choice.expected-delay" }
+func (*leastDelayChoice) PluginID() kernel.PluginID { return "steer.choice.expected-delay" }
 
 // Choose implements Chooser.
-func (*delayChoice) Choose(choice Choice, random *rand.Rand) int {
+func (*leastDelayChoice) Choose(choice Choice, random *rand.Rand) int {
 	best := 0
 	equal := 0
 	lowest := 0.0
@@ -46,16 +46,16 @@
 	return best
 }
 
-// twoChoice draws two candidates and takes the one with the least expected delay.
-type twoChoice struct{}
+// twoRandomChoice draws two candidates and selects the one with the smaller delay.
+type twoRandomChoice struct{}
 
-var _ Chooser = (*twoChoice)(nil)
+var _ Chooser = (*twoRandomChoice)(nil)
 
 // PluginID implements kernel.Plugin.
-func (*twoChoice) PluginID() kernel.PluginID { return "steer.choice.two" }
+func (*twoRandomChoice) PluginID() kernel.PluginID { return "steer.choice.two" }
 
 // Choose implements Chooser.
-func (*twoChoice) Choose(choice Choice, random *rand.Rand) int {
+func (*twoRandomChoice) Choose(choice Choice, random *rand.Rand) int {
 	candidates := choice.Candidates
 	first := random.IntN(len(candidates))
 	second := random.IntN(len(candidates))
--- a/internal/steer/exchange.go
+++ b/internal/steer/exchange.go
@@ -7,135 +7,127 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// An exchange is data of a caller and what the target did with it. A node sees only
-// what callers send: their data, their acknowledgements, and how they end flows. From
-// that it counts for each target how exchanges end. The signs, and where they fail:
+// An exchange is a request of a caller and the target's response. A node sees only the
+// packets of callers: data, acknowledgements, and how they end their flows. From these it
+// classifies exchanges per target:
 //
-//   - Unanswered: data, and for the quiet time of its route no progress of the
-//     acknowledgement and no new data; or an end whose acknowledgement covers nothing
-//     but the target's own end. A caller on a long flow need not acknowledge an answer
-//     of one packet before its next request: where flows that fell quiet speak again
-//     with an answer, quiet says nothing (routeHabit.isQuietTelling). A node that
-//     nobody else was answered through meanwhile is cut off or choked itself: what it
-//     misses counts nothing. So does what a doubtful witness sees (isDoubtfulWitness),
-//     what a node was stopped through, and what it dropped or held back.
-//   - Short: an answer far shorter than the route's usual ones at this node. Where the
-//     usual ones are short already, none is. A caller that ends a download midway looks
-//     the same, at all targets alike; one that breaks it off with a reset does not.
-//   - Slow: a first progress far later than is usual for the route. Uploads are timed
-//     from their last new data, unless some of it was lost. Only what is seen at once is
-//     timed: progress that comes with the next request says nothing of when the answer
-//     came. A request of one packet that was lost looks slow, at all targets alike and
-//     seldom.
+//   - Unanswered: data without progress of the acknowledgement or new data for the quiet
+//     time of the route, or a flow that ends with nothing acknowledged but the target's
+//     close. Quiet is ignored on routes whose callers acknowledge one-packet responses only
+//     with their next request (routeBaseline.isQuietSignificant).
+//   - Short: a response far shorter than the route's baseline. A caller that closes midway
+//     through a download looks the same, but does so at all targets alike. A flow that the
+//     caller resets is not counted as short.
+//   - Slow: first progress far later than the route's baseline. Uploads are timed from
+//     their last new data, unless packets were retransmitted. Progress that arrives with the
+//     next request is not timed. A lost one-packet request looks slow, at all targets alike.
 //
-// A caller that breaks off before the quiet time, by an end or a reset, may have
-// changed its mind, or sends no more and listens on: that counts nothing. A flow that
-// a node joins midway counts from a later request on, since stray copies of a flow that
-// has ended look like one that is joined; one that leaves the node looks
-// quiet, at all targets alike and seldom. Packets out of order and copies are told by
-// their positions, which wrap. Data sent again after a loss is no new request.
+// Exchanges are ignored if a local cause is possible: no other exchange made progress
+// through this node meanwhile, the evidence is doubtful (isUnreliableObserver), the process
+// was stalled, or the node dropped or delayed packets. A caller that leaves before the quiet
+// time may have canceled. A flow joined midway counts from its second request on, because
+// stray retransmissions of an ended flow look like one. A flow that moves to another node
+// looks quiet, at all targets alike. Positions wrap; packets out of order and
+// retransmissions are detected by position.
 
 const (
-	// shortestQuiet is the time without progress after which an exchange may count as
-	// unanswered: callers send data again after 200 ms, so one lost packet is made good
-	// by then.
-	shortestQuiet = answerPatience
-	// longQuiet is the same for data of more than one packet: others of them may be lost,
-	// and copies of a packet are sent after 200 and 600 ms.
-	longQuiet = 700 * time.Millisecond
-	// longestQuiet bounds the quiet time of routes whose answers take long, so that a
-	// target is seen within the time in which callers give up.
-	longestQuiet = time.Second
-	// quietFactor is the multiple of the time that a route's late answers take after
-	// which an exchange is quiet.
+	// minQuietTime is the shortest time without progress after which an exchange is quiet.
+	// Callers retransmit after 200 ms, so one lost packet has been repaired by then.
+	minQuietTime = retransmitTimeout
+	// multiPacketQuietTime is the same for data of several packets, where more than one may
+	// be lost; callers retransmit 200 and 600 ms after the first transmission.
+	multiPacketQuietTime = 700 * time.Millisecond
+	// maxQuietTime bounds the quiet time of slow routes, so that failures are seen before
+	// callers give up.
+	maxQuietTime = time.Second
+	// quietFactor is the ratio of the quiet time to a high quantile of response times.
 	quietFactor = 2
-	// slowFactor is the multiple of a route's usual time to the first progress that is
-	// slow: work of one kind may take several times its mean.
+	// slowFactor is the ratio to the median response time above which an exchange is slow;
+	// requests of one kind may take several times the mean.
 	slowFactor = 8
-	// shortestSlow is the least time to a first progress that counts as slow; below it
-	// ways and queues differ by as much.
-	shortestSlow = 100 * time.Millisecond
-	// strayTime is the time after a flow's end in which copies of its packets may still
-	// come: less than the time after which callers send copies. They look like a flow
-	// that the node joins.
-	strayTime = 200 * time.Millisecond
-	// ownEnd is the number of positions that a target's end takes in its stream.
-	ownEnd = 1
+	// minSlowTime is the shortest time that counts as slow; network and queueing delays vary
+	// by less.
+	minSlowTime = 100 * time.Millisecond
+	// strayPacketTime is how long after the end of a flow its packets may still arrive. It is
+	// less than a caller's first retransmission timeout.
+	strayPacketTime = 200 * time.Millisecond
+	// finLength is the number of positions that a close takes in a stream, like a TCP FIN.
+	finLength = 1
 )
 
-// exchangeStage tells how far an exchange has come.
+// exchangeStage is the state of an exchange.
 type exchangeStage uint8
 
 const (
-	// exchangeNone is before the first data, or after the flow is forgotten.
+	// exchangeNone is before the first data, or after the flow was removed.
 	exchangeNone exchangeStage = iota
-	// exchangeWaiting has data and no progress.
+	// exchangeWaiting has sent data and seen no progress.
 	exchangeWaiting
-	// exchangeQuiet has waited for longer than the quiet time.
+	// exchangeQuiet has seen no progress for longer than the quiet time.
 	exchangeQuiet
-	// exchangeAnswering has made progress.
+	// exchangeAnswering has seen progress.
 	exchangeAnswering
 )
 
-// exchange is the newest exchange of a flow.
+// exchange is the latest exchange of a flow.
 type exchange struct {
 	stage exchangeStage
-	// begun is set once acknowledged is known.
-	begun bool
-	// void is set when the exchange tells nothing of the target.
-	void bool
-	// listed is set while the flow is in the wheel.
-	listed bool
-	// slow is set when the first progress was late.
+	// started is set once acknowledged is valid.
+	started bool
+	// ignored is set when the exchange is not evidence about the target.
+	ignored bool
+	// inWheel is set while the flow is in the timer wheel.
+	inWheel bool
+	// slow is set when the first progress was slow.
 	slow bool
-	// long is set when the data takes more than one packet.
-	long bool
-	// copied is set when some of it was sent again or came out of order.
-	copied bool
-	// base is the caller's acknowledgement when the exchange began, acknowledged the
-	// furthest one, and end the position behind the furthest data.
-	base, acknowledged, end uint32
-	// way is the time from the flow's opening packet to the caller's next one.
-	way time.Duration
-	// took is the time to the first progress where it is that of the target's work, or 0.
-	took time.Duration
-	// later is set when the flow had an exchange before.
-	later bool
-	// joinedAt is when the node first saw a flow whose beginning it did not see.
+	// multiPacket is set when the request takes more than one packet.
+	multiPacket bool
+	// retransmitted is set when data was repeated or arrived out of order.
+	retransmitted bool
+	// baseAcknowledged is the caller's acknowledgement at the start of the exchange,
+	// acknowledged the highest one, and end the position after the highest data.
+	baseAcknowledged, acknowledged, end uint32
+	// handshakeTime is the time from the opening packet to the caller's next packet.
+	handshakeTime time.Duration
+	// responseTime is the time to the first progress if it measures the target's work, or 0.
+	responseTime time.Duration
+	// subsequent is set when the flow had an exchange before.
+	subsequent bool
+	// joinedAt is when the node first saw a flow that began elsewhere.
 	joinedAt kernel.Instant
-	// newest is when data came that was not sent before.
-	newest kernel.Instant
-	target *targetEntry
-	habit  *routeHabit
-	// next is the next flow in the same slot of the wheel.
-	next *flowEntry
+	// lastDataAt is when data last arrived that had not been seen before.
+	lastDataAt kernel.Instant
+	target     *targetEntry
+	baseline   *routeBaseline
+	// nextInSlot is the next flow in the same slot of the timer wheel.
+	nextInSlot *flowEntry
 }
 
-// exchangeWatch follows the exchanges of the open flows.
-type exchangeWatch struct {
-	wheel quietWheel
-	// counted are the targets with outcomes since the last report.
-	counted []*targetEntry
-	// answered is when an exchange last made progress, at any target.
-	answered kernel.Instant
-	// voidBefore is the time up to which exchanges that have begun tell nothing.
-	voidBefore kernel.Instant
+// exchangeTracker is the state shared by the exchanges of all flows.
+type exchangeTracker struct {
+	wheel timerWheel
+	// withOutcomes are the targets with outcomes since the last report.
+	withOutcomes []*targetEntry
+	// lastProgressAt is when an exchange with any target last made progress.
+	lastProgressAt kernel.Instant
+	// Exchanges whose last new data arrived before ignoreBefore are ignored.
+	ignoreBefore kernel.Instant
 }
 
-// noteExchange follows a packet of an open flow.
-func (c *Core) noteExchange(now kernel.Instant, packet Packet, flow *flowEntry, target *targetEntry) {
+// trackExchange updates the exchange of a flow with a packet of the caller.
+func (c *Core) trackExchange(now kernel.Instant, packet Packet, flow *flowEntry, target *targetEntry) {
 	x := &flow.exchange
-	if !x.begun {
-		x.begun = true
+	if !x.started {
+		x.started = true
 		x.acknowledged = packet.Acknowledged
-		x.base = packet.Acknowledged
+		x.baseAcknowledged = packet.Acknowledged
 	}
 	if advances(x.acknowledged, packet.Acknowledged) {
 		x.acknowledged = packet.Acknowledged
-		c.noteProgress(now, packet, x)
+		c.recordProgress(now, packet, x)
 	}
 	if packet.Size > 0 {
-		c.noteData(now, packet, flow, target)
+		c.recordData(now, packet, flow, target)
 	}
 	if packet.Closing || packet.Reset {
 		c.endExchange(now, x, packet.Reset)
@@ -144,138 +136,140 @@
 
 // quietTime returns the time without progress after which the exchange is quiet.
 func (x *exchange) quietTime() time.Duration {
-	if x.long {
-		return max(x.habit.quietTime(), longQuiet)
+	if x.multiPacket {
+		return max(x.baseline.quietTime(), multiPacketQuietTime)
 	}
-	return x.habit.quietTime()
+	return x.baseline.quietTime()
 }
 
-// advances reports whether a position is ahead of another one; positions wrap.
+// advances reports whether position to is ahead of from; positions wrap.
 func advances(from, to uint32) bool { return int32(to-from) > 0 }
 
-// join notes that the node sees a flow whose beginning it did not see.
-func (x *exchange) join(now kernel.Instant, packet Packet) {
-	*x = exchange{stage: exchangeAnswering, begun: true, void: true, later: true, joinedAt: now, base: packet.Acknowledged, acknowledged: packet.Acknowledged}
+// joinMidFlow starts tracking a flow whose beginning this node has not seen.
+func (x *exchange) joinMidFlow(now kernel.Instant, packet Packet) {
+	*x = exchange{stage: exchangeAnswering, started: true, ignored: true, subsequent: true, joinedAt: now, baseAcknowledged: packet.Acknowledged, acknowledged: packet.Acknowledged}
 	x.end = packet.Sequence + uint32(packet.Size)
 }
 
-// noteProgress notes that the caller has got more of an answer.
-func (c *Core) noteProgress(now kernel.Instant, packet Packet, x *exchange) {
+// recordProgress records that the caller has received more of the response.
+func (c *Core) recordProgress(now kernel.Instant, packet Packet, x *exchange) {
 	if x.stage != exchangeWaiting && x.stage != exchangeQuiet {
 		return
 	}
-	c.exchanges.answered = now
-	habit := x.habit
-	if !c.exchanges.isVoid(x) {
-		habit.noteQuiet(x.stage == exchangeQuiet)
-		took := now.Sub(x.newest)
-		timed := packet.Size == 0 && !(x.long && x.copied)
-		x.slow = timed && habit.isSlow(took)
+	c.exchanges.lastProgressAt = now
+	baseline := x.baseline
+	if !c.exchanges.isIgnored(x) {
+		baseline.addQuiet(x.stage == exchangeQuiet)
+		elapsed := now.Sub(x.lastDataAt)
+		timed := packet.Size == 0 && !(x.multiPacket && x.retransmitted)
+		x.slow = timed && baseline.isSlow(elapsed)
 		if timed {
-			habit.noteTime(took)
+			baseline.addTime(elapsed)
 		}
-		x.took = 0
-		if timed && x.tellsWork(packet) {
-			x.took = took
+		x.responseTime = 0
+		if timed && x.measuresWork(packet) {
+			x.responseTime = elapsed
 		}
 	}
 	x.stage = exchangeAnswering
 }
 
-// tellsWork reports whether the time to a first progress is that of the target's work:
-// no data was sent again, and the caller did not rest before it ended a long flow.
-func (x *exchange) tellsWork(packet Packet) bool {
-	return !x.copied && !(packet.Closing && x.later)
+// measuresWork reports whether the time to the first progress measures the target's work:
+// no data was retransmitted, and the caller was not idle before closing a reused flow.
+func (x *exchange) measuresWork(packet Packet) bool {
+	return !x.retransmitted && !(packet.Closing && x.subsequent)
 }
 
-// noteData follows data: new data after an answer begins the next exchange.
-func (c *Core) noteData(now kernel.Instant, packet Packet, flow *flowEntry, target *targetEntry) {
+// recordData records data of the caller. New data after a response starts an exchange.
+func (c *Core) recordData(now kernel.Instant, packet Packet, flow *flowEntry, target *targetEntry) {
 	x := &flow.exchange
 	end := packet.Sequence + uint32(packet.Size)
 	if x.stage != exchangeNone && !advances(x.end, end) {
-		x.copied = true
+		x.retransmitted = true
 		return
 	}
 	x.end = end
 	if x.stage == exchangeWaiting || x.stage == exchangeQuiet {
-		x.newest = now
-		x.long = true
+		x.lastDataAt = now
+		x.multiPacket = true
 		return
 	}
-	if x.stage == exchangeAnswering && x.acknowledged == x.base {
+	if x.stage == exchangeAnswering && x.acknowledged == x.baseAcknowledged {
 		return
 	}
 	c.endExchange(now, x, false)
-	x.later = x.later || x.newest > 0
+	x.subsequent = x.subsequent || x.lastDataAt > 0
 	x.stage = exchangeWaiting
-	x.void = now.Sub(x.joinedAt) < strayTime
+	x.ignored = now.Sub(x.joinedAt) < strayPacketTime
 	x.slow = false
-	x.took = 0
-	x.long = false
-	x.copied = false
-	x.base = x.acknowledged
-	x.newest = now
+	x.responseTime = 0
+	x.multiPacket = false
+	x.retransmitted = false
+	x.baseAcknowledged = x.acknowledged
+	x.lastDataAt = now
 	x.target = target
-	x.habit = c.habitOf(packet.Flow)
+	x.baseline = c.baselineOf(packet.Flow)
 	c.exchanges.wheel.add(now, flow, x.quietTime())
 }
 
-// endExchange counts an exchange that has ended. A caller that broke off got what it
-// got: its answer can't be held for short.
-func (c *Core) endExchange(now kernel.Instant, x *exchange, brokenOff bool) {
+// endExchange counts the outcome of an exchange that has ended. A response is not short if
+// the caller aborted it.
+func (c *Core) endExchange(now kernel.Instant, x *exchange, aborted bool) {
 	stage := x.stage
 	x.stage = exchangeNone
-	if stage != exchangeAnswering || c.exchanges.isVoid(x) {
+	if stage != exchangeAnswering || c.exchanges.isIgnored(x) {
 		return
 	}
-	size := x.acknowledged - x.base
+	size := x.acknowledged - x.baseAcknowledged
 	switch {
-	case brokenOff && x.habit.isShort(size):
-	case size <= ownEnd:
-		c.countOutcome(now, x.target, directory.Outcomes{Unanswered: 1})
-	case x.habit.isShort(size):
-		c.countOutcome(now, x.target, directory.Outcomes{Short: 1})
-		c.noteWork(now, x, size)
+	case aborted && x.baseline.isShort(size):
+	case size <= finLength:
+		c.recordOutcome(now, x.target, directory.Outcomes{Unanswered: 1})
+	case x.baseline.isShort(size):
+		c.recordOutcome(now, x.target, directory.Outcomes{Short: 1})
+		c.recordWork(now, x, size)
 	case x.slow:
-		c.countOutcome(now, x.target, directory.Outcomes{Slow: 1})
-		c.noteWork(now, x, size)
+		c.recordOutcome(now, x.target, directory.Outcomes{Slow: 1})
+		c.recordWork(now, x, size)
 	default:
-		c.countOutcome(now, x.target, directory.Outcomes{Answered: 1})
-		c.noteWork(now, x, size)
+		c.recordOutcome(now, x.target, directory.Outcomes{Answered: 1})
+		c.recordWork(now, x, size)
 	}
-	if !brokenOff && size > ownEnd {
-		x.habit.noteSize(size)
+	if !aborted && size > finLength {
+		x.baseline.addSize(size)
 	}
 }
 
-// noteQuietFlow is called when the quiet time of an exchange may be over. It returns
-// how long it still lasts, or 0 when it need not be looked at again.
-func (c *Core) noteQuietFlow(now kernel.Instant, flow *flowEntry) time.Duration {
+// checkQuiet is called when the quiet time of an exchange may have passed. It returns the
+// time that is left, or 0 if the exchange needs no further check.
+func (c *Core) checkQuiet(now kernel.Instant, flow *flowEntry) time.Duration {
 	x := &flow.exchange
 	if x.stage != exchangeWaiting {
 		return 0
 	}
-	limit := x.quietTime()
-	if left := limit - now.Sub(x.newest); left > 0 {
+	quietTime := x.quietTime()
+	if left := quietTime - now.Sub(x.lastDataAt); left > 0 {
 		return left
 	}
 	x.stage = exchangeQuiet
-	if x.habit.mayTellByQuiet() {
-		c.wantProbe(now, x.target)
+	if x.baseline.mayProbeOnQuiet() {
+		c.requestProbe(now, x.target)
 	}
-	heardOthers := c.exchanges.answered.Sub(x.newest) > limit/2
-	if !heardOthers || c.isDoubtfulWitness(now) {
-		x.void = true
+	othersProgressed := c.exchanges.lastProgressAt.Sub(x.lastDataAt) > quietTime/2
+	if !othersProgressed || c.isUnreliableObserver(now) {
+		x.ignored = true
 	}
-	if x.habit.isQuietTelling() && !c.exchanges.isVoid(x) {
-		c.countOutcome(now, x.target, directory.Outcomes{Unanswered: 1})
+	if x.baseline.isQuietSignificant() && !c.exchanges.isIgnored(x) {
+		c.recordOutcome(now, x.target, directory.Outcomes{Unanswered: 1})
 	}
 	return 0
 }
 
-// isVoid reports whether an exchange tells nothing of its target.
-func (w *exchangeWatch) isVoid(x *exchange) bool { return x.void || x.newest < w.voidBefore }
+// isIgnored reports whether an exchange is not evidence about its target.
+func (t *exchangeTracker) isIgnored(x *exchange) bool {
+	return x.ignored || x.lastDataAt < t.ignoreBefore
+}
 
-// voidExchanges makes the exchanges that have begun count nothing: the node was
-// stopped, or held back what it should have forwarded.
-func (c *Core) voidExchanges(now kernel.Instant) { c.exchanges.voidBefore = now }
+// ignoreExchanges makes the exchanges without new data after now count as no evidence: the
+// process was stalled or delayed packets.
+func (c *Core) ignoreExchanges(now kernel.Instant) { c.exchanges.ignoreBefore = now }
--- a/internal/steer/habit.go
+++ b/internal/steer/habit.go
@@ -6,108 +6,110 @@
 )
 
 const (
-	// habitSamples is the number of exchanges of a route that a node must have seen
-	// before it tells usual from unusual ones. A node sees a few a second of a route.
-	habitSamples = 16
-	// shortFence says what is far shorter than usual: as many times the spread of the
-	// middle half below it, by magnitudes (Tukey's fence). Of sizes that are spread like
-	// a log-normal distribution 4 in 1000 lie there. Up to a quarter of all answers may be
-	// failures before these are taken for usual.
-	shortFence = 1.5
-	// shortPart is the largest part of the lower quartile that is short, for answers of
-	// nearly one size.
-	shortPart = 0.5
-	// lateQuantile is the part of the answers that tells how late ones still come.
+	// minBaselineSamples is the number of exchanges of a route after which its baseline is
+	// used.
+	minBaselineSamples = 16
+	// shortFenceFactor sets the lower limit of normal response sizes: this multiple of the
+	// interquartile range below the lower quartile, on a logarithmic scale (Tukey's fence).
+	// It tolerates up to a quarter of all responses being failures.
+	shortFenceFactor = 1.5
+	// shortFraction bounds the limit to this fraction of the lower quartile, for routes whose
+	// responses have nearly one size.
+	shortFraction = 0.5
+	// lateQuantile is the quantile of response times that counts as late.
 	lateQuantile = 0.97
-	// quietWeight is the weight of a new exchange in the share of quiet ones that were
-	// answered after all, and mostQuiet the largest share at which quiet still speaks
-	// against a target: on long flows nearly all answers of one packet look quiet.
-	quietWeight = 1.0 / 64
-	mostQuiet   = 0.05
+	// quietWeight is the weight of a new exchange in the moving share of exchanges that were
+	// quiet before they were answered. Above maxQuietShare, quiet is not evidence: on reused
+	// flows callers acknowledge most one-packet responses with the next request.
+	quietWeight   = 1.0 / 64
+	maxQuietShare = 0.05
 )
 
-// routeHabit is what is usual for the exchanges of a route, as this node has seen it.
-type routeHabit struct {
+// routeBaseline is the normal behavior of a route's exchanges as seen by this node.
+type routeBaseline struct {
 	sizes, times logHistogram
-	// quiet is the share of answered exchanges that had fallen quiet before.
-	quiet float64
-	// answered is the number of exchanges that quiet was learned from.
-	answered int
-	// short is the size below which an answer is far shorter than usual, and small that
-	// below which it is short for its time too.
-	short, small uint32
-	// usual is the median time to the first progress, and late the time that few of a
-	// hundred exceed.
-	usual, late time.Duration
-	work        usualWork
+	// quietShare is the moving share of answered exchanges that had been quiet.
+	quietShare float64
+	// answeredCount is the number of exchanges in quietShare.
+	answeredCount int
+	// shortSize is the size below which a response counts as short, smallSize the size below
+	// which a fast response is not used as a work sample.
+	shortSize, smallSize uint32
+	// medianTime and lateTime are quantiles of the time to the first progress.
+	medianTime, lateTime time.Duration
+	work                 workBaseline
 }
 
-func (h *routeHabit) noteSize(size uint32) {
-	h.sizes.add(float64(size))
-	low, high := h.sizes.quantile(0.25), h.sizes.quantile(0.75)
-	h.small = uint32(low * shortPart)
-	h.short = uint32(low * min(shortPart, math.Pow(low/high, shortFence)))
+func (b *routeBaseline) addSize(size uint32) {
+	b.sizes.add(float64(size))
+	low, high := b.sizes.quantile(0.25), b.sizes.quantile(0.75)
+	b.smallSize = uint32(low * shortFraction)
+	b.shortSize = uint32(low * min(shortFraction, math.Pow(low/high, shortFenceFactor)))
 }
 
-func (h *routeHabit) noteTime(took time.Duration) {
-	h.times.add(float64(took.Microseconds()))
-	h.usual = time.Duration(h.times.quantile(0.5)) * time.Microsecond
-	h.late = time.Duration(h.times.quantile(lateQuantile)) * time.Microsecond
+func (b *routeBaseline) addTime(elapsed time.Duration) {
+	b.times.add(float64(elapsed.Microseconds()))
+	b.medianTime = time.Duration(b.times.quantile(0.5)) * time.Microsecond
+	b.lateTime = time.Duration(b.times.quantile(lateQuantile)) * time.Microsecond
 }
 
-// noteQuiet learns from an exchange that was answered whether it had fallen quiet.
-func (h *routeHabit) noteQuiet(wasQuiet bool) {
-	h.answered++
+// addQuiet records whether an answered exchange had been quiet.
+func (b *routeBaseline) addQuiet(wasQuiet bool) {
+	b.answeredCount++
 	value := 0.0
 	if wasQuiet {
 		value = 1
 	}
-	h.quiet += (value - h.quiet) * max(quietWeight, 1/float64(h.answered))
+	b.quietShare += (value - b.quietShare) * max(quietWeight, 1/float64(b.answeredCount))
 }
 
-// isQuietTelling reports whether a flow without progress speaks against its target.
-func (h *routeHabit) isQuietTelling() bool { return h.answered >= habitSamples && h.quiet <= mostQuiet }
+// isQuietSignificant reports whether a quiet exchange is evidence against its target.
+func (b *routeBaseline) isQuietSignificant() bool {
+	return b.answeredCount >= minBaselineSamples && b.quietShare <= maxQuietShare
+}
 
-// mayTellByQuiet reports whether a flow without progress is worth a question to its
-// target: not on routes where it was found to say nothing. In a large fleet a node has
-// seen too little of a route for long.
-func (h *routeHabit) mayTellByQuiet() bool { return h.answered < habitSamples || h.isQuietTelling() }
+// mayProbeOnQuiet reports whether a quiet exchange justifies a probe of its target. It does
+// unless quiet is known to be normal on the route; in a large fleet a node takes long to
+// learn that.
+func (b *routeBaseline) mayProbeOnQuiet() bool {
+	return b.answeredCount < minBaselineSamples || b.isQuietSignificant()
+}
 
 // quietTime returns the time without progress after which an exchange is quiet.
-func (h *routeHabit) quietTime() time.Duration {
-	return min(max(quietFactor*h.late, shortestQuiet), longestQuiet)
+func (b *routeBaseline) quietTime() time.Duration {
+	return min(max(quietFactor*b.lateTime, minQuietTime), maxQuietTime)
 }
 
-// isShort reports whether an answer is far shorter than usual.
-func (h *routeHabit) isShort(size uint32) bool {
-	return h.sizes.total >= habitSamples && size < h.short
+// isShort reports whether a response is far shorter than normal.
+func (b *routeBaseline) isShort(size uint32) bool {
+	return b.sizes.total >= minBaselineSamples && size < b.shortSize
 }
 
-// isSmall reports whether an answer is clearly smaller than usual.
-func (h *routeHabit) isSmall(size uint32) bool {
-	return h.sizes.total >= habitSamples && size < h.small
+// isSmall reports whether a response is clearly smaller than normal.
+func (b *routeBaseline) isSmall(size uint32) bool {
+	return b.sizes.total >= minBaselineSamples && size < b.smallSize
 }
 
-// isSlow reports whether a first progress came far later than usual.
-func (h *routeHabit) isSlow(took time.Duration) bool {
-	return h.times.total >= habitSamples && h.isQuietTelling() && took > max(slowFactor*h.usual, shortestSlow)
+// isSlow reports whether the first progress came far later than normal.
+func (b *routeBaseline) isSlow(elapsed time.Duration) bool {
+	return b.times.total >= minBaselineSamples && b.isQuietSignificant() && elapsed > max(slowFactor*b.medianTime, minSlowTime)
 }
 
-// habitOf returns what is usual for the route of a flow.
-func (c *Core) habitOf(flow FlowKey) *routeHabit {
-	habit, known := c.habits[flow.Virtual]
+// baselineOf returns the baseline of a flow's route.
+func (c *Core) baselineOf(flow FlowKey) *routeBaseline {
+	baseline, known := c.baselines[flow.Virtual]
 	if !known {
-		habit = &routeHabit{}
-		c.habits[flow.Virtual] = habit
+		baseline = &routeBaseline{}
+		c.baselines[flow.Virtual] = baseline
 	}
-	return habit
+	return baseline
 }
 
-// dropHabits forgets what was usual for routes that are gone.
-func (c *Core) dropHabits() {
-	for address := range c.habits {
+// dropBaselines removes the baselines of routes that no longer exist.
+func (c *Core) dropBaselines() {
+	for address := range c.baselines {
 		if _, routed := c.routes[address]; !routed {
-			delete(c.habits, address)
+			delete(c.baselines, address)
 		}
 	}
 }
--- a/internal/steer/leaderless_test.go
+++ b/internal/steer/leaderless_test.go
@@ -13,39 +13,38 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// usualSilence stands for the limit of the process that follows members.
-const usualSilence = 1300 * time.Millisecond
-
-// splitGroup is a group of members of which those in behind have had no leader
-// since a moment. Members stand in three zones by turns.
-type splitGroup struct {
-	members []directory.Member
-	behind  map[string]bool
-	since   kernel.Instant
-	// signAfter is how long a member takes to its first sign of life.
-	signAfter func(address string) time.Duration
+// defaultReadTimeout is the usual read timeout of a connection to a member.
+const defaultReadTimeout = 1300 * time.Millisecond
+
+// partitionedGroup is a group in which some members have lost the leader. Its members are
+// spread over three zones.
+type partitionedGroup struct {
+	members       []directory.Member
+	leaderless    map[string]bool
+	partitionedAt kernel.Instant
+	// statusDelay returns the time until a member's first status.
+	statusDelay func(address string) time.Duration
 }
 
-// newSplitGroup puts the members of zone 0, and others until only a quorum is
-// left, behind.
-func newSplitGroup(size int, now kernel.Instant) *splitGroup {
-	g := &splitGroup{behind: map[string]bool{}, since: now, signAfter: func(string) time.Duration { return 3 * time.Millisecond }}
+// newPartitionedGroup cuts off the members of zone 0, and more until only a quorum is left.
+func newPartitionedGroup(size int, now kernel.Instant) *partitionedGroup {
+	g := &partitionedGroup{leaderless: map[string]bool{}, partitionedAt: now, statusDelay: func(string) time.Duration { return 3 * time.Millisecond }}
 	for number := range size {
 		g.members = append(g.members, directory.Member{Address: fmt.Sprint("m", number), Zone: fmt.Sprint("zone-", number%3)})
 	}
-	left := (size - 1) / 2
+	limit := (size - 1) / 2
 	for _, zone := range []string{"zone-0", "zone-1", "zone-2"} {
 		for _, member := range g.members {
-			if member.Zone == zone && len(g.behind) < left {
-				g.behind[member.Address] = true
+			if member.Zone == zone && len(g.leaderless) < limit {
+				g.leaderless[member.Address] = true
 			}
 		}
 	}
 	return g
 }
 
-// visit is a connection of a node to a member.
-type visit struct {
+// connectionAttempt is a connection of a node to a member.
+type connectionAttempt struct {
 	address string
 	at      kernel.Instant
 }
@@ -53,49 +52,49 @@
 // connectTime is the time to connect to a member of another zone.
 const connectTime = 3 * time.Millisecond
 
-// seek follows members as a node's process does, from the moment at which its own
-// says that it has no leader any more, and returns when one is current.
-func (g *splitGroup) seek(f *Follower, now kernel.Instant) (kernel.Instant, []visit) {
-	var visits []visit
-	reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.since)}, false)
+// findCurrent follows members like a node does, from the moment at which its own member
+// reports the loss of its leader, and returns when a current one is found.
+func (g *partitionedGroup) findCurrent(f *Follower, now kernel.Instant) (kernel.Instant, []connectionAttempt) {
+	var attempts []connectionAttempt
+	reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.partitionedAt)}, false)
 	for reason == nil {
 		now = now.Add(400 * time.Millisecond)
-		reason = f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.since)}, false)
+		reason = f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.partitionedAt)}, false)
 	}
-	for len(visits) < 100 {
+	for len(attempts) < 100 {
 		now = now.Add(f.RetryDelay(reason))
 		member := f.List.Order()[0]
 		f.List.RecordFailure(member.Address, now)
 		now = now.Add(connectTime)
 		f.Follow(now, member)
-		visits = append(visits, visit{address: member.Address, at: now})
+		attempts = append(attempts, connectionAttempt{address: member.Address, at: now})
 		if now, reason = g.stay(f, now, member); reason == nil {
-			return now, visits
+			return now, attempts
 		}
 	}
-	return now, visits
+	return now, attempts
 }
 
-// stay follows one member until it is left; the reason is nil when it is current.
-func (g *splitGroup) stay(f *Follower, now kernel.Instant, member directory.Member) (kernel.Instant, error) {
-	wait := g.signAfter(member.Address)
-	if limit := f.ReadTimeout(usualSilence, false); wait > limit {
+// stay follows one member until it is left; the error is nil if it is current.
+func (g *partitionedGroup) stay(f *Follower, now kernel.Instant, member directory.Member) (kernel.Instant, error) {
+	wait := g.statusDelay(member.Address)
+	if limit := f.ReadTimeout(defaultReadTimeout, false); wait > limit {
 		return now.Add(limit), f.HandleReadError(assert.AnError)
 	}
 	now = now.Add(wait)
-	if !g.behind[member.Address] {
+	if !g.leaderless[member.Address] {
 		return now, f.HandleStatus(now, MemberStatus{Current: true}, false)
 	}
 	for {
-		if reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.since)}, false); reason != nil {
+		if reason := f.HandleStatus(now, MemberStatus{Leaderless: now.Sub(g.partitionedAt)}, false); reason != nil {
 			return now, reason
 		}
 		now = now.Add(400 * time.Millisecond)
 	}
 }
 
-// followerIn returns a follower in a zone that follows a member which is behind.
-func (g *splitGroup) followerIn(zone string, seed uint64, now kernel.Instant) *Follower {
+// followerIn returns a follower in a zone that is connected to a member without a leader.
+func (g *partitionedGroup) followerIn(zone string, seed uint64, now kernel.Instant) *Follower {
 	random := rand.New(rand.NewPCG(seed, 1))
 	f := NewFollower(NewMemberList(zone, WithShuffle(random.Shuffle)), random)
 	f.List.Members = slices.Clone(g.members)
@@ -105,55 +104,53 @@
 	return f
 }
 
-// Bench day trouble-1 of patitas-uio-now-grown: a node of a zone whose members were
-// all cut off went from one to the next for 5.1 s, 0.85 s at each, and placed flows
-// by the version before (CONFIG).
-func TestANodeFindsACurrentMemberWithinASecondOfASplit(t *testing.T) {
+// A node whose zone has only cut-off members must not wait for each of them in turn and place
+// flows by an old configuration meanwhile.
+func TestCurrentMemberIsFoundWithinASecondOfPartition(t *testing.T) {
 	for _, size := range []int{3, 5, 9, 13} {
 		for seed := range uint64(200) {
-			cut := start
-			told := cut.Add(LeaderlessTimeout)
-			g := newSplitGroup(size, cut)
-			found, visits := g.seek(g.followerIn("zone-0", seed, cut), told)
-			assert.LessOrEqual(t, found.Sub(told), time.Second, "%d members, seed %d, visits %v", size, seed, visits)
+			partitionedAt := start
+			reportedAt := partitionedAt.Add(LeaderlessTimeout)
+			g := newPartitionedGroup(size, partitionedAt)
+			found, attempts := g.findCurrent(g.followerIn("zone-0", seed, partitionedAt), reportedAt)
+			assert.LessOrEqual(t, found.Sub(reportedAt), time.Second, "%d members, seed %d, attempts %v", size, seed, attempts)
 		}
 	}
 }
 
-// A member that is frozen accepts connections and says nothing.
-func TestAMemberThatSaysNothingIsLeftSoonWhileTheNodeSeeksALeader(t *testing.T) {
+// A frozen member accepts connections and sends nothing.
+func TestUnresponsiveMemberIsLeftSoonWithoutLeader(t *testing.T) {
 	for seed := range uint64(200) {
-		cut := start
-		told := cut.Add(LeaderlessTimeout)
-		g := newSplitGroup(9, cut)
+		partitionedAt := start
+		reportedAt := partitionedAt.Add(LeaderlessTimeout)
+		g := newPartitionedGroup(9, partitionedAt)
 		silent := g.members[seed%9].Address
-		g.signAfter = func(address string) time.Duration {
+		g.statusDelay = func(address string) time.Duration {
 			if address == silent {
 				return time.Hour
 			}
 			return 50 * time.Millisecond
 		}
-		found, visits := g.seek(g.followerIn("zone-0", seed, cut), told)
-		assert.LessOrEqual(t, found.Sub(told), time.Second, "seed %d, visits %v", seed, visits)
+		found, attempts := g.findCurrent(g.followerIn("zone-0", seed, partitionedAt), reportedAt)
+		assert.LessOrEqual(t, found.Sub(reportedAt), time.Second, "seed %d, attempts %v", seed, attempts)
 	}
 }
 
-// Hundreds of nodes lose their leader together. Members that could not answer them
-// in time would be left as well.
-func TestNodesThatSeekALeaderDoNotComeTogether(t *testing.T) {
+// Many nodes lose their leader together and must not overload the remaining members.
+func TestReconnectsAreSpreadOverTime(t *testing.T) {
 	const nodes = 346
 	const window = 50 * time.Millisecond
-	cut := start
-	told := cut.Add(LeaderlessTimeout)
-	g := newSplitGroup(9, cut)
+	partitionedAt := start
+	reportedAt := partitionedAt.Add(LeaderlessTimeout)
+	g := newPartitionedGroup(9, partitionedAt)
 	counts := map[string]map[int]int{}
 	for node := range nodes {
-		_, visits := g.seek(g.followerIn(fmt.Sprint("zone-", node%3), uint64(node), cut), told)
-		for _, v := range visits {
-			if counts[v.address] == nil {
-				counts[v.address] = map[int]int{}
+		_, attempts := g.findCurrent(g.followerIn(fmt.Sprint("zone-", node%3), uint64(node), partitionedAt), reportedAt)
+		for _, attempt := range attempts {
+			if counts[attempt.address] == nil {
+				counts[attempt.address] = map[int]int{}
 			}
-			counts[v.address][int(v.at.Sub(told)/window)]++
+			counts[attempt.address][int(attempt.at.Sub(reportedAt)/window)]++
 		}
 	}
 	for address, windows := range counts {
@@ -163,28 +160,28 @@
 	}
 }
 
-// A group without a quorum holds its election while nodes go round: each looks at
-// every member once, then stays with one for the time of some elections.
-func TestNodesGoRoundAGroupWithoutAQuorumOnce(t *testing.T) {
-	cut := start
-	told := cut.Add(LeaderlessTimeout)
-	g := newSplitGroup(9, cut)
+// A group without a quorum must be able to hold its election: each node tries every member
+// once, then stays with one for several election timeouts.
+func TestGroupWithoutQuorumIsTriedOnce(t *testing.T) {
+	partitionedAt := start
+	reportedAt := partitionedAt.Add(LeaderlessTimeout)
+	g := newPartitionedGroup(9, partitionedAt)
 	for _, member := range g.members {
-		g.behind[member.Address] = true
+		g.leaderless[member.Address] = true
 	}
-	_, visits := g.seek(g.followerIn("zone-0", 1, cut), told)
-	inRound := 0
-	for _, v := range visits {
-		if v.at.Sub(told) < 3*time.Second {
-			inRound++
+	_, attempts := g.findCurrent(g.followerIn("zone-0", 1, partitionedAt), reportedAt)
+	early := 0
+	for _, attempt := range attempts {
+		if attempt.at.Sub(reportedAt) < 3*time.Second {
+			early++
 		}
 	}
-	assert.LessOrEqual(t, inRound, 13)
-	first, last := visits[0].at, visits[len(visits)-1].at
-	assert.Greater(t, last.Sub(first)/time.Duration(len(visits)), 600*time.Millisecond)
+	assert.LessOrEqual(t, early, 13)
+	first, last := attempts[0].at, attempts[len(attempts)-1].at
+	assert.Greater(t, last.Sub(first)/time.Duration(len(attempts)), 600*time.Millisecond)
 }
 
-func TestAMemberInAnElectionIsNotLeft(t *testing.T) {
+func TestMemberIsKeptDuringElection(t *testing.T) {
 	f := newTestFollower()
 	f.Follow(start, f.List.Members[1])
 	assert.NoError(t, f.HandleStatus(start, MemberStatus{Leaderless: LeaderlessTimeout - time.Millisecond}, false))
--- a/internal/steer/memberlist_test.go
+++ b/internal/steer/memberlist_test.go
@@ -9,7 +9,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-const faultTime = start
+const failureTime = start
 
 func addresses(members []directory.Member) []string {
 	var list []string
@@ -19,9 +19,8 @@
 	return list
 }
 
-// A node that found its first member by a seed went on through the old list of
-// seeds, each of another zone, every 8 s (300 machines: 180 of 280 nodes).
-func TestTheOwnZoneComesFirstOnceTheMembersAreKnown(t *testing.T) {
+// A node that found its first member by a seed must not keep rotating through the seeds.
+func TestLocalMembersComeFirstOnceKnown(t *testing.T) {
 	l := NewMemberList("north")
 	l.Seeds = []string{"a", "b", "c"}
 	assert.ElementsMatch(t, []string{"a", "b", "c"}, addresses(l.Order()))
@@ -29,23 +28,21 @@
 	for range 20 {
 		assert.Equal(t, "b", l.Order()[0].Address)
 	}
-	assert.True(t, l.HasCloserThan(directory.Member{Address: "a"}), "a seed whose zone is known by now")
+	assert.True(t, l.HasCloserThan(directory.Member{Address: "a"}), "a seed whose zone is known")
 	assert.False(t, l.HasCloserThan(directory.Member{Address: "b"}))
 }
 
-func TestAMemberThatWasLeftForAFaultComesLast(t *testing.T) {
+func TestFailedMemberComesLast(t *testing.T) {
 	l := NewMemberList("north")
 	l.Members = []directory.Member{{Address: "a", Zone: "south"}, {Address: "b", Zone: "north"}}
-	l.RecordFailure("b", faultTime)
+	l.RecordFailure("b", failureTime)
 	order := addresses(l.Order())
 	assert.Equal(t, "a", order[0])
 	assert.Equal(t, "b", order[len(order)-1])
 }
 
-// Two of five members were on the wrong side of a cut. Nodes that went to both
-// by chance tried them in turns, 0.85 s each, and had no new configuration for
-// 5.2 s (swancoast-geo-grown trouble-3, 2054e93a).
-func TestMembersLeftForAFaultAreNotTriedInTurns(t *testing.T) {
+// A node must not alternate between two members on the wrong side of a partition.
+func TestFailedMembersAreNotAlternated(t *testing.T) {
 	members := []directory.Member{
 		{Address: "own", Zone: "north"}, {Address: "b", Zone: "south"}, {Address: "c", Zone: "south"},
 		{Address: "d", Zone: "west"}, {Address: "e", Zone: "west"},
@@ -53,29 +50,29 @@
 	l := NewMemberList("north")
 	l.Members = members
 	tried := map[string]bool{}
-	for visit := range len(members) {
+	for attempt := range len(members) {
 		next := l.Order()[0].Address
-		assert.False(t, tried[next], "visit %d goes to %s again", visit, next)
+		assert.False(t, tried[next], "attempt %d goes to %s again", attempt, next)
 		tried[next] = true
-		l.RecordFailure(next, faultTime.Add(time.Duration(visit)*time.Second))
+		l.RecordFailure(next, failureTime.Add(time.Duration(attempt)*time.Second))
 	}
-	assert.Equal(t, "own", l.Order()[0].Address, "the own zone comes first in the next round")
+	assert.Equal(t, "own", l.Order()[0].Address, "the local member comes first in the next round")
 }
 
-func TestANearerMemberIsTriedAgainAfterItsFault(t *testing.T) {
+func TestClearFailuresRestoresLocalMember(t *testing.T) {
 	l := NewMemberList("north")
 	l.Members = []directory.Member{{Address: "a", Zone: "south"}, {Address: "b", Zone: "north"}}
-	l.RecordFailure("b", faultTime)
-	l.RecordFailure("a", faultTime.Add(time.Second))
+	l.RecordFailure("b", failureTime)
+	l.RecordFailure("a", failureTime.Add(time.Second))
 	l.ClearFailures()
 	assert.Equal(t, "b", l.Order()[0].Address)
 }
 
-func TestFaultsOfForgottenAddressesAreDropped(t *testing.T) {
+func TestFailuresOfRemovedAddressesAreDropped(t *testing.T) {
 	l := NewMemberList("north")
 	l.Seeds = []string{"old", "new"}
-	l.RecordFailure("old", faultTime)
+	l.RecordFailure("old", failureTime)
 	l.Seeds = []string{"new", "newer"}
 	l.Order()
-	assert.Empty(t, l.faults)
+	assert.Empty(t, l.failures)
 }
--- a/internal/steer/openings.go
+++ b/internal/steer/openings.go
@@ -9,143 +9,142 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// A caller whose opening packet is taken shows it by its next packet, a few
-// milliseconds later. One whose packet is refused comes back at once by another flow,
-// which most often goes to another node: no node sees the refusal itself. So nodes
-// count the opening packets that were followed by nothing.
+// A caller whose opening packet is accepted sends its next packet a few milliseconds later.
+// After a refusal it retries with a new flow, which usually arrives at another node, so no
+// node sees the refusal itself. Nodes therefore count the opening packets that were followed
+// by nothing.
 
 const (
-	// shortestOpeningLimit is the least time after which an opening packet has found no
-	// taker: some times the longest usual one where zones are 1.4 ms and callers 3 ms
-	// away (10 ms). Where callers or zones are farther, a node learns a longer one.
-	shortestOpeningLimit = 60 * time.Millisecond
-	// longestOpeningLimit is less than the 200 ms after which a caller sends a copy.
-	longestOpeningLimit = 180 * time.Millisecond
-	// The weights of a new opening in the usual time and its deviation, as parts of
-	// one, and the deviations that are added to the usual time (RFC 6298, section 2).
-	usualDivisor     = 8
+	// minOpeningTimeout is the shortest time after which an opening packet counts as refused.
+	// It covers several round trips within a region; longer ones are learned.
+	minOpeningTimeout = 60 * time.Millisecond
+	// maxOpeningTimeout is less than a caller's retransmission timeout of 200 ms.
+	maxOpeningTimeout = 180 * time.Millisecond
+	// The gains of the moving mean and deviation, and the multiple of the deviation in the
+	// timeout (RFC 6298, section 2).
+	meanDivisor      = 8
 	deviationDivisor = 4
 	deviationFactor  = 4
-	// recentKept is the part of the recent openings that still counts at the next report:
-	// half of them after 0.7 s, where reports come each 100 ms.
-	recentKept = 0.9
-	// leastRecent is the number of openings of a zone, counted so, that is forgotten.
-	leastRecent = 0.5
-	// refusedFor is how long a target that took no opening packet is passed over at
-	// this node: about the time between two of its heartbeats, the next sign of it.
-	refusedFor = time.Second
+	// recentDecay is the decay per report of the counts in recent.
+	recentDecay = 0.9
+	// minRecent is the count below which a zone is removed from recent.
+	minRecent = 0.5
+	// refusalLifetime is how long this node avoids a target that refused an opening packet:
+	// about the interval between two heartbeats of the target.
+	refusalLifetime = time.Second
 )
 
-// openingWatch follows the opening packets that are under way.
-type openingWatch struct {
-	flows map[FlowKey]*flowEntry
-	zones map[string]*directory.ZoneOpenings
-	// refusing are the targets that took no opening packet, with their number.
-	refusing map[*targetEntry]uint32
-	// usual is the time from an opening packet to the caller's next one, and deviation
-	// how far single ones are off.
-	usual, deviation time.Duration
-	// recent are the openings of the last reports by zone.
-	recent map[string]zoneShare
+// openingTracker tracks opening packets until they are accepted or time out.
+type openingTracker struct {
+	inFlight map[FlowKey]*flowEntry
+	counts   map[string]*directory.ZoneOpenings
+	// refused counts the refused opening packets by target.
+	refused map[*targetEntry]uint32
+	// meanTime is the moving mean of the time from an opening packet to the caller's next
+	// packet, and deviation its mean deviation.
+	meanTime, deviation time.Duration
+	// recent are decaying counts by zone.
+	recent map[string]zoneCounts
 }
 
-// zoneShare counts openings of a zone; older ones count less.
-type zoneShare struct{ opened, refused float64 }
+// zoneCounts are the decaying counts of a zone.
+type zoneCounts struct{ opened, refused float64 }
 
-// limit returns the time after which an opening packet has found no taker.
-func (w *openingWatch) limit() time.Duration {
-	return min(max(w.usual+deviationFactor*w.deviation, shortestOpeningLimit), longestOpeningLimit)
+// timeout returns the time after which an opening packet counts as refused.
+func (t *openingTracker) timeout() time.Duration {
+	return min(max(t.meanTime+deviationFactor*t.deviation, minOpeningTimeout), maxOpeningTimeout)
 }
 
-// noteTime learns from an opening packet that was taken.
-func (w *openingWatch) noteTime(taken time.Duration) {
-	if w.usual == 0 {
-		w.usual = taken
-		w.deviation = taken / 2
+// addTime updates the mean and the deviation with the time of an accepted opening packet.
+func (t *openingTracker) addTime(elapsed time.Duration) {
+	if t.meanTime == 0 {
+		t.meanTime = elapsed
+		t.deviation = elapsed / 2
 		return
 	}
-	w.deviation += ((taken - w.usual).Abs() - w.deviation) / deviationDivisor
-	w.usual += (taken - w.usual) / usualDivisor
+	t.deviation += ((elapsed - t.meanTime).Abs() - t.deviation) / deviationDivisor
+	t.meanTime += (elapsed - t.meanTime) / meanDivisor
 }
 
-func newOpeningWatch() openingWatch {
-	return openingWatch{flows: map[FlowKey]*flowEntry{}, zones: map[string]*directory.ZoneOpenings{}, refusing: map[*targetEntry]uint32{}, recent: map[string]zoneShare{}}
+func newOpeningTracker() openingTracker {
+	return openingTracker{inFlight: map[FlowKey]*flowEntry{}, counts: map[string]*directory.ZoneOpenings{}, refused: map[*targetEntry]uint32{}, recent: map[string]zoneCounts{}}
 }
 
-func (w *openingWatch) zone(name string) *directory.ZoneOpenings {
-	known, exists := w.zones[name]
+func (t *openingTracker) zone(name string) *directory.ZoneOpenings {
+	known, exists := t.counts[name]
 	if !exists {
 		known = &directory.ZoneOpenings{Zone: name}
-		w.zones[name] = known
+		t.counts[name] = known
 	}
 	return known
 }
 
-// noteOpened notes that an opening packet was taken, at last perhaps.
-func (w *openingWatch) noteOpened(now kernel.Instant, key FlowKey, flow *flowEntry) {
+// recordOpened records that an opening packet was accepted. It is counted only if it had
+// not timed out.
+func (t *openingTracker) recordOpened(now kernel.Instant, key FlowKey, flow *flowEntry) {
 	if flow.placedAt > 0 {
-		flow.exchange.way = now.Sub(flow.placedAt)
-		w.noteTime(flow.exchange.way)
+		flow.exchange.handshakeTime = now.Sub(flow.placedAt)
+		t.addTime(flow.exchange.handshakeTime)
 	}
-	if _, waiting := w.flows[key]; waiting {
-		delete(w.flows, key)
-		w.zone(flow.target.target.Zone).Opened++
+	if _, waiting := t.inFlight[key]; waiting {
+		delete(t.inFlight, key)
+		t.zone(flow.target.target.Zone).Opened++
 	}
 }
 
-// noteOverdue finds the opening packets that have found no taker.
-func (w *openingWatch) noteOverdue(now kernel.Instant) {
-	limit := w.limit()
-	for key, flow := range w.flows {
+// expireOverdue counts the opening packets that have timed out as refused.
+func (t *openingTracker) expireOverdue(now kernel.Instant) {
+	limit := t.timeout()
+	for key, flow := range t.inFlight {
 		if now.Sub(flow.placedAt) < limit {
 			continue
 		}
-		delete(w.flows, key)
+		delete(t.inFlight, key)
 		flow.target.refusedAt = now
-		w.refusing[flow.target]++
-		w.zone(flow.target.target.Zone).Refused++
+		t.refused[flow.target]++
+		t.zone(flow.target.target.Zone).Refused++
 	}
 }
 
-// take returns what was counted since the last call.
-func (w *openingWatch) take() (zones []directory.ZoneOpenings, refusing []SilentTarget) {
-	for _, counted := range w.zones {
+// take returns and clears the counts since the last call.
+func (t *openingTracker) take() (zones []directory.ZoneOpenings, refused []SilentTarget) {
+	for _, counted := range t.counts {
 		zones = append(zones, *counted)
 	}
-	for entry, count := range w.refusing {
+	for entry, count := range t.refused {
 		if entry.refusedAt > entry.answeredAt {
-			refusing = append(refusing, SilentTarget{Token: entry.target.Token, Weight: count})
+			refused = append(refused, SilentTarget{Token: entry.target.Token, Weight: count})
 		}
 	}
 	slices.SortFunc(zones, func(a, b directory.ZoneOpenings) int { return cmp.Compare(a.Zone, b.Zone) })
-	slices.SortFunc(refusing, func(a, b SilentTarget) int { return cmp.Compare(a.Token, b.Token) })
-	w.noteRecent()
-	clear(w.zones)
-	clear(w.refusing)
-	return zones, refusing
+	slices.SortFunc(refused, func(a, b SilentTarget) int { return cmp.Compare(a.Token, b.Token) })
+	t.updateRecent()
+	clear(t.counts)
+	clear(t.refused)
+	return zones, refused
 }
 
-// noteRecent adds what was counted since the last call to the recent openings.
-func (w *openingWatch) noteRecent() {
-	for zone, share := range w.recent {
-		w.recent[zone] = zoneShare{opened: share.opened * recentKept, refused: share.refused * recentKept}
-		if share.opened+share.refused < leastRecent {
-			delete(w.recent, zone)
+// updateRecent decays the recent counts and adds those since the last call.
+func (t *openingTracker) updateRecent() {
+	for zone, share := range t.recent {
+		t.recent[zone] = zoneCounts{opened: share.opened * recentDecay, refused: share.refused * recentDecay}
+		if share.opened+share.refused < minRecent {
+			delete(t.recent, zone)
 		}
 	}
-	for zone, counted := range w.zones {
-		share := w.recent[zone]
+	for zone, counted := range t.counts {
+		share := t.recent[zone]
 		share.opened += float64(counted.Opened)
 		share.refused += float64(counted.Refused)
-		w.recent[zone] = share
+		t.recent[zone] = share
 	}
 }
 
-// refusedEverywhere reports whether most openings of this node found no taker lately
-// in every zone, of several: the node's own link is at fault, or all targets are full.
-func (w *openingWatch) refusedEverywhere() bool {
+// refusedEverywhere reports whether most recent openings were refused in each of several
+// zones. Then this node's link is the likely cause, or all targets are full.
+func (t *openingTracker) refusedEverywhere() bool {
 	zones := 0
-	for _, share := range w.recent {
+	for _, share := range t.recent {
 		if share.refused <= share.opened {
 			return false
 		}
@@ -154,12 +153,12 @@
 	return zones > 1
 }
 
-// forgetUnderWay forgets the opening packets under way: the node was stopped, and
-// what would show that they were taken waits in its socket.
-func (w *openingWatch) forgetUnderWay() { clear(w.flows) }
+// clearInFlight drops the pending opening packets. After a stall, the packets that show their
+// acceptance are still queued in the socket.
+func (t *openingTracker) clearInFlight() { clear(t.inFlight) }
 
-// refuses reports whether a target took no opening packet lately and has not
+// hasRefused reports whether a target recently refused an opening packet and has not
 // answered since.
-func (entry *targetEntry) refuses(now kernel.Instant) bool {
-	return entry.refusedAt > entry.answeredAt && now.Sub(entry.refusedAt) < refusedFor
+func (entry *targetEntry) hasRefused(now kernel.Instant) bool {
+	return entry.refusedAt > entry.answeredAt && now.Sub(entry.refusedAt) < refusalLifetime
 }
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -5,8 +5,8 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// place chooses the target of a new flow. A copy of an opening packet goes to
-// a target that has not been tried: the first one is silent or full.
+// place chooses the target of a new flow. A late retransmission of its opening packet goes to
+// a target that has not been tried: the first one does not answer or is full.
 func (c *Core) place(now kernel.Instant, packet Packet) Decision {
 	if c.configuration.Version == 0 || c.UsesRemembered() && !now.Before(c.rememberedUntil) {
 		return Decision{Action: ActionDrop, Reason: ReasonNotReady}
@@ -18,11 +18,11 @@
 	reason := ReasonPlaced
 	flow, known := c.flows[packet.Flow]
 	if known && packet.Copy > 0 && c.keepsTarget(now, flow) {
-		flow.target.noteSent(now)
+		flow.target.recordOpening(now)
 		return Decision{Action: ActionForward, Reason: ReasonToken, Target: flow.target.target, Route: entry.route.Name}
 	}
 	if known && packet.Copy > 0 {
-		c.noteMissed(now, flow)
+		c.recordMissed(now, flow)
 		reason = ReasonPlacedAgain
 	}
 	decision, target := c.choose(now, entry, flow, packet)
@@ -31,46 +31,45 @@
 		return decision
 	}
 	decision.Reason = reason
-	target.noteSent(now)
-	c.notePlaced(now, packet, target)
+	target.recordOpening(now)
+	c.recordPlacement(now, packet, target)
 	return decision
 }
 
-// keepsTarget reports whether a copy of an opening packet goes where the one before
-// went: the flow is open, or its target has had no time to answer yet and may still
-// get opening packets.
+// keepsTarget reports whether a retransmitted opening packet goes to the same target as
+// before: the flow is open, or the target has not had time to answer and is not blocked.
 func (c *Core) keepsTarget(now kernel.Instant, flow *flowEntry) bool {
 	if flow.opened {
 		return true
 	}
-	return now.Sub(flow.placedAt) < c.settings.AnswerTimeout && !c.isClosed(now, flow.target)
+	return now.Sub(flow.placedAt) < c.settings.AnswerTimeout && !c.isBlocked(now, flow.target)
 }
 
-func (c *Core) notePlaced(now kernel.Instant, packet Packet, target *targetEntry) {
+func (c *Core) recordPlacement(now kernel.Instant, packet Packet, target *targetEntry) {
 	flow, known := c.flows[packet.Flow]
 	if known && packet.Copy == 0 {
-		c.forget(packet.Flow, flow)
+		c.removeFlow(packet.Flow, flow)
 		known = false
 	}
 	if !known {
-		c.remember(now, packet.Flow, target)
+		c.addFlow(now, packet.Flow, target)
 		flow, known = c.flows[packet.Flow]
 	}
 	if !known {
 		return
 	}
-	c.moveFlow(flow, target)
+	c.setFlowTarget(flow, target)
 	c.beginWait(now, flow)
 	flow.tried = append(flow.tried, target.target.Token)
-	target.triedAt = now
+	target.lastPlacedAt = now
 	flow.placedAt = now
 	flow.dropped = false
-	c.openings.flows[packet.Flow] = flow
-	flow.last = now
+	c.openings.inFlight[packet.Flow] = flow
+	flow.lastPacketAt = now
 }
 
-// choose picks a service by weight, then a target of it. When that service
-// has no target that takes flows, the route's other services are tried.
+// choose selects a service by weight and a target of it. If the service has no usable target,
+// the other services of the route are tried in order.
 func (c *Core) choose(now kernel.Instant, entry *routeEntry, flow *flowEntry, packet Packet) (Decision, *targetEntry) {
 	var tried []directory.Token
 	if flow != nil && packet.Copy > 0 {
@@ -82,7 +81,7 @@
 		if backend.Weight == 0 {
 			continue
 		}
-		passed := c.listUsable(now, backend.Service, entry.route.Kind, tried)
+		skipped := c.collectCandidates(now, backend.Service, entry.route.Kind, tried)
 		if len(c.usable) == 0 {
 			continue
 		}
@@ -94,15 +93,15 @@
 			Candidates:   len(c.usable),
 			Waiting:      chosen.waitingFlows,
 			RelativeTime: c.choice.Candidates[position].RelativeTime,
-			Doubtful:     passed.doubtful,
-			Ejected:      passed.ejected,
+			Doubtful:     skipped.doubtful,
+			Ejected:      skipped.ejected,
 		}, chosen
 	}
-	return Decision{Action: ActionReset, Reason: c.refusal(entry)}, nil
+	return Decision{Action: ActionReset, Reason: c.refusalReason(entry)}, nil
 }
 
-// refusal returns why no target takes a new flow of a route.
-func (c *Core) refusal(entry *routeEntry) Reason {
+// refusalReason returns why no target is available for a new flow of a route.
+func (c *Core) refusalReason(entry *routeEntry) Reason {
 	reason := ReasonNoTarget
 	for _, backend := range entry.route.Backends {
 		if backend.Weight == 0 {
@@ -119,10 +118,10 @@
 }
 
 func (c *Core) backendByWeight(entry *routeEntry) int {
-	if len(entry.route.Backends) == 1 || entry.total == 0 {
+	if len(entry.route.Backends) == 1 || entry.totalWeight == 0 {
 		return 0
 	}
-	drawn := c.settings.Random.Uint64N(entry.total)
+	drawn := c.settings.Random.Uint64N(entry.totalWeight)
 	for position, backend := range entry.route.Backends {
 		if drawn < uint64(backend.Weight) {
 			return position
@@ -132,58 +131,57 @@
 	return 0
 }
 
-// passedOver counts the targets that were passed over, by cause.
-type passedOver struct{ doubtful, ejected int }
+// skippedCounts counts the targets that were skipped, by cause.
+type skippedCounts struct{ doubtful, ejected int }
 
-// listUsable fills the list of candidates of a service and returns how many were
-// passed over. When nothing else is left, these are used all the same. Closed ones
-// never are.
-func (c *Core) listUsable(now kernel.Instant, service string, kind directory.RouteKind, tried []directory.Token) passedOver {
-	all := c.listOpen(now, c.services[service])
-	var passed passedOver
-	c.startList()
+// collectCandidates fills the list of candidates of a service and returns how many were
+// skipped. If all would be skipped, they are used nevertheless, except blocked ones.
+func (c *Core) collectCandidates(now kernel.Instant, service string, kind directory.RouteKind, tried []directory.Token) skippedCounts {
+	all := c.collectUnblocked(now, c.services[service])
+	var skipped skippedCounts
+	c.resetCandidates()
 	for _, entry := range all {
 		switch {
 		case contains(tried, entry.target.Token):
-		case entry.ejected, entry.probation && !c.takesTrial(now, entry, kind, tried):
-			passed.ejected++
-			c.countSlots(entry)
+		case entry.ejected, entry.probation && !c.admitsTrial(now, entry, kind, tried):
+			skipped.ejected++
+			c.addSlots(entry)
 		case c.isDoubtful(now, entry):
-			passed.doubtful++
-			c.countSlots(entry)
-		case c.isSpared(now, entry):
-			c.countSpared(entry)
+			skipped.doubtful++
+			c.addSlots(entry)
+		case c.skipsWhileWarming(now, entry):
+			c.addWarmingSlots(entry)
 		default:
 			c.addCandidate(now, entry)
 		}
 	}
 	if len(c.usable) > 0 {
-		return passed
+		return skipped
 	}
-	c.listRest(now, all, tried)
-	return passedOver{}
+	c.collectFallbacks(now, all, tried)
+	return skippedCounts{}
 }
 
-// lastResorts is the number of steps in which a list takes in what is worse and worse.
-const lastResorts = 4
+// fallbackLevels is the number of steps in which collectFallbacks relaxes its criteria.
+const fallbackLevels = 4
 
-// listRest fills the list with what is left when every target would be passed over.
-func (c *Core) listRest(now kernel.Instant, all []*targetEntry, tried []directory.Token) {
-	c.startList()
-	for step := 0; step < lastResorts && len(c.usable) == 0; step++ {
+// collectFallbacks fills the list of candidates when every target would be skipped.
+func (c *Core) collectFallbacks(now kernel.Instant, all []*targetEntry, tried []directory.Token) {
+	c.resetCandidates()
+	for level := 0; level < fallbackLevels && len(c.usable) == 0; level++ {
 		for _, entry := range all {
-			if entry.isResort(step, contains(tried, entry.target.Token)) {
+			if entry.isFallback(level, contains(tried, entry.target.Token)) {
 				c.addCandidate(now, entry)
 			}
 		}
 	}
 }
 
-// isResort reports whether a target is used at a step: those that are only doubtful or
-// spared first, those that fail their work next, those held for lost and those that
-// were tried before last.
-func (entry *targetEntry) isResort(step int, tried bool) bool {
-	switch step {
+// isFallback reports whether a target may be used at a fallback level: first doubtful and
+// warming targets and those on probation, then ejected ones, then lost ones, and at last
+// those tried before.
+func (entry *targetEntry) isFallback(level int, tried bool) bool {
+	switch level {
 	case 0:
 		return !entry.ejected && !entry.lost && !tried
 	case 1:
@@ -194,25 +192,25 @@
 	return true
 }
 
-// listOpen returns the targets that may get an opening packet.
-func (c *Core) listOpen(now kernel.Instant, all []*targetEntry) []*targetEntry {
-	c.opened = c.opened[:0]
+// collectUnblocked returns the targets that may get opening packets.
+func (c *Core) collectUnblocked(now kernel.Instant, all []*targetEntry) []*targetEntry {
+	c.unblocked = c.unblocked[:0]
 	for _, entry := range all {
-		if !c.isClosed(now, entry) {
-			c.opened = append(c.opened, entry)
+		if !c.isBlocked(now, entry) {
+			c.unblocked = append(c.unblocked, entry)
 		}
 	}
-	return c.opened
+	return c.unblocked
 }
 
-func (c *Core) startList() {
+func (c *Core) resetCandidates() {
 	c.usable = c.usable[:0]
 	c.choice = Choice{Candidates: c.choice.Candidates[:0]}
 }
 
-// countSlots counts the slots of a target that takes flows, or would if it were well. One
-// that this flow has tried has lost none.
-func (c *Core) countSlots(entry *targetEntry) {
+// addSlots adds the slots of a target to the capacity of its zone. It is also called for
+// targets that are skipped because of a failure.
+func (c *Core) addSlots(entry *targetEntry) {
 	if entry.target.Zone == c.settings.Zone {
 		c.choice.LocalSlots += slotsOf(entry)
 	} else {
@@ -220,19 +218,19 @@
 	}
 }
 
-// countSpared counts the slots of a target that is spared: in the own zone it has lost none,
-// and sends no flow away; in another one it takes none for this zone.
-func (c *Core) countSpared(entry *targetEntry) {
+// addWarmingSlots adds the slots of a skipped warming target. In the node's own zone they are
+// not missing capacity and must not cause spill. In other zones they add no capacity for spill.
+func (c *Core) addWarmingSlots(entry *targetEntry) {
 	if entry.target.Zone != c.settings.Zone {
-		c.countSlots(entry)
+		c.addSlots(entry)
 	}
 }
 
-// slotsOf returns the number of requests that a target works on at once.
+// slotsOf returns the number of requests that a target serves concurrently, at least 1.
 func slotsOf(entry *targetEntry) int { return max(int(entry.target.Slots), 1) }
 
 func (c *Core) addCandidate(now kernel.Instant, entry *targetEntry) {
-	c.countSlots(entry)
+	c.addSlots(entry)
 	c.usable = append(c.usable, entry)
 	c.choice.Candidates = append(c.choice.Candidates, Candidate{
 		Waiting:      entry.waitingFlows,
@@ -242,12 +240,12 @@
 	})
 }
 
-// isDoubtful reports whether there is evidence that a target does not answer:
-// nobody has heard its heartbeats, or it cannot be reached, or it left an opening packet
-// or data unanswered and has not been seen to answer since.
+// isDoubtful reports whether there is evidence that a target does not answer: the control
+// members suspect it, probes or opening packets failed, or it left data unanswered and has
+// not been seen to answer since.
 func (c *Core) isDoubtful(now kernel.Instant, entry *targetEntry) bool {
 	missed := entry.missedAt > entry.answeredAt && now.Sub(entry.missedAt) < c.settings.SuspectFor
-	return missed || entry.reach.isUnreachable(now) || entry.refuses(now) || entry.fails(now) || entry.suspected || entry.lost
+	return missed || entry.probes.isUnreachable(now) || entry.hasRefused(now) || entry.hasFailed(now) || entry.suspected || entry.lost
 }
 
 func contains(tokens []directory.Token, token directory.Token) bool {
--- a/internal/steer/progress.go
+++ b/internal/steer/progress.go
@@ -6,34 +6,31 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// While a caller sends much data its acknowledgement stands still, and its packets
-// come in any order. What they show all the same:
+// During an upload the caller's acknowledgement does not change, and its packets may arrive in
+// any order. Answers of the target are then inferred from the caller's sending:
 //
-//   - Data farther than a window past a packet is sent only when the target has
-//     acknowledged that packet.
-//   - Without an answer a caller rests, sends its first missing packet once more, and
-//     rests again for twice the time. So a lower packet after a rest is one that was
-//     sent again, and another lower packet soon after it follows an acknowledgement.
-//   - A lower packet without a rest before it has been overtaken by others.
+//   - Data farther than a window past a packet is sent only after the target acknowledged
+//     that packet.
+//   - Without an acknowledgement a caller pauses, retransmits its first missing packet, and
+//     pauses again for twice the time. A lower packet after a pause is thus a retransmission;
+//     another lower packet soon after it shows that an acknowledgement arrived.
+//   - A lower packet without a pause before it was reordered.
 
 const (
-	// largestData is the most data of one packet in bytes.
-	largestData = 1200
-	// sendWindow is the most data in bytes that is under way from a caller: 16 packets.
-	sendWindow = 16 * largestData
-	// resendRest is the rest before data that is sent again: less than the caller's
-	// 200 ms by what packets are delayed, and far more than packets of one burst are
-	// apart.
-	resendRest = 150 * time.Millisecond
-	// resentLifetime is how long data that was sent again once counts. A caller
-	// need not acknowledge an answer of one packet: what it then stops sending
-	// has been answered.
+	// maxPacketData is the largest number of data bytes in a packet.
+	maxPacketData = 1200
+	// sendWindow is the largest number of unacknowledged bytes of a caller: 16 packets.
+	sendWindow = 16 * maxPacketData
+	// retransmitGap is the least pause before a retransmission: the caller's 200 ms less
+	// network jitter, and far more than the gaps within a burst.
+	retransmitGap = 150 * time.Millisecond
+	// resentLifetime is how long a single retransmission counts. A caller need not
+	// acknowledge a response of one packet, so if it stops sending, the data was answered.
 	resentLifetime = 450 * time.Millisecond
-	// resentTwiceLifetime is the same for data that was sent again more often;
-	// the caller's pauses grow.
+	// resentTwiceLifetime is the same for repeated retransmissions, whose intervals grow.
 	resentTwiceLifetime = 900 * time.Millisecond
-	// seenPackets is the number of packets in a row of which is known whether they came.
-	seenPackets = 64
+	// seenWindow is the number of consecutive packets for which arrival is recorded.
+	seenWindow = 64
 )
 
 // The weights of evidence.
@@ -42,181 +39,178 @@
 	weightResentTwice = 2
 )
 
-// pendingData is data of a caller that the target has not answered.
+// pendingData is data of a caller that the target has not acknowledged.
 type pendingData struct {
-	// waiting is set while an answer is missing.
+	// waiting is set while an answer is outstanding.
 	waiting bool
 	since   kernel.Instant
-	// sentAt is when data last came.
-	sentAt kernel.Instant
-	// end is the position after the farthest data.
+	// lastDataAt is when data last arrived.
+	lastDataAt kernel.Instant
+	// end is the position after the highest data.
 	end uint32
-	// mark is a packet that the target had not acknowledged when it came: data farther
-	// than a window past it shows that the target has done so since.
+	// mark is the position of a packet that was not acknowledged when it arrived. Data more
+	// than a window past it shows that the target has answered.
 	mark uint32
-	// seen tells which packets came, each a bit, the first at position base.
+	// seen has a bit for each packet that arrived, starting at position base.
 	seen uint64
 	base uint32
-	// probed is set once the packet at probe was sent again after a rest.
-	probed bool
-	probe  uint32
-	// excused is set when this node has dropped a packet: what is sent again next
-	// says nothing.
+	// resendSeen is set once the packet at resendPosition was retransmitted after a pause.
+	resendSeen     bool
+	resendPosition uint32
+	// excused is set when this node dropped a packet, so that the next retransmission is not
+	// evidence.
 	excused bool
-	// resent is the number of times that the caller has sent data again after a rest.
-	resent   int
+	// resends is the number of retransmissions after a pause.
+	resends  int
 	resentAt kernel.Instant
-	// resentBefore is when it did so the time before.
-	resentBefore kernel.Instant
+	// previousResentAt is resentAt before the last retransmission.
+	previousResentAt kernel.Instant
 }
 
-// beginPending begins the wait for the answer to data.
-func beginPending(now kernel.Instant, packet Packet) pendingData {
-	pending := pendingData{waiting: true, since: now, sentAt: now, base: packet.Sequence, mark: packet.Sequence}
+// newPendingData starts the wait for an answer to data.
+func newPendingData(now kernel.Instant, packet Packet) pendingData {
+	pending := pendingData{waiting: true, since: now, lastDataAt: now, base: packet.Sequence, mark: packet.Sequence}
 	pending.end = packet.Sequence + uint32(packet.Size)
-	pending.see(packet.Sequence)
+	pending.markSeen(packet.Sequence)
 	return pending
 }
 
-// note takes the caller's next data. It reports whether the data shows that the target
-// has answered.
-func (p *pendingData) note(now kernel.Instant, packet Packet) bool {
-	rested := now.Sub(p.sentAt) >= resendRest
-	p.sentAt = now
-	known := p.see(packet.Sequence)
+// add records further data, and reports whether it shows that the target has answered.
+func (p *pendingData) add(now kernel.Instant, packet Packet) bool {
+	paused := now.Sub(p.lastDataAt) >= retransmitGap
+	p.lastDataAt = now
+	seenBefore := p.markSeen(packet.Sequence)
 	end := packet.Sequence + uint32(packet.Size)
 	if int32(end-p.end) > 0 {
 		p.end = end
-		return p.noteNew(packet.Sequence, rested)
+		return p.addNew(packet.Sequence, paused)
 	}
-	if rested {
-		p.noteProbe(now, packet.Sequence, known)
+	if paused {
+		p.addResent(now, packet.Sequence, seenBefore)
 		return false
 	}
-	return p.probed && packet.Sequence != p.probe
+	return p.resendSeen && packet.Sequence != p.resendPosition
 }
 
-// noteNew takes data that is farther than all before.
-func (p *pendingData) noteNew(position uint32, rested bool) bool {
-	if rested {
+// addNew records data beyond all earlier data.
+func (p *pendingData) addNew(position uint32, paused bool) bool {
+	if paused {
 		p.mark = position
 		return false
 	}
 	return int32(p.end-p.mark) > sendWindow
 }
 
-// noteProbe takes data that the caller has sent again after a rest. It speaks against
-// the target only when this node has passed it on before.
-func (p *pendingData) noteProbe(now kernel.Instant, position uint32, known bool) {
-	p.probed = true
-	p.probe = position
+// addResent records a retransmission after a pause. It is evidence only if this node has
+// forwarded the data before.
+func (p *pendingData) addResent(now kernel.Instant, position uint32, seenBefore bool) {
+	p.resendSeen = true
+	p.resendPosition = position
 	excused := p.excused
 	p.excused = false
-	if !known || excused {
+	if !seenBefore || excused {
 		return
 	}
-	p.resent++
-	p.resentBefore = p.resentAt
+	p.resends++
+	p.previousResentAt = p.resentAt
 	p.resentAt = now
 }
 
-// undoResent takes back that data was sent again just now, if it was.
+// undoResent reverts a retransmission recorded at the given time, if there is one.
 func (p *pendingData) undoResent(now kernel.Instant) bool {
-	if p.resent == 0 || p.resentAt != now {
+	if p.resends == 0 || p.resentAt != now {
 		return false
 	}
-	p.resent--
-	p.resentAt = p.resentBefore
+	p.resends--
+	p.resentAt = p.previousResentAt
 	return true
 }
 
-// excuse forgets what the data showed against the target: this node has dropped a
-// packet of it.
+// excuse clears the evidence, because this node dropped a packet of the flow.
 func (p *pendingData) excuse() {
 	p.excused = true
-	p.resent = 0
+	p.resends = 0
 }
 
-// advance begins the wait anew: the target has answered part of the data.
-func (p *pendingData) advance(now kernel.Instant, position uint32) {
+// restart starts a new wait after the target has answered part of the data.
+func (p *pendingData) restart(now kernel.Instant, position uint32) {
 	p.since = now
 	p.mark = position
-	p.probed = false
+	p.resendSeen = false
 	p.excused = false
-	p.resent = 0
+	p.resends = 0
 }
 
-// see notes that a packet came and returns whether it had come before.
-func (p *pendingData) see(position uint32) bool {
+// markSeen records the arrival of a packet and returns whether it had arrived before.
+func (p *pendingData) markSeen(position uint32) bool {
 	slot := p.slot(position)
 	switch {
 	case slot < 0:
-		p.base -= uint32(-slot) * largestData
+		p.base -= uint32(-slot) * maxPacketData
 		p.seen <<= uint64(-slot)
 		slot = 0
-	case slot >= seenPackets:
-		shift := slot - seenPackets + 1
-		p.base += uint32(shift) * largestData
+	case slot >= seenWindow:
+		shift := slot - seenWindow + 1
+		p.base += uint32(shift) * maxPacketData
 		p.seen >>= uint64(shift)
-		slot = seenPackets - 1
+		slot = seenWindow - 1
 	}
 	bit := uint64(1) << uint64(slot)
-	known := p.seen&bit != 0
+	seenBefore := p.seen&bit != 0
 	p.seen |= bit
-	return known
+	return seenBefore
 }
 
-// slot returns the number of a position's packet, counted from base.
+// slot returns the index of a position's packet, relative to base.
 func (p *pendingData) slot(position uint32) int64 {
 	offset := int64(int32(position - p.base))
 	if offset < 0 {
-		offset -= largestData - 1
+		offset -= maxPacketData - 1
 	}
-	return offset / largestData
+	return offset / maxPacketData
 }
 
-// weight returns how much the wait says against the target.
+// weight returns the weight of the evidence against the target.
 func (p *pendingData) weight(now kernel.Instant) uint32 {
 	age := now.Sub(p.resentAt)
 	switch {
 	case now.Sub(p.since) < silenceThreshold:
 		return 0
-	case p.resent > 1 && age < resentTwiceLifetime:
+	case p.resends > 1 && age < resentTwiceLifetime:
 		return weightResentTwice
-	case p.resent == 1 && age < resentLifetime:
+	case p.resends == 1 && age < resentLifetime:
 		return weightResent
 	}
 	return 0
 }
 
-// notePending follows the caller's data: what is sent again has not been
-// answered.
-func (c *Core) notePending(now kernel.Instant, packet Packet, flow *flowEntry) {
+// trackPending updates the unanswered data of a flow with a packet of the caller.
+func (c *Core) trackPending(now kernel.Instant, packet Packet, flow *flowEntry) {
 	if packet.Size == 0 {
 		return
 	}
 	c.beginWait(now, flow)
 	pending := &flow.pending
 	if !pending.waiting {
-		*pending = beginPending(now, packet)
+		*pending = newPendingData(now, packet)
 		return
 	}
-	if pending.note(now, packet) {
-		c.witness.noteAnswered(pending.resent)
-		pending.advance(now, packet.Sequence)
-		c.noteAnswer(now, flow.target)
+	if pending.add(now, packet) {
+		c.losses.addAnswered(pending.resends)
+		pending.restart(now, packet.Sequence)
+		c.recordAnswer(now, flow.target)
 		delete(c.unanswered, packet.Flow)
 		return
 	}
-	if pending.resent > 0 {
+	if pending.resends > 0 {
 		c.unanswered[packet.Flow] = flow
 	}
 }
 
-// settle ends the wait for an answer.
-func (c *Core) settle(key FlowKey, flow *flowEntry) {
+// endPending ends the wait for an answer.
+func (c *Core) endPending(key FlowKey, flow *flowEntry) {
 	if flow.pending.waiting {
-		c.witness.noteAnswered(flow.pending.resent)
+		c.losses.addAnswered(flow.pending.resends)
 	}
 	flow.pending.waiting = false
 	c.endWait(flow)
--- a/internal/steer/speeds.go
+++ b/internal/steer/speeds.go
@@ -9,161 +9,158 @@
 	"github.com/beamdoor/beamdoor/internal/speed"
 )
 
-// How long a target takes is learned from requests whose answer the caller acknowledges
-// at once: by an acknowledgement without data, or by the end of a flow of one request.
-// Others tell no time: an acknowledgement with the next request, or with the end of a
-// long flow, may come any time after the answer. The time of the way, as the flow's
-// opening packet took it, is left out: it also holds the node's own link, which has
-// nothing to do with the target. A small answer without work is no sample: it is that of a
-// target that is full or fails, which would look the faster the more it refuses.
+// Request times of targets are sampled from requests whose response the caller acknowledges at
+// once: by an acknowledgement without data, or by closing a flow after one request. An
+// acknowledgement with the next request, or with the close of a reused flow, may come any time
+// after the response. The handshake time of the flow is subtracted as network time; it
+// includes delays at this node's link. Fast small responses are not sampled: they come from a
+// target that is full or failing, which would otherwise seem faster the more it refuses.
 
 const (
-	// usualSamples is the number of requests of a route from which on one is compared
-	// with them, and usualMemory the number after which older ones fade out: later than
-	// samples of targets do, so that a load which comes over all targets of a zone is seen
-	// at these and is not taken for usual.
-	usualSamples = 4
-	usualMemory  = 512
-	// leastWorkPart is the least part of the time that is taken for work: a way that was
-	// slower for the opening packet would leave nothing.
-	leastWorkPart = 1.0 / 8
-	// speedInterval is the time between two words to the member, and speedRepeat the time
-	// after which a target is told again though nothing new was seen: by then another
-	// member may be followed.
-	speedInterval = 500 * time.Millisecond
-	speedRepeat   = 10 * time.Second
-	// wordsAtOnce is the largest number of targets in a word: half a kilobyte.
-	wordsAtOnce = 64
-	// relativeLifetime is how long a time that the leader told holds when nobody tells it
-	// again: it is told again each half minute, or each five minutes in the largest fleet.
-	relativeLifetime = 10 * time.Minute
+	// minWorkSamples is the number of requests after which a route's baseline is used, and
+	// workSampleLimit bounds the weight of past samples in it. It adapts more slowly than the
+	// samples of targets expire, so that load on all targets of a zone is detected.
+	minWorkSamples  = 4
+	workSampleLimit = 512
+	// minWorkFraction is the least fraction of the response time that counts as work, in case
+	// the handshake was slower than the request.
+	minWorkFraction = 1.0 / 8
+	// speedReportInterval is the time between two reports to the control member.
+	// speedRepeatInterval is the time after which an unchanged target is reported again, since
+	// the node may have connected to another member.
+	speedReportInterval = 500 * time.Millisecond
+	speedRepeatInterval = 10 * time.Second
+	// maxTargetsPerReport bounds the size of a report to half a kilobyte.
+	maxTargetsPerReport = 64
+	// relativeTimeLifetime is how long a relative time from the leader is valid. The leader
+	// repeats it every half minute, or every five minutes in the largest fleets.
+	relativeTimeLifetime = 10 * time.Minute
 )
 
-// usualWork is the usual work of a route's requests at this node, as the mean of the
-// logarithms of microseconds.
-type usualWork struct {
+// workBaseline is the mean logarithm of the work of a route's requests in microseconds.
+type workBaseline struct {
 	mean    float64
 	samples int
 }
 
-// isKnown reports whether requests can be compared with the usual ones.
-func (u *usualWork) isKnown() bool { return u.samples >= usualSamples }
+// isKnown reports whether the baseline has enough samples.
+func (b *workBaseline) isKnown() bool { return b.samples >= minWorkSamples }
 
-// sample returns how far a request is from the usual ones.
-func (u *usualWork) sample(work time.Duration) float64 {
-	return math.Log(max(float64(work.Microseconds()), 1)) - u.mean
+// sample returns the logarithm of a request's work relative to the baseline.
+func (b *workBaseline) sample(work time.Duration) float64 {
+	return math.Log(max(float64(work.Microseconds()), 1)) - b.mean
 }
 
-// learn takes a sample, less what is known of its target, into what is usual.
-func (u *usualWork) learn(sample float64) {
-	if u.isKnown() {
+// learn updates the baseline with a sample, less the known deviation of its target.
+func (b *workBaseline) learn(sample float64) {
+	if b.isKnown() {
 		sample = min(max(sample, -speed.MaxSample), speed.MaxSample)
 	}
-	u.samples = min(u.samples+1, usualMemory)
-	u.mean += sample / float64(u.samples)
+	b.samples = min(b.samples+1, workSampleLimit)
+	b.mean += sample / float64(b.samples)
 }
 
-// targetSpeed is what a node knows of how long a target takes.
+// targetSpeed holds the request times of a target.
 type targetSpeed struct {
-	// sums are the samples of this node as of summedAt.
-	sums     speed.Sums
-	summedAt kernel.Instant
-	toldAt   kernel.Instant
-	// isNew is set while there are samples that the member was not told.
-	isNew bool
-	// listed is set while the target is in the list of those with samples.
-	listed bool
-	// relative is the time that the target takes as a multiple of what is usual for its
-	// service, as the leader told at heardAt; 0 when it did not.
-	relative float64
-	heardAt  kernel.Instant
+	// sums are this node's samples, decayed to summedAt.
+	sums       speed.Sums
+	summedAt   kernel.Instant
+	reportedAt kernel.Instant
+	// unreported is set while there are samples that were not reported.
+	unreported bool
+	// inList is set while the target is in speedTracker.sampled.
+	inList bool
+	// relative is the target's time per request relative to its service's mean, as received
+	// from the leader at relativeAt; 0 if unknown.
+	relative   float64
+	relativeAt kernel.Instant
 }
 
-// speedWatch follows how long targets take.
-type speedWatch struct {
-	learned []*targetEntry
-	nextAt  kernel.Instant
+// speedTracker lists the targets with samples.
+type speedTracker struct {
+	sampled      []*targetEntry
+	nextReportAt kernel.Instant
 }
 
-// noteWork learns from a request that was answered, if its time is that of its work.
-func (c *Core) noteWork(now kernel.Instant, x *exchange, size uint32) {
-	if x.took == 0 {
+// recordWork samples the work of an answered request, if its response time measures it.
+func (c *Core) recordWork(now kernel.Instant, x *exchange, size uint32) {
+	if x.responseTime == 0 {
 		return
 	}
-	way := x.way
-	if way == 0 {
-		way = c.openings.usual
+	networkTime := x.handshakeTime
+	if networkTime == 0 {
+		networkTime = c.openings.meanTime
 	}
-	work := max(x.took-way, time.Duration(leastWorkPart*float64(x.took)))
-	usual := &x.habit.work
-	sample := usual.sample(work)
-	if usual.isKnown() {
-		if sample < -speed.MaxSample && x.habit.isSmall(size) {
+	work := max(x.responseTime-networkTime, time.Duration(minWorkFraction*float64(x.responseTime)))
+	baseline := &x.baseline.work
+	sample := baseline.sample(work)
+	if baseline.isKnown() {
+		if sample < -speed.MaxSample && x.baseline.isSmall(size) {
 			return
 		}
 		c.addSample(now, x.target, sample)
 	}
-	usual.learn(sample - math.Log(x.target.relativeTime(now)))
+	baseline.learn(sample - math.Log(x.target.relativeTime(now)))
 }
 
 func (c *Core) addSample(now kernel.Instant, target *targetEntry, sample float64) {
-	learned := &target.speed
-	learned.sums = learned.sums.Decayed(now.Sub(learned.summedAt), speed.HalfLife)
-	learned.sums.Add(sample)
-	learned.summedAt = now
-	learned.isNew = true
-	if !learned.listed {
-		learned.listed = true
-		c.speeds.learned = append(c.speeds.learned, target)
+	samples := &target.speed
+	samples.sums = samples.sums.Decayed(now.Sub(samples.summedAt), speed.HalfLife)
+	samples.sums.Add(sample)
+	samples.summedAt = now
+	samples.unreported = true
+	if !samples.inList {
+		samples.inList = true
+		c.speeds.sampled = append(c.speeds.sampled, target)
 	}
 }
 
-// TakeSpeeds returns what the member is told of how long targets take, at most once in
-// speedInterval.
+// TakeSpeeds returns the request times to report to the control member, or nil if the last
+// report is less than speedReportInterval old.
 func (c *Core) TakeSpeeds(now kernel.Instant) []speed.Report {
-	if now.Before(c.speeds.nextAt) {
+	if now.Before(c.speeds.nextReportAt) {
 		return nil
 	}
-	c.speeds.nextAt = now.Add(speedInterval)
-	var words []speed.Report
-	kept := c.speeds.learned[:0]
-	var told []*targetEntry
-	for _, entry := range c.speeds.learned {
-		learned := &entry.speed
-		sums := learned.sums.Decayed(now.Sub(learned.summedAt), speed.HalfLife)
+	c.speeds.nextReportAt = now.Add(speedReportInterval)
+	var reports []speed.Report
+	remaining := c.speeds.sampled[:0]
+	var reported []*targetEntry
+	for _, entry := range c.speeds.sampled {
+		samples := &entry.speed
+		sums := samples.sums.Decayed(now.Sub(samples.summedAt), speed.HalfLife)
 		if sums.Count < speed.MinCount || entry.target.State == directory.TargetEnded {
-			learned.listed = false
+			samples.inList = false
 			continue
 		}
-		if len(words) == wordsAtOnce || !learned.isDue(now) {
-			kept = append(kept, entry)
+		if len(reports) == maxTargetsPerReport || !samples.isDue(now) {
+			remaining = append(remaining, entry)
 			continue
 		}
-		learned.toldAt = now
-		learned.isNew = false
-		told = append(told, entry)
-		words = append(words, speed.Report{Token: entry.target.Token, Sums: sums})
+		samples.reportedAt = now
+		samples.unreported = false
+		reported = append(reported, entry)
+		reports = append(reports, speed.Report{Token: entry.target.Token, Sums: sums})
 	}
-	clear(c.speeds.learned[len(kept):])
-	c.speeds.learned = append(kept, told...)
-	return words
+	clear(c.speeds.sampled[len(remaining):])
+	c.speeds.sampled = append(remaining, reported...)
+	return reports
 }
 
 func (s *targetSpeed) isDue(now kernel.Instant) bool {
-	return s.isNew || now.Sub(s.toldAt) >= speedRepeat
+	return s.unreported || now.Sub(s.reportedAt) >= speedRepeatInterval
 }
 
-// SetSpeeds takes what the leader tells of how long targets take.
+// SetSpeeds sets the relative times that the leader has computed.
 func (c *Core) SetSpeeds(now kernel.Instant, list []speed.TargetStep) {
-	for _, told := range list {
-		if entry, known := c.targets[told.Token]; known {
-			entry.speed.relative = told.Step.TimeRatio()
-			entry.speed.heardAt = now
+	for _, update := range list {
+		if entry, known := c.targets[update.Token]; known {
+			entry.speed.relative = update.Step.TimeRatio()
+			entry.speed.relativeAt = now
 		}
 	}
 }
 
-// RelativeTimes calls visit with the relative time of each target that takes new flows.
+// RelativeTimes calls visit with the relative time of each target that accepts new flows.
 func (c *Core) RelativeTimes(now kernel.Instant, visit func(relative float64)) {
 	for _, entries := range c.services {
 		for _, entry := range entries {
@@ -172,9 +169,9 @@
 	}
 }
 
-// relativeTime returns the time that a target takes as a multiple of what is usual.
+// relativeTime returns a target's time per request relative to its service's mean.
 func (entry *targetEntry) relativeTime(now kernel.Instant) float64 {
-	if entry.speed.relative == 0 || now.Sub(entry.speed.heardAt) > relativeLifetime {
+	if entry.speed.relative == 0 || now.Sub(entry.speed.relativeAt) > relativeTimeLifetime {
 		return 1
 	}
 	return entry.speed.relative
--- a/internal/steer/speeds_test.go
+++ b/internal/steer/speeds_test.go
@@ -17,191 +17,190 @@
 )
 
 const (
-	// way is the time from a node to a target, on to the caller and back to the node.
-	way = 8 * time.Millisecond
-	// usualWorkTime is the work of a request at a target of usual speed.
-	usualWorkTime = 20 * time.Millisecond
+	// roundTrip is the time from the node to a target, on to the caller and back to the node.
+	roundTrip = 8 * time.Millisecond
+	// typicalWork is the time of a request at a target of normal speed.
+	typicalWork = 20 * time.Millisecond
 )
 
-// timed is a bench whose callers' requests are timed.
-type timed struct {
-	*bench
+// speedFixture is a fixture whose requests are timed.
+type speedFixture struct {
+	*coreFixture
 	now    kernel.Instant
 	port   uint16
 	tokens []directory.Token
 }
 
-func newTimed(t *testing.T) *timed {
-	b := booking(t)
-	return &timed{bench: b, now: start, tokens: b.addTargets(start, 1, 3)}
+func newSpeedFixture(t *testing.T) *speedFixture {
+	b := newBookingFixture(t)
+	return &speedFixture{coreFixture: b, now: start, tokens: b.addTargets(start, 1, 3)}
 }
 
-// open opens a flow to a target that answers after the way, and returns its port.
-func (b *timed) open(token directory.Token) uint16 {
+// open opens a flow to a target, which answers after a round trip, and returns its port.
+func (b *speedFixture) open(token directory.Token) uint16 {
 	b.port++
 	b.core.Decide(b.now, opening(b.port, 0))
-	b.now = b.now.Add(way)
-	b.core.Decide(b.now, following(b.port, token, 1))
+	b.now = b.now.Add(roundTrip)
+	b.core.Decide(b.now, flowPacket(b.port, token, 1))
 	return b.port
 }
 
-// request plays a flow of one request; its caller ends it with the whole answer.
-func (b *timed) request(token directory.Token, work time.Duration, size uint32) {
+// request plays a flow of one request; the caller closes it with the whole response.
+func (b *speedFixture) request(token directory.Token, work time.Duration, size uint32) {
 	port := b.open(token)
-	b.core.Decide(b.now, sending(port, token, 1, 1, 100))
-	b.now = b.now.Add(way + work)
-	closing := sending(port, token, 101, 1+size, 0)
+	b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
+	b.now = b.now.Add(roundTrip + work)
+	closing := dataPacket(port, token, 101, 1+size, 0)
 	closing.Closing = true
 	b.core.Decide(b.now, closing)
 }
 
-func (b *timed) requests(count int, token directory.Token, work time.Duration) {
+func (b *speedFixture) requests(count int, token directory.Token, work time.Duration) {
 	for range count {
-		b.request(token, work, usualAnswer)
+		b.request(token, work, typicalAnswerSize)
 	}
 }
 
-// learn makes usual work usual.
-func (b *timed) learn() { b.requests(2*usualMemory, b.tokens[0], usualWorkTime) }
+// learnBaseline makes typicalWork the route's baseline.
+func (b *speedFixture) learnBaseline() { b.requests(2*workSampleLimit, b.tokens[0], typicalWork) }
 
-// words returns what the node tells of its targets.
-func (b *timed) words() map[directory.Token]speed.Sums {
-	b.now = b.now.Add(speedInterval)
-	words := map[directory.Token]speed.Sums{}
-	for _, word := range b.core.TakeSpeeds(b.now) {
-		words[word.Token] = word.Sums
+// takeReports returns the next report of request times by target.
+func (b *speedFixture) takeReports() map[directory.Token]speed.Sums {
+	b.now = b.now.Add(speedReportInterval)
+	reports := map[directory.Token]speed.Sums{}
+	for _, report := range b.core.TakeSpeeds(b.now) {
+		reports[report.Token] = report.Sums
 	}
-	return words
+	return reports
 }
 
-func TestTheTimeOfATargetIsLearnedWithoutTheWay(t *testing.T) {
-	b := newTimed(t)
-	b.learn()
-	b.requests(5, b.tokens[1], 2*usualWorkTime)
-	words := b.words()
-	assert.InDelta(t, 0, words[b.tokens[0]].Mean(), 0.05)
-	assert.InDelta(t, math.Ln2, words[b.tokens[1]].Mean(), 0.15)
-	assert.InDelta(t, 5, words[b.tokens[1]].Count, 0.5)
-	assert.NotContains(t, words, b.tokens[2])
+func TestWorkTimeExcludesNetworkTime(t *testing.T) {
+	b := newSpeedFixture(t)
+	b.learnBaseline()
+	b.requests(5, b.tokens[1], 2*typicalWork)
+	reports := b.takeReports()
+	assert.InDelta(t, 0, reports[b.tokens[0]].Mean(), 0.05)
+	assert.InDelta(t, math.Ln2, reports[b.tokens[1]].Mean(), 0.15)
+	assert.InDelta(t, 5, reports[b.tokens[1]].Count, 0.5)
+	assert.NotContains(t, reports, b.tokens[2])
 }
 
-// Two routes with other work: what counts is the ratio to each route's own.
-func TestRoutesOfDifferentWorkCompare(t *testing.T) {
-	b := newTimed(t)
+// Request times are relative to those of their own route.
+func TestWorkTimeIsRelativeToRoute(t *testing.T) {
+	b := newSpeedFixture(t)
 	b.publish(b.now, 2, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}), route("s", otherAddress, directory.Backend{Service: "booking", Weight: 1}))
-	b.learn()
-	for range 2 * usualMemory {
+	b.learnBaseline()
+	for range 2 * workSampleLimit {
 		b.port++
-		packet := sending(b.port, b.tokens[2], 1, 1, 100)
+		packet := dataPacket(b.port, b.tokens[2], 1, 1, 100)
 		placed := opening(b.port, 0)
 		packet.Flow.Virtual, placed.Flow.Virtual = otherAddress, otherAddress
 		b.core.Decide(b.now, placed)
-		b.now = b.now.Add(way)
+		b.now = b.now.Add(roundTrip)
 		b.core.Decide(b.now, packet)
-		b.now = b.now.Add(way + 10*usualWorkTime)
-		packet.Sequence, packet.Size, packet.Acknowledged, packet.Closing = 101, 0, 1+usualAnswer, true
+		b.now = b.now.Add(roundTrip + 10*typicalWork)
+		packet.Sequence, packet.Size, packet.Acknowledged, packet.Closing = 101, 0, 1+typicalAnswerSize, true
 		b.core.Decide(b.now, packet)
 	}
-	assert.InDelta(t, 0, b.words()[b.tokens[2]].Mean(), 0.1)
+	assert.InDelta(t, 0, b.takeReports()[b.tokens[2]].Mean(), 0.1)
 }
 
-func TestWhatTellsNoTimeIsNoSample(t *testing.T) {
-	cases := map[string]func(b *timed, port uint16, token directory.Token){
-		"acknowledged with the next request": func(b *timed, port uint16, token directory.Token) {
-			b.core.Decide(b.now, sending(port, token, 1, 1, 100))
+func TestAmbiguousTimingsAreNotSampled(t *testing.T) {
+	cases := map[string]func(b *speedFixture, port uint16, token directory.Token){
+		"acknowledged with the next request": func(b *speedFixture, port uint16, token directory.Token) {
+			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
 			b.now = b.now.Add(time.Second)
-			b.core.Decide(b.now, sending(port, token, 101, 1+usualAnswer, 100))
+			b.core.Decide(b.now, dataPacket(port, token, 101, 1+typicalAnswerSize, 100))
 		},
-		"acknowledged with the end of a long flow": func(b *timed, port uint16, token directory.Token) {
-			b.core.Decide(b.now, sending(port, token, 1, 1, 100))
-			b.core.Decide(b.now.Add(time.Millisecond), sending(port, token, 101, 1+usualAnswer, 100))
+		"acknowledged with the close of a reused flow": func(b *speedFixture, port uint16, token directory.Token) {
+			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
+			b.core.Decide(b.now.Add(time.Millisecond), dataPacket(port, token, 101, 1+typicalAnswerSize, 100))
 			b.now = b.now.Add(time.Second)
-			closing := sending(port, token, 201, 1+2*usualAnswer, 0)
+			closing := dataPacket(port, token, 201, 1+2*typicalAnswerSize, 0)
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
-		"sent again": func(b *timed, port uint16, token directory.Token) {
-			b.core.Decide(b.now, sending(port, token, 1, 1, 100))
-			b.core.Decide(b.now.Add(200*time.Millisecond), sending(port, token, 1, 1, 100))
+		"retransmitted": func(b *speedFixture, port uint16, token directory.Token) {
+			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
+			b.core.Decide(b.now.Add(200*time.Millisecond), dataPacket(port, token, 1, 1, 100))
 			b.now = b.now.Add(250 * time.Millisecond)
-			closing := sending(port, token, 101, 1+usualAnswer, 0)
+			closing := dataPacket(port, token, 101, 1+typicalAnswerSize, 0)
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
-		"refused at once": func(b *timed, port uint16, token directory.Token) {
-			b.core.Decide(b.now, sending(port, token, 1, 1, 100))
-			b.now = b.now.Add(way)
-			closing := sending(port, token, 101, 1+usualAnswer/10, 0)
+		"refused immediately": func(b *speedFixture, port uint16, token directory.Token) {
+			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
+			b.now = b.now.Add(roundTrip)
+			closing := dataPacket(port, token, 101, 1+typicalAnswerSize/10, 0)
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
 	}
 	for name, play := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newTimed(t)
-			b.learn()
-			b.words()
+			b := newSpeedFixture(t)
+			b.learnBaseline()
+			b.takeReports()
 			play(b, b.open(b.tokens[1]), b.tokens[1])
-			assert.NotContains(t, b.words(), b.tokens[1])
+			assert.NotContains(t, b.takeReports(), b.tokens[1])
 		})
 	}
 }
 
-// A node whose flows all stay in a zone sees no others to compare with: that all targets
-// there take longer must not become usual before the leader knows it.
-func TestALoadOverAllTargetsIsSeen(t *testing.T) {
-	b := newTimed(t)
-	b.learn()
+// Load on all targets of a zone must not become the baseline before the leader knows of it,
+// at a node whose flows all stay in that zone.
+func TestLoadOnAllTargetsIsDetected(t *testing.T) {
+	b := newSpeedFixture(t)
+	b.learnBaseline()
 	b.now = b.now.Add(6 * speed.HalfLife)
-	b.requests(usualMemory/8, b.tokens[0], 3*usualWorkTime)
-	assert.Greater(t, b.words()[b.tokens[0]].Mean(), math.Log(3)/2)
+	b.requests(workSampleLimit/8, b.tokens[0], 3*typicalWork)
+	assert.Greater(t, b.takeReports()[b.tokens[0]].Mean(), math.Log(3)/2)
 	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: b.tokens[0], Step: speed.Step(0).Next(math.Log(3))}})
-	b.requests(4*usualMemory, b.tokens[0], 3*usualWorkTime)
-	assert.Greater(t, b.words()[b.tokens[0]].Mean(), math.Log(3)/2, "what is told is no part of what is usual")
+	b.requests(4*workSampleLimit, b.tokens[0], 3*typicalWork)
+	assert.Greater(t, b.takeReports()[b.tokens[0]].Mean(), math.Log(3)/2, "known relative times do not change the baseline")
 }
 
-func TestOneVeryLateAnswerMovesLittle(t *testing.T) {
-	b := newTimed(t)
-	b.learn()
-	b.requests(9, b.tokens[1], usualWorkTime)
-	b.request(b.tokens[1], time.Second, usualAnswer)
-	assert.Less(t, b.words()[b.tokens[1]].Mean(), 0.3)
+func TestOutlierSampleIsClamped(t *testing.T) {
+	b := newSpeedFixture(t)
+	b.learnBaseline()
+	b.requests(9, b.tokens[1], typicalWork)
+	b.request(b.tokens[1], time.Second, typicalAnswerSize)
+	assert.Less(t, b.takeReports()[b.tokens[1]].Mean(), 0.3)
 }
 
-// A node tells of many targets part by part, and of each again when nothing is new.
-func TestAWordIsBoundedAndRepeated(t *testing.T) {
-	b := newTimed(t)
-	b.learn()
-	tokens := b.addTargets(b.now, 10, 3*wordsAtOnce)
+// Many targets take several reports, and each is repeated when nothing changes.
+func TestSpeedReportsAreBoundedAndRepeated(t *testing.T) {
+	b := newSpeedFixture(t)
+	b.learnBaseline()
+	tokens := b.addTargets(b.now, 10, 3*maxTargetsPerReport)
 	for _, token := range tokens {
-		b.requests(4, token, usualWorkTime)
+		b.requests(4, token, typicalWork)
 	}
-	told := map[directory.Token]int{}
-	for range 2 * int(speedRepeat/speedInterval) {
-		words := b.words()
-		assert.LessOrEqual(t, len(words), wordsAtOnce)
-		for token := range words {
-			told[token]++
+	reports := map[directory.Token]int{}
+	for range 2 * int(speedRepeatInterval/speedReportInterval) {
+		batch := b.takeReports()
+		assert.LessOrEqual(t, len(batch), maxTargetsPerReport)
+		for token := range batch {
+			reports[token]++
 		}
 	}
 	for _, token := range tokens {
-		assert.GreaterOrEqual(t, told[token], 2)
+		assert.GreaterOrEqual(t, reports[token], 2)
 	}
 	b.now = b.now.Add(10 * speed.HalfLife)
-	assert.Empty(t, b.words(), "all has faded")
-	assert.Empty(t, b.core.speeds.learned)
+	assert.Empty(t, b.takeReports(), "all samples have decayed")
+	assert.Empty(t, b.core.speeds.sampled)
 }
 
-// What the leader told holds for a while when nobody tells it again, and belongs to one
-// start of a target.
-func TestWhatTheLeaderToldHoldsForAWhile(t *testing.T) {
-	b := newTimed(t)
+// A relative time expires if it is not repeated, and does not apply to a restarted target.
+func TestRelativeTimeExpires(t *testing.T) {
+	b := newSpeedFixture(t)
 	slow := b.tokens[1]
 	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: slow, Step: 8}, {Token: 12345, Step: 8}})
 	entry := b.core.targets[slow]
 	assert.InDelta(t, 1.65, entry.relativeTime(b.now), 0.01)
-	assert.InDelta(t, 1.65, entry.relativeTime(b.now.Add(relativeLifetime)), 0.01)
-	assert.Equal(t, 1.0, entry.relativeTime(b.now.Add(relativeLifetime+1)))
+	assert.InDelta(t, 1.65, entry.relativeTime(b.now.Add(relativeTimeLifetime)), 0.01)
+	assert.Equal(t, 1.0, entry.relativeTime(b.now.Add(relativeTimeLifetime+1)))
 	old := entry.target
 	b.apply(b.now, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 		ID: old.ID, Born: 1, Service: old.Service, Zone: old.Zone, Slots: old.Slots, State: old.State, Address: old.Address,
@@ -212,9 +211,9 @@
 	assert.Equal(t, 1.0, b.core.targets[started.Token].relativeTime(b.now))
 }
 
-// The share of new flows follows the rate; a decision tells the time that it rested on.
-func TestFlowsGoByRate(t *testing.T) {
-	b := newTimed(t)
+// New flows are distributed by rate, and each decision tells the relative time it used.
+func TestNewFlowsFollowServiceRate(t *testing.T) {
+	b := newSpeedFixture(t)
 	b.core.settings.Chooser = &rateChoice{}
 	b.core.SetSpeeds(b.now, []speed.TargetStep{{Token: b.tokens[0], Step: 11}, {Token: b.tokens[1], Step: -11}})
 	counts := map[directory.Token]int{}
@@ -225,7 +224,7 @@
 		if decision.Target.Token == b.tokens[0] {
 			assert.InDelta(t, 2, decision.RelativeTime, 0.02)
 		}
-		closing := sending(b.port, decision.Target.Token, 1, 1, 0)
+		closing := dataPacket(b.port, decision.Target.Token, 1, 1, 0)
 		closing.Reset = true
 		b.core.Decide(b.now, closing)
 	}
@@ -234,9 +233,9 @@
 	assert.InDelta(t, 2*all, counts[b.tokens[1]], 0.2*all)
 }
 
-// Targets that are cold, or that a copy has tried, have lost no slots: the flows of their
-// zone stay in it. Those of ejected ones leave it.
-func TestOnlyLostSlotsSendFlowsAway(t *testing.T) {
+// Warming targets and those that a retransmission has tried are not lost capacity; ejected
+// ones are.
+func TestOnlyLostSlotsCauseSpill(t *testing.T) {
 	const each = 10
 	ids := func(prefix string, count int) []string {
 		var list []string
@@ -250,18 +249,18 @@
 		cold, tried, ejected []string
 		least, most          float64
 	}{
-		{"nothing passed over", nil, nil, nil, 0, 0},
-		{"a release in progress", ids("near-", each/2), nil, nil, 0, 0},
-		{"a zone that has just started", ids("near-", each), nil, nil, 0, 0},
-		{"other zones that have just started", ids("far-", each), nil, nil, 0, 0},
-		{"copies", nil, ids("near-", 3), nil, 0, 0},
-		{"copies to a zone that has just started", ids("near-", each), ids("near-", 3), nil, 0, 0},
-		{"half of the zone ejected", nil, nil, ids("near-", each/2), 1 - spillStart/2, 1 - spillStart/2},
-		{"half ejected while other zones start", ids("far-", each), nil, ids("near-", each/2), 0, 1 - spillStart/2},
+		{"nothing skipped", nil, nil, nil, 0, 0},
+		{"release in progress", ids("near-", each/2), nil, nil, 0, 0},
+		{"local zone warming up", ids("near-", each), nil, nil, 0, 0},
+		{"other zones warming up", ids("far-", each), nil, nil, 0, 0},
+		{"retransmissions", nil, ids("near-", 3), nil, 0, 0},
+		{"retransmissions while the local zone warms up", ids("near-", each), ids("near-", 3), nil, 0, 0},
+		{"half of the local zone ejected", nil, nil, ids("near-", each/2), 1 - spillThreshold/2, 1 - spillThreshold/2},
+		{"half ejected while other zones warm up", ids("far-", each), nil, ids("near-", each/2), 0, 1 - spillThreshold/2},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			b := booking(t)
+			b := newBookingFixture(t)
 			tokens := map[string]directory.Token{}
 			for number, id := range slices.Concat(ids("near-", each), ids("far-", each)) {
 				zone := map[bool]string{true: "north", false: "south"}[number < each]
@@ -282,7 +281,7 @@
 			b.core.ApplyVerdicts(directory.Verdicts{Ejected: tokensOf(test.ejected)})
 			for minute := range 55 {
 				now := start.Add(time.Duration(minute) * time.Minute)
-				b.core.listUsable(now, "booking", directory.RouteRepeatable, tokensOf(test.tried))
+				b.core.collectCandidates(now, "booking", directory.RouteRepeatable, tokensOf(test.tried))
 				spill := b.core.choice.spill()
 				assert.GreaterOrEqual(t, spill, test.least-1e-9, "minute %d", minute)
 				assert.LessOrEqual(t, spill, test.most+1e-9, "minute %d", minute)
@@ -291,20 +290,19 @@
 	}
 }
 
-// Work of one kind on targets of three speeds differs by a factor of twenty: a node takes
-// none of the slow third for ill, and finds the fast one whose work takes twenty times as
-// long as usual.
-func TestASlowThirdIsNotTakenForIll(t *testing.T) {
+// Targets of three speeds with widely varying requests must not count as slow, but one that
+// is twenty times slower must.
+func TestSlowTargetsAreNotOutliers(t *testing.T) {
 	const requests, spread = 400, 0.5
-	b := newTimed(t)
+	b := newSpeedFixture(t)
 	random := rand.New(rand.NewPCG(5, 1))
 	sums := map[directory.Token]directory.Outcomes{}
 	play := func(factors [3]float64) {
 		clear(sums)
 		for range requests {
 			for number, token := range b.tokens {
-				work := float64(usualWorkTime) * factors[number] * math.Exp(spread*random.NormFloat64())
-				b.request(token, time.Duration(work), usualAnswer)
+				work := float64(typicalWork) * factors[number] * math.Exp(spread*random.NormFloat64())
+				b.request(token, time.Duration(work), typicalAnswerSize)
 			}
 			for _, counted := range b.core.Report(b.now, time.Minute).Outcomes {
 				sums[counted.Token] = sums[counted.Token].Add(counted)
--- a/internal/steer/warmup.go
+++ b/internal/steer/warmup.go
@@ -8,104 +8,101 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// budgetWindow is the time in which a node sends a cold target no more than its
-// share. It is a second, for which budgets are stated, and a margin: packets that
-// leave in one second may arrive closer together, by the time that links and
-// sockets hold them up.
+// budgetWindow is the window over which a node's share of a warm-up budget applies. Budgets
+// are per second; the margin allows for packets that links and sockets delay and bunch up.
 const budgetWindow = 1250 * time.Millisecond
 
-// coldness is what a node knows of a target that has just started, or whose zone
-// was just taken back. It is spared: its part of the new flows grows from nothing
-// to that of a warm target.
-type coldness struct {
+// warmupState limits the new flows to a target that has just started, or whose zone was
+// evacuated until recently. Its share of the flows grows from zero to that of a warm target.
+type warmupState struct {
 	since, until kernel.Instant
-	// share is the number of opening packets that this node may send in
-	// budgetWindow; it holds where bounded is set.
+	// share is the number of opening packets that this node may send per budgetWindow, if
+	// bounded is set.
 	share   uint32
 	bounded bool
-	// sent holds the times of the opening packets of the last budgetWindow.
+	// sent holds the times of the opening packets in the last budgetWindow.
 	sent []kernel.Instant
 }
 
-func (c *Core) newColdness(now kernel.Instant, warmup directory.Warmup) *coldness {
-	share, bounded := warmup.Share(c.key)
-	return &coldness{since: now, until: now.Add(warmup.Left), share: share, bounded: bounded}
+func (c *Core) newWarmupState(now kernel.Instant, warmup directory.Warmup) *warmupState {
+	share, bounded := warmup.Share(c.nodeKey)
+	return &warmupState{since: now, until: now.Add(warmup.Left), share: share, bounded: bounded}
 }
 
-// left returns the part of the time that is left, from 1 to 0.
-func (c *coldness) left(now kernel.Instant) float64 {
-	if !now.Before(c.until) {
+// remaining returns the fraction of the warm-up that is left, from 1 to 0.
+func (w *warmupState) remaining(now kernel.Instant) float64 {
+	if !now.Before(w.until) {
 		return 0
 	}
-	return float64(c.until.Sub(now)) / float64(c.until.Sub(c.since))
+	return float64(w.until.Sub(now)) / float64(w.until.Sub(w.since))
 }
 
-// hasRoom reports whether the target may get another opening packet from this node.
-func (c *coldness) hasRoom(now kernel.Instant) bool {
-	if !c.bounded || !now.Before(c.until) {
+// hasBudget reports whether this node may send the target another opening packet.
+func (w *warmupState) hasBudget(now kernel.Instant) bool {
+	if !w.bounded || !now.Before(w.until) {
 		return true
 	}
-	c.sent = slices.DeleteFunc(c.sent, func(at kernel.Instant) bool { return now.Sub(at) >= budgetWindow })
-	return uint32(len(c.sent)) < c.share
+	w.sent = slices.DeleteFunc(w.sent, func(at kernel.Instant) bool { return now.Sub(at) >= budgetWindow })
+	return uint32(len(w.sent)) < w.share
 }
 
-// noteSent notes that an opening packet goes to a target.
-func (entry *targetEntry) noteSent(now kernel.Instant) {
-	if entry.cold == nil {
+// recordOpening counts an opening packet against the budget of a warming target.
+func (entry *targetEntry) recordOpening(now kernel.Instant) {
+	if entry.warmup == nil {
 		return
 	}
-	if !now.Before(entry.cold.until) {
-		entry.cold = nil
+	if !now.Before(entry.warmup.until) {
+		entry.warmup = nil
 		return
 	}
-	if entry.cold.bounded {
-		entry.cold.sent = append(entry.cold.sent, now)
+	if entry.warmup.bounded {
+		entry.warmup.sent = append(entry.warmup.sent, now)
 	}
 }
 
-// isClosed reports whether a target may not get an opening packet at all: its zone
-// is being evacuated, or it is cold and this node has used its share. A node that
-// has just started does not know what it sent before.
-func (c *Core) isClosed(now kernel.Instant, entry *targetEntry) bool {
+// isBlocked reports whether a target may not get any opening packet: its zone is evacuated, or
+// it is warming up and this node has no budget left. A node that has just started does not
+// know what it sent before and waits for one budgetWindow.
+func (c *Core) isBlocked(now kernel.Instant, entry *targetEntry) bool {
 	if c.evacuated[entry.target.Zone] {
 		return true
 	}
-	if entry.cold == nil {
+	if entry.warmup == nil {
 		return false
 	}
-	return !entry.cold.hasRoom(now) || entry.cold.bounded && now.Before(c.budgetFrom)
+	return !entry.warmup.hasBudget(now) || entry.warmup.bounded && now.Before(c.budgetFrom)
 }
 
-// isSpared draws whether a cold target is passed over while others are left.
-func (c *Core) isSpared(now kernel.Instant, entry *targetEntry) bool {
-	if entry.cold == nil {
+// skipsWhileWarming decides at random whether to skip a warming target.
+func (c *Core) skipsWhileWarming(now kernel.Instant, entry *targetEntry) bool {
+	if entry.warmup == nil {
 		return false
 	}
-	left := entry.cold.left(now)
-	return left > 0 && c.settings.Random.Float64() < left
+	remaining := entry.warmup.remaining(now)
+	return remaining > 0 && c.settings.Random.Float64() < remaining
 }
 
-// setEvacuations takes over what was ordered about zones.
+// setEvacuations applies the evacuation orders of zones.
 func (c *Core) setEvacuations(now kernel.Instant, evacuations []directory.Evacuation) {
 	for _, evacuation := range evacuations {
-		known := c.evacuations[evacuation.Zone]
-		c.evacuations[evacuation.Zone] = evacuation.Revision
+		previous := c.evacuationRevisions[evacuation.Zone]
+		c.evacuationRevisions[evacuation.Zone] = evacuation.Revision
 		c.evacuated[evacuation.Zone] = evacuation.Active
-		if !evacuation.Active && evacuation.Revision > known {
-			c.takeBack(now, evacuation)
+		if !evacuation.Active && evacuation.Revision > previous {
+			c.endEvacuation(now, evacuation)
 		}
 	}
 }
 
-// takeBack spares the targets of a zone that may get new flows again. One that has
-// registered since has stewards of its own.
-func (c *Core) takeBack(now kernel.Instant, evacuation directory.Evacuation) {
+// endEvacuation starts the warm-up of the targets of a zone that takes flows again. Targets
+// that have registered since then have a warm-up and stewards of their own.
+func (c *Core) endEvacuation(now kernel.Instant, evacuation directory.Evacuation) {
 	for _, entry := range c.targets {
 		if entry.target.Zone != evacuation.Zone || entry.target.Revision > evacuation.Revision {
 			continue
 		}
 		if warmup, known := evacuation.Warmup(entry.target.Service); known {
-			entry.cold = c.newColdness(now, warmup)
+			entry.warmup = c.newWarmupState(now, warmup)
 		}
 	}
 }
--- a/internal/steer/warmup_test.go
+++ b/internal/steer/warmup_test.go
@@ -16,8 +16,8 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// coldTarget registers a target that is cold for a time.
-func (b *bench) coldTarget(now kernel.Instant, id, zone, address string, warmup directory.Warmup) directory.Target {
+// coldTarget registers a target that warms up.
+func (b *coreFixture) coldTarget(now kernel.Instant, id, zone, address string, warmup directory.Warmup) directory.Target {
 	b.apply(now, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 		ID: id, Service: "booking", Zone: zone, Slots: 2, State: directory.TargetReady, Address: netip.MustParseAddrPort(address), Warmup: &warmup,
 	}})
@@ -25,8 +25,8 @@
 	return target
 }
 
-func TestAColdTargetsPartGrowsWithItsAge(t *testing.T) {
-	b := booking(t)
+func TestShareOfColdTargetGrows(t *testing.T) {
+	b := newBookingFixture(t)
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
 	counts := map[int]int{}
@@ -40,8 +40,8 @@
 			if decision.Target.ID == "i-2" {
 				counts[quarter]++
 			}
-			// The caller is answered, so that waiting flows decide nothing.
-			b.core.Decide(now, following(port, decision.Target.Token, 1))
+			// The answer makes the flow idle, so that waiting flows do not affect the choice.
+			b.core.Decide(now, flowPacket(port, decision.Target.Token, 1))
 		}
 	}
 	assert.Zero(t, counts[0])
@@ -50,16 +50,16 @@
 	assert.Greater(t, counts[3], counts[2])
 }
 
-func TestAColdTargetServesWhenNoOtherIsLeft(t *testing.T) {
-	b := booking(t)
+func TestColdTargetServesWhenAlone(t *testing.T) {
+	b := newBookingFixture(t)
 	cold := b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
-	assert.Equal(t, cold.ID, b.core.Decide(start, opening(1, 0)).Target.ID, "no rate is stated")
+	assert.Equal(t, cold.ID, b.core.Decide(start, opening(1, 0)).Target.ID, "no budget is set")
 }
 
-// Where only cold targets are left that bear no more, callers hear it at once.
-func TestCallersHearAtOnceThatOnlyColdTargetsAreLeft(t *testing.T) {
-	b := booking(t)
-	b.core.key = directory.NodeKey("me")
+// If only warming targets without budget are left, new flows are reset at once.
+func TestExhaustedColdTargetsResetNewFlows(t *testing.T) {
+	b := newBookingFixture(t)
+	b.core.nodeKey = directory.NodeKey("me")
 	now := start.Add(2 * budgetWindow)
 	b.coldTarget(start.Add(-time.Hour), "i-2", "north", "10.0.0.2:1", directory.Warmup{
 		Left: 2 * time.Hour, Budget: 1, Stewards: []uint32{directory.NodeKey("me")},
@@ -69,18 +69,18 @@
 	assert.Equal(t, ActionReset, decision.Action)
 	assert.Equal(t, ReasonCold, decision.Reason)
 	assert.Equal(t, ActionForward, b.core.Decide(now.Add(budgetWindow), opening(3, 0)).Action)
-	b.core.key = directory.NodeKey("other")
+	b.core.nodeKey = directory.NodeKey("other")
 	b.coldTarget(start, "i-3", "north", "10.0.0.3:1", directory.Warmup{
 		Left: time.Hour, Budget: 1, Stewards: []uint32{directory.NodeKey("me")},
 	})
-	assert.Equal(t, ReasonCold, b.core.Decide(now, opening(4, 0)).Reason, "a node that is no steward sends nothing")
+	assert.Equal(t, ReasonCold, b.core.Decide(now, opening(4, 0)).Reason, "a node that is not a steward sends nothing")
 }
 
-func TestAZoneThatIsTakenBackIsSpared(t *testing.T) {
-	b := booking(t)
+func TestZoneWarmsUpAfterEvacuation(t *testing.T) {
+	b := newBookingFixture(t)
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
-	b.evacuate(start, "north", true)
+	b.setEvacuated(start, "north", true)
 	order := directory.Evacuation{Zone: "north", Revision: b.state.Evacuation("north").Revision, Warmups: []directory.ServiceWarmup{
 		{Service: "booking", Warmup: directory.Warmup{Left: 2 * time.Second}},
 	}}
@@ -90,16 +90,15 @@
 		ID: "i-9", Service: "other", Zone: "south", State: directory.TargetReady, Address: netip.MustParseAddrPort("10.0.0.9:1"),
 	}})
 	warm := start.Add(3 * time.Second)
-	assert.Equal(t, "i-1", b.core.Decide(warm, opening(2, 0)).Target.ID, "near, and warm by now")
+	assert.Equal(t, "i-1", b.core.Decide(warm, opening(2, 0)).Target.ID, "the local target is warm")
 }
 
-// Simulated fleet, seed 153: a node that started after a zone had been taken back, and
-// after a target had registered there, was a steward of the zone and took the budget of
-// the target's own steward besides.
-func TestATargetThatRegistersAfterItsZoneWasTakenBackHasItsOwnStewards(t *testing.T) {
-	b := booking(t)
-	b.core.key = directory.NodeKey("me")
-	b.evacuate(start, "north", true)
+// A node that starts after the end of an evacuation must not use the zone's budget for a
+// target that has registered since and has stewards of its own.
+func TestTargetRegisteredAfterEvacuationKeepsItsStewards(t *testing.T) {
+	b := newBookingFixture(t)
+	b.core.nodeKey = directory.NodeKey("me")
+	b.setEvacuated(start, "north", true)
 	order := directory.Evacuation{Zone: "north", Revision: b.state.Evacuation("north").Revision, Warmups: []directory.ServiceWarmup{
 		{Service: "booking", Warmup: directory.Warmup{Left: time.Hour, Budget: 2, Stewards: []uint32{directory.NodeKey("me")}}},
 	}}
@@ -108,14 +107,14 @@
 		Left: time.Hour, Budget: 2, Stewards: []uint32{directory.NodeKey("other")},
 	})
 	fresh := New(b.core.settings)
-	fresh.key = directory.NodeKey("me")
+	fresh.nodeKey = directory.NodeKey("me")
 	require.True(t, fresh.Update(start, b.state.Since(0)))
 	assert.Equal(t, ReasonCold, fresh.Decide(start.Add(2*budgetWindow), opening(1, 0)).Reason)
 }
 
-// coldRun plays a fleet of nodes that open flows to targets of which tens turn cold,
-// and counts what each target takes. Nodes start anew, learn late and are frozen.
-type coldRun struct {
+// coldSimulation lets a fleet of nodes open flows to warming targets and records what each
+// target gets. Nodes restart, and learn of targets late.
+type coldSimulation struct {
 	random  *rand.Rand
 	state   *directory.State
 	nodes   []*Core
@@ -128,12 +127,12 @@
 	coldTargets = 12
 	coldLeft    = 2 * time.Second
 	coldStep    = 5 * time.Millisecond
-	// flowsPerStep is the number of flows that come to a node in each step at most.
+	// flowsPerStep is the largest number of new flows at a node per step.
 	flowsPerStep = 4
 )
 
-func newColdRun(seed uint64, budget uint32) *coldRun {
-	r := &coldRun{random: rand.New(rand.NewPCG(seed, 9)), state: directory.New(), budget: budget, arrived: map[string][]kernel.Instant{}}
+func newColdSimulation(seed uint64, budget uint32) *coldSimulation {
+	r := &coldSimulation{random: rand.New(rand.NewPCG(seed, 9)), state: directory.New(), budget: budget, arrived: map[string][]kernel.Instant{}}
 	edit := directory.Difference(directory.Configuration{}, directory.Configuration{
 		Version: 1, Routes: []directory.Route{route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1})},
 	})
@@ -144,15 +143,15 @@
 	return r
 }
 
-func (r *coldRun) newNode(number int) *Core {
+func (r *coldSimulation) newNode(number int) *Core {
 	settings := DefaultSettings()
 	settings.Name = fmt.Sprint("node-", number)
 	settings.Random = r.random
 	return New(settings)
 }
 
-// register lets a cold target register; some of the nodes are its stewards.
-func (r *coldRun) register(position uint64) {
+// register registers a warming target with some of the nodes as its stewards.
+func (r *coldSimulation) register(position uint64) {
 	warmup := directory.Warmup{Left: coldLeft, Budget: r.budget}
 	for _, number := range r.random.Perm(coldNodes)[:min(int(r.budget), 4)] {
 		warmup.Stewards = append(warmup.Stewards, directory.NodeKey(fmt.Sprint("node-", number)))
@@ -163,18 +162,17 @@
 	}})
 }
 
-// play returns the largest number of opening packets that a cold target took in any
-// second.
-func (r *coldRun) play() int {
+// run returns the largest number of opening packets that a warming target got in any second.
+func (r *coldSimulation) run() int {
 	end := start.Add(5 * time.Second)
-	born := map[string]kernel.Instant{}
+	registeredAt := map[string]kernel.Instant{}
 	position := uint64(1)
 	port := uint16(0)
 	for now := start; now < end; now = now.Add(coldStep) {
 		if now.Sub(start) < time.Second && int(position) <= coldTargets {
 			position++
 			r.register(position)
-			born[fmt.Sprint("i-", position)] = now
+			registeredAt[fmt.Sprint("i-", position)] = now
 		}
 		for number, node := range r.nodes {
 			switch chance := r.random.IntN(1000); {
@@ -194,39 +192,38 @@
 			}
 		}
 	}
-	most := 0
+	highest := 0
 	for id, times := range r.arrived {
 		first := 0
 		for last, at := range times {
-			if at.Sub(born[id]) >= coldLeft {
+			if at.Sub(registeredAt[id]) >= coldLeft {
 				break
 			}
 			for at.Sub(times[first]) >= time.Second {
 				first++
 			}
-			most = max(most, last-first+1)
+			highest = max(highest, last-first+1)
 		}
 	}
-	return most
+	return highest
 }
 
-// coldSeeds is the number of seeds in CI; more by the environment variable.
+// coldSeeds returns the number of seeds, which an environment variable may set.
 func coldSeeds() int {
-	if asked, err := strconv.Atoi(os.Getenv("BEAMDOOR_COLD_SEEDS")); err == nil {
-		return asked
+	if count, err := strconv.Atoi(os.Getenv("BEAMDOOR_COLD_SEEDS")); err == nil {
+		return count
 	}
 	return 60
 }
 
-// Cold targets bear a number of requests a second that holds over all nodes together.
-// A limit at each node by its number of nodes would need all of them to know it.
-func TestTheSumOverAllNodesStaysWithinAColdTargetsBudget(t *testing.T) {
+// The budget of a warming target is shared by all nodes, even if some do not know all others.
+func TestColdBudgetHoldsOverAllNodes(t *testing.T) {
 	used := 0
 	for seed := range uint64(coldSeeds()) {
 		budget := []uint32{1, 3, 7, 100}[seed%4]
-		most := newColdRun(seed, budget).play()
-		require.LessOrEqual(t, most, int(budget), "seed %d", seed)
-		if most > 0 {
+		highest := newColdSimulation(seed, budget).run()
+		require.LessOrEqual(t, highest, int(budget), "seed %d", seed)
+		if highest > 0 {
 			used++
 		}
 	}
--- a/internal/steer/witness.go
+++ b/internal/steer/witness.go
@@ -3,38 +3,37 @@
 import "time"
 
 const (
-	// lossHorizon is about how long what callers had to send again is remembered: some
-	// of a caller's first two pauses (200 and 400 ms).
-	lossHorizon = 2 * time.Second
-	// lossShare is the share of answered data that had to be sent again from which on
-	// packets get lost on their way rather than at targets.
-	lossShare = 0.125
-	// leastRecovered is the least number of such data: single ones are no pattern.
-	leastRecovered = 0.5
+	// lossDecayTime is the approximate time over which losses decay.
+	lossDecayTime = 2 * time.Second
+	// lossThreshold is the share of retransmitted data among answered data above which
+	// packets are likely lost on the path rather than at targets.
+	lossThreshold = 0.125
+	// minRecovered is the least decayed count of losses that counts; single losses do not.
+	minRecovered = 0.5
 )
 
-// witness judges how good a witness this node is: data that was sent again and then
-// answered was lost on its way, at targets that live.
-type witness struct {
+// lossTracker measures packet loss on the path: data that was retransmitted and then
+// answered was lost although its target is alive.
+type lossTracker struct {
 	answered, recovered float64
 }
 
-// noteAnswered notes an answer to data that was sent again so many times.
-func (w *witness) noteAnswered(resent int) {
-	w.answered++
+// addAnswered counts answered data with its number of retransmissions.
+func (t *lossTracker) addAnswered(resent int) {
+	t.answered++
 	if resent > 0 {
-		w.recovered++
+		t.recovered++
 	}
 }
 
-// age lets what was seen count less, after some time has passed.
-func (w *witness) age(passed time.Duration) {
-	kept := max(0, 1-passed.Seconds()/lossHorizon.Seconds())
-	w.answered *= kept
-	w.recovered *= kept
+// decay reduces the counts by the time that has passed.
+func (t *lossTracker) decay(passed time.Duration) {
+	factor := max(0, 1-passed.Seconds()/lossDecayTime.Seconds())
+	t.answered *= factor
+	t.recovered *= factor
 }
 
-// loses reports whether much gets lost between callers and targets that live.
-func (w *witness) loses() bool {
-	return w.recovered >= leastRecovered && w.recovered >= lossShare*w.answered
+// isLossy reports whether much data to live targets gets lost.
+func (t *lossTracker) isLossy() bool {
+	return t.recovered >= minRecovered && t.recovered >= lossThreshold*t.answered
 }
