--- a/internal/explain/ejection_test.go
+++ b/internal/explain/ejection_test.go
@@ -52,12 +52,12 @@
 
 // A version's lines name no target: they belong to the flows of its service.
 func TestTheStoryOfAFlowTellsWhichVersionWasPassedOver(t *testing.T) {
-	held := `ts=2026-01-01T00:02:29Z process=core-1 event=1135 name=version_held msg="held" service=booking version=v8 targets=5 cause="it fails its work far more than the version before" reason="30 of 40 exchanges ended unanswered" hold=2s
+	held := `ts=2026-01-01T00:02:29Z process=core-1 event=1135 name=version_held msg="held" service=booking version=v8 targets=5 cause="it fails far more requests than the earlier versions" reason="30 of 40 exchanges ended unanswered" hold=2s
 ts=2026-01-01T00:02:29Z process=core-1 event=1135 name=version_held msg="held" service=stock version=v3 targets=2 cause=ordered hold=2s
 `
 	story := storyOf(t, ejectionLogs+held, Question{Caller: "10.0.0.1:5"})
 	assert.Equal(t, []string{"target_ejected", "version_held", "flow_placed", "target_on_probation", "target_readmitted"}, names(story))
 	var text strings.Builder
 	require.NoError(t, Print(&text, story))
-	assert.Contains(t, text.String(), "version v8 passed over: it fails its work far more than the version before")
+	assert.Contains(t, text.String(), "version v8 passed over: it fails far more requests than the earlier versions")
 }
--- a/internal/outlier/bench_test.go
+++ b/internal/outlier/bench_test.go
@@ -12,15 +12,15 @@
 
 const benchTargets = 3000
 
-// BenchmarkDecide is the work of a leader each 100 ms in a fleet with 3,000 targets of
-// two services, of which each has served ten exchanges a second.
+// BenchmarkDecide measures one decision for 3,000 targets of two services, each with ten
+// exchanges a second.
 func BenchmarkDecide(b *testing.B) {
 	benchmarkDecide(b, "v1", func(int) Report { return Report{Outcomes: directory.Outcomes{Answered: 1}} })
 }
 
-// BenchmarkDecideDuringARelease is the same while half of the targets are of a new version
-// and one exchange in 100 fails.
-func BenchmarkDecideDuringARelease(b *testing.B) {
+// BenchmarkDecideDuringRelease is the same with half of the targets on a new version and
+// a failure rate of 1 %.
+func BenchmarkDecideDuringRelease(b *testing.B) {
 	benchmarkDecide(b, "v2", func(int) Report {
 		if rand.IntN(100) == 0 {
 			return Report{Outcomes: directory.Outcomes{Unanswered: 1}, FailingNodes: 2, RecentFailures: 2, TopFailures: 1}
@@ -29,8 +29,7 @@
 	})
 }
 
-// BenchmarkDecideWithSuspects is the same while more targets fail their work than may be
-// left out, so that some are suspects each time.
+// BenchmarkDecideWithSuspects is the same with more failing targets than may be ejected.
 func BenchmarkDecideWithSuspects(b *testing.B) {
 	benchmarkDecide(b, "v1", func(number int) Report {
 		if number%5 < 2 {
@@ -41,7 +40,7 @@
 }
 
 func benchmarkDecide(b *testing.B, newer string, report func(number int) Report) {
-	judge := NewDetector()
+	detector := NewDetector()
 	var targets []Target
 	for number := range benchTargets {
 		service := fmt.Sprint("service-", number%2)
@@ -58,8 +57,8 @@
 		for number, target := range targets {
 			noted := report(number)
 			noted.Token = target.Token
-			judge.AddReport(now, "member", noted)
+			detector.AddReport(now, "member", noted)
 		}
-		judge.Decide(now, targets)
+		detector.Decide(now, targets)
 	}
 }
--- a/internal/outlier/concurrent.go
+++ b/internal/outlier/concurrent.go
@@ -7,57 +7,59 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// contemporaries is what the targets of a service showed in the newest one, two and
-// more buckets of time. When a cause that is common to all targets begins, the last
-// seconds do not tell yet what is usual, but the others of the same time do.
-type contemporaries struct {
-	sums sums
-	// worst holds the targets of which few failures count: as many as may be ejected at
-	// once do not spoil the reference.
-	worst map[*record]bool
+// concurrentCounts sums the counts of a service's active targets over each suffix of the
+// window. At the onset of a common failure the baseline still lags, but the other targets
+// over the same period already show it.
+type concurrentCounts struct {
+	sums suffixSums
+	// worst holds the targets whose failures are capped: as many as may be ejected, so
+	// that they do not distort the comparison.
+	worst map[*targetRecord]bool
 }
 
-// worstFailures is the number of failures that count at most of one of the worst targets:
-// when a common cause begins, healthy targets are among them that show one or two more
-// than the others.
-const worstFailures = 2
+// worstFailureCap is the number of failures counted for each of the worst targets. At the
+// onset of a common failure a healthy target may be among them.
+const worstFailureCap = 2
 
-func (j *Detector) contemporaries(now kernel.Instant, targets []Target) *contemporaries {
-	var seen []*record
-	j.eachFair(targets, func(kept *record) {
-		if kept.window.Total(now).Exchanges > 0 {
-			seen = append(seen, kept)
+func (d *Detector) concurrentCounts(now kernel.Instant, targets []Target) *concurrentCounts {
+	var records []*targetRecord
+	d.eachActive(targets, func(rec *targetRecord) {
+		if rec.window.Total(now).Exchanges > 0 {
+			records = append(records, rec)
 		}
 	})
-	slices.SortStableFunc(seen, func(a, b *record) int { return cmp.Compare(a.window.total.FailureRate(), b.window.total.FailureRate()) })
-	c := &contemporaries{worst: map[*record]bool{}}
-	better := len(seen) - len(seen)/trimDivisor
-	for _, kept := range seen[better:] {
-		c.worst[kept] = true
+	slices.SortStableFunc(records, func(a, b *targetRecord) int {
+		return cmp.Compare(a.window.total.FailureRate(), b.window.total.FailureRate())
+	})
+	c := &concurrentCounts{worst: map[*targetRecord]bool{}}
+	better := len(records) - len(records)/trimDivisor
+	for _, rec := range records[better:] {
+		c.worst[rec] = true
 	}
-	for position, kept := range seen {
-		c.sums.add(kept, countedOf(position >= better))
+	for position, rec := range records {
+		c.sums.add(rec, failureCap(position >= better))
 	}
 	return c
 }
 
-// countedOf returns what counts in the sums of one of the worst targets, or of another.
-func countedOf(worst bool) func(suffix Count) Count {
+// failureCap returns a function that caps the failures of a count if the target is one of
+// the worst.
+func failureCap(worst bool) func(suffix Count) Count {
 	return func(suffix Count) Count {
 		if worst {
-			suffix.Failures = min(suffix.Failures, worstFailures)
+			suffix.Failures = min(suffix.Failures, worstFailureCap)
 		}
 		return suffix
 	}
 }
 
-// expected returns the part of the exchanges that is to be expected to fail at a target,
-// from what is usual and from what the others showed in the same time. One failure more
-// counts: little that is known accuses nobody.
-func (c *contemporaries) expected(kept *record, usual float64) reference {
-	counted := countedOf(c.worst[kept])
+// baselineFor returns the failure rate expected of a target: the baseline or the failure
+// rate of the other targets over the same period, whichever is higher. One failure is
+// added so that few exchanges do not make a target a suspect.
+func (c *concurrentCounts) baselineFor(rec *targetRecord, baseline float64) baselineFunc {
+	limited := failureCap(c.worst[rec])
 	return func(suffix Count, buckets int) float64 {
-		others := c.sums[buckets-1].Sub(counted(suffix))
-		return max(usual, others.Add(Count{Exchanges: 1, Failures: 1}).FailureRate())
+		others := c.sums[buckets-1].Sub(limited(suffix))
+		return max(baseline, others.Add(Count{Exchanges: 1, Failures: 1}).FailureRate())
 	}
 }
--- a/internal/outlier/detector.go
+++ b/internal/outlier/detector.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// ejectedShareDivisor bounds the targets of a service that are left out at once to
-	// one part in so many: the others then bear half as much again, which they can
-	// while they are at most two thirds busy. A service of two has none left out.
+	// ejectedShareDivisor limits the ejected targets of a service to
+	// 1/ejectedShareDivisor, so that the others get at most half as much load again. A
+	// service with fewer targets has none ejected.
 	ejectedShareDivisor = 3
-	// zoneShareDivisor bounds those of a zone to half, one at least: what ails a whole
-	// zone is more likely the way to it, and callers near it are served best there.
+	// zoneShareDivisor limits the ejected targets of a zone to 1/zoneShareDivisor, but at
+	// least one: when a whole zone fails, the network path to it is the likelier cause.
 	zoneShareDivisor = 2
 )
 
-// Target is a target that may be judged.
+// Target describes a target to the detector.
 type Target struct {
 	Token         directory.Token
 	Service, Zone string
-	// Order is what an operator has ordered about it.
+	// Order is the operator's order for this target.
 	Order directory.TargetOrder
-	// Version is that of its software, empty where it states none, and VersionRule what
-	// an operator has ordered about that.
+	// Version is the target's software version, or empty if unknown. VersionRule is the
+	// operator's rule for that version.
 	Version     string
 	VersionRule directory.VersionRule
-	// RegisteredAt is the log position at which it registered.
+	// RegisteredAt is the log position of the registration.
 	RegisteredAt uint64
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that the target serves concurrently.
 	Slots uint32
-	// WarmingUp is set while it has just started or had until lately: what it shows then tells
-	// nothing of its version.
+	// WarmingUp is set during warm-up and until its exchanges have left the window. They
+	// are not evidence against the target's version.
 	WarmingUp bool
 }
 
-// ChangeKind tells what became of a target.
+// ChangeKind is the stage that a target or a version has entered.
 type ChangeKind uint8
 
 // The kinds of changes.
@@ -48,104 +48,106 @@
 	Readmitted
 )
 
-// Change tells what became of a target and why.
+// Change is a change of a target's stage and its reason.
 type Change struct {
 	Kind  ChangeKind
 	Token directory.Token
-	// Count is what was seen of the target, and Nodes the nodes that saw failures.
+	// Count is the evidence, and FailingNodes the number of nodes that saw failures.
 	Count        Count
 	FailingNodes uint32
-	// Baseline is the part of the exchanges that fails at the service's other targets.
+	// Baseline is the failure rate expected of a healthy target of the service.
 	Baseline float64
-	// Hold is how long the target is left out at least.
+	// Hold is the minimum duration of the ejection.
 	Hold time.Duration
 }
 
-// Decision says which targets get no new flows, and which get a few.
+// Decision lists the ejected targets, those on probation, and what has changed since the
+// previous decision.
 type Decision struct {
 	Ejected, Probation []directory.Token
 	Changes            []Change
-	// Versions tells what became of versions.
-	Versions []VersionChange
+	Versions           []VersionChange
 }
 
-// Detector judges the targets of a fleet. One goroutine owns it.
+// Detector ejects failing targets and versions. It is not safe for concurrent use.
 type Detector struct {
-	records map[directory.Token]*record
-	// versions holds those of services with more than one.
-	versions map[directory.ServiceVersion]*version
-	// trials holds what is seen of the targets of versions on trial.
-	trials map[directory.Token]*record
-	// inherited holds what the judge before left out, until the first decision.
-	inherited map[directory.Token]bool
-	// knownRevision is the log position up to which orders were obeyed by the judge
-	// before.
-	knownRevision uint64
+	records map[directory.Token]*targetRecord
+	// versions holds the versions of services with more than one.
+	versions map[directory.ServiceVersion]*versionRecord
+	// trialRecords holds the counts of targets selected for the trial of an ejected
+	// version.
+	trialRecords map[directory.Token]*targetRecord
+	// restored holds the targets ejected or on probation at the previous leader, until
+	// the first decision.
+	restored map[directory.Token]bool
+	// appliedRevision is the log position up to which the previous leader applied orders.
+	appliedRevision uint64
 }
 
-// NewDetector returns a judge that knows nothing.
+// NewDetector returns a detector without any counts.
 func NewDetector() *Detector {
-	return &Detector{records: map[directory.Token]*record{}, versions: map[directory.ServiceVersion]*version{}}
+	return &Detector{records: map[directory.Token]*targetRecord{}, versions: map[directory.ServiceVersion]*versionRecord{}}
 }
 
-// Restore takes over what another judge has decided. Its reasons are not known: what
-// it left out stays so for the shortest time, then it is tried. Orders up to a log
-// position were obeyed by then.
-func (j *Detector) Restore(now kernel.Instant, revision uint64, ejected, probation []directory.Token) {
-	j.knownRevision = revision
-	j.inherited = map[directory.Token]bool{}
+// Restore takes over the decisions of a previous leader. Since its evidence is unknown,
+// ejected targets stay ejected for minHold before their probation. Orders up to the
+// revision are not applied again.
+func (d *Detector) Restore(now kernel.Instant, revision uint64, ejected, probation []directory.Token) {
+	d.appliedRevision = revision
+	d.restored = map[directory.Token]bool{}
 	for _, token := range slices.Concat(ejected, probation) {
-		j.inherited[token] = true
+		d.restored[token] = true
 	}
 	for _, token := range ejected {
-		j.record(token).eject(now)
+		d.targetRecord(token).eject(now)
 	}
 	for _, token := range probation {
-		kept := j.record(token)
-		kept.ejections = 1
-		kept.try(now)
+		rec := d.targetRecord(token)
+		rec.ejections = 1
+		rec.startProbation(now)
 	}
 }
 
-// AddReport enters a member's report.
-func (j *Detector) AddReport(now kernel.Instant, from string, report Report) {
-	j.record(report.Token).note(now, from, report)
-	if trial, exists := j.trials[report.Token]; exists {
-		trial.note(now, from, report)
+// AddReport adds a member's report.
+func (d *Detector) AddReport(now kernel.Instant, from string, report Report) {
+	d.targetRecord(report.Token).addReport(now, from, report)
+	if trial, exists := d.trialRecords[report.Token]; exists {
+		trial.addReport(now, from, report)
 	}
 }
 
-func (j *Detector) record(token directory.Token) *record {
-	known, exists := j.records[token]
+func (d *Detector) targetRecord(token directory.Token) *targetRecord {
+	rec, exists := d.records[token]
 	if !exists {
-		known = newRecord()
-		j.records[token] = known
+		rec = newTargetRecord()
+		d.records[token] = rec
 	}
-	return known
+	return rec
 }
 
-// Decide judges the targets; those that are not among them are forgotten.
-func (j *Detector) Decide(now kernel.Instant, targets []Target) Decision {
+// Decide updates the stages of the targets and returns the result. Records of targets
+// that are not listed are deleted.
+func (d *Detector) Decide(now kernel.Instant, targets []Target) Decision {
 	var decision Decision
-	kept := make(map[directory.Token]*record, len(j.records))
+	kept := make(map[directory.Token]*targetRecord, len(d.records))
 	for _, target := range targets {
-		if known, exists := j.records[target.Token]; exists && !known.isIdle(now) {
-			kept[target.Token] = known
+		if rec, exists := d.records[target.Token]; exists && !rec.isIdle(now) {
+			kept[target.Token] = rec
 		}
 	}
-	j.records = kept
+	d.records = kept
 	for _, service := range byService(targets) {
 		slices.SortFunc(service, func(a, b Target) int { return cmp.Compare(a.Token, b.Token) })
-		service = j.decideVersions(now, service, &decision)
-		j.decideService(now, service, &decision)
+		service = d.decideVersions(now, service, &decision)
+		d.decideService(now, service, &decision)
 	}
-	j.forgetVersions(now)
-	j.inherited = nil
+	d.pruneVersions(now)
+	d.restored = nil
 	decision.sort()
 	return decision
 }
 
-// byService returns the targets of each service.
+// byService groups targets by service.
 func byService(targets []Target) map[string][]Target {
 	counts := map[string]int{}
 	for _, target := range targets {
@@ -161,7 +163,7 @@
 	return services
 }
 
-// sort puts the lists in a fixed order, so that a simulated run repeats.
+// sort makes the order of the lists deterministic.
 func (d *Decision) sort() {
 	slices.Sort(d.Ejected)
 	slices.Sort(d.Probation)
@@ -169,90 +171,90 @@
 	slices.SortStableFunc(d.Versions, func(a, b VersionChange) int { return cmp.Compare(a.Service, b.Service) })
 }
 
-// decideService judges the targets of one service.
-func (j *Detector) decideService(now kernel.Instant, targets []Target, decision *Decision) {
-	usual, known := j.reference(now, targets)
-	judged := make([]Target, 0, len(targets))
+// decideService updates the targets of one service.
+func (d *Detector) decideService(now kernel.Instant, targets []Target, decision *Decision) {
+	baseline, known := d.baseline(now, targets)
+	eligible := make([]Target, 0, len(targets))
 	for _, target := range targets {
-		if !j.obey(now, target) {
+		if !d.applyOrder(now, target) {
 			continue
 		}
-		judged = append(judged, target)
-		if kept, exists := j.records[target.Token]; exists {
-			j.advance(now, target, kept, usual, known, decision)
+		eligible = append(eligible, target)
+		if rec, exists := d.records[target.Token]; exists {
+			d.advanceTarget(now, target, rec, baseline, known, decision)
 		}
 	}
 	if known {
-		j.ejectWorst(now, targets, judged, usual, decision)
+		d.ejectWorst(now, targets, eligible, baseline, decision)
 	}
 	for _, target := range targets {
-		kept, exists := j.records[target.Token]
+		rec, exists := d.records[target.Token]
 		switch {
 		case !exists:
-		case kept.stage == ejected:
+		case rec.stage == ejected:
 			decision.Ejected = append(decision.Ejected, target.Token)
-		case kept.stage == onProbation:
+		case rec.stage == onProbation:
 			decision.Probation = append(decision.Probation, target.Token)
 		}
 	}
 }
 
-// reference returns what is usual among the targets of a service, by the last seconds
-// or by the last one, whichever is worse: a common cause shows at once.
-func (j *Detector) reference(now kernel.Instant, targets []Target) (float64, bool) {
-	var long, recent []Count
-	j.eachFair(targets, func(kept *record) {
-		long = append(long, kept.window.Total(now))
-		recent = append(recent, kept.window.Recent(now))
+// baseline returns the baseline of a service, over the whole window or over the newest
+// buckets, whichever is higher, so that a failure with a common cause counts at once.
+func (d *Detector) baseline(now kernel.Instant, targets []Target) (float64, bool) {
+	var whole, recent []Count
+	d.eachActive(targets, func(rec *targetRecord) {
+		whole = append(whole, rec.window.Total(now))
+		recent = append(recent, rec.window.Recent(now))
 	})
-	usual, known := Baseline(long)
-	lately, _ := Baseline(recent)
-	usual = max(usual, lately)
-	return usual, known && usual < commonShare
+	baseline, known := Baseline(whole)
+	recentBaseline, _ := Baseline(recent)
+	baseline = max(baseline, recentBaseline)
+	return baseline, known && baseline < maxBaseline
 }
 
-// eachFair visits the records of the targets that tell what is usual.
-func (j *Detector) eachFair(targets []Target, visit func(kept *record)) {
+// eachActive calls visit for the records of the active targets.
+func (d *Detector) eachActive(targets []Target, visit func(rec *targetRecord)) {
 	for _, target := range targets {
-		if kept, exists := j.records[target.Token]; exists && kept.stage == fair {
-			visit(kept)
+		if rec, exists := d.records[target.Token]; exists && rec.stage == active {
+			visit(rec)
 		}
 	}
 }
 
-// advance ends a hold or a probation.
-func (j *Detector) advance(now kernel.Instant, target Target, kept *record, usual float64, known bool, decision *Decision) {
+// advanceTarget ends an ejection or a probation when due.
+func (d *Detector) advanceTarget(now kernel.Instant, target Target, rec *targetRecord, baseline float64, known bool, decision *Decision) {
 	switch {
-	case kept.stage == ejected && now >= kept.until:
-		kept.try(now)
-		decision.Changes = append(decision.Changes, Change{Kind: OnProbation, Token: target.Token, Baseline: usual})
-	case kept.stage == onProbation && known:
-		j.endProbation(now, target, kept, usual, decision)
-	case kept.stage == onProbation && now >= kept.until:
-		j.readmit(now, target, kept, usual, decision)
+	case rec.stage == ejected && now >= rec.until:
+		rec.startProbation(now)
+		decision.Changes = append(decision.Changes, Change{Kind: OnProbation, Token: target.Token, Baseline: baseline})
+	case rec.stage == onProbation && known:
+		d.evaluateProbation(now, target, rec, baseline, decision)
+	case rec.stage == onProbation && now >= rec.until:
+		d.readmit(now, target, rec, baseline, decision)
 	}
 }
 
-// endProbation gives the verdict on a target that was tried, once there is one.
-func (j *Detector) endProbation(now kernel.Instant, target Target, kept *record, usual float64, decision *Decision) {
+// evaluateProbation ends a probation once it has a result or times out.
+func (d *Detector) evaluateProbation(now kernel.Instant, target Target, rec *targetRecord, baseline float64, decision *Decision) {
 	switch {
-	case kept.trial().isIll(usual):
-		kept.shown = kept.shown.Add(kept.tried)
-		j.eject(now, target, kept, usual, decision)
-	case kept.trial().isWell(usual) || now >= kept.until:
-		j.readmit(now, target, kept, usual, decision)
+	case rec.probation().stillFails(baseline):
+		rec.ejectionCount = rec.ejectionCount.Add(rec.probationCount)
+		d.eject(now, target, rec, baseline, decision)
+	case rec.probation().hasRecovered(baseline) || now >= rec.until:
+		d.readmit(now, target, rec, baseline, decision)
 	}
 }
 
-func (j *Detector) eject(now kernel.Instant, target Target, kept *record, usual float64, decision *Decision) {
-	change := Change{Kind: Ejected, Token: target.Token, Count: kept.window.Total(now), Baseline: usual}
-	_, change.FailingNodes = kept.failures(now)
-	change.Hold = kept.eject(now)
+func (d *Detector) eject(now kernel.Instant, target Target, rec *targetRecord, baseline float64, decision *Decision) {
+	change := Change{Kind: Ejected, Token: target.Token, Count: rec.window.Total(now), Baseline: baseline}
+	_, change.FailingNodes = rec.independentFailures(now)
+	change.Hold = rec.eject(now)
 	decision.Changes = append(decision.Changes, change)
 }
 
-func (j *Detector) readmit(now kernel.Instant, target Target, kept *record, usual float64, decision *Decision) {
-	change := Change{Kind: Readmitted, Token: target.Token, Count: kept.tried, Baseline: usual}
-	kept.readmit(now)
+func (d *Detector) readmit(now kernel.Instant, target Target, rec *targetRecord, baseline float64, decision *Decision) {
+	change := Change{Kind: Readmitted, Token: target.Token, Count: rec.probationCount, Baseline: baseline}
+	rec.readmit(now)
 	decision.Changes = append(decision.Changes, change)
 }
--- a/internal/outlier/detector_test.go
+++ b/internal/outlier/detector_test.go
@@ -15,78 +15,78 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// fleet is a service whose targets get exchanges from many nodes. It counts as nodes
-// and members do.
+// fleet simulates a service whose targets serve exchanges from many nodes, and the
+// reports of a member on them.
 type fleet struct {
-	random *rand.Rand
-	now    kernel.Instant
-	judge  *Detector
-	// targets stand in three zones by turns, as do the nodes.
+	random   *rand.Rand
+	now      kernel.Instant
+	detector *Detector
+	// targets are assigned to the zones round-robin, as are the nodes.
 	targets []Target
 	nodes   int
-	// rate is the number of exchanges a second with each target.
+	// rate is the number of exchanges per second with each target.
 	rate float64
-	// fails returns the probability that an exchange fails.
-	fails func(target, node int) float64
-	// trickle is the number of exchanges a second with a target on probation.
-	trickle float64
-	// seen holds the failures of each target by node in the spread that members know,
-	// and before that of the time before it.
-	seen, before []map[int]uint32
-	out          map[directory.Token]bool
-	tried        map[directory.Token]bool
-	changes      []Change
-	// decision is the newest one.
+	// failureRate returns the probability that an exchange fails.
+	failureRate func(target, node int) float64
+	// probationRate is the number of exchanges per second with a target on probation.
+	probationRate float64
+	// recentFailures holds the failures of each target by node in the current spread
+	// period, previousFailures those in the one before.
+	recentFailures, previousFailures []map[int]uint32
+	ejected                          map[directory.Token]bool
+	onProbation                      map[directory.Token]bool
+	changes                          []Change
+	// decision is the latest decision.
 	decision Decision
 }
 
-const zonesOfFleet = 3
+const fleetZones = 3
 
 func newFleet(seed uint64, targets, nodes int) *fleet {
 	f := &fleet{
-		random: rand.New(rand.NewPCG(seed, 7)), now: kernel.Instant(time.Minute), judge: NewDetector(), nodes: nodes, rate: 12, trickle: 4,
-		fails: func(int, int) float64 { return 0.005 }, out: map[directory.Token]bool{}, tried: map[directory.Token]bool{},
+		random: rand.New(rand.NewPCG(seed, 7)), now: kernel.Instant(time.Minute), detector: NewDetector(), nodes: nodes, rate: 12, probationRate: 4,
+		failureRate: func(int, int) float64 { return 0.005 }, ejected: map[directory.Token]bool{}, onProbation: map[directory.Token]bool{},
 	}
 	for number := range targets {
-		f.targets = append(f.targets, Target{Token: directory.Token(number + 1), Service: "s", Zone: fmt.Sprint("z", number%zonesOfFleet)})
-		f.seen = append(f.seen, map[int]uint32{})
-		f.before = append(f.before, map[int]uint32{})
+		f.targets = append(f.targets, Target{Token: directory.Token(number + 1), Service: "s", Zone: fmt.Sprint("z", number%fleetZones)})
+		f.recentFailures = append(f.recentFailures, map[int]uint32{})
+		f.previousFailures = append(f.previousFailures, map[int]uint32{})
 	}
 	return f
 }
 
-// step lets 100 ms pass.
+// step advances the time by one bucket.
 func (f *fleet) step() {
-	f.now = f.now.Add(bucketTime)
-	f.turn()
+	f.now = f.now.Add(bucketDuration)
+	f.rotateSpread()
 	for position, target := range f.targets {
 		f.report(position, target)
 	}
-	decision := f.judge.Decide(f.now, f.targets)
+	decision := f.detector.Decide(f.now, f.targets)
 	f.decision = decision
 	f.changes = append(f.changes, decision.Changes...)
-	f.out, f.tried = map[directory.Token]bool{}, map[directory.Token]bool{}
+	f.ejected, f.onProbation = map[directory.Token]bool{}, map[directory.Token]bool{}
 	for _, token := range decision.Ejected {
-		f.out[token] = true
+		f.ejected[token] = true
 	}
 	for _, token := range decision.Probation {
-		f.tried[token] = true
+		f.onProbation[token] = true
 	}
 }
 
 func (f *fleet) report(position int, target Target) {
 	rate := f.rate
-	if f.out[target.Token] {
+	if f.ejected[target.Token] {
 		rate = 0
-	} else if f.tried[target.Token] {
-		rate = f.trickle
+	} else if f.onProbation[target.Token] {
+		rate = f.probationRate
 	}
 	report := Report{Outcomes: directory.Outcomes{Token: target.Token}}
-	for range f.poisson(rate * bucketTime.Seconds()) {
+	for range f.poisson(rate * bucketDuration.Seconds()) {
 		node := f.random.IntN(f.nodes)
-		if f.random.Float64() < f.fails(position, node) {
+		if f.random.Float64() < f.failureRate(position, node) {
 			report.Unanswered++
-			f.seen[position][node]++
+			f.recentFailures[position][node]++
 		} else {
 			report.Answered++
 		}
@@ -94,8 +94,8 @@
 	if report.Answered+report.Unanswered == 0 {
 		return
 	}
-	byNode := maps.Clone(f.before[position])
-	for node, failures := range f.seen[position] {
+	byNode := maps.Clone(f.previousFailures[position])
+	for node, failures := range f.recentFailures[position] {
 		byNode[node] += failures
 	}
 	for node, failures := range byNode {
@@ -105,20 +105,20 @@
 			report.TopFailures, report.TopNode = failures, key
 		}
 	}
-	f.judge.AddReport(f.now, "m", report)
+	f.detector.AddReport(f.now, "m", report)
 }
 
-// spreadTime is how long members know the spread of failures, half of it on average.
-const spreadTime = 2 * time.Second
+// spreadPeriod is the time after which the distribution of failures is rotated.
+const spreadPeriod = 2 * time.Second
 
-// turn lets members forget the spread of failures as time passes.
-func (f *fleet) turn() {
-	if time.Duration(f.now)%spreadTime != 0 {
+// rotateSpread discards old failures from the reported distribution.
+func (f *fleet) rotateSpread() {
+	if time.Duration(f.now)%spreadPeriod != 0 {
 		return
 	}
-	for position := range f.seen {
-		f.before[position] = f.seen[position]
-		f.seen[position] = map[int]uint32{}
+	for position := range f.recentFailures {
+		f.previousFailures[position] = f.recentFailures[position]
+		f.recentFailures[position] = map[int]uint32{}
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 }
 
-// ejections returns the targets that were left out, once for each time.
+// ejections returns the token of each ejection, in order.
 func (f *fleet) ejections() []directory.Token {
 	var tokens []directory.Token
 	for _, change := range f.changes {
@@ -147,12 +147,12 @@
 	return tokens
 }
 
-// timeTo returns how long it takes until a target is left out.
-func (f *fleet) timeTo(t *testing.T, token directory.Token) time.Duration {
+// timeToEjection runs until a target is ejected and returns the time it took.
+func (f *fleet) timeToEjection(t *testing.T, token directory.Token) time.Duration {
 	begin := f.now
-	for !f.out[token] {
+	for !f.ejected[token] {
 		f.step()
-		require.Less(t, f.now.Sub(begin), 20*time.Second, "target %v is not left out", token)
+		require.Less(t, f.now.Sub(begin), 20*time.Second, "target %v is not ejected", token)
 	}
 	return f.now.Sub(begin)
 }
@@ -162,16 +162,16 @@
 	return times[len(times)/2]
 }
 
-// An ill target is left out soon: the sum over all nodes sees 12 exchanges a second.
-func TestAnIllTargetIsLeftOutSoon(t *testing.T) {
+// The median time to eject a failing target stays within the limit for its failure rate.
+func TestFailingTargetIsEjectedPromptly(t *testing.T) {
 	cases := []struct {
 		name  string
 		share float64
 		limit time.Duration
 	}{
 		{"all fail", 1, 600 * time.Millisecond},
-		{"half fail", 0.5, 2 * time.Second},
-		{"two in five fail", 0.4, 3 * time.Second},
+		{"50 % fail", 0.5, 2 * time.Second},
+		{"40 % fail", 0.4, 3 * time.Second},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -179,13 +179,13 @@
 			for seed := range uint64(100) {
 				f := newFleet(seed, 12, 80)
 				f.run(5 * time.Second)
-				f.fails = func(target, _ int) float64 {
+				f.failureRate = func(target, _ int) float64 {
 					if target == 4 {
 						return test.share
 					}
 					return 0.005
 				}
-				times = append(times, f.timeTo(t, 5))
+				times = append(times, f.timeToEjection(t, 5))
 				require.Equal(t, []directory.Token{5}, f.ejections())
 			}
 			slices.Sort(times)
@@ -195,43 +195,43 @@
 	}
 }
 
-// What is not the fault of a target ejects none.
-func TestNobodyHealthyIsLeftOut(t *testing.T) {
+// Failures of nodes, network paths or the whole service do not eject a target.
+func TestHealthyTargetsAreNotEjected(t *testing.T) {
 	cases := map[string]func(f *fleet){
-		"quiet": func(*fleet) {},
-		"one in a hundred fails": func(f *fleet) {
-			f.fails = func(int, int) float64 { return 0.01 }
+		"few failures": func(*fleet) {},
+		"1 % fail": func(f *fleet) {
+			f.failureRate = func(int, int) float64 { return 0.01 }
 		},
-		"a tenth of all fails": func(f *fleet) {
-			f.fails = func(int, int) float64 { return 0.1 }
+		"10 % fail": func(f *fleet) {
+			f.failureRate = func(int, int) float64 { return 0.1 }
 		},
-		"one node's link is choked": func(f *fleet) {
-			f.fails = func(_, node int) float64 {
+		"one node has a lossy link": func(f *fleet) {
+			f.failureRate = func(_, node int) float64 {
 				if node == 3 {
 					return 0.9
 				}
 				return 0.005
 			}
 		},
-		"a third of the links are squeezed": func(f *fleet) {
-			f.fails = func(_, node int) float64 {
+		"a third of the nodes have lossy links": func(f *fleet) {
+			f.failureRate = func(_, node int) float64 {
 				if node%3 == 1 {
 					return 0.3
 				}
 				return 0.005
 			}
 		},
-		"a burst": func(f *fleet) {
+		"failures rise during a burst": func(f *fleet) {
 			f.rate = 30
 			begin := f.now
-			f.fails = func(int, int) float64 { return min(0.8, f.now.Sub(begin).Seconds()/3) }
+			f.failureRate = func(int, int) float64 { return min(0.8, f.now.Sub(begin).Seconds()/3) }
 		},
 		"all fail at once": func(f *fleet) {
-			f.fails = func(int, int) float64 { return 1 }
+			f.failureRate = func(int, int) float64 { return 1 }
 		},
-		"a zone is cut off from the others": func(f *fleet) {
-			f.fails = func(target, node int) float64 {
-				if (target%zonesOfFleet == 0) != (node%zonesOfFleet == 0) {
+		"a zone is partitioned": func(f *fleet) {
+			f.failureRate = func(target, node int) float64 {
+				if (target%fleetZones == 0) != (node%fleetZones == 0) {
 					return 1
 				}
 				return 0.005
@@ -251,45 +251,45 @@
 	}
 }
 
-// When all targets of a zone fail, half of them stay: the way to them may be at fault.
-func TestOfAZoneHalfIsLeftOutAtMost(t *testing.T) {
+// When all targets of a zone fail, only half of them are ejected and none in other zones.
+func TestZoneEjectionLimit(t *testing.T) {
 	for seed := range uint64(40) {
 		f := newFleet(seed, 12, 80)
 		f.run(5 * time.Second)
-		f.fails = func(target, _ int) float64 {
-			if target%zonesOfFleet == 0 {
+		f.failureRate = func(target, _ int) float64 {
+			if target%fleetZones == 0 {
 				return 1
 			}
 			return 0.005
 		}
 		for range 100 {
 			f.step()
-			require.LessOrEqual(t, len(f.out)+len(f.tried), 2, "seed %d", seed)
-			for token := range f.out {
-				require.Zero(t, (token-1)%zonesOfFleet, "seed %d: a healthy one", seed)
+			require.LessOrEqual(t, len(f.ejected)+len(f.onProbation), 2, "seed %d", seed)
+			for token := range f.ejected {
+				require.Zero(t, (token-1)%fleetZones, "seed %d: a healthy target", seed)
 			}
 		}
 	}
 }
 
-// Of a service a third is left out at most, also when more fail.
-func TestOfAServiceAThirdIsLeftOutAtMost(t *testing.T) {
-	for _, ill := range []int{3, 4, 5, 6, 9, 12} {
+// At most a third of a service's targets is ejected, however many fail.
+func TestServiceEjectionLimit(t *testing.T) {
+	for _, failing := range []int{3, 4, 5, 6, 9, 12} {
 		for seed := range uint64(20) {
 			f := newFleet(seed, 12, 80)
 			f.run(5 * time.Second)
-			f.fails = func(target, _ int) float64 {
-				if target < ill {
+			f.failureRate = func(target, _ int) float64 {
+				if target < failing {
 					return 1
 				}
 				return 0.005
 			}
 			for range 100 {
 				f.step()
-				require.LessOrEqual(t, len(f.out)+len(f.tried), 4, "seed %d", seed)
+				require.LessOrEqual(t, len(f.ejected)+len(f.onProbation), 4, "seed %d", seed)
 			}
 			for _, token := range f.ejections() {
-				require.LessOrEqual(t, int(token), ill, "seed %d: a healthy one of %d", seed, ill)
+				require.LessOrEqual(t, int(token), failing, "seed %d: a healthy target with %d failing", seed, failing)
 			}
 		}
 	}
--- a/internal/outlier/deviation_test.go
+++ b/internal/outlier/deviation_test.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// deviations is the number of standard deviations beyond the median from which on
-	// a target is an outlier: one in 3.5 million of a normal distribution.
+	// deviations is the number of standard deviations above the median at which a target
+	// is an outlier.
 	deviations = 5
-	// deviationExchanges is the least number of exchanges that is judged.
-	deviationExchanges = 4
-	// scaleOfMedian turns the median of absolute deviations into the standard
-	// deviation of a normal distribution.
+	// minDeviationExchanges is the minimum number of exchanges needed to evaluate a
+	// target.
+	minDeviationExchanges = 4
+	// scaleOfMedian converts the median absolute deviation to the standard deviation of a
+	// normal distribution.
 	scaleOfMedian = 1.4826
 )
 
-// Deviants reports for each target of a service whether its share of failures lies
-// far beyond the median of all: the usual way to find outliers, which the sequential
-// test is measured against.
-func Deviants(counts []Count) []bool {
-	ill := make([]bool, len(counts))
-	var shares []float64
+// medianDeviationOutliers reports for each target whether its failure rate is an outlier
+// by the median absolute deviation, the method to which the sequential test is compared.
+func medianDeviationOutliers(counts []Count) []bool {
+	outliers := make([]bool, len(counts))
+	var rates []float64
 	for _, count := range counts {
-		if count.Exchanges >= deviationExchanges {
-			shares = append(shares, count.FailureRate())
+		if count.Exchanges >= minDeviationExchanges {
+			rates = append(rates, count.FailureRate())
 		}
 	}
-	if len(shares) < trimDivisor {
-		return ill
+	if len(rates) < trimDivisor {
+		return outliers
 	}
-	middle := median(shares)
-	distances := make([]float64, 0, len(shares))
-	for _, share := range shares {
-		distances = append(distances, math.Abs(share-middle))
+	middle := median(rates)
+	distances := make([]float64, 0, len(rates))
+	for _, rate := range rates {
+		distances = append(distances, math.Abs(rate-middle))
 	}
 	spread := scaleOfMedian * median(distances)
 	for position, count := range counts {
-		if count.Exchanges < deviationExchanges {
+		if count.Exchanges < minDeviationExchanges {
 			continue
 		}
-		usual := max(middle, usualShare)
-		chance := math.Sqrt(usual * (1 - usual) / float64(count.Exchanges))
-		ill[position] = count.FailureRate()-middle > deviations*max(spread, chance)
+		expected := max(middle, baseFailureRate)
+		standardError := math.Sqrt(expected * (1 - expected) / float64(count.Exchanges))
+		outliers[position] = count.FailureRate()-middle > deviations*max(spread, standardError)
 	}
-	return ill
+	return outliers
 }
 
 func median(values []float64) float64 {
@@ -56,43 +56,42 @@
 	return sorted[len(sorted)/2]
 }
 
-// recentCounts returns the counts of the last second.
+// recentCounts returns the recent counts of all targets.
 func (f *fleet) recentCounts() []Count {
 	var counts []Count
 	for _, target := range f.targets {
-		counts = append(counts, f.judge.record(target.Token).window.Recent(f.now))
+		counts = append(counts, f.detector.targetRecord(target.Token).window.Recent(f.now))
 	}
 	return counts
 }
 
-// On the same counts the median deviation is tenths of a second faster for a target that
-// fails all its work, and accuses healthy ones each second: the sequential test
-// is what judges.
-func TestTheMedianDeviationAccusesHealthyTargets(t *testing.T) {
-	wrong, judged := 0, 0
-	var byDeviation, byRatio []time.Duration
+// On the same counts the median absolute deviation flags healthy targets, while the
+// sequential test ejects none of them.
+func TestMedianDeviationFlagsHealthyTargets(t *testing.T) {
+	falsePositives, checked := 0, 0
+	var byDeviation, byLikelihoodRatio []time.Duration
 	for seed := range uint64(200) {
 		f := newFleet(seed, 40, 80)
 		f.run(5 * time.Second)
-		for _, ill := range Deviants(f.recentCounts()) {
-			judged++
-			if ill {
-				wrong++
+		for _, flagged := range medianDeviationOutliers(f.recentCounts()) {
+			checked++
+			if flagged {
+				falsePositives++
 			}
 		}
 		assert.Empty(t, f.ejections())
-		f.ill(4)
+		f.failTarget(4)
 		begin := f.now
 		found := false
 		for len(f.ejections()) == 0 {
 			f.step()
-			if !found && Deviants(f.recentCounts())[4] {
+			if !found && medianDeviationOutliers(f.recentCounts())[4] {
 				found = true
 				byDeviation = append(byDeviation, f.now.Sub(begin))
 			}
 		}
-		byRatio = append(byRatio, f.now.Sub(begin))
+		byLikelihoodRatio = append(byLikelihoodRatio, f.now.Sub(begin))
 	}
-	t.Logf("%d of %d healthy targets accused; median time %v, by the ratio %v", wrong, judged, medianTime(byDeviation), medianTime(byRatio))
-	assert.Positive(t, wrong)
+	t.Logf("%d of %d healthy targets flagged; median detection time %v, by the likelihood ratio %v", falsePositives, checked, medianTime(byDeviation), medianTime(byLikelihoodRatio))
+	assert.Positive(t, falsePositives)
 }
--- a/internal/outlier/ejection.go
+++ b/internal/outlier/ejection.go
@@ -7,72 +7,72 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// accused is a target that is found ill.
-type accused struct {
+// suspect is a target found to be failing.
+type suspect struct {
 	target   Target
-	kept     *record
+	record   *targetRecord
 	evidence float64
-	shown    Count
+	count    Count
 }
 
-// ejectWorst leaves out the targets that are found ill, the worst first, as long as
-// the shares of the service and of its zones bear it. Only some of the targets are
-// judged; all count.
-func (j *Detector) ejectWorst(now kernel.Instant, targets, judged []Target, usual float64, decision *Decision) {
-	out := 0
-	zones, outOf := map[string]int{}, map[string]int{}
+// ejectWorst ejects failing targets in the order of their evidence, within the limits for
+// the service and its zones. Only the eligible targets can be ejected, but the limits
+// apply to all.
+func (d *Detector) ejectWorst(now kernel.Instant, targets, eligible []Target, baseline float64, decision *Decision) {
+	ejectedCount := 0
+	zoneSizes, zoneEjected := map[string]int{}, map[string]int{}
 	for _, target := range targets {
-		zones[target.Zone]++
-		kept, exists := j.records[target.Token]
+		zoneSizes[target.Zone]++
+		rec, exists := d.records[target.Token]
 		if !exists {
 			continue
 		}
-		if kept.stage != fair {
-			out++
-			outOf[target.Zone]++
+		if rec.stage != active {
+			ejectedCount++
+			zoneEjected[target.Zone]++
 		}
 	}
 	limit := len(targets) / ejectedShareDivisor
-	if out >= limit {
+	if ejectedCount >= limit {
 		return
 	}
-	suspects := j.suspects(now, targets, judged, usual)
-	slices.SortStableFunc(suspects, func(a, b accused) int { return cmp.Compare(b.evidence, a.evidence) })
+	suspects := d.suspects(now, targets, eligible, baseline)
+	slices.SortStableFunc(suspects, func(a, b suspect) int { return cmp.Compare(b.evidence, a.evidence) })
 	for _, suspect := range suspects {
 		zone := suspect.target.Zone
-		if out >= limit {
+		if ejectedCount >= limit {
 			return
 		}
-		if len(zones) > 1 && outOf[zone] >= max(1, zones[zone]/zoneShareDivisor) {
+		if len(zoneSizes) > 1 && zoneEjected[zone] >= max(1, zoneSizes[zone]/zoneShareDivisor) {
 			continue
 		}
-		suspect.kept.shown = suspect.shown
-		j.eject(now, suspect.target, suspect.kept, usual, decision)
-		out++
-		outOf[zone]++
+		suspect.record.ejectionCount = suspect.count
+		d.eject(now, suspect.target, suspect.record, baseline, decision)
+		ejectedCount++
+		zoneEjected[zone]++
 	}
 }
 
-// suspects returns the judged targets that are ill by what is usual, and also by what
-// the others showed in the same time. The latter is worked out only when there are any
-// by the former.
-func (j *Detector) suspects(now kernel.Instant, targets, judged []Target, usual float64) []accused {
-	var suspects []accused
-	var others *contemporaries
-	for _, target := range judged {
-		kept, exists := j.records[target.Token]
-		if !exists || kept.stage != fair {
+// suspects returns the eligible targets that are failing both by the baseline and compared
+// with the other targets over the same period. The second comparison is made only for
+// targets that fail the first.
+func (d *Detector) suspects(now kernel.Instant, targets, eligible []Target, baseline float64) []suspect {
+	var suspects []suspect
+	var concurrent *concurrentCounts
+	for _, target := range eligible {
+		rec, exists := d.records[target.Token]
+		if !exists || rec.stage != active {
 			continue
 		}
-		evidence, shown := kept.evidence(now, func(Count, int) float64 { return usual })
-		if evidence < alarm {
+		evidence, peak := rec.evidence(now, func(Count, int) float64 { return baseline })
+		if evidence < alarmThreshold {
 			continue
 		}
-		if others == nil {
-			others = j.contemporaries(now, targets)
+		if concurrent == nil {
+			concurrent = d.concurrentCounts(now, targets)
 		}
-		if atOnset, _ := kept.evidence(now, others.expected(kept, usual)); atOnset >= onsetAlarm {
-			suspects = append(suspects, accused{target: target, kept: kept, evidence: evidence, shown: shown})
+		if atOnset, _ := rec.evidence(now, concurrent.baselineFor(rec, baseline)); atOnset >= onsetThreshold {
+			suspects = append(suspects, suspect{target: target, record: rec, evidence: evidence, count: peak})
 		}
 	}
 	return suspects
--- a/internal/outlier/orders.go
+++ b/internal/outlier/orders.go
@@ -5,40 +5,37 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Orders of operators come before what is seen. A target that one keeps out counts
-// among those that are left out, but no share bounds it.
-
-// obey carries out the newest order about a target. It reports whether the target is
-// judged after that.
-func (j *Detector) obey(now kernel.Instant, target Target) bool {
+// applyOrder applies the operator's newest order for a target. It reports whether the
+// target remains subject to automatic ejection. Orders are not subject to the ejection
+// limits, but targets ejected by an order count towards them.
+func (d *Detector) applyOrder(now kernel.Instant, target Target) bool {
 	order := target.Order
 	switch order.Rule {
 	case directory.RuleEjected:
-		kept := j.record(target.Token)
-		kept.stage = ejected
-		kept.byHand = true
+		rec := d.targetRecord(target.Token)
+		rec.stage = ejected
+		rec.byOperator = true
 		return false
 	case directory.RuleExempt:
-		j.giveBack(now, target)
+		d.reinstate(now, target)
 		return false
 	}
-	kept, exists := j.records[target.Token]
-	if exists && (kept.byHand || order.Revision > max(kept.obeyed, j.knownRevision)) {
-		j.giveBack(now, target)
-		kept.obeyed = order.Revision
+	rec, exists := d.records[target.Token]
+	if exists && (rec.byOperator || order.Revision > max(rec.appliedRevision, d.appliedRevision)) {
+		d.reinstate(now, target)
+		rec.appliedRevision = order.Revision
 	}
 	return true
 }
 
-// giveBack lets a target get new flows as the others do: what was seen of it is
-// forgotten.
-func (j *Detector) giveBack(now kernel.Instant, target Target) {
-	kept, exists := j.records[target.Token]
-	if !exists || kept.stage == fair {
+// reinstate makes a target active and clears its counts and ejection history.
+func (d *Detector) reinstate(now kernel.Instant, target Target) {
+	rec, exists := d.records[target.Token]
+	if !exists || rec.stage == active {
 		return
 	}
-	kept.try(now)
-	kept.byHand = false
-	kept.ejections = 0
-	kept.readmit(now)
+	rec.startProbation(now)
+	rec.byOperator = false
+	rec.ejections = 0
+	rec.readmit(now)
 }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,10 +1,10 @@
-// Package outlier finds the targets of a service that fail their work while the
-// others do not, from counts of how exchanges with them ended at many nodes. It
-// decides without a clock or a network of its own.
+// Package outlier detects the targets of a service whose failure rate exceeds that of the
+// other targets, from exchange counts reported by many nodes. It does no I/O and takes
+// the current time as an argument.
 //
-// A target is judged against the other targets of its service, never against a
-// fixed share of failures: when all of them fail more than usual, the cause is a
-// common one, there is nowhere better to go, and none is left out.
+// A target is compared with the other targets of its service, not with a fixed failure
+// rate: when all of them fail more often, the cause is shared, ejecting would not help,
+// and no target is ejected.
 package outlier
 
 import (
@@ -14,11 +14,11 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// Count is what is known of some exchanges.
+// Count holds the number of exchanges and how many of them failed.
 type Count struct{ Exchanges, Failures uint32 }
 
-// CountOf returns how many exchanges there were and how many of them failed. A slow
-// answer is an answer: where work goes by the time it takes is a matter of placement.
+// CountOf converts reported outcomes to a Count. Slow answers count as successes: latency
+// is handled by target selection.
 func CountOf(outcomes directory.Outcomes) Count {
 	failures := outcomes.Unanswered + outcomes.Short
 	return Count{Exchanges: outcomes.Answered + outcomes.Slow + failures, Failures: failures}
@@ -29,12 +29,12 @@
 	return Count{Exchanges: c.Exchanges + other.Exchanges, Failures: c.Failures + other.Failures}
 }
 
-// Sub returns what is left of a count without a part of it.
+// Sub returns the difference of two counts.
 func (c Count) Sub(part Count) Count {
 	return Count{Exchanges: c.Exchanges - part.Exchanges, Failures: c.Failures - part.Failures}
 }
 
-// FailureRate returns the part of the exchanges that failed; 0 where there were none.
+// FailureRate returns the failed fraction of the exchanges, or 0 if there were none.
 func (c Count) FailureRate() float64 {
 	if c.Exchanges == 0 {
 		return 0
@@ -42,46 +42,45 @@
 	return float64(c.Failures) / float64(c.Exchanges)
 }
 
-// expected returns the part of further exchanges that is to be expected to fail, by the
-// rule of succession.
-func (c Count) expected() float64 {
+// smoothedRate estimates the failure rate by the rule of succession.
+func (c Count) smoothedRate() float64 {
 	return float64(c.Failures+1) / float64(c.Exchanges+2)
 }
 
 const (
-	// usualShare is the part of the exchanges with healthy targets that may look failed
-	// where others show none: lost packets and callers that go away. The others' failures
-	// come on top.
-	usualShare = 0.005
-	// trimDivisor leaves the worst part in so many of the targets out of the
-	// reference: as many as may be ejected at once do not spoil it.
+	// baseFailureRate is the failure rate expected of a healthy target in a service
+	// without other failures: lost packets and callers that disconnect. The failure rate
+	// of the other targets is added to it.
+	baseFailureRate = 0.005
+	// trimDivisor excludes the worst 1/trimDivisor of the targets from the baseline, so
+	// that as many failing targets as may be ejected do not raise it.
 	trimDivisor = ejectedShareDivisor
-	// referenceFactor makes up for the healthy targets that are among the worst by
-	// chance: without them the rest looks up to twice as good as it is.
-	referenceFactor = 2
-	// referenceExchanges is the least number of exchanges with the other targets that
-	// tells what is usual: with a tenth of them failed, 20 show two on average.
-	referenceExchanges = 20
-	// commonShare is the reference from which on nobody is judged: a quarter of the
-	// work of the better targets fails too.
-	commonShare = 0.25
+	// baselineFactor compensates for trimming: healthy targets may be among those
+	// excluded by chance, which makes the rest look better than they are.
+	baselineFactor = 2
+	// minBaselineExchanges is the minimum number of exchanges needed to compute a
+	// baseline.
+	minBaselineExchanges = 20
+	// maxBaseline is the baseline from which on no target is ejected, since the failures
+	// have a common cause.
+	maxBaseline = 0.25
 )
 
-// Baseline returns the part of the exchanges that is to be expected to fail at a
-// healthy target, from the counts of all targets of a service. It is false when too
-// little is known, or when the cause of what fails is a common one.
+// Baseline returns the failure rate expected of a healthy target, computed from the
+// counts of all targets of a service. It returns false if there are too few exchanges or
+// if the baseline is so high that the failures have a common cause.
 func Baseline(counts []Count) (float64, bool) {
-	seen := make([]Count, 0, len(counts))
+	nonempty := make([]Count, 0, len(counts))
 	for _, count := range counts {
 		if count.Exchanges > 0 {
-			seen = append(seen, count)
+			nonempty = append(nonempty, count)
 		}
 	}
-	slices.SortFunc(seen, func(a, b Count) int { return cmp.Compare(a.FailureRate(), b.FailureRate()) })
+	slices.SortFunc(nonempty, func(a, b Count) int { return cmp.Compare(a.FailureRate(), b.FailureRate()) })
 	var pooled Count
-	for _, count := range seen[:len(seen)-len(seen)/trimDivisor] {
+	for _, count := range nonempty[:len(nonempty)-len(nonempty)/trimDivisor] {
 		pooled = pooled.Add(count)
 	}
-	reference := usualShare + referenceFactor*pooled.FailureRate()
-	return reference, pooled.Exchanges >= referenceExchanges && reference < commonShare
+	baseline := baseFailureRate + baselineFactor*pooled.FailureRate()
+	return baseline, pooled.Exchanges >= minBaselineExchanges && baseline < maxBaseline
 }
--- a/internal/outlier/probation.go
+++ b/internal/outlier/probation.go
@@ -3,42 +3,47 @@
 import "math"
 
 const (
-	// probationError is the probability of a wrong verdict after a probation, either way:
-	// of a target one failure where hardly any are usual, or seven answers without one.
+	// probationError is the error probability of a probation's result in either
+	// direction.
 	probationError = 0.03
-	// returnError is the probability that one that fails as it had shown is readmitted.
-	returnError = 1e-7
+	// readmissionError is the probability of readmitting a target that fails as often as
+	// before its ejection.
+	readmissionError = 1e-7
 )
 
-// probationBound is the log of the likelihood ratio that ends a probation, and returnBound
-// that which readmits one of which is known how it fails.
+// probationBound is the log-likelihood ratio that decides a probation. readmissionBound
+// is the additional bound for a target whose failure rate before its ejection is known.
 var (
-	probationBound = math.Log((1 - probationError) / probationError)
-	returnBound    = math.Log((1 - returnError) / returnError)
+	probationBound   = math.Log((1 - probationError) / probationError)
+	readmissionBound = math.Log((1 - readmissionError) / readmissionError)
 )
 
-// trial is what a target or a version shows on probation.
-type trial struct {
-	// count is what was seen since the probation began, and shown what it was found ill
-	// by; nothing where that is not known.
-	count, shown Count
-	// share is the part of its work that an ill one fails at least.
-	share float64
+// probation holds the results of a target or a version on probation.
+type probation struct {
+	// count covers the exchanges since the probation began. ejectionCount is the count
+	// for which it was ejected, or zero if unknown.
+	count, ejectionCount Count
+	// excess is the failure rate above the baseline assumed for a failing target or
+	// version.
+	excess float64
 }
 
-// isIll reports whether it fails its work on probation too.
-func (t trial) isIll(usual float64) bool {
-	return logRatio(t.count, usual, t.share) >= probationBound
+// stillFails reports whether failure has been established.
+func (p probation) stillFails(baseline float64) bool {
+	return logLikelihoodRatio(p.count, baseline, p.excess) >= probationBound
 }
 
-// leansIll reports whether it is rather ill than well.
-func (t trial) leansIll(usual float64) bool { return logRatio(t.count, usual, t.share) > 0 }
+// likelyFails reports whether failure is more likely than health.
+func (p probation) likelyFails(baseline float64) bool {
+	return logLikelihoodRatio(p.count, baseline, p.excess) > 0
+}
 
-// isWell reports whether it serves again: one that failed half of its work answers seven
-// times in a row once in 128, so what it had shown counts too.
-func (t trial) isWell(usual float64) bool {
-	if logRatio(t.count, usual, t.share) > -probationBound {
+// hasRecovered reports whether recovery has been established. The count before the
+// ejection is considered too: a target that fails half of its requests may well answer
+// several in a row.
+func (p probation) hasRecovered(baseline float64) bool {
+	if logLikelihoodRatio(p.count, baseline, p.excess) > -probationBound {
 		return false
 	}
-	return t.shown.Exchanges == 0 || logRatio(t.count, usual, t.shown.expected()) <= -returnBound
+	return p.ejectionCount.Exchanges == 0 || logLikelihoodRatio(p.count, baseline, p.ejectionCount.smoothedRate()) <= -readmissionBound
 }
--- a/internal/outlier/ratio.go
+++ b/internal/outlier/ratio.go
@@ -3,56 +3,56 @@
 import "math"
 
 const (
-	// illShare is the part of its work that a target fails, beyond what is usual, for
-	// it to be worth leaving out: the work of a third of a service's targets then goes
-	// to the others, which bear half as much again.
-	illShare = 0.4
-	// exchangesPerFalseAlarm states the rate of false alarms: one in so many exchanges
-	// with healthy targets whose exchanges fail independently as often as is usual. That
-	// is a bound. A fleet has 1e8 exchanges a day.
+	// targetExcess is the failure rate above the baseline that the test for a failing
+	// target assumes. Ejecting a target that fails less often is not worth the load it
+	// adds to the others.
+	targetExcess = 0.4
+	// exchangesPerFalseAlarm is the minimum mean number of exchanges with healthy targets
+	// between two false alarms, provided that failures are independent.
 	exchangesPerFalseAlarm = 1e9
-	// onsetOdds is the number of windows in which all goes on as usual for each in which a
-	// cause common to all targets begins: one in about an hour.
+	// onsetOdds is the number of windows without the onset of a common failure for each
+	// window with one. It lowers the threshold of the comparison over the same period.
 	onsetOdds = 1000
 )
 
-// alarm is the log of the likelihood ratio from which on a target is ill, and onsetAlarm
-// that against a common cause that has just begun.
+// alarmThreshold is the log-likelihood ratio at which a target counts as failing compared
+// with the baseline, and onsetThreshold that compared with the other targets over the
+// same period.
 var (
-	alarm      = math.Log(exchangesPerFalseAlarm)
-	onsetAlarm = math.Log(exchangesPerFalseAlarm / onsetOdds)
+	alarmThreshold = math.Log(exchangesPerFalseAlarm)
+	onsetThreshold = math.Log(exchangesPerFalseAlarm / onsetOdds)
 )
 
-// logRatio returns the log of the ratio of two likelihoods of a count: that of a
-// target that fails a share of what others do not, to that of a healthy one.
-func logRatio(count Count, reference, share float64) float64 {
-	ill := reference + share*(1-reference)
+// logLikelihoodRatio returns the log-likelihood ratio of a count under two hypotheses: a
+// target whose failure rate exceeds the baseline by the excess, and a healthy target.
+func logLikelihoodRatio(count Count, baseline, excess float64) float64 {
+	failing := baseline + excess*(1-baseline)
 	failures := float64(count.Failures)
-	answers := float64(count.Exchanges) - failures
-	return failures*math.Log(ill/reference) + answers*math.Log((1-ill)/(1-reference))
+	successes := float64(count.Exchanges) - failures
+	return failures*math.Log(failing/baseline) + successes*math.Log((1-failing)/(1-baseline))
 }
 
-// reference returns the part of the exchanges that is to be expected to fail at a
-// healthy target, in so many of the newest buckets of which its own count is given.
-type reference func(suffix Count, buckets int) float64
+// baselineFunc returns the failure rate expected of a healthy target over the given
+// number of newest buckets. suffix is the target's own count over these buckets.
+type baselineFunc func(suffix Count, buckets int) float64
 
-// LikelihoodRatio is a sequential test of the likelihood ratio over a window. It finds a change
-// at any time in the window: the mean number of exchanges between two false alarms is
-// at least that of exchangesPerFalseAlarm, as with Page's cumulative sum. With the
-// highest ratio comes the count that has it.
+// LikelihoodRatio runs a sequential likelihood ratio test over the suffixes of the
+// window. Like Page's CUSUM it detects a change that began at any time within the window,
+// with at least exchangesPerFalseAlarm exchanges between two false alarms on average. It
+// returns the highest ratio and the count that produced it.
 //
-// At most the stated number of failures count, whatever the window holds.
-func LikelihoodRatio(window *Window, usual reference, failures uint32) (highest float64, shown Count) {
+// No more than limit failures of each suffix are counted.
+func LikelihoodRatio(window *Window, baselineOf baselineFunc, limit uint32) (highest float64, peak Count) {
 	if window.total.Failures == 0 {
 		return 0, Count{}
 	}
 	window.eachSuffix(func(suffix Count, buckets int) bool {
-		expected := usual(suffix, buckets)
-		suffix.Failures = min(suffix.Failures, failures)
-		if ratio := logRatio(suffix, expected, illShare); ratio > highest {
-			highest, shown = ratio, suffix
+		expected := baselineOf(suffix, buckets)
+		suffix.Failures = min(suffix.Failures, limit)
+		if ratio := logLikelihoodRatio(suffix, expected, targetExcess); ratio > highest {
+			highest, peak = ratio, suffix
 		}
 		return true
 	})
-	return highest, shown
+	return highest, peak
 }
--- a/internal/outlier/record.go
+++ b/internal/outlier/record.go
@@ -5,85 +5,88 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Report is what a member tells of one target: what its nodes counted since its last
-// report, and how the failures of the last seconds are spread over them.
+// Report is a member's report on one target: the outcomes counted by the member's nodes
+// since its last report, and the distribution of recent failures over these nodes.
 type Report struct {
 	directory.Outcomes
-	// FailingNodes is the number of nodes that saw failures lately, Seen the number of these
-	// failures, and Most those that the node with the most of them saw.
+	// FailingNodes is the number of nodes that recently saw failures, RecentFailures the
+	// number of these failures and TopFailures the number seen by the node that saw the
+	// most.
 	FailingNodes, RecentFailures, TopFailures uint32
-	// TopNode is the key of that node.
+	// TopNode is the key of the node that saw the most failures.
 	TopNode uint32
 }
 
-// record is what is known of one target.
-type record struct {
+// targetRecord is the state kept for one target.
+type targetRecord struct {
 	window Window
-	// members holds the members' words on the spread of failures, by their addresses.
-	members map[string]witnesses
-	standing
-	// clearedAt is when the window was emptied last; 0 where it never was.
+	// spreads holds the latest failure distribution by member address.
+	spreads map[string]memberSpread
+	ejectionState
+	// clearedAt is when the window was last cleared, or 0 if never.
 	clearedAt kernel.Instant
-	// tried counts the exchanges since the probation began.
-	tried Count
-	// shown is what it was found ill by; nothing where that is not known.
-	shown Count
-	// byHand is set while an operator keeps the target out, and obeyed is the log
-	// position of the last order that gave it back.
-	byHand bool
-	obeyed uint64
+	// probationCount counts the exchanges since the probation began.
+	probationCount Count
+	// ejectionCount is the count for which the target was ejected, or zero if unknown.
+	ejectionCount Count
+	// byOperator is set while an operator's order keeps the target ejected.
+	// appliedRevision is the log position of the last applied order that reinstated it.
+	byOperator      bool
+	appliedRevision uint64
 }
 
-func newRecord() *record { return &record{members: map[string]witnesses{}} }
+func newTargetRecord() *targetRecord { return &targetRecord{spreads: map[string]memberSpread{}} }
 
-// note enters a member's report.
-func (r *record) note(now kernel.Instant, from string, report Report) {
+func (r *targetRecord) addReport(now kernel.Instant, from string, report Report) {
 	count := CountOf(report.Outcomes)
 	r.window.Add(now, count)
-	r.tried = r.tried.Add(count)
+	r.probationCount = r.probationCount.Add(count)
 	if report.FailingNodes > 0 {
-		r.members[from] = witnesses{nodes: report.FailingNodes, seen: report.RecentFailures, most: report.TopFailures, witness: report.TopNode, at: now}
+		r.spreads[from] = memberSpread{nodes: report.FailingNodes, failures: report.RecentFailures, topFailures: report.TopFailures, topNode: report.TopNode, receivedAt: now}
 	}
 }
 
-// failures returns the number of failures that count, and of nodes that saw some.
-func (r *record) failures(now kernel.Instant) (failures, nodes uint32) {
-	if len(r.members) == 0 {
+// independentFailures returns the number of failures to count and the number of nodes
+// that saw failures.
+func (r *targetRecord) independentFailures(now kernel.Instant) (failures, nodes uint32) {
+	if len(r.spreads) == 0 {
 		return 0, 0
 	}
-	seen := newSpread()
-	seen.add(now, r)
-	return seen.failures()
+	spread := newFailureSpread()
+	spread.add(now, r)
+	return spread.independentFailures()
 }
 
-// evidence returns the highest log of the likelihood ratio over the window, and the
-// count that has it.
-func (r *record) evidence(now kernel.Instant, usual reference) (float64, Count) {
-	failures, _ := r.failures(now)
+// evidence returns the highest log-likelihood ratio over the window and the count that
+// produced it.
+func (r *targetRecord) evidence(now kernel.Instant, baseline baselineFunc) (float64, Count) {
+	failures, _ := r.independentFailures(now)
 	if failures == 0 {
 		return 0, Count{}
 	}
-	return LikelihoodRatio(&r.window, usual, failures)
+	return LikelihoodRatio(&r.window, baseline, failures)
 }
 
-// trial returns what the target shows on probation.
-func (r *record) trial() trial { return trial{count: r.tried, shown: r.shown, share: illShare} }
+// probation returns the target's results on probation.
+func (r *targetRecord) probation() probation {
+	return probation{count: r.probationCount, ejectionCount: r.ejectionCount, excess: targetExcess}
+}
 
-// try puts the target on probation: what came before counts no more.
-func (r *record) try(now kernel.Instant) {
-	r.beginProbation(now)
-	r.tried = Count{}
+// startProbation puts the target on probation and clears its counts.
+func (r *targetRecord) startProbation(now kernel.Instant) {
+	r.enterProbation(now)
+	r.probationCount = Count{}
 	r.window = Window{}
 	r.clearedAt = now
-	clear(r.members)
+	clear(r.spreads)
 }
 
-// tellsWindow reports whether the window holds all that was seen in its time.
-func (r *record) tellsWindow(now kernel.Instant) bool {
+// hasFullWindow reports whether the window was not cleared within its own duration.
+func (r *targetRecord) hasFullWindow(now kernel.Instant) bool {
 	return r.clearedAt == 0 || now.Sub(r.clearedAt) >= WindowTime
 }
 
-// isIdle reports whether nothing is remembered of the target that matters.
-func (r *record) isIdle(now kernel.Instant) bool {
-	return r.stage == fair && r.window.Total(now) == Count{} && now.Sub(r.fairSince) >= forgottenAfter
+// isIdle reports whether the record can be deleted.
+func (r *targetRecord) isIdle(now kernel.Instant) bool {
+	return r.stage == active && r.window.Total(now) == Count{} && now.Sub(r.activeSince) >= ejectionMemory
 }
--- a/internal/outlier/spread.go
+++ b/internal/outlier/spread.go
@@ -2,62 +2,62 @@
 
 import "github.com/beamdoor/beamdoor/internal/kernel"
 
-// witnessLifetime is how long a member's word on the spread of failures counts: the
-// length of a window.
-const witnessLifetime = WindowTime
-
-// witnesses is a member's newest word on the spread of a target's failures.
-type witnesses struct {
-	nodes, seen, most uint32
-	// witness is the key of the node that saw the most.
-	witness uint32
-	at      kernel.Instant
+// spreadLifetime is how long a reported failure distribution stays valid.
+const spreadLifetime = WindowTime
+
+// memberSpread is the latest distribution of a target's failures over a member's nodes.
+type memberSpread struct {
+	nodes, failures, topFailures uint32
+	// topNode is the key of the node that saw the most failures.
+	topNode    uint32
+	receivedAt kernel.Instant
 }
 
-// spread is how failures of some targets are spread over nodes.
-type spread struct {
-	nodes, seen, words uint32
-	// byWitness holds what nodes saw where they saw the most.
-	byWitness map[uint32]uint32
+// failureSpread aggregates the distribution of failures over nodes for some targets.
+type failureSpread struct {
+	nodes, failures, members uint32
+	// byTopNode sums the failures by the node that saw the most in each member's report.
+	byTopNode map[uint32]uint32
 }
 
-func newSpread() *spread { return &spread{byWitness: map[uint32]uint32{}} }
+func newFailureSpread() *failureSpread { return &failureSpread{byTopNode: map[uint32]uint32{}} }
 
-// add enters what members said lately of a target.
-func (s *spread) add(now kernel.Instant, kept *record) {
-	for from, word := range kept.members {
-		if now.Sub(word.at) >= witnessLifetime {
-			delete(kept.members, from)
+// add adds the members' reports on a target and deletes expired ones.
+func (s *failureSpread) add(now kernel.Instant, rec *targetRecord) {
+	for from, report := range rec.spreads {
+		if now.Sub(report.receivedAt) >= spreadLifetime {
+			delete(rec.spreads, from)
 			continue
 		}
-		s.words++
-		s.nodes += word.nodes
-		s.seen += word.seen
-		s.byWitness[word.witness] += word.most
+		s.members++
+		s.nodes += report.nodes
+		s.failures += report.failures
+		s.byTopNode[report.topNode] += report.topFailures
 	}
 }
 
-// failures returns the number of failures that count: those of the node that saw the
-// most of them are one. What only one node sees may be its own fault, or the way. A
-// node that went from one member to another is one.
-func (s *spread) failures() (failures, nodes uint32) {
-	var most uint32
-	for _, count := range s.byWitness {
-		most = max(most, count)
+// independentFailures returns the number of failures to count and the number of nodes
+// that saw failures. The failures of the node that saw the most count as one, since a
+// single node may have a local or network fault. A node that changed members is counted
+// once.
+func (s *failureSpread) independentFailures() (failures, nodes uint32) {
+	var topFailures uint32
+	for _, count := range s.byTopNode {
+		topFailures = max(topFailures, count)
 	}
-	nodes = s.nodes - min(s.nodes, s.words-uint32(len(s.byWitness)))
-	if nodes < 2 || most >= s.seen {
+	nodes = s.nodes - min(s.nodes, s.members-uint32(len(s.byTopNode)))
+	if nodes < 2 || topFailures >= s.failures {
 		return 0, nodes
 	}
-	return s.seen - most + 1, nodes
+	return s.failures - topFailures + 1, nodes
 }
 
-// believed returns how many of some failures count, by the part of those of the last
-// seconds that do.
-func (s *spread) believed(failures uint32) uint32 {
-	counted, _ := s.failures()
-	if s.seen == 0 {
+// discount scales a number of failures by the fraction of recent failures that are
+// independent.
+func (s *failureSpread) discount(failures uint32) uint32 {
+	independent, _ := s.independentFailures()
+	if s.failures == 0 {
 		return failures
 	}
-	return uint32(uint64(failures) * uint64(counted) / uint64(s.seen))
+	return uint32(uint64(failures) * uint64(independent) / uint64(s.failures))
 }
--- a/internal/outlier/state.go
+++ b/internal/outlier/state.go
@@ -6,52 +6,51 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// stage is where a target, or a version, stands.
+// stage is the ejection stage of a target or a version.
 type stage uint8
 
 const (
-	// fair is one like any other.
-	fair stage = iota
+	// active receives new flows without restriction.
+	active stage = iota
 	ejected
 	onProbation
 )
 
 const (
-	// firstHold is how long a target is left out at first; each further time takes
-	// twice as long, up to longestHold. A process that has restarted, or a network that
-	// has mended itself, is back within seconds; what is still ill after that costs a
-	// few repeated requests each time.
-	firstHold   = 2 * time.Second
-	longestHold = time.Minute
-	// forgottenAfter is the time of good behaviour after which earlier ejections do not
-	// count any more: it is that of the longest hold.
-	forgottenAfter = longestHold
-	// probationLimit is how long a target may be on probation without a verdict: a
-	// service without work that may be repeated sends it none.
-	probationLimit = 15 * time.Second
-	// holdDoublings is the number of ejections after which the hold is the longest.
-	holdDoublings = 5
+	// minHold is the duration of the first ejection. It doubles with each further
+	// ejection, up to maxHold, so that a restarted target returns within seconds and one
+	// that still fails costs few retries.
+	minHold = 2 * time.Second
+	maxHold = time.Minute
+	// ejectionMemory is the time without an ejection after which earlier ones no longer
+	// lengthen the next.
+	ejectionMemory = maxHold
+	// maxProbation bounds a probation without a result: a service without retryable
+	// requests sends none to targets on probation.
+	maxProbation = 15 * time.Second
+	// maxDoublings is the number of ejections after which the next lasts maxHold.
+	maxDoublings = 5
 )
 
-// standing is the stage of a target or a version, and what it has behind it.
-type standing struct {
+// ejectionState is the stage of a target or a version with its ejection history.
+type ejectionState struct {
 	stage stage
-	// until is when the stage ends by itself.
+	// until is when the current stage times out.
 	until kernel.Instant
-	// ejections counts those that are not forgotten.
+	// ejections counts the ejections within ejectionMemory.
 	ejections int
-	// fairSince is when it was last readmitted.
-	fairSince kernel.Instant
+	// activeSince is when it was last readmitted.
+	activeSince kernel.Instant
 }
 
-// eject begins a hold, longer than the last one.
-func (s *standing) eject(now kernel.Instant) time.Duration {
-	if s.stage == fair && now.Sub(s.fairSince) >= forgottenAfter {
+// eject starts an ejection and returns its duration, which grows with each one.
+func (s *ejectionState) eject(now kernel.Instant) time.Duration {
+	if s.stage == active && now.Sub(s.activeSince) >= ejectionMemory {
 		s.ejections = 0
 	}
-	hold := longestHold
-	if s.ejections < holdDoublings {
-		hold = min(firstHold<<s.ejections, longestHold)
+	hold := maxHold
+	if s.ejections < maxDoublings {
+		hold = min(minHold<<s.ejections, maxHold)
 	}
 	s.ejections++
 	s.stage = ejected
@@ -59,13 +58,13 @@
 	return hold
 }
 
-// beginProbation ends a hold.
-func (s *standing) beginProbation(now kernel.Instant) {
+// enterProbation ends an ejection.
+func (s *ejectionState) enterProbation(now kernel.Instant) {
 	s.stage = onProbation
-	s.until = now.Add(probationLimit)
+	s.until = now.Add(maxProbation)
 }
 
-func (s *standing) readmit(now kernel.Instant) {
-	s.stage = fair
-	s.fairSince = now
+func (s *ejectionState) readmit(now kernel.Instant) {
+	s.stage = active
+	s.activeSince = now
 }
--- a/internal/outlier/state_test.go
+++ b/internal/outlier/state_test.go
@@ -10,9 +10,9 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// illUntil makes a target fail all its work.
-func (f *fleet) ill(position int) {
-	f.fails = func(target, _ int) float64 {
+// failTarget makes a target fail all exchanges.
+func (f *fleet) failTarget(position int) {
+	f.failureRate = func(target, _ int) float64 {
 		if target == position {
 			return 1
 		}
@@ -20,9 +20,9 @@
 	}
 }
 
-func (f *fleet) heal() { f.fails = func(int, int) float64 { return 0.005 } }
+func (f *fleet) restoreTargets() { f.failureRate = func(int, int) float64 { return 0.005 } }
 
-func (f *fleet) kinds(token directory.Token) []ChangeKind {
+func (f *fleet) changeKinds(token directory.Token) []ChangeKind {
 	var kinds []ChangeKind
 	for _, change := range f.changes {
 		if change.Token == token {
@@ -32,27 +32,27 @@
 	return kinds
 }
 
-func TestATargetThatServesAgainIsTriedAndReadmitted(t *testing.T) {
+func TestRecoveredTargetIsReadmittedAfterProbation(t *testing.T) {
 	for seed := range uint64(50) {
 		f := newFleet(seed, 12, 80)
-		f.fails = func(int, int) float64 { return 0 }
+		f.failureRate = func(int, int) float64 { return 0 }
 		f.run(5 * time.Second)
-		f.ill(4)
-		f.timeTo(t, 5)
-		f.fails = func(int, int) float64 { return 0 }
-		f.run(firstHold + 100*time.Millisecond)
-		require.True(t, f.tried[5])
+		f.failTarget(4)
+		f.timeToEjection(t, 5)
+		f.failureRate = func(int, int) float64 { return 0 }
+		f.run(minHold + 100*time.Millisecond)
+		require.True(t, f.onProbation[5])
 		f.run(5 * time.Second)
-		require.Equal(t, []ChangeKind{Ejected, OnProbation, Readmitted}, f.kinds(5), "seed %d", seed)
+		require.Equal(t, []ChangeKind{Ejected, OnProbation, Readmitted}, f.changeKinds(5), "seed %d", seed)
 		f.run(5 * time.Second)
-		require.Len(t, f.changes, 3, "it stays")
+		require.Len(t, f.changes, 3, "it stays active")
 	}
 }
 
-func TestATargetThatStaysIllIsLeftOutForLongerEachTime(t *testing.T) {
+func TestEjectionDurationGrows(t *testing.T) {
 	f := newFleet(1, 12, 80)
 	f.run(5 * time.Second)
-	f.ill(4)
+	f.failTarget(4)
 	f.run(5 * time.Minute)
 	var holds []time.Duration
 	for _, change := range f.changes {
@@ -66,84 +66,84 @@
 	assert.Equal(t, []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second, 16 * time.Second, 32 * time.Second, time.Minute, time.Minute}, holds[:7])
 }
 
-func TestEarlierEjectionsAreForgottenAfterGoodBehaviour(t *testing.T) {
+func TestEjectionHistoryExpires(t *testing.T) {
 	f := newFleet(1, 12, 80)
 	f.run(5 * time.Second)
 	for range 3 {
-		f.ill(4)
-		f.timeTo(t, 5)
-		f.heal()
-		f.run(forgottenAfter + 30*time.Second)
-		require.False(t, f.out[5] || f.tried[5])
+		f.failTarget(4)
+		f.timeToEjection(t, 5)
+		f.restoreTargets()
+		f.run(ejectionMemory + 30*time.Second)
+		require.False(t, f.ejected[5] || f.onProbation[5])
 	}
 	for _, change := range f.changes {
 		if change.Kind == Ejected {
-			assert.Equal(t, firstHold, change.Hold)
+			assert.Equal(t, minHold, change.Hold)
 		}
 	}
 }
 
-// A service without work that may be repeated sends a target on probation nothing.
-func TestATargetOfWhichNothingIsSeenIsReadmittedAfterATime(t *testing.T) {
+// A service without retryable requests sends nothing to targets on probation.
+func TestProbationWithoutTrafficTimesOut(t *testing.T) {
 	f := newFleet(1, 12, 80)
 	f.run(5 * time.Second)
-	f.ill(4)
-	f.timeTo(t, 5)
-	f.heal()
-	f.trickle = 0
-	f.run(firstHold + probationLimit - time.Second)
-	assert.True(t, f.tried[5])
+	f.failTarget(4)
+	f.timeToEjection(t, 5)
+	f.restoreTargets()
+	f.probationRate = 0
+	f.run(minHold + maxProbation - time.Second)
+	assert.True(t, f.onProbation[5])
 	f.run(2 * time.Second)
-	assert.Equal(t, []ChangeKind{Ejected, OnProbation, Readmitted}, f.kinds(5))
+	assert.Equal(t, []ChangeKind{Ejected, OnProbation, Readmitted}, f.changeKinds(5))
 }
 
-func TestATargetThatEndsIsForgotten(t *testing.T) {
+func TestEndedTargetIsRemoved(t *testing.T) {
 	f := newFleet(1, 12, 80)
 	f.run(5 * time.Second)
-	f.ill(4)
-	f.timeTo(t, 5)
-	decision := f.judge.Decide(f.now, f.targets[:4])
+	f.failTarget(4)
+	f.timeToEjection(t, 5)
+	decision := f.detector.Decide(f.now, f.targets[:4])
 	assert.Empty(t, decision.Ejected)
-	assert.Len(t, f.judge.records, 4)
+	assert.Len(t, f.detector.records, 4)
 }
 
-// Another leader's reasons are not known: what it left out is tried soon.
-func TestWhatAnotherJudgeLeftOutIsTried(t *testing.T) {
+// Ejections without known evidence last minHold.
+func TestRestoredEjectionsGoThroughProbation(t *testing.T) {
 	f := newFleet(1, 12, 80)
-	f.judge.Restore(f.now, 0, []directory.Token{5}, []directory.Token{6})
+	f.detector.Restore(f.now, 0, []directory.Token{5}, []directory.Token{6})
 	f.step()
-	assert.True(t, f.out[5])
-	assert.True(t, f.tried[6])
+	assert.True(t, f.ejected[5])
+	assert.True(t, f.onProbation[6])
 	f.run(10 * time.Second)
-	assert.Equal(t, []ChangeKind{OnProbation, Readmitted}, f.kinds(5))
-	assert.Equal(t, []ChangeKind{Readmitted}, f.kinds(6))
+	assert.Equal(t, []ChangeKind{OnProbation, Readmitted}, f.changeKinds(5))
+	assert.Equal(t, []ChangeKind{Readmitted}, f.changeKinds(6))
 }
 
-// A service that has gone idle tells of nothing that is usual.
-func TestATargetOfAnIdleServiceIsReadmittedAfterATime(t *testing.T) {
+// An idle service has no baseline.
+func TestProbationInIdleServiceTimesOut(t *testing.T) {
 	f := newFleet(1, 12, 80)
 	f.run(5 * time.Second)
-	f.ill(4)
-	f.timeTo(t, 5)
-	f.rate, f.trickle = 0, 0
-	f.run(firstHold + probationLimit + time.Second)
-	assert.Equal(t, []ChangeKind{Ejected, OnProbation, Readmitted}, f.kinds(5))
+	f.failTarget(4)
+	f.timeToEjection(t, 5)
+	f.rate, f.probationRate = 0, 0
+	f.run(minHold + maxProbation + time.Second)
+	assert.Equal(t, []ChangeKind{Ejected, OnProbation, Readmitted}, f.changeKinds(5))
 }
 
-// Targets of two: the other one would bear twice its work.
-func TestOfTwoTargetsNoneIsLeftOut(t *testing.T) {
+// The remaining target would have to take twice its load.
+func TestServiceWithTwoTargetsEjectsNone(t *testing.T) {
 	f := newFleet(1, 2, 80)
 	f.run(5 * time.Second)
-	f.ill(0)
+	f.failTarget(0)
 	f.run(10 * time.Second)
 	assert.Empty(t, f.changes)
 }
 
-// One of four nodes has no way to a target; the others see a few failures, as usual.
-func TestWhatOneNodeSeesIsNotEnough(t *testing.T) {
+// One node of four cannot reach the target, the others see the usual failures.
+func TestFailuresSeenByOneNodeDoNotEject(t *testing.T) {
 	f := newFleet(1, 12, 4)
 	f.run(5 * time.Second)
-	f.fails = func(target, node int) float64 {
+	f.failureRate = func(target, node int) float64 {
 		if target == 4 && node == 3 {
 			return 1
 		}
--- a/internal/outlier/version.go
+++ b/internal/outlier/version.go
@@ -10,28 +10,27 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// A version of a service's software is judged against the versions that registered
-// before it, in the same zones and the same time. One that is worse beyond chance is
-// held: its targets get no new flows while the others can bear the service, and later
-// a few of them are tried.
-
+// A version of a service's software is compared with the versions that registered before
+// it, in the same zones over the same period. One with a significantly higher failure
+// rate is ejected, provided that the remaining targets have enough capacity; later some
+// of its targets are tried again.
 const (
-	// bearDivisor is the part of a service's slots, one in so many, that must be left to
-	// its other versions while one is held.
-	bearDivisor = 2
-	// fewestTargets is the number of a version's targets from which on it is judged: of
-	// one target nothing tells whether it or its version is ill.
-	fewestTargets = 2
-	// trialDivisor is the part of a held version's targets that are tried at once, and
-	// fewestTrials their least number: what is still ill fails few callers.
-	trialDivisor = 10
-	fewestTrials = 3
+	// capacityDivisor is the fraction of a service's slots, 1/capacityDivisor, that must
+	// remain while a version is ejected.
+	capacityDivisor = 2
+	// minTargets is the minimum number of targets needed to evaluate a version: with a
+	// single one, a failure of the target cannot be told from one of the version.
+	minTargets = 2
+	// trialDivisor is the fraction of an ejected version's targets, 1/trialDivisor, that
+	// are tried at once, and minTrialTargets their minimum number.
+	trialDivisor    = 10
+	minTrialTargets = 3
 )
 
-// VersionCause says why a version is held or not.
+// VersionCause is the reason for a version's change of stage.
 type VersionCause uint8
 
-// The causes.
+// The causes of version changes.
 const (
 	HighFailureRate VersionCause = iota
 	OperatorOrder
@@ -43,11 +42,11 @@
 	NoOtherVersion
 )
 
-// String returns the cause as words for operators.
+// String returns the cause as shown to operators.
 func (v VersionCause) String() string {
 	names := [...]string{
-		"it fails its work far more than the version before", "ordered", "held by the leader before", "the hold is over", "it serves again",
-		"nothing tells that it fails", "the other versions do not bear the service", "there is no other version",
+		"it fails far more requests than the earlier versions", "ordered", "held by the previous leader", "the hold has expired", "it has recovered",
+		"the trial was inconclusive", "the other versions lack capacity", "there is no other version",
 	}
 	if int(v) >= len(names) {
 		return "unknown"
@@ -55,73 +54,74 @@
 	return names[v]
 }
 
-// VersionChange tells what became of a version and why.
+// VersionChange is a change of a version's stage and its reason.
 type VersionChange struct {
 	Kind ChangeKind
 	directory.ServiceVersion
 	Cause VersionCause
-	// Count is what was seen of the version, and Usual the part of the exchanges that is
-	// to be expected to fail by the versions before.
+	// Count is the evidence, and Baseline the failure rate expected from the earlier
+	// versions.
 	Count    Count
 	Baseline float64
 	// Targets is the number of the version's targets.
 	Targets int
-	// Hold is how long the version is held at least.
+	// Hold is the minimum duration of the ejection.
 	Hold time.Duration
 }
 
-// version is what is known of a version.
-type version struct {
-	standing
-	// decidedAt is when it was judged last.
-	decidedAt kernel.Instant
-	// since is the log position at which its first target registered.
-	since uint64
-	// shown is what it was found worse by.
-	shown Count
-	// byHand is set while an operator holds it.
-	byHand bool
-	// trials counts the probations, and tried holds what is seen of the targets on trial.
-	trials int
-	tried  map[directory.Token]*record
+// versionRecord is the state kept for one version.
+type versionRecord struct {
+	ejectionState
+	// evaluatedAt is the time of the last decision that included the version.
+	evaluatedAt kernel.Instant
+	// registeredAt is the log position at which its first target registered.
+	registeredAt uint64
+	// ejectionCount is the count for which the version was ejected.
+	ejectionCount Count
+	// byOperator is set while an operator's order keeps the version ejected.
+	byOperator bool
+	// trialCount is the number of trials so far. trialTargets holds the counts of the
+	// targets in the current trial.
+	trialCount   int
+	trialTargets map[directory.Token]*targetRecord
 }
 
-// sibling is one of the versions of a service.
-type sibling struct {
-	*version
+// versionGroup is a version with its targets.
+type versionGroup struct {
+	*versionRecord
 	name    directory.ServiceVersion
 	rule    directory.VersionRule
 	targets []Target
 }
 
-// siblingsOf returns the versions of a service in the order of their first targets. Where
-// all targets state the same one, or none, there is nothing to judge.
-func (j *Detector) siblingsOf(now kernel.Instant, targets []Target) []*sibling {
-	if !j.hasVersions(targets) {
+// versionGroups returns the versions of a service in the order of their first
+// registration. It returns nil if there are no versions to compare.
+func (d *Detector) versionGroups(now kernel.Instant, targets []Target) []*versionGroup {
+	if !d.needsVersionCheck(targets) {
 		return nil
 	}
-	byName := map[string]*sibling{}
+	byName := map[string]*versionGroup{}
 	for _, target := range targets {
 		if target.Version == "" {
 			continue
 		}
-		known, exists := byName[target.Version]
+		group, exists := byName[target.Version]
 		if !exists {
 			name := directory.ServiceVersion{Service: target.Service, Version: target.Version}
-			known = &sibling{version: j.version(now, name, target.RegisteredAt), name: name, rule: target.VersionRule}
-			byName[target.Version] = known
+			group = &versionGroup{versionRecord: d.versionRecord(now, name, target.RegisteredAt), name: name, rule: target.VersionRule}
+			byName[target.Version] = group
 		}
-		known.since = min(known.since, target.RegisteredAt)
-		known.targets = append(known.targets, target)
+		group.registeredAt = min(group.registeredAt, target.RegisteredAt)
+		group.targets = append(group.targets, target)
 	}
-	return slices.SortedFunc(maps.Values(byName), func(a, b *sibling) int {
-		return cmp.Or(cmp.Compare(a.since, b.since), cmp.Compare(a.name.Version, b.name.Version))
+	return slices.SortedFunc(maps.Values(byName), func(a, b *versionGroup) int {
+		return cmp.Or(cmp.Compare(a.registeredAt, b.registeredAt), cmp.Compare(a.name.Version, b.name.Version))
 	})
 }
 
-// hasVersions reports whether the targets of a service state several versions, or one
-// that is held or ordered to be.
-func (j *Detector) hasVersions(targets []Target) bool {
+// needsVersionCheck reports whether a service has several versions, or one that is
+// ejected or subject to an order.
+func (d *Detector) needsVersionCheck(targets []Target) bool {
 	first := ""
 	for _, target := range targets {
 		if target.Version == "" {
@@ -132,79 +132,79 @@
 		}
 		first = target.Version
 	}
-	known, exists := j.versions[directory.ServiceVersion{Service: targets[0].Service, Version: first}]
-	return exists && known.stage != fair
+	known, exists := d.versions[directory.ServiceVersion{Service: targets[0].Service, Version: first}]
+	return exists && known.stage != active
 }
 
-func (j *Detector) version(now kernel.Instant, name directory.ServiceVersion, since uint64) *version {
-	known, exists := j.versions[name]
+func (d *Detector) versionRecord(now kernel.Instant, name directory.ServiceVersion, registeredAt uint64) *versionRecord {
+	known, exists := d.versions[name]
 	if !exists {
-		known = &version{since: since}
-		j.versions[name] = known
+		known = &versionRecord{registeredAt: registeredAt}
+		d.versions[name] = known
 	}
-	known.decidedAt = now
+	known.evaluatedAt = now
 	return known
 }
 
-// forgetVersions forgets the versions that were not judged, and notes which targets are
-// on trial.
-func (j *Detector) forgetVersions(now kernel.Instant) {
-	maps.DeleteFunc(j.versions, func(_ directory.ServiceVersion, known *version) bool { return known.decidedAt != now })
-	j.trials = map[directory.Token]*record{}
-	for _, known := range j.versions {
-		maps.Copy(j.trials, known.tried)
+// pruneVersions deletes the versions that were not part of the current decision and
+// collects the targets of all trials.
+func (d *Detector) pruneVersions(now kernel.Instant) {
+	maps.DeleteFunc(d.versions, func(_ directory.ServiceVersion, known *versionRecord) bool { return known.evaluatedAt != now })
+	d.trialRecords = map[directory.Token]*targetRecord{}
+	for _, known := range d.versions {
+		maps.Copy(d.trialRecords, known.trialTargets)
 	}
 }
 
-// HeldVersions returns the number of versions that are held.
-func (j *Detector) HeldVersions() int {
+// HeldVersions returns the number of versions that are ejected or on probation.
+func (d *Detector) HeldVersions() int {
 	held := 0
-	for _, known := range j.versions {
-		if known.stage != fair {
+	for _, known := range d.versions {
+		if known.stage != active {
 			held++
 		}
 	}
 	return held
 }
 
-// decideVersions judges the versions of a service. It returns the targets that are left
-// to be judged one by one.
-func (j *Detector) decideVersions(now kernel.Instant, targets []Target, decision *Decision) []Target {
-	siblings := j.siblingsOf(now, targets)
+// decideVersions updates the versions of a service. It returns the targets that are to be
+// evaluated individually.
+func (d *Detector) decideVersions(now kernel.Instant, targets []Target, decision *Decision) []Target {
+	groups := d.versionGroups(now, targets)
 	isHeld := false
-	for position, one := range siblings {
-		if change := j.advanceVersion(now, targets, siblings, position); change != nil {
-			change.ServiceVersion, change.Targets = one.name, len(one.targets)
+	for position, group := range groups {
+		if change := d.advanceVersion(now, targets, groups, position); change != nil {
+			change.ServiceVersion, change.Targets = group.name, len(group.targets)
 			decision.Versions = append(decision.Versions, *change)
 		}
-		isHeld = isHeld || one.stage != fair
-		one.tell(decision)
+		isHeld = isHeld || group.stage != active
+		group.appendTo(decision)
 	}
 	if !isHeld {
 		return targets
 	}
 	return slices.DeleteFunc(targets, func(target Target) bool {
-		known, exists := j.versions[directory.ServiceVersion{Service: target.Service, Version: target.Version}]
+		known, exists := d.versions[directory.ServiceVersion{Service: target.Service, Version: target.Version}]
 		return exists && known.holds(target)
 	})
 }
 
-// holds reports whether one of the version's targets gets trial flows at most. What an
-// operator has ordered about a single target comes first.
-func (v *version) holds(target Target) bool {
-	return v.stage != fair && target.Order.Rule == directory.RuleJudged
+// holds reports whether the version's stage applies to a target. An order for an
+// individual target takes precedence.
+func (v *versionRecord) holds(target Target) bool {
+	return v.stage != active && target.Order.Rule == directory.RuleJudged
 }
 
-// tell enters the targets of a held version into the verdicts.
-func (s *sibling) tell(decision *Decision) {
-	if s.stage == fair {
+// appendTo adds the targets of a version that is not active to the decision.
+func (g *versionGroup) appendTo(decision *Decision) {
+	if g.stage == active {
 		return
 	}
-	for _, target := range s.targets {
-		if !s.holds(target) {
+	for _, target := range g.targets {
+		if !g.holds(target) {
 			continue
 		}
-		if _, onTrial := s.tried[target.Token]; onTrial {
+		if _, onTrial := g.trialTargets[target.Token]; onTrial {
 			decision.Probation = append(decision.Probation, target.Token)
 		} else {
 			decision.Ejected = append(decision.Ejected, target.Token)
@@ -212,131 +212,131 @@
 	}
 }
 
-// advanceVersion brings a version to its next stage. It returns nil where it stays.
-func (j *Detector) advanceVersion(now kernel.Instant, targets []Target, siblings []*sibling, position int) *VersionChange {
-	one := siblings[position]
-	if one.rule != directory.VersionJudged || one.byHand {
-		return j.obeyVersion(now, one)
+// advanceVersion moves a version to its next stage. It returns nil if there is no change.
+func (d *Detector) advanceVersion(now kernel.Instant, targets []Target, groups []*versionGroup, position int) *VersionChange {
+	group := groups[position]
+	if group.rule != directory.VersionJudged || group.byOperator {
+		return d.applyVersionOrder(now, group)
 	}
 	var older []Target
-	for _, other := range siblings[:position] {
-		if other.stage == fair {
+	for _, other := range groups[:position] {
+		if other.stage == active {
 			older = append(older, other.targets...)
 		}
 	}
-	bears := bearsWithout(one, siblings, targets)
+	hasCapacity := hasCapacityWithout(group, groups, targets)
 	switch {
-	case one.stage == fair:
-		if !bears || len(older) == 0 {
+	case group.stage == active:
+		if !hasCapacity || len(older) == 0 {
 			return nil
 		}
-		return j.accuse(now, one, older)
-	case len(siblings) == 1:
-		return j.release(now, one, NoOtherVersion)
-	case !bears:
-		return j.release(now, one, InsufficientCapacity)
-	case one.stage == ejected && now >= one.until:
-		return one.try(now)
-	case one.stage == onProbation:
-		return j.endTrial(now, one, older)
+		return d.checkVersion(now, group, older)
+	case len(groups) == 1:
+		return d.releaseVersion(now, group, NoOtherVersion)
+	case !hasCapacity:
+		return d.releaseVersion(now, group, InsufficientCapacity)
+	case group.stage == ejected && now >= group.until:
+		return group.startTrial(now)
+	case group.stage == onProbation:
+		return d.evaluateTrial(now, group, older)
 	}
 	return nil
 }
 
-// bearsWithout reports whether the targets of a service that are left bear it while a
-// version is held.
-func bearsWithout(one *sibling, siblings []*sibling, targets []Target) bool {
+// hasCapacityWithout reports whether the active versions have enough slots without the
+// given one.
+func hasCapacityWithout(group *versionGroup, groups []*versionGroup, targets []Target) bool {
 	var all, out uint64
 	for _, target := range targets {
 		all += uint64(target.Slots)
 	}
-	for _, other := range siblings {
-		if other != one && other.stage == fair {
+	for _, other := range groups {
+		if other != group && other.stage == active {
 			continue
 		}
 		for _, target := range other.targets {
 			out += uint64(target.Slots)
 		}
 	}
-	return (all-out)*bearDivisor >= all
+	return (all-out)*capacityDivisor >= all
 }
 
-// obeyVersion carries out an operator's order. No share bounds it.
-func (j *Detector) obeyVersion(now kernel.Instant, one *sibling) *VersionChange {
-	hold := one.rule == directory.VersionHeld
-	one.byHand = hold
+// applyVersionOrder applies the operator's rule for a version, whatever capacity remains.
+func (d *Detector) applyVersionOrder(now kernel.Instant, group *versionGroup) *VersionChange {
+	hold := group.rule == directory.VersionHeld
+	group.byOperator = hold
 	switch {
-	case hold && one.stage == fair:
-		return j.hold(now, one, VersionChange{Cause: OperatorOrder})
+	case hold && group.stage == active:
+		return d.holdVersion(now, group, VersionChange{Cause: OperatorOrder})
 	case hold:
-		one.stage = ejected
-		one.tried = nil
+		group.stage = ejected
+		group.trialTargets = nil
 		return nil
-	case one.stage != fair:
-		one.ejections = 0
-		return j.release(now, one, OperatorOrder)
+	case group.stage != active:
+		group.ejections = 0
+		return d.releaseVersion(now, group, OperatorOrder)
 	}
 	return nil
 }
 
-// accuse holds a version that is worse than the ones before it.
-func (j *Detector) accuse(now kernel.Instant, one *sibling, older []Target) *VersionChange {
-	if j.wasHeld(one) {
-		return j.hold(now, one, VersionChange{Cause: HeldByPreviousLeader})
+// checkVersion ejects a version that fails more often than the earlier ones.
+func (d *Detector) checkVersion(now kernel.Instant, group *versionGroup, older []Target) *VersionChange {
+	if d.wasHeldBefore(group) {
+		return d.holdVersion(now, group, VersionChange{Cause: HeldByPreviousLeader})
 	}
-	evidence, shown := j.versionEvidence(now, one.targets, older)
-	if evidence < alarm {
+	evidence, peak := d.versionEvidence(now, group.targets, older)
+	if evidence < alarmThreshold {
 		return nil
 	}
-	one.shown = shown
-	return j.hold(now, one, VersionChange{Cause: HighFailureRate, Count: shown, Baseline: j.usualOf(now, older)})
+	group.ejectionCount = peak
+	return d.holdVersion(now, group, VersionChange{Cause: HighFailureRate, Count: peak, Baseline: d.windowBaseline(now, older)})
 }
 
-// wasHeld reports whether another judge has left out the targets of the version, but for
-// a few that may have registered since.
-func (j *Detector) wasHeld(one *sibling) bool {
+// wasHeldBefore reports whether the previous leader had ejected the version. Some of its
+// targets may have registered since.
+func (d *Detector) wasHeldBefore(group *versionGroup) bool {
 	out := 0
-	for _, target := range one.targets {
-		if j.inherited[target.Token] {
+	for _, target := range group.targets {
+		if d.restored[target.Token] {
 			out++
 		}
 	}
-	return len(one.targets) >= fewestTargets && len(one.targets)-out <= len(one.targets)/trimDivisor
+	return len(group.targets) >= minTargets && len(group.targets)-out <= len(group.targets)/trimDivisor
 }
 
-// hold leaves out the targets of a version.
-func (j *Detector) hold(now kernel.Instant, one *sibling, change VersionChange) *VersionChange {
-	j.forgetTargets(one)
+// holdVersion ejects the targets of a version.
+func (d *Detector) holdVersion(now kernel.Instant, group *versionGroup, change VersionChange) *VersionChange {
+	d.forgetTargets(group)
 	change.Kind = Ejected
-	change.Hold = one.eject(now)
-	one.tried = nil
+	change.Hold = group.eject(now)
+	group.trialTargets = nil
 	return &change
 }
 
-// release sends new flows to a version as to the others.
-func (j *Detector) release(now kernel.Instant, one *sibling, cause VersionCause) *VersionChange {
-	change := VersionChange{Kind: Readmitted, Cause: cause, Count: one.trial(now).count}
-	j.forgetTargets(one)
-	one.readmit(now)
-	one.tried = nil
+// releaseVersion makes a version active.
+func (d *Detector) releaseVersion(now kernel.Instant, group *versionGroup, cause VersionCause) *VersionChange {
+	change := VersionChange{Kind: Readmitted, Cause: cause, Count: group.probation(now).count}
+	d.forgetTargets(group)
+	group.readmit(now)
+	group.trialTargets = nil
 	return &change
 }
 
-// forgetTargets forgets what was seen of each of a version's targets: the stages of the
-// version come first, and what came before counts no more after them.
-func (j *Detector) forgetTargets(one *sibling) {
-	for _, target := range one.targets {
+// forgetTargets deletes the records of a version's targets, except those with an order of
+// their own, so that counts from before the change of stage are not used after it.
+func (d *Detector) forgetTargets(group *versionGroup) {
+	for _, target := range group.targets {
 		if target.Order.Rule == directory.RuleJudged {
-			delete(j.records, target.Token)
+			delete(d.records, target.Token)
 		}
 	}
 }
 
-// try sends a few flows to some of a version's targets, to others each time. Cold ones
-// tell nothing.
-func (s *sibling) try(now kernel.Instant) *VersionChange {
+// startTrial selects some of the version's targets for probation, different ones for each
+// trial. Targets that are warming up are not selected.
+func (g *versionGroup) startTrial(now kernel.Instant) *VersionChange {
 	var warm []Target
-	for _, target := range s.targets {
+	for _, target := range g.targets {
 		if !target.WarmingUp && target.Order.Rule == directory.RuleJudged {
 			warm = append(warm, target)
 		}
@@ -344,29 +344,29 @@
 	if len(warm) == 0 {
 		return nil
 	}
-	s.beginProbation(now)
-	s.tried = map[directory.Token]*record{}
-	count := min(len(warm), max(fewestTrials, len(warm)/trialDivisor))
+	g.enterProbation(now)
+	g.trialTargets = map[directory.Token]*targetRecord{}
+	count := min(len(warm), max(minTrialTargets, len(warm)/trialDivisor))
 	for number := range count {
-		s.tried[warm[(s.trials*count+number)%len(warm)].Token] = newRecord()
+		g.trialTargets[warm[(g.trialCount*count+number)%len(warm)].Token] = newTargetRecord()
 	}
-	s.trials++
+	g.trialCount++
 	return &VersionChange{Kind: OnProbation, Cause: HoldExpired}
 }
 
-// endTrial gives the verdict on a version that was tried, once there is one.
-func (j *Detector) endTrial(now kernel.Instant, one *sibling, older []Target) *VersionChange {
-	usual := j.usualOf(now, older)
-	judged := usual < commonShare
-	trial := one.trial(now)
+// evaluateTrial ends the trial of a version once it has a result or times out.
+func (d *Detector) evaluateTrial(now kernel.Instant, group *versionGroup, older []Target) *VersionChange {
+	baseline := d.windowBaseline(now, older)
+	comparable := baseline < maxBaseline
+	result := group.probation(now)
 	switch {
-	case judged && trial.isIll(usual), now >= one.until && trial.leansIll(usual):
-		one.shown = one.shown.Add(trial.count)
-		return j.hold(now, one, VersionChange{Cause: HighFailureRate, Count: trial.count, Baseline: usual})
-	case judged && trial.isWell(usual):
-		return j.release(now, one, Recovered)
-	case now >= one.until:
-		return j.release(now, one, Inconclusive)
+	case comparable && result.stillFails(baseline), now >= group.until && result.likelyFails(baseline):
+		group.ejectionCount = group.ejectionCount.Add(result.count)
+		return d.holdVersion(now, group, VersionChange{Cause: HighFailureRate, Count: result.count, Baseline: baseline})
+	case comparable && result.hasRecovered(baseline):
+		return d.releaseVersion(now, group, Recovered)
+	case now >= group.until:
+		return d.releaseVersion(now, group, Inconclusive)
 	}
 	return nil
 }
--- a/internal/outlier/version_test.go
+++ b/internal/outlier/version_test.go
@@ -12,109 +12,109 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// release is a fleet whose targets are replaced by ones of another version.
+// release is a fleet whose targets are replaced by targets of another version.
 type release struct {
 	*fleet
-	position uint64
-	// bad are the shares of their work that versions fail.
-	bad      map[string]float64
-	versions []VersionChange
+	registrations uint64
+	// failureRates holds the failure rate of each version.
+	failureRates   map[string]float64
+	versionChanges []VersionChange
 }
 
-const slotsOfRelease = 2
+const releaseSlots = 2
 
 func newRelease(seed uint64, targets int) *release {
-	r := &release{fleet: newFleet(seed, targets, 80), bad: map[string]float64{}}
-	r.fails = func(target, _ int) float64 { return max(0.005, r.bad[r.targets[target].Version]) }
+	r := &release{fleet: newFleet(seed, targets, 80), failureRates: map[string]float64{}}
+	r.failureRate = func(target, _ int) float64 { return max(0.005, r.failureRates[r.targets[target].Version]) }
 	for position := range r.targets {
 		r.replace(position, "v1")
 	}
-	r.play(5 * time.Second)
+	r.runRecorded(5 * time.Second)
 	return r
 }
 
-// replace starts a target of a version in place of one.
+// replace substitutes a newly registered target for the one at a position.
 func (r *release) replace(position int, version string) {
-	r.position++
+	r.registrations++
 	target := &r.targets[position]
-	target.Token = directory.Token(1000*int(r.position) + position)
-	target.Version, target.RegisteredAt, target.Slots = version, r.position, slotsOfRelease
-	r.seen[position], r.before[position] = map[int]uint32{}, map[int]uint32{}
+	target.Token = directory.Token(1000*int(r.registrations) + position)
+	target.Version, target.RegisteredAt, target.Slots = version, r.registrations, releaseSlots
+	r.recentFailures[position], r.previousFailures[position] = map[int]uint32{}, map[int]uint32{}
 }
 
-// play lets time pass and keeps what became of versions.
-func (r *release) play(duration time.Duration) {
+// runRecorded advances the time and records the version changes.
+func (r *release) runRecorded(duration time.Duration) {
 	for end := r.now.Add(duration); r.now < end; {
 		r.step()
-		r.versions = append(r.versions, r.decision.Versions...)
+		r.versionChanges = append(r.versionChanges, r.decision.Versions...)
 	}
 }
 
-// causes returns what became of versions, in short.
-func (r *release) causes() []string {
+// changeTexts returns the recorded version changes as formatted by changeText.
+func (r *release) changeTexts() []string {
 	var words []string
-	for _, change := range r.versions {
+	for _, change := range r.versionChanges {
 		words = append(words, fmt.Sprintf("%s %d %d", change.Version, change.Kind, change.Cause))
 	}
 	return words
 }
 
-// flowsTo returns the number of a version's targets that get all flows, and a few.
-func (r *release) flowsTo(version string) (all, few int) {
+// targetsByStage returns how many of a version's targets are active and on probation.
+func (r *release) targetsByStage(version string) (active, onTrial int) {
 	for _, target := range r.targets {
 		switch {
-		case target.Version != version, r.out[target.Token]:
-		case r.tried[target.Token]:
-			few++
+		case target.Version != version, r.ejected[target.Token]:
+		case r.onProbation[target.Token]:
+			onTrial++
 		default:
-			all++
+			active++
 		}
 	}
-	return all, few
+	return active, onTrial
 }
 
-// became is one of causes.
-func became(version string, kind ChangeKind, cause VersionCause) string {
+// changeText formats a version change for comparison.
+func changeText(version string, kind ChangeKind, cause VersionCause) string {
 	return fmt.Sprintf("%s %d %d", version, kind, cause)
 }
 
-// roll replaces some targets by ones of a version.
-func (r *release) roll(from, to int, version string) {
+// replaceRange replaces a range of targets.
+func (r *release) replaceRange(from, to int, version string) {
 	for position := from; position < to; position++ {
 		r.replace(position, version)
 	}
 }
 
-// A release that fails is held at each of its stages at which the old version bears the
-// service, and not one target of that is left out.
-func TestABadReleaseIsHeldAtItsStages(t *testing.T) {
-	for _, share := range []float64{1, 0.5, 0.3} {
+// A failing version is held while the old one has enough capacity, and no target of the
+// old version is ejected.
+func TestFailingReleaseIsHeldAtEachStage(t *testing.T) {
+	for _, rate := range []float64{1, 0.5, 0.3} {
 		for _, stage := range []int{2, 4, 6} {
-			t.Run(fmt.Sprintf("%d of 12 fail %v", stage, share), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d of 12 with failure rate %v", stage, rate), func(t *testing.T) {
 				var times []time.Duration
 				for seed := range uint64(30) {
 					r := newRelease(seed, 12)
-					r.bad["v2"] = share
-					r.roll(0, stage, "v2")
+					r.failureRates["v2"] = rate
+					r.replaceRange(0, stage, "v2")
 					begin := r.now
-					for len(r.versions) == 0 && r.now.Sub(begin) < 20*time.Second {
-						r.play(bucketTime)
+					for len(r.versionChanges) == 0 && r.now.Sub(begin) < 20*time.Second {
+						r.runRecorded(bucketDuration)
 					}
-					if len(r.versions) == 0 {
-						all, _ := r.flowsTo("v2")
-						require.LessOrEqual(t, all, 1, "seed %d: left out one by one", seed)
+					if len(r.versionChanges) == 0 {
+						active, _ := r.targetsByStage("v2")
+						require.LessOrEqual(t, active, 1, "seed %d: ejected individually", seed)
 						continue
 					}
 					times = append(times, r.now.Sub(begin))
-					require.Equal(t, became("v2", Ejected, HighFailureRate), r.causes()[0], "seed %d", seed)
-					all, few := r.flowsTo("v2")
-					require.Zero(t, all+few, "seed %d", seed)
-					all, _ = r.flowsTo("v1")
-					require.Equal(t, 12-stage, all, "seed %d", seed)
-					r.play(30 * time.Second)
-					all, few = r.flowsTo("v2")
-					require.Zero(t, all, "seed %d", seed)
-					require.LessOrEqual(t, few, fewestTrials, "seed %d", seed)
+					require.Equal(t, changeText("v2", Ejected, HighFailureRate), r.changeTexts()[0], "seed %d", seed)
+					active, onTrial := r.targetsByStage("v2")
+					require.Zero(t, active+onTrial, "seed %d", seed)
+					active, _ = r.targetsByStage("v1")
+					require.Equal(t, 12-stage, active, "seed %d", seed)
+					r.runRecorded(30 * time.Second)
+					active, onTrial = r.targetsByStage("v2")
+					require.Zero(t, active, "seed %d", seed)
+					require.LessOrEqual(t, onTrial, minTrialTargets, "seed %d", seed)
 				}
 				slices.Sort(times)
 				if len(times) > 0 {
@@ -125,117 +125,117 @@
 	}
 }
 
-// Once the old version bears less than half of the service the release goes on, held or
-// not; with the rollback done nothing is left of it.
-func TestAReleaseThatGoesOnIsLetGoAndRolledBack(t *testing.T) {
+// A held version is readmitted once the old one lacks capacity. After the rollback no
+// state is left.
+func TestContinuedReleaseIsReadmittedAndRolledBack(t *testing.T) {
 	r := newRelease(1, 12)
-	r.bad["v2"] = 1
-	r.roll(0, 4, "v2")
-	r.play(3 * time.Second)
-	r.roll(4, 6, "v2")
-	r.play(time.Second)
-	all, _ := r.flowsTo("v2")
-	assert.Zero(t, all, "new targets of a held version are held")
-	r.roll(6, 7, "v2")
-	r.play(time.Second)
-	assert.Equal(t, became("v2", Readmitted, InsufficientCapacity), r.causes()[len(r.versions)-1])
-	r.roll(7, 12, "v2")
-	r.play(5 * time.Second)
-	seen := len(r.versions)
-	r.roll(0, 12, "v1")
-	r.play(10 * time.Second)
-	assert.Len(t, r.versions, seen)
-	all, _ = r.flowsTo("v1")
-	assert.Equal(t, 12, all)
-	assert.Empty(t, r.judge.versions)
+	r.failureRates["v2"] = 1
+	r.replaceRange(0, 4, "v2")
+	r.runRecorded(3 * time.Second)
+	r.replaceRange(4, 6, "v2")
+	r.runRecorded(time.Second)
+	active, _ := r.targetsByStage("v2")
+	assert.Zero(t, active, "new targets of a held version are ejected")
+	r.replaceRange(6, 7, "v2")
+	r.runRecorded(time.Second)
+	assert.Equal(t, changeText("v2", Readmitted, InsufficientCapacity), r.changeTexts()[len(r.versionChanges)-1])
+	r.replaceRange(7, 12, "v2")
+	r.runRecorded(5 * time.Second)
+	recorded := len(r.versionChanges)
+	r.replaceRange(0, 12, "v1")
+	r.runRecorded(10 * time.Second)
+	assert.Len(t, r.versionChanges, recorded)
+	active, _ = r.targetsByStage("v1")
+	assert.Equal(t, 12, active)
+	assert.Empty(t, r.detector.versions)
 }
 
-func TestTheOnlyVersionIsNotHeld(t *testing.T) {
+func TestOnlyVersionIsNotHeld(t *testing.T) {
 	r := newRelease(1, 12)
-	r.bad["v2"] = 1
-	r.roll(0, 6, "v2")
-	r.play(time.Second)
-	r.roll(6, 12, "v2")
-	r.play(time.Second)
-	assert.Equal(t, []string{became("v2", Ejected, HighFailureRate), became("v2", Readmitted, NoOtherVersion)}, r.causes())
+	r.failureRates["v2"] = 1
+	r.replaceRange(0, 6, "v2")
+	r.runRecorded(time.Second)
+	r.replaceRange(6, 12, "v2")
+	r.runRecorded(time.Second)
+	assert.Equal(t, []string{changeText("v2", Ejected, HighFailureRate), changeText("v2", Readmitted, NoOtherVersion)}, r.changeTexts())
 }
 
-// During the rollback of a release that is held the old version serves.
-func TestARollbackEndsAHold(t *testing.T) {
+// During the rollback of a held version the old version serves.
+func TestRollbackEndsHold(t *testing.T) {
 	r := newRelease(2, 12)
-	r.bad["v2"] = 1
-	r.roll(0, 6, "v2")
-	r.play(3 * time.Second)
-	require.Equal(t, []string{became("v2", Ejected, HighFailureRate)}, r.causes()[:1])
+	r.failureRates["v2"] = 1
+	r.replaceRange(0, 6, "v2")
+	r.runRecorded(3 * time.Second)
+	require.Equal(t, []string{changeText("v2", Ejected, HighFailureRate)}, r.changeTexts()[:1])
 	for position := range 6 {
 		r.replace(position, "v1")
-		r.play(time.Second)
-		all, _ := r.flowsTo("v1")
-		assert.Equal(t, 7+position, all)
+		r.runRecorded(time.Second)
+		active, _ := r.targetsByStage("v1")
+		assert.Equal(t, 7+position, active)
 	}
-	assert.Empty(t, r.judge.versions)
+	assert.Empty(t, r.detector.versions)
 }
 
-func TestAVersionThatServesAgainIsReadmitted(t *testing.T) {
+func TestRecoveredVersionIsReadmitted(t *testing.T) {
 	for seed := range uint64(30) {
 		r := newRelease(seed, 12)
-		r.bad["v2"] = 1
-		r.roll(0, 4, "v2")
-		r.play(2 * time.Second)
-		require.Len(t, r.versions, 1, "seed %d", seed)
-		r.bad["v2"] = 0
-		r.play(firstHold + 100*time.Millisecond)
-		_, few := r.flowsTo("v2")
-		require.LessOrEqual(t, few, fewestTrials)
-		r.play(15 * time.Second)
-		expected := []string{became("v2", Ejected, HighFailureRate), became("v2", OnProbation, HoldExpired), became("v2", Readmitted, Recovered)}
-		require.Equal(t, expected, r.causes(), "seed %d", seed)
-		all, _ := r.flowsTo("v2")
-		require.Equal(t, 4, all)
+		r.failureRates["v2"] = 1
+		r.replaceRange(0, 4, "v2")
+		r.runRecorded(2 * time.Second)
+		require.Len(t, r.versionChanges, 1, "seed %d", seed)
+		r.failureRates["v2"] = 0
+		r.runRecorded(minHold + 100*time.Millisecond)
+		_, onTrial := r.targetsByStage("v2")
+		require.LessOrEqual(t, onTrial, minTrialTargets)
+		r.runRecorded(15 * time.Second)
+		expected := []string{changeText("v2", Ejected, HighFailureRate), changeText("v2", OnProbation, HoldExpired), changeText("v2", Readmitted, Recovered)}
+		require.Equal(t, expected, r.changeTexts(), "seed %d", seed)
+		active, _ := r.targetsByStage("v2")
+		require.Equal(t, 4, active)
 	}
 }
 
-// A service without work that may be repeated sends trials nothing.
-func TestAVersionOfWhichNothingIsSeenIsReadmittedAfterATime(t *testing.T) {
+// A service without retryable requests sends nothing to targets on trial.
+func TestVersionTrialWithoutTrafficTimesOut(t *testing.T) {
 	r := newRelease(1, 12)
-	r.bad["v2"] = 1
-	r.roll(0, 4, "v2")
-	r.play(2 * time.Second)
-	r.bad["v2"] = 0
-	r.trickle = 0
-	r.play(firstHold + probationLimit + time.Second)
-	assert.Equal(t, became("v2", Readmitted, Inconclusive), r.causes()[len(r.versions)-1])
+	r.failureRates["v2"] = 1
+	r.replaceRange(0, 4, "v2")
+	r.runRecorded(2 * time.Second)
+	r.failureRates["v2"] = 0
+	r.probationRate = 0
+	r.runRecorded(minHold + maxProbation + time.Second)
+	assert.Equal(t, changeText("v2", Readmitted, Inconclusive), r.changeTexts()[len(r.versionChanges)-1])
 }
 
-// What is no fault of the new version holds none; drawn fleets have more of it.
-func TestNoVersionIsHeldForWhatIsNotItsFault(t *testing.T) {
+// Failures that are not caused by the new version do not hold it.
+func TestUnrelatedFailuresDoNotHoldVersion(t *testing.T) {
 	cases := map[string]func(r *release){
-		"both versions fail": func(r *release) { r.bad = map[string]float64{"v1": 0.5, "v2": 0.5} },
-		"the old one fails":  func(r *release) { r.bad = map[string]float64{"v1": 0.5} },
-		"a third of the new targets fails": func(r *release) {
-			r.fails = func(target, _ int) float64 {
+		"both versions fail":    func(r *release) { r.failureRates = map[string]float64{"v1": 0.5, "v2": 0.5} },
+		"the old version fails": func(r *release) { r.failureRates = map[string]float64{"v1": 0.5} },
+		"a third of the new targets fail": func(r *release) {
+			r.failureRate = func(target, _ int) float64 {
 				if target < 2 {
 					return 1
 				}
 				return 0.005
 			}
 		},
-		"a zone fails that has most of the new version": func(r *release) {
+		"a zone with most of the new version fails": func(r *release) {
 			for position := range r.targets {
 				r.targets[position].Zone = fmt.Sprint("z", position/5)
 			}
-			r.fails = func(target, _ int) float64 {
+			r.failureRate = func(target, _ int) float64 {
 				if target < 5 {
 					return 0.5
 				}
 				return 0.005
 			}
 		},
-		"a zone fails that has all of the new version": func(r *release) {
+		"a zone with all of the new version fails": func(r *release) {
 			for position := range r.targets {
 				r.targets[position].Zone = fmt.Sprint("z", position/6)
 			}
-			r.fails = func(target, _ int) float64 {
+			r.failureRate = func(target, _ int) float64 {
 				if target < 6 {
 					return 0.5
 				}
@@ -243,21 +243,21 @@
 			}
 		},
 		"one node sees all failures": func(r *release) {
-			r.fails = func(target, node int) float64 {
+			r.failureRate = func(target, node int) float64 {
 				if target < 6 && node == 7 {
 					return 1
 				}
 				return 0.005
 			}
 		},
-		"the new version is cold": func(r *release) {
-			r.bad["v2"] = 1
+		"the new version is warming up": func(r *release) {
+			r.failureRates["v2"] = 1
 			for position := range 6 {
 				r.targets[position].WarmingUp = true
 			}
 		},
-		"no version is stated": func(r *release) {
-			r.bad[""] = 0.3
+		"no version is known": func(r *release) {
+			r.failureRates[""] = 0.3
 			for position := range r.targets {
 				r.targets[position].Version = ""
 			}
@@ -267,43 +267,43 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
 				r := newRelease(seed, 12)
-				r.roll(0, 6, "v2")
+				r.replaceRange(0, 6, "v2")
 				begin(r)
-				r.play(10 * time.Second)
-				require.Empty(t, r.versions, "seed %d", seed)
+				r.runRecorded(10 * time.Second)
+				require.Empty(t, r.versionChanges, "seed %d", seed)
 			}
 		})
 	}
 }
 
-// Another leader's reasons are not known: a version that it held is held, then tried.
-func TestAVersionThatAnotherJudgeHeldIsTried(t *testing.T) {
-	for _, share := range []float64{0, 1} {
+// A version held by the previous leader stays held and is then tried.
+func TestRestoredVersionHoldGoesThroughTrial(t *testing.T) {
+	for _, rate := range []float64{0, 1} {
 		r := newRelease(3, 12)
-		r.bad["v2"] = 1
-		r.roll(0, 6, "v2")
-		r.play(2 * time.Second)
-		require.Len(t, r.versions, 1)
+		r.failureRates["v2"] = 1
+		r.replaceRange(0, 6, "v2")
+		r.runRecorded(2 * time.Second)
+		require.Len(t, r.versionChanges, 1)
 		before := r.decision
-		r.bad["v2"] = share
-		r.judge = NewDetector()
-		r.judge.Restore(r.now, 0, before.Ejected, before.Probation)
-		r.roll(0, 1, "v2")
-		r.play(firstHold)
-		all, _ := r.flowsTo("v2")
-		assert.Zero(t, all)
-		assert.Equal(t, became("v2", Ejected, HeldByPreviousLeader), r.causes()[1])
-		r.play(15 * time.Second)
-		all, _ = r.flowsTo("v2")
-		if share == 0 {
-			assert.Equal(t, 6, all, "it serves")
+		r.failureRates["v2"] = rate
+		r.detector = NewDetector()
+		r.detector.Restore(r.now, 0, before.Ejected, before.Probation)
+		r.replaceRange(0, 1, "v2")
+		r.runRecorded(minHold)
+		active, _ := r.targetsByStage("v2")
+		assert.Zero(t, active)
+		assert.Equal(t, changeText("v2", Ejected, HeldByPreviousLeader), r.changeTexts()[1])
+		r.runRecorded(15 * time.Second)
+		active, _ = r.targetsByStage("v2")
+		if rate == 0 {
+			assert.Equal(t, 6, active, "it has recovered")
 		} else {
-			assert.Zero(t, all, "it does not")
+			assert.Zero(t, active, "it still fails")
 		}
 	}
 }
 
-// order gives an operator's order about a version.
+// order sets the operator's rule for a version.
 func (r *release) order(version string, rule directory.VersionRule) {
 	for position := range r.targets {
 		if r.targets[position].Version == version {
@@ -312,24 +312,24 @@
 	}
 }
 
-func TestOrdersAboutVersionsComeFirst(t *testing.T) {
+func TestVersionOrdersTakePrecedence(t *testing.T) {
 	r := newRelease(4, 12)
-	r.roll(0, 8, "v2")
+	r.replaceRange(0, 8, "v2")
 	r.order("v2", directory.VersionHeld)
-	r.play(30 * time.Second)
-	all, few := r.flowsTo("v2")
-	assert.Zero(t, all+few, "no share bounds it, and nothing is tried")
-	r.bad["v2"] = 1
+	r.runRecorded(30 * time.Second)
+	active, onTrial := r.targetsByStage("v2")
+	assert.Zero(t, active+onTrial, "orders ignore the capacity limit and are not followed by trials")
+	r.failureRates["v2"] = 1
 	r.order("v2", directory.VersionReleased)
-	r.roll(6, 8, "v1")
-	r.play(300 * time.Millisecond)
-	assert.Equal(t, []string{became("v2", Ejected, OperatorOrder), became("v2", Readmitted, OperatorOrder)}, r.causes())
-	r.play(5 * time.Second)
-	assert.Len(t, r.versions, 2, "released whatever is seen")
+	r.replaceRange(6, 8, "v1")
+	r.runRecorded(300 * time.Millisecond)
+	assert.Equal(t, []string{changeText("v2", Ejected, OperatorOrder), changeText("v2", Readmitted, OperatorOrder)}, r.changeTexts())
+	r.runRecorded(5 * time.Second)
+	assert.Len(t, r.versionChanges, 2, "released whatever the failure rate")
 	r.order("v2", directory.VersionJudged)
-	r.play(20 * time.Second)
-	assert.Equal(t, became("v2", Ejected, HighFailureRate), r.causes()[2])
+	r.runRecorded(20 * time.Second)
+	assert.Equal(t, changeText("v2", Ejected, HighFailureRate), r.changeTexts()[2])
 	r.targets[0].Order.Rule = directory.RuleExempt
-	r.play(200 * time.Millisecond)
-	assert.False(t, r.out[r.targets[0].Token], "an order about a single target")
+	r.runRecorded(200 * time.Millisecond)
+	assert.False(t, r.ejected[r.targets[0].Token], "an order for an individual target takes precedence")
 }
--- a/internal/outlier/versionevidence.go
+++ b/internal/outlier/versionevidence.go
@@ -8,139 +8,143 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// worseShare is the part of its work that a version fails, beyond what is usual, for it to
-// be worth holding: its targets' work then goes to the others for as long.
-const worseShare = 0.2
+// versionExcess is the failure rate above the baseline that the test for a failing
+// version assumes. Ejecting a version that fails less often is not worth the load it adds
+// to the others.
+const versionExcess = 0.2
 
-// sums are the counts of some targets in the newest one, two and more buckets.
-type sums [windowBuckets]Count
+// suffixSums holds the summed counts of some targets for each suffix of the window.
+type suffixSums [windowBuckets]Count
 
-func (s *sums) add(kept *record, counted func(suffix Count) Count) {
-	kept.window.eachSuffix(func(suffix Count, buckets int) bool {
-		s[buckets-1] = s[buckets-1].Add(counted(suffix))
+func (s *suffixSums) add(rec *targetRecord, limited func(suffix Count) Count) {
+	rec.window.eachSuffix(func(suffix Count, buckets int) bool {
+		s[buckets-1] = s[buckets-1].Add(limited(suffix))
 		return true
 	})
 }
 
-// comparison holds a version against the ones before it within a zone: a fault of a zone
-// is not one of the version that most of its targets have.
-type comparison struct {
-	newer, older sums
-	// spread is that of the newer targets' failures.
-	spread *spread
+// zoneComparison compares a version with the earlier ones within one zone, so that a
+// failing zone is not attributed to the version that most of its targets run.
+type zoneComparison struct {
+	newer, older suffixSums
+	// spread is the distribution of the newer targets' failures over nodes.
+	spread *failureSpread
 }
 
-// versionEvidence returns the highest log of the likelihood ratio of a version that fails
-// worseShare of what the ones before do not, to one that is as they are, over the suffixes
-// of the window, and the count that has it.
-func (j *Detector) versionEvidence(now kernel.Instant, newer, older []Target) (highest float64, shown Count) {
-	zones := j.compare(now, newer, older)
+// versionEvidence returns the highest log-likelihood ratio over the suffixes of the
+// window, and the count that produced it, for a version that fails versionExcess above
+// the baseline of the earlier versions.
+func (d *Detector) versionEvidence(now kernel.Instant, newer, older []Target) (highest float64, peak Count) {
+	zones := d.compareZones(now, newer, older)
 	for buckets := range windowBuckets {
 		var ratio float64
 		var sum Count
 		for _, zone := range zones {
-			usual := usualBeside(zone.older[buckets])
-			if usual >= commonShare {
+			baseline := versionBaseline(zone.older[buckets])
+			if baseline >= maxBaseline {
 				continue
 			}
 			count := zone.newer[buckets]
-			count.Failures = zone.spread.believed(count.Failures)
-			ratio += logRatio(count, usual, worseShare)
+			count.Failures = zone.spread.discount(count.Failures)
+			ratio += logLikelihoodRatio(count, baseline, versionExcess)
 			sum = sum.Add(count)
 		}
 		if ratio > highest {
-			highest, shown = ratio, sum
+			highest, peak = ratio, sum
 		}
 	}
-	return highest, shown
+	return highest, peak
 }
 
-// compare sums up what versions show in each zone. It is empty when the newer one shows
-// nothing that could hold it.
-func (j *Detector) compare(now kernel.Instant, newer, older []Target) []*comparison {
-	seen := j.warmOf(now, newer)
-	if len(seen) < fewestTargets || !slices.ContainsFunc(seen, func(one warm) bool { return one.kept.window.total.Failures > 0 }) {
+// compareZones sums the counts of the newer and older targets by zone. It returns nil if
+// the newer ones cannot be found failing.
+func (d *Detector) compareZones(now kernel.Instant, newer, older []Target) []*zoneComparison {
+	warm := d.warmTargets(now, newer)
+	if len(warm) < minTargets || !slices.ContainsFunc(warm, func(target warmTarget) bool { return target.record.window.total.Failures > 0 }) {
 		return nil
 	}
-	slices.SortStableFunc(seen, func(a, b warm) int {
-		return cmp.Compare(a.kept.window.total.FailureRate(), b.kept.window.total.FailureRate())
+	slices.SortStableFunc(warm, func(a, b warmTarget) int {
+		return cmp.Compare(a.record.window.total.FailureRate(), b.record.window.total.FailureRate())
 	})
-	zones := map[string]*comparison{}
-	var inOrder []*comparison
-	better := len(seen) - worstOf(len(seen))
-	for position, one := range seen {
-		zone, known := zones[one.zone]
+	zones := map[string]*zoneComparison{}
+	var inOrder []*zoneComparison
+	better := len(warm) - trimCount(len(warm))
+	for position, target := range warm {
+		zone, known := zones[target.zone]
 		if !known {
-			zone = &comparison{spread: newSpread()}
-			zones[one.zone] = zone
+			zone = &zoneComparison{spread: newFailureSpread()}
+			zones[target.zone] = zone
 			inOrder = append(inOrder, zone)
 		}
-		zone.newer.add(one.kept, countedOf(position >= better))
-		zone.spread.add(now, one.kept)
+		zone.newer.add(target.record, failureCap(position >= better))
+		zone.spread.add(now, target.record)
 	}
-	for _, one := range j.warmOf(now, older) {
-		// Without the failures for which it was ejected an older target looks well beside
-		// newer ones that had the same.
-		if zone, known := zones[one.zone]; known && one.kept.tellsWindow(now) {
-			zone.older.add(one.kept, countedOf(false))
+	for _, target := range d.warmTargets(now, older) {
+		// A window cleared at an ejection lacks the failures before it, which would make
+		// the older version look better than the newer one with the same failures.
+		if zone, known := zones[target.zone]; known && target.record.hasFullWindow(now) {
+			zone.older.add(target.record, failureCap(false))
 		}
 	}
 	return inOrder
 }
 
-// warm is a target whose exchanges tell of its version.
-type warm struct {
-	kept *record
-	zone string
+// warmTarget is a target whose exchanges are evidence for its version.
+type warmTarget struct {
+	record *targetRecord
+	zone   string
 }
 
-// warmOf returns the warm ones of some targets with exchanges.
-func (j *Detector) warmOf(now kernel.Instant, targets []Target) []warm {
-	var seen []warm
+// warmTargets returns the targets with exchanges that are not warming up.
+func (d *Detector) warmTargets(now kernel.Instant, targets []Target) []warmTarget {
+	var warm []warmTarget
 	for _, target := range targets {
-		kept, exists := j.records[target.Token]
-		if !exists || target.WarmingUp || target.Order.Rule != directory.RuleJudged || kept.window.Total(now).Exchanges == 0 {
+		rec, exists := d.records[target.Token]
+		if !exists || target.WarmingUp || target.Order.Rule != directory.RuleJudged || rec.window.Total(now).Exchanges == 0 {
 			continue
 		}
-		seen = append(seen, warm{kept: kept, zone: target.Zone})
+		warm = append(warm, warmTarget{record: rec, zone: target.Zone})
 	}
-	return seen
+	return warm
 }
 
-// worstOf returns the number of the worst of some targets of a version, of which few
-// failures count: that many may be ill by themselves.
-func worstOf(targets int) int { return (targets + trimDivisor - 1) / trimDivisor }
+// trimCount returns how many of a version's targets have their failures capped, since
+// they may fail independently of the version.
+func trimCount(targets int) int { return (targets + trimDivisor - 1) / trimDivisor }
 
-// usualBeside returns the part of the exchanges that is to be expected to fail, from what
-// the versions before showed in the same time. One failure more counts, and twice what
-// they showed: they may have been lucky.
-func usualBeside(older Count) float64 {
-	return usualShare + referenceFactor*older.Add(Count{Exchanges: 1, Failures: 1}).FailureRate()
+// versionBaseline returns the failure rate expected of a version from the counts of the
+// earlier ones over the same period. One failure is added and the rate is doubled to
+// allow for chance.
+func versionBaseline(older Count) float64 {
+	return baseFailureRate + baselineFactor*older.Add(Count{Exchanges: 1, Failures: 1}).FailureRate()
 }
 
-// usualOf returns the same of some targets over the whole window.
-func (j *Detector) usualOf(now kernel.Instant, older []Target) float64 {
+// windowBaseline returns the version baseline over the whole window.
+func (d *Detector) windowBaseline(now kernel.Instant, older []Target) float64 {
 	var sum Count
-	for _, one := range j.warmOf(now, older) {
-		sum = sum.Add(one.kept.window.total)
+	for _, warm := range d.warmTargets(now, older) {
+		sum = sum.Add(warm.record.window.total)
 	}
-	return usualBeside(sum)
+	return versionBaseline(sum)
 }
 
-// trial returns what the targets on trial show, of the worst third few failures.
-func (s *sibling) trial(now kernel.Instant) trial {
-	var seen []*record
-	nodes := newSpread()
-	for _, kept := range s.tried {
-		seen = append(seen, kept)
-		nodes.add(now, kept)
+// probation returns the results of the trial, with the failures of the worst targets
+// capped.
+func (g *versionGroup) probation(now kernel.Instant) probation {
+	var records []*targetRecord
+	spread := newFailureSpread()
+	for _, rec := range g.trialTargets {
+		records = append(records, rec)
+		spread.add(now, rec)
 	}
-	slices.SortFunc(seen, func(a, b *record) int { return cmp.Compare(a.tried.FailureRate(), b.tried.FailureRate()) })
+	slices.SortFunc(records, func(a, b *targetRecord) int {
+		return cmp.Compare(a.probationCount.FailureRate(), b.probationCount.FailureRate())
+	})
 	var count Count
-	better := len(seen) - worstOf(len(seen))
-	for position, kept := range seen {
-		count = count.Add(countedOf(position >= better)(kept.tried))
+	better := len(records) - trimCount(len(records))
+	for position, rec := range records {
+		count = count.Add(failureCap(position >= better)(rec.probationCount))
 	}
-	count.Failures = nodes.believed(count.Failures)
-	return trial{count: count, shown: s.shown, share: worseShare}
+	count.Failures = spread.discount(count.Failures)
+	return probation{count: count, ejectionCount: g.ejectionCount, excess: versionExcess}
 }
--- a/internal/outlier/window.go
+++ b/internal/outlier/window.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// bucketTime is the time whose counts are kept as one: nodes report ten times a
-	// second.
-	bucketTime = 100 * time.Millisecond
-	// windowBuckets is the length of a window: 4 s hold about 50 exchanges of a target
-	// that gets 12 a second, enough to find one that fails a third of its work.
+	// bucketDuration is the resolution of the window, equal to the nodes' report
+	// interval.
+	bucketDuration = 100 * time.Millisecond
+	// windowBuckets is the number of buckets, enough for about 50 exchanges of a target
+	// with 12 a second.
 	windowBuckets = 40
-	// WindowTime is the length of a window.
-	WindowTime = windowBuckets * bucketTime
-	// recentBuckets is the part of it that shows what is usual just now.
+	// WindowTime is the duration of the window.
+	WindowTime = windowBuckets * bucketDuration
+	// recentBuckets is the number of newest buckets used for the recent baseline.
 	recentBuckets = 10
 )
 
-// Window holds the counts of one target of the last 4 s.
+// Window holds the counts of one target over the last WindowTime.
 type Window struct {
 	buckets [windowBuckets]Count
-	// newest is the number of the newest bucket since the clock's start.
+	// newest is the number of the newest bucket since the clock's epoch.
 	newest int64
 	total  Count
 }
 
-// Add enters what was counted lately.
+// Add adds a count to the newest bucket.
 func (w *Window) Add(now kernel.Instant, count Count) {
 	w.advance(now)
 	position := w.newest % windowBuckets
@@ -35,13 +35,13 @@
 	w.total = w.total.Add(count)
 }
 
-// Total returns the counts of the whole window.
+// Total returns the sum over the whole window.
 func (w *Window) Total(now kernel.Instant) Count {
 	w.advance(now)
 	return w.total
 }
 
-// Recent returns the counts of the last second.
+// Recent returns the sum over the last recentBuckets buckets.
 func (w *Window) Recent(now kernel.Instant) Count {
 	w.advance(now)
 	var sum Count
@@ -52,9 +52,9 @@
 	return sum
 }
 
-// advance empties the buckets whose time has come round again.
+// advance clears the buckets that have expired.
 func (w *Window) advance(now kernel.Instant) {
-	current := int64(now) / int64(bucketTime)
+	current := int64(now) / int64(bucketDuration)
 	if current-w.newest >= windowBuckets {
 		*w = Window{newest: current}
 		return
@@ -67,8 +67,8 @@
 	}
 }
 
-// eachSuffix visits the sums of the newest one, two and more buckets until the
-// function says that it has seen enough.
+// eachSuffix calls visit with the sums of the newest one, two and more buckets until it
+// returns false.
 func (w *Window) eachSuffix(visit func(suffix Count, buckets int) bool) {
 	var suffix Count
 	for length := range windowBuckets {
