--- a/internal/heartbeat/cache.go
+++ b/internal/heartbeat/cache.go
@@ -1,6 +1,6 @@
-// Package heartbeat answers the heartbeats of targets that change nothing, by
-// far the most, and spreads them over the nodes of a deployment. Control
-// members and nodes share it.
+// Package heartbeat acknowledges the heartbeats that change no state, which are most of
+// them, and distributes targets over the nodes of a deployment. Both control members and
+// nodes use it.
 package heartbeat
 
 import (
@@ -9,27 +9,27 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// entry is what is known to hold of a target.
-type entry struct {
+// registration is the committed state of a target.
+type registration struct {
 	born  uint64
 	token directory.Token
 	state directory.TargetState
 }
 
-// Cache knows the stages of targets that are on the disks of a quorum. Many
-// goroutines may use it at once.
+// Cache holds the target states committed by a quorum. It is safe for concurrent use.
 type Cache struct {
-	mutex   sync.Mutex
-	targets map[string]entry
-	heard   map[directory.Token]bool
+	mutex        sync.Mutex
+	targets      map[string]registration
+	acknowledged map[directory.Token]bool
 }
 
-// NewCache returns a cache that knows no target.
+// NewCache returns an empty cache.
 func NewCache() *Cache {
-	return &Cache{targets: map[string]entry{}, heard: map[directory.Token]bool{}}
+	return &Cache{targets: map[string]registration{}, acknowledged: map[directory.Token]bool{}}
 }
 
-// Update takes over targets that have changed.
+// Update applies changed targets. Targets of an earlier start than the known one are
+// ignored.
 func (c *Cache) Update(targets []directory.Target) {
 	if len(targets) == 0 {
 		return
@@ -43,20 +43,20 @@
 		case target.State == directory.TargetEnded:
 			delete(c.targets, target.ID)
 		default:
-			c.targets[target.ID] = entry{born: target.Born, token: target.Token, state: target.State}
+			c.targets[target.ID] = registration{born: target.Born, token: target.Token, state: target.State}
 		}
 	}
 }
 
-// Reset forgets all targets, before those of another state are followed.
+// Reset removes all targets, before another directory state is applied.
 func (c *Cache) Reset() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	clear(c.targets)
 }
 
-// Acknowledge notes a heartbeat and reports whether what it says is known to hold. One of
-// another start than the latest is known to hold nothing.
+// Acknowledge reports whether a heartbeat agrees with the committed state and records it
+// if so. It returns false for heartbeats of another start than the registered one.
 func (c *Cache) Acknowledge(start directory.Start, state directory.TargetState) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -64,18 +64,19 @@
 	if !registered || known.born != start.Born || known.state < state {
 		return false
 	}
-	c.heard[known.token] = true
+	c.acknowledged[known.token] = true
 	return true
 }
 
-// TakeAcknowledged returns the targets heard since the last call, in no fixed order.
+// TakeAcknowledged returns the targets acknowledged since the last call, in no particular
+// order.
 func (c *Cache) TakeAcknowledged() []directory.Token {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var tokens []directory.Token
-	for token := range c.heard {
+	for token := range c.acknowledged {
 		tokens = append(tokens, token)
 	}
-	clear(c.heard)
+	clear(c.acknowledged)
 	return tokens
 }
--- a/internal/heartbeat/distributor.go
+++ b/internal/heartbeat/distributor.go
@@ -8,271 +8,268 @@
 	"github.com/beamdoor/beamdoor/internal/strength"
 )
 
-// DefaultLocalRate is the number of heartbeats a second above which a member
-// passes targets on to nodes.
+// DefaultLocalRate is the heartbeat rate per second up to which a member keeps its
+// targets.
 const DefaultLocalRate = 50
 
-// window is the time over which heartbeats are counted.
-const window = time.Second
+// countWindow is the interval over which heartbeats are counted.
+const countWindow = time.Second
 
-// returnTime is how long a target that comes back from a member of its zone is
-// kept: long against an interval of heartbeats (about 1 s), so that a member that
-// cannot be reached costs its targets few calls, and short against the time that
-// bytes between zones add up in.
-const returnTime = 15 * time.Second
+// reassignTime is how long a target that returns from its assigned address is remembered:
+// many heartbeat intervals, so that an unreachable member costs few calls, but short
+// enough that traffic between zones does not add up.
+const reassignTime = 15 * time.Second
 
-// maxTold is the number of nodes that a target is told one after the other. The cost
-// of the next one grows with it.
-const maxTold = 8
+// maxNodesTried is the number of nodes that a returning target is assigned in turn. The
+// cost of an assignment grows with it.
+const maxNodesTried = 8
 
-// maxRecent bounds the targets that are noted between two times of forgetting: their ids
-// are the callers' choice. It is above the targets of a whole fleet.
-const maxRecent = 50_000
+// maxAssignments bounds the target IDs recorded per reassignTime, since clients choose
+// the IDs. It exceeds the number of targets of a fleet.
+const maxAssignments = 50_000
 
-// Distributor chooses who takes the heartbeats of a member's targets. A target of
-// another zone goes to a member of its own: its calls would be nearly all that
-// crosses between zones. A busy member names nodes; one that has little to do
-// keeps the targets of its zone, since a heartbeat at a member is seen first.
-// Many goroutines may use it at once.
+// Distributor assigns a member's targets to the address that receives their next
+// heartbeats. Targets of another zone are assigned to a member of that zone, to save
+// traffic between zones. Above the local rate targets are assigned to nodes; below it
+// they stay with the member, which then sees their heartbeats first. It is safe for
+// concurrent use.
 type Distributor struct {
-	ownRate int
-	now     func() time.Time
-	// zone is that of the member itself.
+	localRate int
+	now       func() time.Time
+	// zone is the zone of the member itself.
 	zone string
 
 	mutex sync.Mutex
 	nodes map[uint64]node
-	// zones holds the nodes of each zone; all those of all zones stand under "". It is
-	// nil after a change until it is needed.
-	zones map[string]places
-	// homes holds the members of each zone.
-	homes map[string]places
-	// sent are the targets that were sent to a member of their zone lately, and passed
-	// those that were passed on to a node.
-	sent, passed recent
-	since        time.Time
-	// current and last count the heartbeats of this window and of the one before.
+	// nodesByZone holds the nodes of each zone, and those of all zones under "". It is
+	// nil when it must be rebuilt.
+	nodesByZone map[string]addressSet
+	// members holds the members of each zone.
+	members map[string]addressSet
+	// sentToMember and sentToNode record the recent assignments.
+	sentToMember, sentToNode assignments
+	windowStart              time.Time
+	// current and last are the heartbeats in the current window and in the one before.
 	current, last int
 }
 
 type node struct {
 	zone, address string
-	stated        strength.Resources
+	strength      strength.Resources
 }
 
-// places are addresses among which targets are shared out, each with its draw.
-type places struct {
+// addressSet is a set of addresses among which targets are distributed by weighted
+// rendezvous hashing.
+type addressSet struct {
 	addresses []string
-	draws     []rendezvous.Node
+	nodes     []rendezvous.Node
 }
 
-func (p places) with(address string, weight float64) places {
-	p.addresses = append(p.addresses, address)
-	p.draws = append(p.draws, rendezvous.Node{Seed: rendezvous.Hash(address), Weight: weight})
-	return p
+func (a addressSet) with(address string, weight float64) addressSet {
+	a.addresses = append(a.addresses, address)
+	a.nodes = append(a.nodes, rendezvous.Node{Seed: rendezvous.Hash(address), Weight: weight})
+	return a
 }
 
-// pick returns the same address for the same target, or "" when there is none.
-func (p places) pick(id string) string {
-	best := rendezvous.Best(p.draws, rendezvous.Hash(id))
+// pick returns the address for a target, or "" if the set is empty.
+func (a addressSet) pick(id string) string {
+	best := rendezvous.Best(a.nodes, rendezvous.Hash(id))
 	if best < 0 {
 		return ""
 	}
-	return p.addresses[best]
+	return a.addresses[best]
 }
 
-// pickAfter returns the next address for a target that has left so many. After
-// maxTold of them it begins anew.
-func (p places) pickAfter(left int, id string) string {
-	left %= max(1, min(maxTold, len(p.addresses)))
-	if left == 0 {
-		return p.pick(id)
+// pickAfter returns the address for a target after the given number of previous
+// assignments. It starts over after maxNodesTried addresses.
+func (a addressSet) pickAfter(previous int, id string) string {
+	previous %= max(1, min(maxNodesTried, len(a.addresses)))
+	if previous == 0 {
+		return a.pick(id)
 	}
-	return p.addresses[rendezvous.BestN(p.draws, rendezvous.Hash(id), left+1)[left]]
+	return a.addresses[rendezvous.BestN(a.nodes, rendezvous.Hash(id), previous+1)[previous]]
 }
 
-// DistributorOption changes a new spread.
+// DistributorOption configures a Distributor.
 type DistributorOption func(*Distributor)
 
-// WithLocalRate sets the number of heartbeats a second that a member keeps.
+// WithLocalRate sets the heartbeat rate per second up to which a member keeps its
+// targets.
 func WithLocalRate(rate int) DistributorOption {
-	return func(s *Distributor) { s.ownRate = rate }
+	return func(d *Distributor) { d.localRate = rate }
 }
 
-// WithClock sets what tells the time; the default is time.Now.
+// WithClock replaces the default clock, time.Now.
 func WithClock(now func() time.Time) DistributorOption {
-	return func(s *Distributor) { s.now = now }
+	return func(d *Distributor) { d.now = now }
 }
 
 // WithZone sets the zone of the member itself.
 func WithZone(zone string) DistributorOption {
-	return func(s *Distributor) { s.zone = zone }
+	return func(d *Distributor) { d.zone = zone }
 }
 
-// NewDistributor returns a spread that knows no node.
+// NewDistributor returns a distributor without nodes or members.
 func NewDistributor(opts ...DistributorOption) *Distributor {
-	s := &Distributor{ownRate: DefaultLocalRate, now: time.Now, nodes: map[uint64]node{}}
+	d := &Distributor{localRate: DefaultLocalRate, now: time.Now, nodes: map[uint64]node{}}
 	for _, opt := range opts {
-		opt(s)
+		opt(d)
 	}
-	return s
+	return d
 }
 
-// AddNode notes that a node takes heartbeats at an address. Its key is any number
-// that no other node has. It states no strength until Weigh.
-func (s *Distributor) AddNode(key uint64, zone, address string) {
+// AddNode adds a node that receives heartbeats at an address; it ignores a node without
+// one. The key identifies the node. Its strength is unknown until SetStrength.
+func (d *Distributor) AddNode(key uint64, zone, address string) {
 	if address == "" {
 		return
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.nodes[key] = node{zone: zone, address: address}
-	s.zones = nil
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.nodes[key] = node{zone: zone, address: address}
+	d.nodesByZone = nil
 }
 
-// SetStrength notes what a node states of its machine. It changes nothing for a node that
-// takes no heartbeats.
-func (s *Distributor) SetStrength(key uint64, stated strength.Resources) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	known, takes := s.nodes[key]
-	if !takes || known.stated == stated {
+// SetStrength sets the strength of a node's machine. It ignores unknown nodes.
+func (d *Distributor) SetStrength(key uint64, value strength.Resources) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	known, exists := d.nodes[key]
+	if !exists || known.strength == value {
 		return
 	}
-	known.stated = stated
-	s.nodes[key] = known
-	s.zones = nil
+	known.strength = value
+	d.nodes[key] = known
+	d.nodesByZone = nil
 }
 
-// RemoveNode notes that a node has gone.
-func (s *Distributor) RemoveNode(key uint64) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if _, known := s.nodes[key]; known {
-		delete(s.nodes, key)
-		s.zones = nil
+// RemoveNode removes a node.
+func (d *Distributor) RemoveNode(key uint64) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if _, known := d.nodes[key]; known {
+		delete(d.nodes, key)
+		d.nodesByZone = nil
 	}
 }
 
-// arrange makes the lists of nodes anew after a change.
-func (s *Distributor) arrange() {
-	if s.zones != nil {
+// rebuildZones rebuilds nodesByZone after a change.
+func (d *Distributor) rebuildZones() {
+	if d.nodesByZone != nil {
 		return
 	}
-	s.zones = map[string]places{}
+	d.nodesByZone = map[string]addressSet{}
 	var nodes []node
-	var stated []strength.Resources
-	for _, node := range s.nodes {
+	var strengths []strength.Resources
+	for _, node := range d.nodes {
 		nodes = append(nodes, node)
-		stated = append(stated, node.stated)
+		strengths = append(strengths, node.strength)
 	}
-	weights := strength.Weights(stated)
+	weights := strength.Weights(strengths)
 	for position, node := range nodes {
-		s.zones[node.zone] = s.zones[node.zone].with(node.address, weights[position])
+		d.nodesByZone[node.zone] = d.nodesByZone[node.zone].with(node.address, weights[position])
 		if node.zone != "" {
-			s.zones[""] = s.zones[""].with(node.address, weights[position])
+			d.nodesByZone[""] = d.nodesByZone[""].with(node.address, weights[position])
 		}
 	}
 }
 
 // SetMembers replaces the addresses of the members of each zone.
-func (s *Distributor) SetMembers(homes map[string][]string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.homes = map[string]places{}
-	for zone, addresses := range homes {
+func (d *Distributor) SetMembers(members map[string][]string) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.members = map[string]addressSet{}
+	for zone, addresses := range members {
 		for _, address := range addresses {
-			s.homes[zone] = s.homes[zone].with(address, 1)
+			d.members[zone] = d.members[zone].with(address, 1)
 		}
 	}
 }
 
-// Assign counts a heartbeat of a target and returns the address for its later
-// ones: a member of its zone, or a node of it if there is one. It returns "" when
-// the target is to stay with the member. A target that was passed on lately and is back
-// was refused there: it is told the next node.
-func (s *Distributor) Assign(zone, id string) string {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	now := s.now()
-	s.count(now)
-	if home := s.home(now, zone, id); home != "" {
-		return home
+// Assign counts a heartbeat of a target and returns the address for its next ones: a
+// member or a node of its zone, or "" if the target stays with this member. A target that
+// returns from a node is assigned the next one.
+func (d *Distributor) Assign(zone, id string) string {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	now := d.now()
+	d.count(now)
+	if member := d.memberFor(now, zone, id); member != "" {
+		return member
 	}
-	if max(s.current, s.last) <= s.ownRate {
+	if max(d.current, d.last) <= d.localRate {
 		return ""
 	}
-	s.arrange()
-	near, known := s.zones[zone]
+	d.rebuildZones()
+	candidates, known := d.nodesByZone[zone]
 	if !known {
-		near = s.zones[""]
+		candidates = d.nodesByZone[""]
 	}
-	if len(near.addresses) == 0 {
+	if len(candidates.addresses) == 0 {
 		return ""
 	}
-	s.passed.forget(now)
-	left := s.passed.times(id)
-	s.passed.add(id)
-	return near.pickAfter(left, id)
+	d.sentToNode.expire(now)
+	previous := d.sentToNode.count(id)
+	d.sentToNode.add(id)
+	return candidates.pickAfter(previous, id)
 }
 
-// home returns the address of a member of a target's zone. It returns "" for
-// targets of the own zone, and for one that was sent there lately and has come
-// back: its calls failed there.
-func (s *Distributor) home(now time.Time, zone, id string) string {
-	homes := s.homes[zone]
-	if zone == s.zone || len(homes.addresses) == 0 {
+// memberFor returns the address of a member of the target's zone. It returns "" for
+// targets of the member's own zone and for those that returned, since their calls failed
+// there.
+func (d *Distributor) memberFor(now time.Time, zone, id string) string {
+	members := d.members[zone]
+	if zone == d.zone || len(members.addresses) == 0 {
 		return ""
 	}
-	s.sent.forget(now)
-	if s.sent.times(id) > 0 {
+	d.sentToMember.expire(now)
+	if d.sentToMember.count(id) > 0 {
 		return ""
 	}
-	s.sent.add(id)
-	return homes.pick(id)
+	d.sentToMember.add(id)
+	return members.pick(id)
 }
 
-// recent counts by target what was done lately, for as many targets as there is room
-// for. The zero value has counted nothing.
-type recent struct {
-	// lately began at since; before holds the time before.
-	lately, before map[string]int
-	since          time.Time
+// assignments counts the recent assignments by target, up to maxAssignments. The zero
+// value is empty.
+type assignments struct {
+	// current covers the period that began at since, previous the one before.
+	current, previous map[string]int
+	since             time.Time
 }
 
-func (r *recent) times(id string) int { return r.lately[id] + r.before[id] }
+func (a *assignments) count(id string) int { return a.current[id] + a.previous[id] }
 
-func (r *recent) add(id string) {
-	if _, known := r.lately[id]; known || len(r.lately) < maxRecent {
-		r.lately[id]++
+func (a *assignments) add(id string) {
+	if _, known := a.current[id]; known || len(a.current) < maxAssignments {
+		a.current[id]++
 	}
 }
 
-// forget forgets what was counted longer ago than returnTime, at the latest after twice
-// that time.
-func (r *recent) forget(now time.Time) {
-	passed := now.Sub(r.since)
-	if r.lately != nil && passed < returnTime {
+// expire rotates the periods, so that an assignment is kept for one to two reassignTime.
+func (a *assignments) expire(now time.Time) {
+	elapsed := now.Sub(a.since)
+	if a.current != nil && elapsed < reassignTime {
 		return
 	}
-	r.before = r.lately
-	if passed >= 2*returnTime {
-		r.before = nil
+	a.previous = a.current
+	if elapsed >= 2*reassignTime {
+		a.previous = nil
 	}
-	r.lately = map[string]int{}
-	r.since = now
+	a.current = map[string]int{}
+	a.since = now
 }
 
-// count enters a heartbeat into the window.
-func (s *Distributor) count(now time.Time) {
-	passed := now.Sub(s.since)
-	if passed >= window {
-		s.last = s.current
-		s.current = 0
-		s.since = now
+// count adds a heartbeat to the current window.
+func (d *Distributor) count(now time.Time) {
+	elapsed := now.Sub(d.windowStart)
+	if elapsed >= countWindow {
+		d.last = d.current
+		d.current = 0
+		d.windowStart = now
 	}
-	if passed >= 2*window {
-		s.last = 0
+	if elapsed >= 2*countWindow {
+		d.last = 0
 	}
-	s.current++
+	d.current++
 }
--- a/internal/linkhealth/linkhealth.go
+++ b/internal/linkhealth/linkhealth.go
@@ -1,6 +1,6 @@
-// Package linkhealth tells when a balancer should try another control member.
-// A member that is silent is easy to see; one that answers but hears nothing
-// of the leader itself is not, and its balancers would lose their leases.
+// Package linkhealth decides when a balancer should switch to another control member. A
+// member may be silent, or it may answer while it has lost contact with the leader, in
+// which case the balancers would lose their leases.
 package linkhealth
 
 import (
@@ -11,35 +11,35 @@
 )
 
 const (
-	// SilenceTimeout is the longest time without a frame, two reports.
+	// SilenceTimeout is the maximum time without a frame, two report intervals.
 	SilenceTimeout = 1600 * time.Millisecond
-	// firstPatience is the longest time without a sign of the leader. It
-	// doubles with every member tried in vain, up to mostPatience: while nobody
-	// leads, changing members does not help.
-	firstPatience = 1600 * time.Millisecond
-	mostPatience  = 8 * firstPatience
+	// initialLeaderTimeout is the initial time limit without contact to a leader. The limit
+	// doubles with each switch up to maxLeaderTimeout, since switching does not help while
+	// there is no leader.
+	initialLeaderTimeout = 1600 * time.Millisecond
+	maxLeaderTimeout     = 8 * initialLeaderTimeout
 )
 
-// Health judges the connection to one control member at a time.
+// Health tracks the connection to one control member at a time.
 type Health struct {
-	heard    kernel.Instant
-	leader   kernel.Instant
-	patience time.Duration
+	lastFrame     kernel.Instant
+	lastLeader    kernel.Instant
+	leaderTimeout time.Duration
 }
 
-// ConnectionOpened notes that a connection to a member was opened.
+// ConnectionOpened records that a connection to a member was opened.
 func (h *Health) ConnectionOpened(now kernel.Instant) {
-	h.heard = now
-	h.leader = now
-	if h.patience == 0 {
-		h.patience = firstPatience
+	h.lastFrame = now
+	h.lastLeader = now
+	if h.leaderTimeout == 0 {
+		h.leaderTimeout = initialLeaderTimeout
 	}
 }
 
-// RecordFrame notes a frame of the member. A grant without a revision comes from
-// a member that knows no leader.
+// RecordFrame records a frame from the member. A grant without a revision comes from a
+// member that knows no leader.
 func (h *Health) RecordFrame(now kernel.Instant, frame wire.Frame) {
-	h.heard = now
+	h.lastFrame = now
 	if frame.Kind != wire.FrameGrant {
 		return
 	}
@@ -48,17 +48,17 @@
 	if decoder.Err("linkhealth.grant") != nil || grant.Revision == 0 {
 		return
 	}
-	h.leader = now
-	h.patience = firstPatience
+	h.lastLeader = now
+	h.leaderTimeout = initialLeaderTimeout
 }
 
-// ShouldSwitch reports whether another member should be tried. It says so once, and
-// then waits longer.
+// ShouldSwitch reports whether to switch to another member. When it returns true for lack
+// of a leader, it doubles the time limit.
 func (h *Health) ShouldSwitch(now kernel.Instant) bool {
-	silent := now.Sub(h.heard) > SilenceTimeout
-	leaderless := now.Sub(h.leader) > h.patience
+	silent := now.Sub(h.lastFrame) > SilenceTimeout
+	leaderless := now.Sub(h.lastLeader) > h.leaderTimeout
 	if leaderless {
-		h.patience = min(2*h.patience, mostPatience)
+		h.leaderTimeout = min(2*h.leaderTimeout, maxLeaderTimeout)
 	}
 	return silent || leaderless
 }
--- a/internal/linkhealth/linkhealth_test.go
+++ b/internal/linkhealth/linkhealth_test.go
@@ -14,7 +14,7 @@
 	return kernel.Instant(seconds * float64(time.Second))
 }
 
-func TestSilentMemberFails(t *testing.T) {
+func TestSwitchAfterSilence(t *testing.T) {
 	var health Health
 	health.ConnectionOpened(at(0))
 	health.RecordFrame(at(1), wire.GrantFrame(wire.Grant{Revision: 1}))
@@ -22,7 +22,7 @@
 	assert.True(t, health.ShouldSwitch(at(2.7)))
 }
 
-func TestMemberWithoutLeaderFailsLaterAndLater(t *testing.T) {
+func TestLeaderTimeoutDoubles(t *testing.T) {
 	var health Health
 	waits := []float64{1.6, 3.2, 6.4, 12.8, 12.8}
 	now := 0.0
@@ -39,5 +39,5 @@
 	health.ConnectionOpened(at(now))
 	health.RecordFrame(at(now), wire.GrantFrame(wire.Grant{Revision: 1}))
 	health.RecordFrame(at(now+1.7), wire.GrantFrame(wire.Grant{}))
-	assert.True(t, health.ShouldSwitch(at(now+1.7)), "patience is short again after a leader's answer")
+	assert.True(t, health.ShouldSwitch(at(now+1.7)), "the timeout is reset after contact to a leader")
 }
