--- a/internal/edge/announcements.go
+++ b/internal/edge/announcements.go
@@ -10,9 +10,9 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// takeAnnouncements listens for announcements of members until the node knows members
-// or stops. Without them the node finds members by the seeds.
-func (p *Process) takeAnnouncements() {
+// listenForAnnouncements receives announcements of members until the node knows members
+// or stops. If it fails, the node still finds members by its seeds.
+func (p *Process) listenForAnnouncements() {
 	socket, err := listenUDP("edge.announcements", p.settings.AnnouncementAddress)
 	if err != nil {
 		p.logger.Event(eventlog.AnnouncementsOff, "err", err)
@@ -21,7 +21,7 @@
 	go func() {
 		select {
 		case <-p.stopped:
-		case <-p.subscriber.informed:
+		case <-p.subscriber.membersKnown:
 		}
 		_ = socket.Close()
 	}()
@@ -29,17 +29,17 @@
 	for {
 		size, _, err := socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
-			if !p.isStopped() && !p.subscriber.isInformed() {
+			if !p.isStopped() && !p.subscriber.hasMembers() {
 				p.logger.Event(eventlog.AnnouncementsOff, "err", err)
 			}
 			return
 		}
-		announcement, err := readAnnouncement(buffer[:size])
+		announcement, err := decodeAnnouncement(buffer[:size])
 		if err != nil {
 			p.logger.Sampled(eventlog.BadFrame, "err", err)
 			continue
 		}
-		p.subscriber.hearAnnouncement(announcement)
+		p.subscriber.handleAnnouncement(announcement)
 	}
 }
 
@@ -52,25 +52,24 @@
 	}
 }
 
-func readAnnouncement(datagram []byte) (registry.Announcement, error) {
+func decodeAnnouncement(datagram []byte) (registry.Announcement, error) {
 	frame, err := wire.ReadFrame(bytes.NewReader(datagram))
 	if err != nil {
 		return registry.Announcement{}, err
 	}
 	if frame.Kind != wire.FrameAnnouncement {
-		return registry.Announcement{}, steperror.New("edge.announcement", "", "a datagram that is no announcement")
+		return registry.Announcement{}, steperror.New("edge.announcement", "", "datagram is not an announcement")
 	}
 	return registry.DecodeAnnouncement(frame.Payload)
 }
 
-// hearAnnouncement keeps an announcement for the next attempt to connect, which begins
-// at once.
-func (s *subscriber) hearAnnouncement(announcement registry.Announcement) {
-	if s.followed() != "" {
+// handleAnnouncement stores an announcement and triggers the next connection attempt.
+func (s *subscriber) handleAnnouncement(announcement registry.Announcement) {
+	if s.followedAddress() != "" {
 		return
 	}
 	s.mutex.Lock()
-	s.announced = &announcement
+	s.announcement = &announcement
 	s.mutex.Unlock()
 	select {
 	case s.hints <- struct{}{}:
@@ -78,36 +77,35 @@
 	}
 }
 
-// inform notes the members that the node knows: once there are any, announcements tell
-// it nothing more.
-func (s *subscriber) inform(members []directory.Member) {
-	if len(members) > 0 && !s.isInformed() {
-		close(s.informed)
+// markMembersKnown ends listening for announcements once there are members.
+func (s *subscriber) markMembersKnown(members []directory.Member) {
+	if len(members) > 0 && !s.hasMembers() {
+		close(s.membersKnown)
 	}
 }
 
-func (s *subscriber) isInformed() bool {
+func (s *subscriber) hasMembers() bool {
 	select {
-	case <-s.informed:
+	case <-s.membersKnown:
 		return true
 	default:
 		return false
 	}
 }
 
-// takeAnnounced returns the members to try after an announcement, or nil when there is
-// none or the node needs none.
-func (s *subscriber) takeAnnounced() []directory.Member {
+// takeAnnouncedMembers returns the members to try after an announcement, or nil if there
+// is no usable one.
+func (s *subscriber) takeAnnouncedMembers() []directory.Member {
 	s.mutex.Lock()
-	announcement := s.announced
-	s.announced = nil
+	announcement := s.announcement
+	s.announcement = nil
 	s.mutex.Unlock()
 	if announcement == nil {
 		return nil
 	}
 	order := s.follower.List.ApplyAnnouncement(announcement.From, announcement.Members)
 	if order != nil {
-		s.inform(announcement.Members)
+		s.markMembersKnown(announcement.Members)
 		s.process.logger.Sampled(eventlog.MemberAnnounced, "address", announcement.From, "members", len(announcement.Members))
 	}
 	return order
--- a/internal/edge/format.go
+++ b/internal/edge/format.go
@@ -8,20 +8,19 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// FormatNamespace is the namespace of packet formats.
+// FormatNamespace is the plug-in namespace of packet formats.
 const FormatNamespace = "edge.format"
 
-// Format is a plug-in that reads and writes the packets of a network.
+// Format is a plug-in that decodes and encodes the packets of a network.
 type Format interface {
 	kernel.Plugin
-	// Decode reads a datagram from a caller. It returns false when the
-	// datagram is no packet of this format.
+	// Decode parses a datagram from a caller. It returns false if the datagram is not a
+	// packet of this format.
 	Decode(datagram []byte) (steer.Packet, bool)
-	// Forward appends the datagram for a target to the buffer. What the caller
-	// wrote stays as it is but for the token.
+	// Forward appends the datagram for a target to the buffer. Only the token may differ
+	// from what the caller sent.
 	Forward(buffer, datagram []byte, target directory.Target) []byte
-	// Reset appends the datagram that tells a caller that its flow does not
-	// exist, and returns where it goes. The port is that of the node's own
-	// packet address.
+	// Reset appends the datagram that resets a caller's flow and returns its destination.
+	// port is the port of the node's packet address.
 	Reset(buffer []byte, packet steer.Packet, port uint16) ([]byte, netip.AddrPort)
 }
--- a/internal/edge/frames.go
+++ b/internal/edge/frames.go
@@ -29,17 +29,17 @@
 	return nil
 }
 
-// receiveReferral takes the members that a seed names.
+// receiveReferral handles the members named by a seed.
 func (s *subscriber) receiveReferral(payload []byte) error {
 	referral, err := registry.DecodeReferral(payload)
 	if err != nil {
 		return err
 	}
-	s.inform(referral.Members)
+	s.markMembersKnown(referral.Members)
 	return s.follower.ApplyReferral(referral.Members)
 }
 
-// receiveRemembered takes what is on a member's disk before the member knows more.
+// receiveRemembered handles the targets a member has read from disk before it is current.
 func (s *subscriber) receiveRemembered(payload []byte) error {
 	remembered, err := directory.DecodeRemembered(payload)
 	if err == nil {
@@ -56,24 +56,24 @@
 	return s.apply(update)
 }
 
-// apply hands an update to the goroutine that owns the core.
+// apply passes an update to the goroutine that owns the core and waits for the result.
 func (s *subscriber) apply(update directory.Update) error {
 	answer := make(chan updateOutcome, 1)
 	if !s.process.inputs.Push(updateInput{update: update, answer: answer}) {
 		return steperror.New("edge.apply", "", "the node is stopping")
 	}
 	outcome := <-answer
-	if !outcome.fits {
+	if !outcome.applied {
 		s.revision = 0
-		return steperror.New("edge.apply", "", "the update does not fit")
+		return steperror.New("edge.apply", "", "the update does not follow the node's revision")
 	}
 	s.revision = outcome.revision
 	s.follower.List.Members = outcome.members
-	s.inform(outcome.members)
+	s.markMembersKnown(outcome.members)
 	return nil
 }
 
-// receiveAlive takes a sign of life with the verdicts on targets.
+// receiveAlive handles a keepalive with the verdicts on targets.
 func (s *subscriber) receiveAlive(payload []byte) error {
 	alive, err := registry.DecodeKeepalive(payload)
 	if err != nil {
@@ -90,19 +90,19 @@
 		s.verdicts = alive.Verdicts
 		s.process.inputs.Push(verdictsInput{verdicts: alive.Verdicts})
 	}
-	s.noteCurrent()
+	s.recordCurrent()
 	return nil
 }
 
-// noteCurrent notes that the member is current, and measures for how long none was.
-func (s *subscriber) noteCurrent() {
+// recordCurrent records that the member is current, and the duration of a preceding gap.
+func (s *subscriber) recordCurrent() {
 	now := time.Now()
-	before := s.currentAt.Swap(&now)
+	before := s.lastCurrentAt.Swap(&now)
 	if before == nil {
 		return
 	}
-	if gap := now.Sub(*before); gap > gapLimit {
-		s.process.metrics.gaps.Observe(gap.Seconds())
-		s.process.logger.Sampled(eventlog.ControlRegained, "address", s.followed(), "gap", gap)
+	if gap := now.Sub(*before); gap > maxCurrentGap {
+		s.process.metrics.currentGaps.Observe(gap.Seconds())
+		s.process.logger.Sampled(eventlog.ControlRegained, "address", s.followedAddress(), "gap", gap)
 	}
 }
--- a/internal/edge/limits.go
+++ b/internal/edge/limits.go
@@ -8,45 +8,45 @@
 	"github.com/beamdoor/beamdoor/internal/strength"
 )
 
-// waitingOf returns the number of flows whose packets wait at a node of a strength.
-func waitingOf(stated strength.Resources) int {
-	return stated.MaxQueuedPackets(waitCapacity, maxDatagram)
+// waitlistCapacity returns the waitlist capacity for a node of the given strength.
+func waitlistCapacity(stated strength.Resources) int {
+	return stated.MaxQueuedPackets(maxWaitlist, maxDatagram)
 }
 
-// Connections returns the bound of those that callers over HTTP hold.
+// Connections returns the limit on HTTP connections.
 func (p *Process) Connections() *hosting.Connections { return p.connections }
 
-// ApplySettings takes over what has changed in the settings.
+// ApplySettings applies changed settings while the node runs.
 func (p *Process) ApplySettings(next hosting.Changeable) {
 	p.subscriber.setSeeds(next.Seeds)
 	p.subscriber.setStrength(next.Strength)
 	p.connections.SetLimit(next.Strength.MaxConnections())
-	p.inputs.Push(strengthInput{stated: next.Strength})
+	p.inputs.Push(strengthInput{strength: next.Strength})
 }
 
-// strengthInput brings another strength of the machine.
-type strengthInput struct{ stated strength.Resources }
+// strengthInput changes the strength of the machine.
+type strengthInput struct{ strength strength.Resources }
 
 func (i strengthInput) handle(p *Process, _ kernel.Instant) {
-	p.core.SetFlowLimit(i.stated.MaxFlows(p.flows, steer.FlowBytes))
-	p.waiting.capacity = waitingOf(i.stated)
-	p.logBounds(i.stated)
+	p.core.SetFlowLimit(i.strength.MaxFlows(p.maxFlows, steer.FlowBytes))
+	p.waitlist.capacity = waitlistCapacity(i.strength)
+	p.logLimits(i.strength)
 }
 
-// logBounds writes what the node holds itself to.
-func (p *Process) logBounds(stated strength.Resources) {
-	p.logger.Event(eventlog.BoundsSet, "strength", stated, "flows", stated.MaxFlows(p.flows, steer.FlowBytes),
-		"waiting", waitingOf(stated), "connections", stated.MaxConnections())
+// logLimits logs the limits derived from the strength.
+func (p *Process) logLimits(stated strength.Resources) {
+	p.logger.Event(eventlog.BoundsSet, "strength", stated, "flows", stated.MaxFlows(p.maxFlows, steer.FlowBytes),
+		"waiting", waitlistCapacity(stated), "connections", stated.MaxConnections())
 }
 
-// noteUnkept tells of flows that found no room among those that are kept. They are
-// served: a packet finds its target by its token, and only the count of open flows and
-// what copies of opening packets rest on is missing.
-func (p *Process) noteUnkept() {
-	unkept := p.core.TakeUntracked()
-	if unkept == 0 {
+// reportUntrackedFlows counts and logs the flows that exceeded the flow limit. They are
+// still forwarded by their tokens, but they do not count as open and copies of their
+// opening packets cannot be matched.
+func (p *Process) reportUntrackedFlows() {
+	untracked := p.core.TakeUntracked()
+	if untracked == 0 {
 		return
 	}
-	p.metrics.unkept.Add(float64(unkept))
-	p.logger.Sampled(eventlog.FlowsFull, "flows", p.core.Flows(), "unkept", unkept)
+	p.metrics.untrackedFlows.Add(float64(untracked))
+	p.logger.Sampled(eventlog.FlowsFull, "flows", p.core.Flows(), "unkept", untracked)
 }
--- a/internal/edge/linkrate_test.go
+++ b/internal/edge/linkrate_test.go
@@ -20,15 +20,15 @@
 
 const linkStart = kernel.Instant(time.Minute)
 
-// stillNode is a node whose packets and time the test hands over; nothing runs.
-type stillNode struct {
+// manualNode is a node driven by the test, without goroutines or a running clock.
+type manualNode struct {
 	*Process
 	sent []string
 }
 
-func newStillNode(t *testing.T, log io.Writer) *stillNode {
+func newManualNode(t *testing.T, log io.Writer) *manualNode {
 	t.Helper()
-	node := &stillNode{Process: NewProcess(Settings{
+	node := &manualNode{Process: NewProcess(Settings{
 		Name: "edge-1", Zone: "north", Link: egress.Link{Mbps: 2}, Format: plainFormat{}, Core: steer.DefaultSettings(),
 	}, eventlog.New(log, "edge-1"))}
 	node.sender.transmit = func(datagram []byte, _ netip.AddrPort) error {
@@ -48,44 +48,45 @@
 	return node
 }
 
-// ask brings data of a flow.
-func (n *stillNode) ask(now kernel.Instant, port uint16, position, acknowledged uint32) {
-	n.decide(now, steer.Packet{
+// sendData passes a data packet to the node.
+func (n *manualNode) sendData(now kernel.Instant, port uint16, position, acknowledged uint32) {
+	n.handlePacket(now, steer.Packet{
 		Flow:  steer.FlowKey{Caller: plainCaller(port), Virtual: plainRoute},
 		Token: plainToken, Sequence: position, Acknowledged: acknowledged, Size: windowData,
 	}, plainDatagram(port, position, 0, windowData))
 	n.sender.flush(now.Add(time.Second / 100))
 }
 
-// open brings an opening packet.
-func (n *stillNode) open(now kernel.Instant, port uint16) {
-	n.decide(now, steer.Packet{Flow: steer.FlowKey{Caller: plainCaller(port), Virtual: plainRoute}, Opening: true},
+// sendOpening passes an opening packet to the node.
+func (n *manualNode) sendOpening(now kernel.Instant, port uint16) {
+	n.handlePacket(now, steer.Packet{Flow: steer.FlowKey{Caller: plainCaller(port), Virtual: plainRoute}, Opening: true},
 		plainDatagram(port, 0, plainOpening, 0))
 }
 
-// loseSome lets the first data of some flows come again 200 ms later, and be answered.
-func (n *stillNode) loseSome(flows uint16) kernel.Instant {
+// retransmit sends the first data of some flows, retransmits it 200 ms later and then
+// acknowledges it with further data.
+func (n *manualNode) retransmit(flows uint16) kernel.Instant {
 	now := linkStart
 	for port := range flows {
-		n.ask(now.Add(time.Duration(port)*10*time.Millisecond), 1000+port, 1, 1)
+		n.sendData(now.Add(time.Duration(port)*10*time.Millisecond), 1000+port, 1, 1)
 	}
 	now = now.Add(200 * time.Millisecond)
 	for port := range flows {
-		n.ask(now.Add(time.Duration(port)*10*time.Millisecond), 1000+port, 1, 1)
+		n.sendData(now.Add(time.Duration(port)*10*time.Millisecond), 1000+port, 1, 1)
 	}
 	now = now.Add(100 * time.Millisecond)
 	for port := range flows {
-		n.ask(now, 1000+port, 1+windowData, 500)
+		n.sendData(now, 1000+port, 1+windowData, 500)
 	}
 	return now.Add(100 * time.Millisecond)
 }
 
-func TestWhatIsLostBehindTheNodeLowersTheRateOfItsLink(t *testing.T) {
+func TestDownstreamLossLowersLinkRate(t *testing.T) {
 	log := &strings.Builder{}
-	node := newStillNode(t, log)
+	node := newManualNode(t, log)
 	node.sender.tick(linkStart)
 	assert.NotContains(t, log.String(), "link_narrower")
-	now := node.loseSome(4)
+	now := node.retransmit(4)
 	node.sender.tick(now)
 	assert.Less(t, node.sender.scheduler.Rate(now), node.sender.learner.ConfiguredRate())
 	assert.Contains(t, log.String(), "link_narrower")
@@ -93,9 +94,9 @@
 	assert.Contains(t, log.String(), "link_as_stated")
 }
 
-func TestWhatNeverLeftWasNotLostOnTheLink(t *testing.T) {
+func TestUnsentPacketsAreNotLinkLoss(t *testing.T) {
 	const flows = 4
-	node := newStillNode(t, io.Discard)
+	node := newManualNode(t, io.Discard)
 	failures := 0
 	send := node.sender.transmit
 	node.sender.transmit = func(datagram []byte, address netip.AddrPort) error {
@@ -105,36 +106,36 @@
 		}
 		return send(datagram, address)
 	}
-	now := node.loseSome(flows)
+	now := node.retransmit(flows)
 	require.Equal(t, flows, failures)
 	assert.InDelta(t, node.sender.learner.ConfiguredRate(), node.sender.learner.Rate(now), 0)
 }
 
-func TestAFullSystemQueueLowersTheRateAndOtherErrorsDoNot(t *testing.T) {
+func TestOnlyFullSocketQueueLowersLinkRate(t *testing.T) {
 	for cause, lowers := range map[error]bool{syscall.ENOBUFS: true, syscall.EAGAIN: true, syscall.EPERM: false} {
-		node := newStillNode(t, io.Discard)
+		node := newManualNode(t, io.Discard)
 		node.sender.transmit = func([]byte, netip.AddrPort) error { return cause }
 		for port := range uint16(3) {
-			node.ask(node.now(), port, 1, 1)
+			node.sendData(node.now(), port, 1, 1)
 		}
 		later := node.now().Add(100 * time.Millisecond)
 		assert.Equal(t, lowers, node.sender.learner.Rate(later) < node.sender.learner.ConfiguredRate(), "%v", cause)
 	}
 }
 
-// What the system did not take never reached the target: the data that comes again shows
-// nothing against it.
-func TestWhatCouldNotBeSentIsNoSilenceOfATarget(t *testing.T) {
+// Data that the socket did not accept never reached the target, so its retransmission is
+// no evidence against the target.
+func TestUnsentDataIsNotTargetSilence(t *testing.T) {
 	for _, failing := range []bool{false, true} {
 		log := &strings.Builder{}
-		node := newStillNode(t, log)
+		node := newManualNode(t, log)
 		if failing {
 			node.sender.transmit = func([]byte, netip.AddrPort) error { return syscall.EPERM }
 		}
-		node.ask(linkStart, 1, 1, 1)
+		node.sendData(linkStart, 1, 1, 1)
 		node.sender.transmit = func([]byte, netip.AddrPort) error { return nil }
 		again := linkStart.Add(200 * time.Millisecond)
-		node.ask(again, 1, 1, 1)
+		node.sendData(again, 1, 1, 1)
 		node.core.Report(again, reportInterval)
 		silent := node.core.Report(again.Add(reportInterval), reportInterval).Silent
 		assert.Equal(t, failing, len(silent) == 0, "%+v", silent)
@@ -142,64 +143,64 @@
 	}
 }
 
-// What still waits at the node when its caller sends it again shows nothing against the
-// target either; nor does it undo what was seen before.
-func TestWhatWaitsAtTheNodeIsNoSilenceOfATarget(t *testing.T) {
-	node := newStillNode(t, io.Discard)
-	wait := func() {
+// A retransmission of data that is still queued at the node is no evidence against the
+// target, but earlier evidence remains.
+func TestQueuedDataIsNotTargetSilence(t *testing.T) {
+	node := newManualNode(t, io.Discard)
+	fillLink := func() {
 		for node.sender.scheduler.Allow(linkStart, steer.FlowKey{}, 500) {
 			continue
 		}
 	}
-	wait()
+	fillLink()
 	packet := steer.Packet{Flow: steer.FlowKey{Caller: plainCaller(1), Virtual: plainRoute}, Token: plainToken, Sequence: 1, Size: windowData}
-	node.decide(linkStart, packet, plainDatagram(1, 1, 0, windowData))
+	node.handlePacket(linkStart, packet, plainDatagram(1, 1, 0, windowData))
 	again := linkStart.Add(200 * time.Millisecond)
-	node.decide(again, packet, plainDatagram(1, 1, 0, windowData))
+	node.handlePacket(again, packet, plainDatagram(1, 1, 0, windowData))
 	require.Equal(t, 1, node.sender.scheduler.Len())
 	node.core.Report(again, reportInterval)
 	assert.Empty(t, node.core.Report(again.Add(reportInterval), reportInterval).Silent)
 	node.sender.flush(again.Add(reportInterval))
 	require.Zero(t, node.sender.scheduler.Len())
 	last := again.Add(400 * time.Millisecond)
-	node.decide(last, packet, plainDatagram(1, 1, 0, windowData))
+	node.handlePacket(last, packet, plainDatagram(1, 1, 0, windowData))
 	for at := again.Add(2 * reportInterval); at <= last; at = at.Add(reportInterval) {
 		node.core.Report(at, reportInterval)
 	}
-	assert.Len(t, node.core.Report(last.Add(reportInterval), reportInterval).Silent, 1, "it has left meanwhile")
+	assert.Len(t, node.core.Report(last.Add(reportInterval), reportInterval).Silent, 1, "it has been sent by now")
 }
 
-// A target that never got the opening packet has not left it unanswered.
-func TestACopyOfAnOpeningPacketThatWaitsHereIsNotPlacedAgain(t *testing.T) {
+// A target that has not been sent the opening packet yet has not left it unanswered.
+func TestQueuedOpeningIsNotPlacedAgain(t *testing.T) {
 	log := &strings.Builder{}
-	node := newStillNode(t, log)
+	node := newManualNode(t, log)
 	for node.sender.scheduler.Allow(linkStart, steer.FlowKey{}, 20) {
 		continue
 	}
 	const port = 3000
-	node.open(linkStart, port)
+	node.sendOpening(linkStart, port)
 	again := linkStart.Add(200 * time.Millisecond)
 	flow := steer.FlowKey{Caller: plainCaller(port), Virtual: plainRoute}
-	node.decide(again, steer.Packet{Flow: flow, Opening: true, Copy: 1}, plainDatagram(port, 0, plainOpening, 0))
+	node.handlePacket(again, steer.Packet{Flow: flow, Opening: true, Copy: 1}, plainDatagram(port, 0, plainOpening, 0))
 	require.Equal(t, 1, node.sender.scheduler.Len())
 	assert.NotContains(t, log.String(), "flow_placed_again")
 	node.core.Report(again, reportInterval)
 	assert.Empty(t, node.core.Report(again.Add(reportInterval), reportInterval).Silent)
 	node.sender.flush(again)
-	node.decide(again.Add(time.Second), steer.Packet{Flow: flow, Opening: true, Copy: 2}, plainDatagram(port, 0, plainOpening, 0))
-	assert.Contains(t, log.String(), "flow_placed_again", "it has left meanwhile")
+	node.handlePacket(again.Add(time.Second), steer.Packet{Flow: flow, Opening: true, Copy: 2}, plainDatagram(port, 0, plainOpening, 0))
+	assert.Contains(t, log.String(), "flow_placed_again", "it has been sent by now")
 }
 
-func TestANarrowLinkRefusesAnUploadThatItCannotCarry(t *testing.T) {
+func TestNarrowLinkRefusesUpload(t *testing.T) {
 	log := &strings.Builder{}
-	node := newStillNode(t, log)
-	const underWay, next, third = 3001, 3004, 3006
-	node.open(linkStart, underWay)
-	require.NotContains(t, node.sent[len(node.sent)-1], "reset", "the link is as wide as stated")
-	now := node.loseSome(4)
-	node.open(now, next)
+	node := newManualNode(t, log)
+	const accepted, refused, retried = 3001, 3004, 3006
+	node.sendOpening(linkStart, accepted)
+	require.NotContains(t, node.sent[len(node.sent)-1], "reset", "the link has its configured rate")
+	now := node.retransmit(4)
+	node.sendOpening(now, refused)
 	assert.Equal(t, "reset", node.sent[len(node.sent)-1])
 	assert.Contains(t, log.String(), "reason=narrow_link")
-	node.open(now.Add(time.Millisecond), third)
-	assert.NotContains(t, node.sent[len(node.sent)-1], "reset", "the third try is taken")
+	node.sendOpening(now.Add(time.Millisecond), retried)
+	assert.NotContains(t, node.sent[len(node.sent)-1], "reset", "the third attempt is accepted")
 }
--- a/internal/edge/loop.go
+++ b/internal/edge/loop.go
@@ -7,7 +7,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// input is a typed message for the goroutine that owns the core.
+// input is a message to the goroutine that owns the core.
 type input interface {
 	handle(p *Process, now kernel.Instant)
 }
@@ -25,7 +25,7 @@
 	}
 }
 
-// runCore owns the core until the ring is closed.
+// runCore handles inputs until the ring is closed.
 func (p *Process) runCore() {
 	defer p.sender.stop()
 	var batch []input
@@ -48,22 +48,22 @@
 func (tickInput) handle(p *Process, now kernel.Instant) {
 	p.ticks++
 	p.sender.tick(now)
-	p.endMemory(now)
-	p.tickRoom(now)
-	var heard []directory.Token
-	if p.ticks%reportsPerHeard == 0 {
-		heard = p.beats.TakeAcknowledged()
+	p.expireRemembered(now)
+	p.updateLinkUse(now)
+	var acknowledged []directory.Token
+	if p.ticks%reportsPerHeartbeats == 0 {
+		acknowledged = p.heartbeats.TakeAcknowledged()
 	}
-	p.subscriber.report(p.core.Report(now, reportInterval), heard)
-	p.subscriber.tellSpeeds(p.core.TakeSpeeds(now))
-	p.prober.ask(p.core.Probes(now))
+	p.subscriber.report(p.core.Report(now, reportInterval), acknowledged)
+	p.subscriber.sendSpeeds(p.core.TakeSpeeds(now))
+	p.prober.enqueue(p.core.Probes(now))
 	if p.ticks%reportsPerSweep == 0 {
 		p.core.Tick(now)
-		p.noteUnkept()
+		p.reportUntrackedFlows()
 		p.metrics.flows.Set(float64(p.core.Flows()))
 		p.metrics.waitingFlows.Set(float64(p.core.WaitingFlows()))
 	}
-	if p.ticks%(reportsPerSweep*sweepsPerSpeeds) == 0 {
-		p.observeSpeeds(now)
+	if p.ticks%(reportsPerSweep*sweepsPerRelativeTimes) == 0 {
+		p.recordRelativeTimes(now)
 	}
 }
--- a/internal/edge/packets.go
+++ b/internal/edge/packets.go
@@ -11,14 +11,13 @@
 )
 
 const (
-	// maxDatagram is the largest datagram in bytes that is read.
+	// maxDatagram is the maximum size of a datagram in bytes.
 	maxDatagram = 2048
-	// readBuffer is what the system keeps of what has come in bytes: a second of a link
-	// of 8 Mbit/s, or all that comes while a small machine does not run the process.
-	readBuffer = 1 << 20
-	// readPause is the time between two reads of a socket that cannot be read: a
-	// hundred tries a second cost next to nothing.
-	readPause = 10 * time.Millisecond
+	// socketReadBuffer is the size of the socket's receive buffer in bytes. It holds what
+	// arrives while the process is not scheduled.
+	socketReadBuffer = 1 << 20
+	// readRetryDelay is the delay after a failed read.
+	readRetryDelay = 10 * time.Millisecond
 )
 
 // readPackets reads datagrams until the socket is closed.
@@ -31,22 +30,22 @@
 			if p.isStopped() {
 				return
 			}
-			p.noteReadError(err)
+			p.handleReadError(err)
 			continue
 		}
 		if !p.inputs.TryPush(datagramInput{buffer: buffer, size: size}) {
-			p.metrics.overflow.Inc()
+			p.metrics.inputOverflow.Inc()
 			p.buffers.Put(buffer)
 		}
 	}
 }
 
-// noteReadError notes that the socket could not be read, and pauses.
-func (p *Process) noteReadError(err error) {
+// handleReadError records a failed read and waits before the next.
+func (p *Process) handleReadError(err error) {
 	p.metrics.readErrors.Inc()
 	p.logger.Sampled(eventlog.SocketFailed, "step", "edge.read", "err", err)
 	select {
-	case <-time.After(readPause):
+	case <-time.After(readRetryDelay):
 	case <-p.stopped:
 	}
 }
@@ -62,34 +61,36 @@
 }
 
 func (p *Process) handleDatagram(now kernel.Instant, datagram []byte) {
-	p.sender.noteReceived(now, len(datagram)+egress.HeaderBytes)
+	p.sender.recordReceived(now, len(datagram)+egress.HeaderBytes)
 	packet, ok := p.settings.Format.Decode(datagram)
 	if !ok {
 		p.metrics.malformed.Inc()
 		return
 	}
-	if !p.core.CanDecide(packet) && p.keep(now, packet, datagram) {
-		p.metrics.waited.Inc()
+	if !p.core.CanDecide(packet) && p.addToWaitlist(now, packet, datagram) {
+		p.metrics.waitlisted.Inc()
 		return
 	}
-	p.waiting.drop(packet.Flow)
-	p.decide(now, packet, datagram)
+	p.waitlist.remove(packet.Flow)
+	p.handlePacket(now, packet, datagram)
 }
 
-// keep lets a packet wait until the node knows enough for it.
-func (p *Process) keep(now kernel.Instant, packet steer.Packet, datagram []byte) bool {
-	p.metrics.left.Add(float64(p.waiting.makeRoom(now, p.patience)))
-	if p.waiting.add(now, packet, datagram) {
+// addToWaitlist adds a packet that cannot be decided yet. It returns false if the
+// waitlist is full.
+func (p *Process) addToWaitlist(now kernel.Instant, packet steer.Packet, datagram []byte) bool {
+	p.metrics.expiredWaiting.Add(float64(p.waitlist.evictExpired(now, p.waitLimit)))
+	if p.waitlist.add(now, packet, datagram) {
 		return true
 	}
-	p.metrics.unheld.Inc()
-	p.logger.Sampled(eventlog.WaitlistFull, "caller", packet.Flow.Caller, "virtual", packet.Flow.Virtual, "capacity", p.waiting.capacity)
+	p.metrics.waitlistFull.Inc()
+	p.logger.Sampled(eventlog.WaitlistFull, "caller", packet.Flow.Caller, "virtual", packet.Flow.Virtual, "capacity", p.waitlist.capacity)
 	return false
 }
 
-// decide carries out the core's decision on a packet.
-func (p *Process) decide(now kernel.Instant, packet steer.Packet, datagram []byte) {
-	if packet.Opening && (p.sender.held.Contains(packet.Flow) || packet.Copy > 0 && p.sender.scheduler.HasQueuedOpening(packet.Flow)) {
+// handlePacket drops copies of opening packets that are held or queued, applies admission
+// control to new flows and dispatches the packet unless it is refused or held.
+func (p *Process) handlePacket(now kernel.Instant, packet steer.Packet, datagram []byte) {
+	if packet.Opening && (p.sender.heldOpenings.Contains(packet.Flow) || packet.Copy > 0 && p.sender.scheduler.HasQueuedOpening(packet.Flow)) {
 		p.metrics.duplicates.Inc()
 		return
 	}
@@ -98,17 +99,17 @@
 		p.metrics.admissions[decision.Reason].Inc()
 		switch decision.Action {
 		case egress.ActionRefuse:
-			p.refuse(now, packet, decision.Reason)
+			p.refuseFlow(now, packet, decision.Reason)
 			return
 		case egress.ActionHold:
 			return
 		}
 	}
-	p.begin(now, packet, datagram)
+	p.dispatch(now, packet, datagram)
 }
 
-// begin carries out the core's decision on a packet that is not refused.
-func (p *Process) begin(now kernel.Instant, packet steer.Packet, datagram []byte) {
+// dispatch forwards or resets an admitted packet as the core decides.
+func (p *Process) dispatch(now kernel.Instant, packet steer.Packet, datagram []byte) {
 	decision := p.core.Decide(now, packet)
 	p.metrics.count(decision)
 	p.logDecision(packet, decision)
@@ -117,47 +118,47 @@
 		p.sender.output = p.settings.Format.Forward(p.sender.output[:0], datagram, decision.Target)
 		p.sender.forward(now, packet, decision.Target.Address)
 	case steer.ActionReset:
-		p.reset(now, packet)
+		p.sendReset(now, packet)
 	}
 }
 
-// refuse resets a flow that is better off at another node: its caller comes back there.
-func (p *Process) refuse(now kernel.Instant, packet steer.Packet, reason egress.DecisionReason) {
+// refuseFlow resets a new flow that would be served sooner by another node.
+func (p *Process) refuseFlow(now kernel.Instant, packet steer.Packet, reason egress.DecisionReason) {
 	p.metrics.linkRefused.Inc()
-	p.reset(now, packet)
+	p.sendReset(now, packet)
 	load := p.sender.load(now)
 	p.logger.Sampled(eventlog.FlowReset, "caller", packet.Flow.Caller, "virtual", packet.Flow.Virtual,
 		"reason", reason, "rate", load.Rate, "use", load.Utilization, "wait", load.ExpectedWait(), "offered", load.RetryWait,
 		"version", p.core.Version(), "revision", p.core.Revision())
 }
 
-// reset tells a caller that its flow does not exist.
-func (p *Process) reset(now kernel.Instant, packet steer.Packet) {
+// sendReset tells a caller that its flow does not exist.
+func (p *Process) sendReset(now kernel.Instant, packet steer.Packet) {
 	var address netip.AddrPort
 	p.sender.output, address = p.settings.Format.Reset(p.sender.output[:0], packet, p.port)
-	p.sender.reset(now, packet, address)
+	p.sender.sendReset(now, packet, address)
 }
 
-// notePlaced notes that a new flow was placed by state of an age.
-func (p *Process) notePlaced(age time.Duration) {
+// recordPlacement records the placement of a new flow and the age of the state used.
+func (p *Process) recordPlacement(age time.Duration) {
 	p.metrics.stateAge.Observe(age.Seconds())
 	if p.core.UsesRemembered() {
-		p.metrics.placedByMemory.Inc()
+		p.metrics.placedFromRemembered.Inc()
 	}
-	if !p.placed {
-		p.placed = true
-		p.metrics.firstPlaced.Observe(time.Since(p.started).Seconds())
+	if !p.hasPlaced {
+		p.hasPlaced = true
+		p.metrics.firstPlacement.Observe(time.Since(p.started).Seconds())
 	}
 }
 
-// logDecision writes a line for each decision that is not plain forwarding.
+// logDecision logs each decision other than forwarding by token.
 func (p *Process) logDecision(packet steer.Packet, decision steer.Decision) {
 	if decision.Reason == steer.ReasonToken {
 		return
 	}
 	age := p.subscriber.stateAge()
 	if decision.Reason == steer.ReasonPlaced || decision.Reason == steer.ReasonPlacedAgain {
-		p.notePlaced(age)
+		p.recordPlacement(age)
 	}
 	event := eventlog.PacketDropped
 	switch {
--- a/internal/edge/prober.go
+++ b/internal/edge/prober.go
@@ -15,30 +15,29 @@
 )
 
 const (
-	// probeTimeout is how long a target has to take a connection: twice the way to the
-	// farthest region and back, and less than the second after which the system would
-	// send the packet again.
+	// probeTimeout is the connect timeout. It allows for the round trip to the farthest
+	// region but is shorter than the first TCP retransmission.
 	probeTimeout = 300 * time.Millisecond
-	// probeLate is the lateness from which on the node had no time itself, so that a
-	// probe shows nothing.
-	probeLate = 50 * time.Millisecond
-	// probers is the number of probes at once, and probeQueue that of those that wait for
-	// one of them; see the limit of the core.
-	probers    = 4
-	probeQueue = 8
+	// probeSlack is the delay beyond the timeout from which on the node itself was too
+	// busy for the probe to be conclusive.
+	probeSlack = 50 * time.Millisecond
+	// probeWorkers is the number of concurrent probes, and probeQueueSize that of queued
+	// ones.
+	probeWorkers   = 4
+	probeQueueSize = 8
 )
 
-// prober opens connections to targets that leave callers waiting, to learn whether they
-// live. It sends nothing over them.
+// prober connects to targets that leave callers unanswered to find out whether they are
+// reachable. It sends no data.
 type prober struct {
 	process *Process
-	asked   *ring.Ring[directory.Target]
-	// dial opens a connection to an address and closes it.
+	queue   *ring.Ring[directory.Target]
+	// dial opens and closes a connection to an address.
 	dial func(ctx context.Context, address string) error
 }
 
 func newProber(process *Process) *prober {
-	return &prober{process: process, asked: ring.New[directory.Target](probeQueue), dial: dialAndClose}
+	return &prober{process: process, queue: ring.New[directory.Target](probeQueueSize), dial: dialAndClose}
 }
 
 func dialAndClose(ctx context.Context, address string) error {
@@ -50,65 +49,64 @@
 	return connection.Close()
 }
 
-// begin starts the goroutines that probe; they end with the process.
-func (r *prober) begin() {
-	for range probers {
-		r.process.spawn(r.run)
+// start starts the workers, which end with the process.
+func (p *prober) start() {
+	for range probeWorkers {
+		p.process.spawn(p.run)
 	}
-	r.process.spawn(func() {
-		<-r.process.stopped
-		r.asked.Close()
+	p.process.spawn(func() {
+		<-p.process.stopped
+		p.queue.Close()
 	})
 }
 
-// ask has targets probed. The core is told the outcome of each.
-func (r *prober) ask(targets []directory.Target) {
+// enqueue requests probes of targets. The core receives the outcome of each.
+func (p *prober) enqueue(targets []directory.Target) {
 	for _, target := range targets {
-		if !r.asked.TryPush(target) {
-			_ = r.process.core.HandleProbeOutcome(r.process.now(), target.Token, steer.ProbeUnknown)
+		if !p.queue.TryPush(target) {
+			_ = p.process.core.HandleProbeOutcome(p.process.now(), target.Token, steer.ProbeUnknown)
 		}
 	}
 }
 
-func (r *prober) run() {
+func (p *prober) run() {
 	for {
-		target, open := r.asked.Pop()
+		target, open := p.queue.Pop()
 		if !open {
 			return
 		}
-		outcome := r.probe(target)
-		r.process.metrics.probes[outcome].Inc()
-		if !r.process.inputs.Push(probeInput{target: target, outcome: outcome}) {
+		outcome := p.probe(target)
+		p.process.metrics.probes[outcome].Inc()
+		if !p.process.inputs.Push(probeInput{target: target, outcome: outcome}) {
 			return
 		}
 	}
 }
 
-// probe reports whether a target, or its machine, answers. An error of the node's own, such as
-// no socket left, shows nothing.
-func (r *prober) probe(target directory.Target) steer.ProbeOutcome {
+// probe connects to a target and returns the outcome. Local errors are inconclusive.
+func (p *prober) probe(target directory.Target) steer.ProbeOutcome {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	began := time.Now()
-	err := r.dial(ctx, target.Address.String())
+	err := p.dial(ctx, target.Address.String())
 	var failure net.Error
 	timedOut := errors.As(err, &failure) && failure.Timeout()
 	switch {
 	case err == nil:
 		return steer.ProbeReached
-	case time.Since(began) > probeTimeout+probeLate:
+	case time.Since(began) > probeTimeout+probeSlack:
 		return steer.ProbeUnknown
 	case timedOut:
 		return steer.ProbeFailed
 	case errors.Is(err, syscall.ECONNREFUSED):
-		// Its machine answers, and resets the flows of a process that is gone by itself.
+		// The machine is reachable and resets the flows of a dead process itself.
 		return steer.ProbeReached
 	}
-	r.process.logger.Sampled(eventlog.ProbeNotMade, "target", target.ID, "address", target.Address, "err", err)
+	p.process.logger.Sampled(eventlog.ProbeNotMade, "target", target.ID, "address", target.Address, "err", err)
 	return steer.ProbeUnknown
 }
 
-// probeInput brings the outcome of a probe.
+// probeInput carries the outcome of a probe.
 type probeInput struct {
 	target  directory.Target
 	outcome steer.ProbeOutcome
--- a/internal/edge/prober_test.go
+++ b/internal/edge/prober_test.go
@@ -16,29 +16,29 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-func TestAProbeThatIsAnsweredReachesTheTarget(t *testing.T) {
+func TestAnsweredProbeReachesTarget(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	prober := newProber(newLoadedNode(egress.Link{}, 0).process)
 	target := directory.Target{ID: "i-1", Address: netip.MustParseAddrPort(listener.Addr().String())}
 	assert.Equal(t, steer.ProbeReached, prober.probe(target))
 	require.NoError(t, listener.Close())
-	assert.Equal(t, steer.ProbeReached, prober.probe(target), "refused by the machine, which is up")
+	assert.Equal(t, steer.ProbeReached, prober.probe(target), "connection refused by a reachable machine")
 }
 
-func TestOnlyATargetsOwnSilenceSpeaksAgainstIt(t *testing.T) {
+func TestOnlyTargetTimeoutFailsProbe(t *testing.T) {
 	prober := newProber(newLoadedNode(egress.Link{}, 0).process)
 	cases := []struct {
 		name string
 		dial func(ctx context.Context, address string) error
 		want steer.ProbeOutcome
 	}{
-		{"no answer in time", func(context.Context, string) error { return context.DeadlineExceeded }, steer.ProbeFailed},
-		{"the node stood still", func(ctx context.Context, _ string) error {
-			time.Sleep(probeTimeout + 2*probeLate)
+		{"timeout", func(context.Context, string) error { return context.DeadlineExceeded }, steer.ProbeFailed},
+		{"stalled node", func(ctx context.Context, _ string) error {
+			time.Sleep(probeTimeout + 2*probeSlack)
 			return context.DeadlineExceeded
 		}, steer.ProbeUnknown},
-		{"no socket left", func(context.Context, string) error { return errors.New("too many open files") }, steer.ProbeUnknown},
+		{"no file descriptors left", func(context.Context, string) error { return errors.New("too many open files") }, steer.ProbeUnknown},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -1,6 +1,6 @@
-// Package edge provides the process of a node that stands between callers and
-// targets: it takes packets, decides by the steer core and forwards them. It
-// follows the control members' updates and tells routers whether it is ready.
+// Package edge runs an edge node, which forwards packets between callers and targets as
+// decided by the steer core. It follows the updates of the control members and reports
+// its readiness to routers.
 package edge
 
 import (
@@ -26,49 +26,48 @@
 )
 
 const (
-	// inputCapacity is the number of inputs that wait for the core: no more than
-	// 4 MB of datagrams.
+	// inputCapacity is the number of queued inputs, at most 4 MB of datagrams.
 	inputCapacity = 2048
-	// inputBatch is the number of inputs after which the sender looks at the link: few
-	// enough that what waits leaves in time while the ring is full.
+	// inputBatch is the number of inputs handled between two flushes of the sender. It is
+	// small enough that queued datagrams leave on time while the ring is full.
 	inputBatch = 64
-	// reportInterval is the time between two reports about targets.
+	// reportInterval is the interval of reports about targets.
 	reportInterval = 100 * time.Millisecond
-	// reportsPerSweep is the number of reports after which idle flows are
-	// forgotten.
+	// reportsPerSweep is the number of reports between two sweeps of idle flows.
 	reportsPerSweep = 10
-	// reportsPerHeard is the number of reports of which one tells the heartbeats.
-	reportsPerHeard = 5
-	// beatStateAge is the greatest age of the node's state with which it
+	// reportsPerHeartbeats is the number of reports per report of acknowledged
+	// heartbeats.
+	reportsPerHeartbeats = 5
+	// maxHeartbeatStateAge is the maximum age of the node's state at which it
 	// acknowledges heartbeats.
-	beatStateAge = time.Second
+	maxHeartbeatStateAge = time.Second
 )
 
-// Settings are the settings of a node's process.
+// Settings configures a node.
 type Settings struct {
 	Name string
 	Zone string
-	// PacketAddress is the UDP address for packets from callers.
+	// PacketAddress is the UDP address for callers' packets.
 	PacketAddress string
-	// Seeds are addresses of control members, some of which may be gone.
+	// Seeds are addresses of control members, not all of which need to exist.
 	Seeds []string
-	// HeartbeatAddress is the address at which this node takes heartbeats of targets, or
-	// "" when it takes none.
+	// HeartbeatAddress is where the node receives targets' heartbeats, or "" if it does
+	// not.
 	HeartbeatAddress string
-	// Link is what is stated of the machine's own link.
+	// Link describes the machine's network link.
 	Link egress.Link
-	// Strength is what is stated of the machine.
+	// Strength describes the machine's capacity.
 	Strength strength.Resources
-	// AnnouncementAddress is the UDP address at which members announce themselves, or "".
+	// AnnouncementAddress is the UDP address for announcements of members, or "".
 	AnnouncementAddress string
-	// DrainTime is how long the node forwards after it was told to stop.
+	// DrainTime is how long the node keeps forwarding after a stop request.
 	DrainTime time.Duration
 	Format    Format
 	Core      steer.Settings
 }
 
-// Process runs a node: one goroutine owns the core, others have one duty each
-// and reach it through a bounded ring.
+// Process runs a node. One goroutine owns the core; the others send it inputs through a
+// bounded ring.
 type Process struct {
 	settings   Settings
 	logger     *eventlog.Logger
@@ -83,28 +82,28 @@
 	subscriber *subscriber
 	prober     *prober
 	metrics    *metrics
-	beats      *heartbeat.Cache
+	heartbeats *heartbeat.Cache
 	ready      atomic.Bool
-	leaving    atomic.Bool
+	draining   atomic.Bool
 	group      sync.WaitGroup
 	stopped    chan struct{}
 	ticks      int
-	waiting    *waitlist
-	// releasing is set while what has waited is being sent.
-	releasing bool
-	// flows is the number of flows that a node of any strength keeps at most.
-	flows       int
+	waitlist   *waitlist
+	// releaseRunning is set while packets are being released from the waitlist.
+	releaseRunning bool
+	// maxFlows is the flow limit before it is lowered by the node's strength.
+	maxFlows    int
 	connections *hosting.Connections
-	// placed is set once a new flow was placed.
-	placed bool
+	// hasPlaced is set once a new flow was placed.
+	hasPlaced bool
 }
 
-// maxDrainTime is how long a node forwards after it was told to stop: routers look at
-// a node twice a second and leave it out after two misses.
+// maxDrainTime is the default drain time. It covers the two failed health checks after
+// which routers stop sending new flows.
 const maxDrainTime = 2200 * time.Millisecond
 
-// DrainTimeWithin returns how long a node forwards that is killed some time after
-// it was told to stop; 0 means that it is not killed.
+// DrainTimeWithin returns the drain time for a process that is killed after the grace
+// period, where 0 means that it is not killed.
 func DrainTimeWithin(grace time.Duration) time.Duration {
 	if grace <= 0 {
 		return maxDrainTime
@@ -112,32 +111,32 @@
 	return min(maxDrainTime, grace/2)
 }
 
-// NewProcess prepares a node. The socket for packets is opened before all else, so that
-// what comes meanwhile waits in it; Run reports when that failed.
+// NewProcess creates a node. It opens the packet socket first so that early datagrams are
+// buffered; Run returns the error if that failed.
 func NewProcess(settings Settings, logger *eventlog.Logger) *Process {
 	socket, socketErr := listenUDP("edge.listen", settings.PacketAddress)
 	settings.Core.Name = settings.Name
 	settings.Core.Zone = settings.Zone
-	flows := settings.Core.FlowLimit
-	settings.Core.FlowLimit = settings.Strength.MaxFlows(flows, steer.FlowBytes)
+	maxFlows := settings.Core.FlowLimit
+	settings.Core.FlowLimit = settings.Strength.MaxFlows(maxFlows, steer.FlowBytes)
 	settings.Core.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	process := &Process{
-		settings: settings,
-		logger:   logger,
-		started:  time.Now(),
-		core:     steer.New(settings.Core),
-		inputs:   ring.New[input](inputCapacity),
-		buffers:  sync.Pool{New: func() any { return new([maxDatagram]byte) }},
-		metrics:  newMetrics(),
-		beats:    heartbeat.NewCache(),
-		stopped:  make(chan struct{}),
-		waiting:  newWaitlist(),
-		flows:    flows,
+		settings:   settings,
+		logger:     logger,
+		started:    time.Now(),
+		core:       steer.New(settings.Core),
+		inputs:     ring.New[input](inputCapacity),
+		buffers:    sync.Pool{New: func() any { return new([maxDatagram]byte) }},
+		metrics:    newMetrics(),
+		heartbeats: heartbeat.NewCache(),
+		stopped:    make(chan struct{}),
+		waitlist:   newWaitlist(),
+		maxFlows:   maxFlows,
 
 		socket:    socket,
 		socketErr: socketErr,
 	}
-	process.waiting.capacity = waitingOf(settings.Strength)
+	process.waitlist.capacity = waitlistCapacity(settings.Strength)
 	process.connections = hosting.NewConnections(settings.Strength.MaxConnections(), eventlog.NodeConnectionsFull, process.metrics.set, logger)
 	process.subscriber = newSubscriber(process)
 	process.prober = newProber(process)
@@ -145,57 +144,57 @@
 	return process
 }
 
-// now returns the time on this process's monotonic clock, which starts at one
-// minute so that ages can be subtracted from it.
+// now returns the time on the process's monotonic clock. It starts at one minute, so that
+// durations can be subtracted without going negative.
 func (p *Process) now() kernel.Instant { return p.startedAt().Add(time.Since(p.started)) }
 
-// startedAt returns the start of the process on its own clock.
+// startedAt returns the start of the process on its clock.
 func (p *Process) startedAt() kernel.Instant { return kernel.Instant(time.Minute) }
 
 // IsReady reports whether routers may send new flows to this node.
-func (p *Process) IsReady() bool { return p.ready.Load() && !p.leaving.Load() }
+func (p *Process) IsReady() bool { return p.ready.Load() && !p.draining.Load() }
 
-// ServeReadiness answers 200 while the node is ready, else 503.
+// ServeReadiness responds with 200 if the node is ready and 503 otherwise.
 func (p *Process) ServeReadiness(writer http.ResponseWriter, _ *http.Request) {
 	if !p.IsReady() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// errNotTaken refuses a heartbeat that belongs to a member.
-var errNotTaken = steperror.New("edge.beat", "", "the node does not know that what the heartbeat says holds")
-
-// Beat takes a heartbeat of a target. It succeeds when what the heartbeat says is
-// known to hold and the node's state is fresh. Every other one belongs to a member;
-// the address is that of the one that the node follows, or "".
-func (p *Process) Beat(_ context.Context, beat registry.Heartbeat) (address string, err error) {
-	fresh := !p.leaving.Load() && p.subscriber.stateAge() <= beatStateAge
-	taken := fresh && p.beats.Acknowledge(beat.Target.Start(), beat.Target.State)
-	p.metrics.countBeat(taken)
-	if !taken {
-		return p.subscriber.followed(), errNotTaken
+// errNotAcknowledged rejects a heartbeat that only a member may acknowledge.
+var errNotAcknowledged = steperror.New("edge.beat", "", "the node does not know that what the heartbeat says holds")
+
+// HandleHeartbeat handles a heartbeat of a target. It succeeds if the heartbeat agrees with the
+// committed state and the node's state is fresh. Otherwise it returns the address of the
+// followed member, or "", to which the heartbeat should be sent.
+func (p *Process) HandleHeartbeat(_ context.Context, beat registry.Heartbeat) (address string, err error) {
+	fresh := !p.draining.Load() && p.subscriber.stateAge() <= maxHeartbeatStateAge
+	acknowledged := fresh && p.heartbeats.Acknowledge(beat.Target.Start(), beat.Target.State)
+	p.metrics.countHeartbeat(acknowledged)
+	if !acknowledged {
+		return p.subscriber.followedAddress(), errNotAcknowledged
 	}
 	return "", nil
 }
 
-// Run serves until the context ends, then leaves: the routers hear at once
-// that the node is not ready, and packets are forwarded for LeaveTime.
+// Run serves until the context ends. It then reports not ready at once and keeps
+// forwarding packets for DrainTime.
 func (p *Process) Run(ctx context.Context) error {
 	if err := p.listen(); err != nil {
 		return err
 	}
 	p.logger.Event(eventlog.ProcessStarted, "node", p.settings.Name, "zone", p.settings.Zone)
-	p.logBounds(p.settings.Strength)
+	p.logLimits(p.settings.Strength)
 	p.spawn(p.runCore)
 	p.spawn(p.runTicker)
 	p.spawn(p.readPackets)
 	if p.settings.AnnouncementAddress != "" {
-		p.spawn(p.takeAnnouncements)
+		p.spawn(p.listenForAnnouncements)
 	}
 	p.spawn(p.subscriber.run)
-	p.prober.begin()
+	p.prober.start()
 	<-ctx.Done()
-	p.leaving.Store(true)
+	p.draining.Store(true)
 	p.logger.Event(eventlog.StopRequested, "leave_time", p.settings.DrainTime)
 	time.Sleep(p.settings.DrainTime)
 	close(p.stopped)
@@ -206,21 +205,21 @@
 	return nil
 }
 
-func (p *Process) spawn(duty func()) {
+func (p *Process) spawn(run func()) {
 	p.group.Add(1)
 	go func() {
 		defer p.group.Done()
-		duty()
+		run()
 	}()
 }
 
-// listen begins to use the socket for packets.
+// listen configures the packet socket and reports whether it was opened.
 func (p *Process) listen() error {
 	socket, err := p.socket, p.socketErr
 	if err != nil {
 		return err
 	}
-	if err := socket.SetReadBuffer(readBuffer); err != nil {
+	if err := socket.SetReadBuffer(socketReadBuffer); err != nil {
 		p.logger.Event(eventlog.SocketFailed, "step", "edge.buffer", "err", err)
 	}
 	p.port = socket.LocalAddr().(*net.UDPAddr).AddrPort().Port()
--- a/internal/edge/release.go
+++ b/internal/edge/release.go
@@ -7,16 +7,16 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// startRelease begins to send what has waited, unless that is under way.
+// startRelease starts releasing the waitlist unless it is empty or being released.
 func (p *Process) startRelease() {
-	if p.waiting.isEmpty() || p.releasing {
+	if p.waitlist.isEmpty() || p.releaseRunning {
 		return
 	}
-	p.releasing = true
+	p.releaseRunning = true
 	p.spawn(p.runRelease)
 }
 
-// runRelease paces the packets that have waited for the node to be ready.
+// runRelease releases packets at intervals until the waitlist is empty.
 func (p *Process) runRelease() {
 	ticker := time.NewTicker(releaseInterval)
 	defer ticker.Stop()
@@ -33,28 +33,28 @@
 	}
 }
 
-// releaseInput sends some of the packets that have waited.
+// releaseInput releases packets within the limits and reports whether any remain.
 type releaseInput struct{ more chan bool }
 
 func (i releaseInput) handle(p *Process, now kernel.Instant) {
-	p.metrics.left.Add(float64(p.waiting.clean(now, p.patience)))
-	p.waiting.classify(p.core.Route)
+	p.metrics.expiredWaiting.Add(float64(p.waitlist.expire(now, p.waitLimit)))
+	p.waitlist.classify(p.core.Route)
 	for {
-		kept, more := p.waiting.take(now, p.core.CanDecide, p.core.WaitingFlows())
+		entry, more := p.waitlist.next(now, p.core.CanDecide, p.core.WaitingFlows())
 		if !more {
 			break
 		}
-		p.metrics.held.Observe(now.Sub(kept.since).Seconds())
-		p.decide(now, kept.packet, kept.datagram)
+		p.metrics.waitlistDelay.Observe(now.Sub(entry.since).Seconds())
+		p.handlePacket(now, entry.packet, entry.datagram)
 	}
-	p.releasing = !p.waiting.isEmpty()
-	i.more <- p.releasing
+	p.releaseRunning = !p.waitlist.isEmpty()
+	i.more <- p.releaseRunning
 }
 
-// patience returns how long the caller of a flow waits.
-func (p *Process) patience(flow steer.FlowKey) time.Duration {
+// waitLimit returns how long the caller of a flow waits.
+func (p *Process) waitLimit(flow steer.FlowKey) time.Duration {
 	if limit := p.core.Timeout(flow); limit > 0 {
-		return min(limit, callerPatience)
+		return min(limit, callerTimeout)
 	}
-	return callerPatience
+	return callerTimeout
 }
--- a/internal/edge/remembered_test.go
+++ b/internal/edge/remembered_test.go
@@ -17,9 +17,9 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// startMemoryNode starts a node whose only member is not current and tells it what its
-// disk remembers of a target.
-func startMemoryNode(t *testing.T, target *sink) (*Process, *lines) {
+// startRememberedNode starts a node whose only member is not current and sends it a
+// target remembered from disk.
+func startRememberedNode(t *testing.T, target *recordingTarget) (*Process, *logBuffer) {
 	t.Helper()
 	backends := []directory.Backend{{Service: "booking", Weight: 1}}
 	route := directory.Route{Name: "r", Address: plainRoute, Backends: backends, Timeout: time.Minute}
@@ -32,7 +32,7 @@
 	}
 	member := newFakeMember(t,
 		wire.Frame{Kind: wire.FrameRemembered, Payload: directory.EncodeRemembered(remembered)}, registry.Keepalive{}.Frame())
-	log := &lines{}
+	log := &logBuffer{}
 	process := NewProcess(Settings{
 		Name: "edge-1", Zone: "north", PacketAddress: "127.0.0.1:0", Seeds: []string{member.address()}, Format: plainFormat{}, Core: steer.DefaultSettings(),
 	}, eventlog.New(log, "edge-1"))
@@ -46,35 +46,35 @@
 	return process, log
 }
 
-func TestANodePlacesNewFlowsByAMembersDiskForTheFirstSecondsOfItsLife(t *testing.T) {
-	target := newSink(t)
-	process, log := startMemoryNode(t, target)
-	require.Eventually(t, process.IsReady, hangTime, time.Millisecond)
+func TestRememberedTargetsServeAfterStart(t *testing.T) {
+	target := newRecordingTarget(t)
+	process, log := startRememberedNode(t, target)
+	require.Eventually(t, process.IsReady, testTimeout, time.Millisecond)
 	caller, err := net.DialUDP("udp4", nil, process.socket.LocalAddr().(*net.UDPAddr))
 	require.NoError(t, err)
 	defer func() { _ = caller.Close() }()
 	_, err = caller.Write(plainDatagram(1, 1, plainOpening, 0))
 	require.NoError(t, err)
 	assert.Eventually(t, func() bool {
-		times, _ := target.came()
+		times, _ := target.received()
 		return len(times) == 1
-	}, hangTime, time.Millisecond)
-	assert.Eventually(t, func() bool { return !process.IsReady() }, hangTime, 10*time.Millisecond, "no member has become current")
+	}, testTimeout, time.Millisecond)
+	assert.Eventually(t, func() bool { return !process.IsReady() }, testTimeout, 10*time.Millisecond, "no member became current")
 	assert.GreaterOrEqual(t, time.Since(process.started), registry.RememberedTTL)
 	assert.Contains(t, log.String(), "name=remembered_in_use")
-	assert.Eventually(t, func() bool { return strings.Contains(log.String(), "name=remembered_over") }, hangTime, 10*time.Millisecond)
+	assert.Eventually(t, func() bool { return strings.Contains(log.String(), "name=remembered_over") }, testTimeout, 10*time.Millisecond)
 }
 
-// A node that knows members heard the announcements of all of them.
-func TestANodeThatKnowsMembersListensToNoAnnouncement(t *testing.T) {
+// A node that knows members has no use for announcements.
+func TestNodeWithMembersStopsListeningForAnnouncements(t *testing.T) {
 	member := newFakeMember(t, registry.Keepalive{Current: true}.Frame())
-	process := announcedNode(t)
+	process := startAnnouncedNode(t)
 	announcement := registry.Announcement{From: member.address(), Members: []directory.Member{{ID: 1, Address: member.address(), Zone: "north"}}}
 	datagram := wire.AppendFrame(nil, announcement.Frame())
 	assert.Eventually(t, func() bool {
-		tell(t, process, datagram)
-		return process.subscriber.followed() == member.address()
-	}, soon, 20*time.Millisecond)
+		sendDatagram(t, process, datagram)
+		return process.subscriber.followedAddress() == member.address()
+	}, followTimeout, 20*time.Millisecond)
 	assert.Eventually(t, func() bool {
 		socket, err := listenUDP("test", process.settings.AnnouncementAddress)
 		if err != nil {
@@ -82,5 +82,5 @@
 		}
 		_ = socket.Close()
 		return true
-	}, soon, 10*time.Millisecond)
+	}, followTimeout, 10*time.Millisecond)
 }
--- a/internal/edge/reports.go
+++ b/internal/edge/reports.go
@@ -12,9 +12,9 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// openReports starts the goroutine that sends reports to a member.
-func (s *subscriber) openReports(connection net.Conn) {
-	queue := ring.New[wire.Frame](reportCapacity)
+// startReports starts the goroutine that sends reports to a member.
+func (s *subscriber) startReports(connection net.Conn) {
+	queue := ring.New[wire.Frame](reportQueueSize)
 	s.mutex.Lock()
 	s.reports = queue
 	s.mutex.Unlock()
@@ -32,51 +32,52 @@
 	}()
 }
 
-func (s *subscriber) closeReports() {
+func (s *subscriber) stopReports() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.reports.Close()
 	s.reports = nil
 }
 
-// report sends evidence and the targets heard to the member that is followed. Without one, or when
-// the member does not read, it is dropped: the next report says the same.
-func (s *subscriber) report(evidence steer.Evidence, heard []directory.Token) {
-	message := EvidenceMessage(evidence, heard)
+// report sends evidence and acknowledged heartbeats to the followed member. It drops them
+// if there is none or its queue is full.
+func (s *subscriber) report(evidence steer.Evidence, acknowledged []directory.Token) {
+	message := EvidenceMessage(evidence, acknowledged)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.tellStrength()
+	s.sendStrength()
 	if s.reports != nil && !message.IsEmpty() {
 		s.reports.TryPush(message.Frame())
 	}
 }
 
-// tellStrength sends the member a changed strength, again later when it does not read.
-// The caller holds the mutex.
-func (s *subscriber) tellStrength() {
-	if !s.untold || s.reports == nil {
+// sendStrength sends a changed strength to the member. If the queue is full it is sent
+// with a later report. The caller must hold the mutex.
+func (s *subscriber) sendStrength() {
+	if !s.strengthPending || s.reports == nil {
 		return
 	}
 	settings := s.process.settings
 	subscribe := registry.Subscribe{Node: settings.Name, Zone: settings.Zone, Strength: s.strength}
 	if s.reports.TryPush(subscribe.Frame()) {
-		s.untold = false
-		s.process.logger.Event(eventlog.StrengthTold, "address", s.followed(), "strength", s.strength)
+		s.strengthPending = false
+		s.process.logger.Event(eventlog.StrengthTold, "address", s.followedAddress(), "strength", s.strength)
 	}
 }
 
-// EvidenceMessage returns the message with what a node has seen and heard.
-func EvidenceMessage(evidence steer.Evidence, heard []directory.Token) registry.Evidence {
-	message := registry.Evidence{Answering: evidence.Answering, Heartbeats: heard}
-	message.Silent = targetsOf(evidence.Silent)
-	message.Refused = targetsOf(evidence.Refused)
+// EvidenceMessage returns the message that reports a node's evidence and acknowledged
+// heartbeats.
+func EvidenceMessage(evidence steer.Evidence, acknowledged []directory.Token) registry.Evidence {
+	message := registry.Evidence{Answering: evidence.Answering, Heartbeats: acknowledged}
+	message.Silent = witnessedTargets(evidence.Silent)
+	message.Refused = witnessedTargets(evidence.Refused)
 	message.Openings = evidence.Openings
 	message.Outcomes = evidence.Outcomes
 	return message
 }
 
-// targetsOf returns targets with one node, this one, as the witness of each.
-func targetsOf(silent []steer.SilentTarget) []registry.SilentTarget {
+// witnessedTargets converts silent targets, each with this node as the only witness.
+func witnessedTargets(silent []steer.SilentTarget) []registry.SilentTarget {
 	var targets []registry.SilentTarget
 	for _, target := range silent {
 		seen := registry.SilentTarget{Token: target.Token, Weight: target.Weight, UnreliableWeight: target.Doubtful}
--- a/internal/edge/room.go
+++ b/internal/edge/room.go
@@ -10,93 +10,92 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// refusingTime is how long a node counts as one that refuses after its last refusal.
-const refusingTime = room.ReportInterval
+// refusingPeriod is the time after its last refusal for which a node counts as refusing.
+const refusingPeriod = room.ReportInterval
 
-// roomKeeper knows how used the node's own link is and what members tell of others. The
-// goroutine that owns the core owns it too.
-type roomKeeper struct {
+// linkUse tracks the use of the node's own link and what members report of other nodes.
+// It is owned by the goroutine that owns the core.
+type linkUse struct {
 	usage egress.LinkUsage
-	// in and out are the used shares as of the last tick.
-	in, out float64
-	view    room.ZoneView
-	// refusedAt is when a new flow was last refused, and refusing is set until refusingTime
-	// after it.
+	// inShare and outShare are the used shares at the last tick.
+	inShare, outShare float64
+	peers             room.ZoneView
+	// refusedAt is when a new flow was last refused. refusing is set until refusingPeriod
+	// after.
 	refusedAt kernel.Instant
 	refusing  bool
-	// told is the newest word told to the member, toldAt when.
-	told   room.LinkReport
-	toldAt kernel.Instant
-	// known is set while the view counts.
-	known bool
-	// refused is the share of new flows that are refused for the link's use.
-	refused egress.RefusalFraction
+	// lastSent is the latest status sent to the member, at lastSentAt.
+	lastSent   room.LinkReport
+	lastSentAt kernel.Instant
+	// peersKnown is set while the state of other nodes is fresh.
+	peersKnown bool
+	// refusedShare is the share of new flows to refuse because of the link's use.
+	refusedShare egress.RefusalFraction
 }
 
-// wordOf returns what the node tells of its link.
-func (k *roomKeeper) wordOf(load egress.LinkLoad) room.LinkReport {
+// status returns the node's link status.
+func (u *linkUse) status(load egress.LinkLoad) room.LinkReport {
 	return room.LinkReport{
 		Rate:       uint32(min(load.ConfiguredRate, math.MaxUint32)),
-		InPercent:  hundredths(k.in),
-		OutPercent: hundredths(k.out),
+		InPercent:  percent(u.inShare),
+		OutPercent: percent(u.outShare),
 		WaitStep:   room.WaitToStep(load.ExpectedWait()),
-		Refusing:   k.refusing,
+		Refusing:   u.refusing,
 	}
 }
 
-func hundredths(share float64) uint8 { return uint8(min(max(share, 0)*100, 100)) }
+func percent(share float64) uint8 { return uint8(min(max(share, 0)*100, 100)) }
 
-// takeWord returns the word that is to be told, if any: one that differs or is to be
-// repeated, no more often than room.Interval.
-func (k *roomKeeper) takeWord(now kernel.Instant, load egress.LinkLoad) (room.LinkReport, bool) {
-	word := k.wordOf(load)
-	since := now.Sub(k.toldAt)
-	if since < room.ReportInterval || word == k.told && since < room.RepeatInterval {
+// nextStatus returns the status to send, if one is due: when it has changed or must be
+// repeated, but at most once per room.Interval.
+func (u *linkUse) nextStatus(now kernel.Instant, load egress.LinkLoad) (room.LinkReport, bool) {
+	status := u.status(load)
+	since := now.Sub(u.lastSentAt)
+	if since < room.ReportInterval || status == u.lastSent && since < room.RepeatInterval {
 		return room.LinkReport{}, false
 	}
-	k.told = word
-	k.toldAt = now
-	return word, true
+	u.lastSent = status
+	u.lastSentAt = now
+	return status, true
 }
 
-// tickRoom measures the link's use, tells it and notes what has changed.
-func (p *Process) tickRoom(now kernel.Instant) {
-	k := &p.sender.room
-	k.usage.Tick()
-	k.in, k.out = k.usage.Utilization(p.sender.learner.Rate(now))
-	k.known = k.view.IsCurrent(now)
-	k.refused.Update(p.sender.load(now), reportInterval)
-	p.noteRefusing(now)
+// updateLinkUse measures the link's use and sends the status when due.
+func (p *Process) updateLinkUse(now kernel.Instant) {
+	u := &p.sender.linkUse
+	u.usage.Tick()
+	u.inShare, u.outShare = u.usage.Utilization(p.sender.learner.Rate(now))
+	u.peersKnown = u.peers.IsCurrent(now)
+	u.refusedShare.Update(p.sender.load(now), reportInterval)
+	p.updateRefusing(now)
 	load := p.sender.load(now)
-	p.metrics.noteRoom(k, load)
+	p.metrics.setLinkUse(u, load)
 	if load.ConfiguredRate <= 0 {
 		return
 	}
-	if word, due := k.takeWord(now, load); due {
-		p.subscriber.tell(room.Message{Report: &word}.Frame())
+	if status, due := u.nextStatus(now, load); due {
+		p.subscriber.sendFrame(room.Message{Report: &status}.Frame())
 	}
 }
 
-// noteRefusing writes an event when the node begins to refuse new flows, and when it has
-// refused none for refusingTime.
-func (p *Process) noteRefusing(now kernel.Instant) {
-	k := &p.sender.room
-	refusing := k.refusedAt > 0 && now.Sub(k.refusedAt) < refusingTime
-	if refusing == k.refusing {
+// updateRefusing logs when the node starts or stops refusing new flows.
+func (p *Process) updateRefusing(now kernel.Instant) {
+	u := &p.sender.linkUse
+	refusing := u.refusedAt > 0 && now.Sub(u.refusedAt) < refusingPeriod
+	if refusing == u.refusing {
 		return
 	}
-	k.refusing = refusing
+	u.refusing = refusing
 	load := p.sender.load(now)
 	if refusing {
-		sum := k.view.Summary()
-		p.logger.Event(eventlog.NodeRefuses, "in", k.in, "out", k.out, "wait", load.ExpectedWait(), "offered", load.RetryWait,
+		sum := u.peers.Summary()
+		p.logger.Event(eventlog.NodeRefuses, "in", u.inShare, "out", u.outShare, "wait", load.ExpectedWait(), "offered", load.RetryWait,
 			"known", load.PeersKnown, "nodes", sum.Nodes(), "refusing", sum.RefusingNodes)
 		return
 	}
-	p.logger.Event(eventlog.NodeTakesAll, "in", k.in, "out", k.out, "wait", load.ExpectedWait())
+	p.logger.Event(eventlog.NodeTakesAll, "in", u.inShare, "out", u.outShare, "wait", load.ExpectedWait())
 }
 
-// receiveRoom takes what a member tells of the links of other nodes.
+// receiveRoom handles the link status of other nodes.
 func (s *subscriber) receiveRoom(payload []byte) error {
 	message, err := room.Decode(payload)
 	if err == nil {
@@ -108,12 +107,12 @@
 type roomInput struct{ message room.Message }
 
 func (i roomInput) handle(p *Process, now kernel.Instant) {
-	p.sender.room.view.Update(now, p.settings.Zone, i.message)
+	p.sender.linkUse.peers.Update(now, p.settings.Zone, i.message)
 }
 
-// tell sends a frame to the member that is followed. Without one, or when the member does
-// not read, it is dropped: the next one says the same.
-func (s *subscriber) tell(frame wire.Frame) {
+// sendFrame queues a frame for the followed member. It drops the frame if there is none
+// or the queue is full.
+func (s *subscriber) sendFrame(frame wire.Frame) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.reports != nil {
--- a/internal/edge/sender.go
+++ b/internal/edge/sender.go
@@ -10,36 +10,36 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// holdPause is the time between two looks at the openings that are held: a full datagram
-// takes as long on a link of 1 Mbit/s.
-const holdPause = 10 * time.Millisecond
+// heldCheckInterval is the interval of checks for held opening packets that may be
+// released.
+const heldCheckInterval = 10 * time.Millisecond
 
-// sender sends the node's datagrams, no faster than the link carries. The goroutine
-// that owns the core owns it too.
+// sender sends the node's datagrams at the rate of the link. It is owned by the goroutine
+// that owns the core.
 type sender struct {
 	process   *Process
 	scheduler *egress.Scheduler
-	// transmit hands a datagram to the network.
+	// transmit sends a datagram to the network.
 	transmit func(datagram []byte, address netip.AddrPort) error
-	// output is the datagram that is being made.
+	// output is the datagram being built.
 	output []byte
-	// spare are buffers for datagrams, those of what has been sent.
-	spare [][]byte
-	// timer wakes the core at wakeAt when armed.
-	timer  *time.Timer
-	armed  bool
-	wakeAt kernel.Instant
-	watch  egress.CongestionDetector
-	// learner learns the rate that the link carries now.
+	// freeBuffers are reusable buffers of datagrams that have left the queue.
+	freeBuffers [][]byte
+	// timer wakes the core at wakeAt while armed.
+	timer      *time.Timer
+	armed      bool
+	wakeAt     kernel.Instant
+	congestion egress.CongestionDetector
+	// learner estimates the current rate of the link.
 	learner   *egress.RateEstimator
 	admission *egress.AdmissionController
-	// narrow is set while the link is held to carry clearly less than stated.
-	narrow     bool
-	reductions uint64
-	// longest is the longest wait of a datagram that has left since the last tick.
-	longest time.Duration
-	held    egress.HeldOpenings
-	room    roomKeeper
+	// belowStated is set while the link is reported as narrower than configured.
+	belowStated bool
+	reductions  uint64
+	// longestWait is the longest queueing time since the last tick.
+	longestWait  time.Duration
+	heldOpenings egress.HeldOpenings
+	linkUse      linkUse
 }
 
 func newSender(process *Process, settings Settings) *sender {
@@ -47,7 +47,7 @@
 		process:   process,
 		scheduler: egress.New(egress.WithLink(settings.Link), egress.WithMemoryLimit(settings.Strength.Memory)),
 	}
-	s.scheduler.OnDrop = s.dropped
+	s.scheduler.OnDrop = s.handleDropped
 	s.learner = egress.NewRateEstimator(s.scheduler.Rate(process.now()))
 	s.scheduler.Rate = s.learner.Rate
 	s.admission = egress.NewAdmissionController()
@@ -55,20 +55,20 @@
 	return s
 }
 
-// forward sends the output, which holds a packet of a caller, to a target.
+// forward sends the output, a caller's packet, to a target.
 func (s *sender) forward(now kernel.Instant, packet steer.Packet, address netip.AddrPort) {
-	s.noteArrived(now, packet)
-	s.send(now, packet, kindOf(packet), address)
+	s.recordArrived(now, packet)
+	s.send(now, packet, itemKind(packet), address)
 }
 
-// reset sends the output, which holds a reset, to a caller. What waits of the flow is
-// of no use any more.
-func (s *sender) reset(now kernel.Instant, packet steer.Packet, address netip.AddrPort) {
+// sendReset sends the output, a reset, to a caller and cancels the flow's queued
+// datagrams.
+func (s *sender) sendReset(now kernel.Instant, packet steer.Packet, address netip.AddrPort) {
 	s.scheduler.CancelFlow(packet.Flow)
 	s.send(now, packet, egress.KindReset, address)
 }
 
-func kindOf(packet steer.Packet) egress.ItemKind {
+func itemKind(packet steer.Packet) egress.ItemKind {
 	switch {
 	case packet.Opening:
 		return egress.KindOpening
@@ -82,30 +82,30 @@
 	return egress.KindAcknowledgement
 }
 
-// send sends the output now, or lets it wait for the link.
+// send sends the output now or queues it for the link.
 func (s *sender) send(now kernel.Instant, packet steer.Packet, kind egress.ItemKind, address netip.AddrPort) {
 	size := len(s.output) + egress.HeaderBytes
 	if s.scheduler.Allow(now, packet.Flow, size) {
-		s.write(now, sentOf(packet, size), s.output, address)
+		s.write(now, newSent(packet, size), s.output, address)
 		return
 	}
-	item := s.itemOf(now, packet, kind)
+	item := s.newItem(now, packet, kind)
 	item.Size = size
 	item.Address = address
 	item.Payload = s.output
 	switch s.scheduler.Offer(now, &item) {
 	case egress.OutcomeSendNow:
-		s.write(now, sentOf(packet, size), s.output, address)
+		s.write(now, newSent(packet, size), s.output, address)
 	case egress.OutcomeQueued:
-		s.output = s.takeSpare()
+		s.output = s.takeBuffer()
 	case egress.OutcomeDuplicate:
-		s.noteDuplicate(now, &item)
+		s.recordDuplicate(now, &item)
 	case egress.OutcomeFull:
-		s.noteDropped(now, &item, egress.DropFull)
+		s.recordDropped(now, &item, egress.DropFull)
 	}
 }
 
-func (s *sender) itemOf(now kernel.Instant, packet steer.Packet, kind egress.ItemKind) egress.Item {
+func (s *sender) newItem(now kernel.Instant, packet steer.Packet, kind egress.ItemKind) egress.Item {
 	item := egress.Item{Flow: packet.Flow, Kind: kind, Sequence: packet.Sequence, Data: packet.Size}
 	route := s.process.core.Route(packet.Flow)
 	if route == nil {
@@ -119,10 +119,9 @@
 	return item
 }
 
-// flush sends what the link takes now, and lets the timer wake the core when it takes
-// more.
+// flush sends what the link permits now and sets the timer for the rest.
 func (s *sender) flush(now kernel.Instant) {
-	s.release(now)
+	s.releaseHeld(now)
 	if s.scheduler.Len() == 0 {
 		return
 	}
@@ -131,16 +130,16 @@
 		if !ready {
 			break
 		}
-		s.noteWait(now, &item)
+		s.recordWait(now, &item)
 		s.write(now, egress.SentDatagram{Flow: item.Flow, Sequence: item.Sequence, Data: item.Data, Size: item.Size}, item.Payload, item.Address)
-		s.giveSpare(item.Payload)
+		s.releaseBuffer(item.Payload)
 	}
 	if wait, waits := s.scheduler.TimeUntilNext(now); waits {
 		s.wake(now, wait)
 	}
 }
 
-// wake lets the timer wake the core, unless it does so earlier anyway.
+// wake sets the timer unless it already fires earlier.
 func (s *sender) wake(now kernel.Instant, wait time.Duration) {
 	at := now.Add(wait)
 	if s.armed && s.wakeAt <= at && now.Before(s.wakeAt) {
@@ -155,22 +154,21 @@
 	s.timer.Reset(wait)
 }
 
-// wakeInput lets the sender send what the link takes by now; it does so after each
-// batch of inputs.
+// wakeInput triggers a flush, which follows each batch of inputs.
 type wakeInput struct{}
 
 func (wakeInput) handle(p *Process, _ kernel.Instant) { p.sender.armed = false }
 
-// tick tells the core and the log how the link is.
+// tick updates the core, metrics and log with the state of the link.
 func (s *sender) tick(now kernel.Instant) {
 	s.scheduler.Tick(now)
-	delay := max(s.scheduler.QueueDelay(now), s.longest)
-	s.longest = 0
+	delay := max(s.scheduler.QueueDelay(now), s.longestWait)
+	s.longestWait = 0
 	s.process.core.RecordLinkDelay(now, delay)
 	s.process.metrics.linkQueue.Set(float64(s.scheduler.Len()))
 	s.process.metrics.linkQueueBytes.Set(float64(s.scheduler.Bytes()))
-	s.noteCongestion(now, delay)
-	s.noteRate(now)
+	s.updateCongestion(now, delay)
+	s.updateRate(now)
 }
 
 func (s *sender) stop() {
@@ -179,17 +177,17 @@
 	}
 }
 
-func sentOf(packet steer.Packet, size int) egress.SentDatagram {
+func newSent(packet steer.Packet, size int) egress.SentDatagram {
 	return egress.SentDatagram{Flow: packet.Flow, Sequence: packet.Sequence, Data: packet.Size, Size: size}
 }
 
-// write hands a datagram to the network and notes what became of it.
+// write transmits a datagram and records the result.
 func (s *sender) write(now kernel.Instant, sent egress.SentDatagram, datagram []byte, address netip.AddrPort) {
 	if err := s.transmit(datagram, address); err != nil {
-		s.noteWriteError(sent.Flow, address, err)
+		s.handleWriteError(sent.Flow, address, err)
 		return
 	}
-	s.noteSent(now, sent)
+	s.recordSent(now, sent)
 }
 
 func (s *sender) writeToSocket(datagram []byte, address netip.AddrPort) error {
@@ -197,36 +195,36 @@
 	return err
 }
 
-// takeSpare returns an empty buffer.
-func (s *sender) takeSpare() []byte {
-	last := len(s.spare) - 1
+// takeBuffer returns an empty buffer.
+func (s *sender) takeBuffer() []byte {
+	last := len(s.freeBuffers) - 1
 	if last < 0 {
 		return make([]byte, 0, maxDatagram)
 	}
-	buffer := s.spare[last]
-	s.spare = s.spare[:last]
+	buffer := s.freeBuffers[last]
+	s.freeBuffers = s.freeBuffers[:last]
 	return buffer[:0]
 }
 
-// giveSpare keeps the buffer of a datagram that has left the queue. There are no more
-// of them than the queue has held at once.
-func (s *sender) giveSpare(buffer []byte) { s.spare = append(s.spare, buffer) }
+// releaseBuffer keeps the buffer of a datagram that has left the queue for reuse. There
+// are never more of them than datagrams queued at once.
+func (s *sender) releaseBuffer(buffer []byte) { s.freeBuffers = append(s.freeBuffers, buffer) }
 
-// load returns how the link stands and what is known of others.
+// load returns the load of the link and of its peers for admission control.
 func (s *sender) load(now kernel.Instant) egress.LinkLoad {
 	return egress.LinkLoad{
 		Rate:            s.learner.Rate(now),
 		ConfiguredRate:  s.learner.ConfiguredRate(),
 		QueuedBytes:     float64(s.scheduler.Bytes()),
-		HeldUploads:     s.held.Len(),
-		Utilization:     max(s.room.in, s.room.out),
-		RefusalFraction: s.room.refused.Value(),
-		PeersKnown:      s.room.known,
-		RetryWait:       s.room.view.RetryWait(),
+		HeldUploads:     s.heldOpenings.Len(),
+		Utilization:     max(s.linkUse.inShare, s.linkUse.outShare),
+		RefusalFraction: s.linkUse.refusedShare.Value(),
+		PeersKnown:      s.linkUse.peersKnown,
+		RetryWait:       s.linkUse.peers.RetryWait(),
 	}
 }
 
-// admit decides on a new flow, and holds its opening packet where that is decided.
+// admit decides on a new flow and holds its opening packet if necessary.
 func (s *sender) admit(now kernel.Instant, packet steer.Packet, datagram []byte) egress.Decision {
 	route := s.process.core.Route(packet.Flow)
 	if route == nil || s.learner.ConfiguredRate() <= 0 {
@@ -235,10 +233,10 @@
 	decision := s.admission.Decide(now, packet.Flow, *route, s.load(now))
 	switch {
 	case decision.Action == egress.ActionRefuse:
-		s.room.refusedAt = now
-	case decision.Action == egress.ActionHold && !s.held.IsFull():
-		s.held.Add(now, packet, datagram, route.Urgency, decision.MaxHold)
-		s.wake(now, holdPause)
+		s.linkUse.refusedAt = now
+	case decision.Action == egress.ActionHold && !s.heldOpenings.IsFull():
+		s.heldOpenings.Add(now, packet, datagram, route.Urgency, decision.MaxHold)
+		s.wake(now, heldCheckInterval)
 	case decision.Action == egress.ActionHold:
 		s.admission.RecordAccepted(now, packet.Flow, *route)
 		return egress.Decision{}
@@ -246,32 +244,33 @@
 	return decision
 }
 
-// release begins the held flows whose data has room now, or that have waited long enough.
-func (s *sender) release(now kernel.Instant) {
-	if s.held.Len() == 0 {
+// releaseHeld dispatches the held flows that fit the link now or have reached their
+// limit.
+func (s *sender) releaseHeld(now kernel.Instant) {
+	if s.heldOpenings.Len() == 0 {
 		return
 	}
 	for {
-		held, due := s.held.Pop(now, s.admission.CanStartUpload(now, s.load(now)))
+		held, due := s.heldOpenings.Pop(now, s.admission.CanStartUpload(now, s.load(now)))
 		if !due {
 			break
 		}
-		s.begin(now, held)
+		s.dispatchHeld(now, held)
 	}
-	if s.held.Len() > 0 {
-		s.wake(now, holdPause)
+	if s.heldOpenings.Len() > 0 {
+		s.wake(now, heldCheckInterval)
 	}
 }
 
-// begin begins a held flow.
-func (s *sender) begin(now kernel.Instant, held *egress.HeldOpening) {
+// dispatchHeld dispatches a held flow.
+func (s *sender) dispatchHeld(now kernel.Instant, held *egress.HeldOpening) {
 	if route := s.process.core.Route(held.Packet.Flow); route != nil {
 		s.admission.RecordAccepted(now, held.Packet.Flow, *route)
 	}
 	waited := now.Sub(held.HeldAt)
-	s.process.metrics.openingsHeld.Observe(waited.Seconds())
+	s.process.metrics.openingDelay.Observe(waited.Seconds())
 	s.process.logger.Sampled(eventlog.OpeningHeld, "caller", held.Packet.Flow.Caller, "virtual", held.Packet.Flow.Virtual,
 		"wait", waited, "urgency", held.Urgency)
-	s.process.begin(now, held.Packet, held.Datagram)
-	s.held.Recycle(held)
+	s.process.dispatch(now, held.Packet, held.Datagram)
+	s.heldOpenings.Recycle(held)
 }
--- a/internal/edge/sender_bench_test.go
+++ b/internal/edge/sender_bench_test.go
@@ -17,11 +17,11 @@
 	"github.com/beamdoor/beamdoor/internal/strength"
 )
 
-// benchFlows is the number of flows whose packets come by turns.
+// benchFlows is the number of flows that send packets in turn.
 const benchFlows = 1000
 
-// loadedNode is a node without a socket whose callers send bulk by turns, on a clock of
-// its own.
+// loadedNode is a node without a socket whose callers send bulk data in turn. The test
+// controls its clock.
 type loadedNode struct {
 	process   *Process
 	now       kernel.Instant
@@ -44,31 +44,30 @@
 		n.datagrams = append(n.datagrams, plainDatagram(uint16(port+1), 0, 0, windowData))
 	}
 	for range queued {
-		n.offer()
+		n.sendNext()
 	}
 	return n
 }
 
-// offer lets the next flow send its next packet.
-func (n *loadedNode) offer() {
+// sendNext passes the next packet of the next flow to the node.
+func (n *loadedNode) sendNext() {
 	datagram := n.datagrams[n.next%benchFlows]
 	binary.BigEndian.PutUint32(datagram[2:], uint32(n.next/benchFlows*windowData))
 	n.next++
 	n.process.handleDatagram(n.now, datagram)
 }
 
-// step lets a packet come, and in the mean of many steps one leaves.
+// step receives one packet and sends one on average.
 func (n *loadedNode) step() {
 	n.now = n.now.Add(benchPacketTime)
-	n.offer()
+	n.sendNext()
 	n.process.sender.flush(n.now)
 }
 
-// benchPacketTime is the time in which 0.95 of 200 Mbit/s carries a datagram of the
-// benchmark: 1,000 of them wait 53 ms.
+// benchPacketTime is the time in which 95 % of 200 Mbit/s carry one datagram.
 const benchPacketTime = (plainHead + windowData + egress.HeaderBytes) * 8 * time.Second / 190_000_000
 
-func TestAForwardedPacketAllocatesNothing(t *testing.T) {
+func TestForwardingDoesNotAllocate(t *testing.T) {
 	for _, test := range []struct {
 		link   egress.Link
 		queued int
@@ -89,7 +88,7 @@
 		name   string
 		link   egress.Link
 		queued int
-	}{{"unstated", egress.Link{}, 0}, {"wide", egress.Link{Mbps: 1000}, 0}, {"queued", egress.Link{Mbps: 200}, benchFlows}} {
+	}{{"unlimited", egress.Link{}, 0}, {"wide", egress.Link{Mbps: 1000}, 0}, {"queued", egress.Link{Mbps: 200}, benchFlows}} {
 		b.Run(test.name, func(b *testing.B) {
 			n := newLoadedNode(test.link, test.queued)
 			b.ReportAllocs()
@@ -100,7 +99,7 @@
 	}
 }
 
-// BenchmarkNewFlow opens flows on a link that takes them.
+// BenchmarkNewFlow measures opening a flow on a link with spare capacity.
 func BenchmarkNewFlow(b *testing.B) {
 	for _, link := range []egress.Link{{}, {Mbps: 1000}} {
 		b.Run(fmt.Sprint(link.Mbps, " Mbps"), func(b *testing.B) {
--- a/internal/edge/sender_test.go
+++ b/internal/edge/sender_test.go
@@ -23,7 +23,7 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// plainFormat has a head of the caller's port, the position of the data and a kind.
+// plainFormat has a header with the caller's port, the sequence number and a kind.
 type plainFormat struct{}
 
 var _ Format = plainFormat{}
@@ -34,9 +34,9 @@
 	plainToken   = 77
 	windowData   = 1200
 	windowCount  = 16
-	// hangTime is the time after which a test counts as hung: on a machine with three
-	// times the load that it has processors a process that only sleeps stalled 1.3 s.
-	hangTime = 20 * time.Second
+	// testTimeout is the time after which a test counts as hung, with a margin for stalls
+	// of an overloaded machine.
+	testTimeout = 20 * time.Second
 )
 
 var plainRoute = netip.MustParseAddrPort("198.18.0.1:443")
@@ -74,8 +74,8 @@
 	return append(buffer, "reset"...), packet.Flow.Caller
 }
 
-// sink is a target that notes when datagrams come.
-type sink struct {
+// recordingTarget is a target that records received datagrams.
+type recordingTarget struct {
 	socket *net.UDPConn
 
 	mutex     sync.Mutex
@@ -83,19 +83,21 @@
 	sequences []uint32
 }
 
-func newSink(t *testing.T) *sink {
+func newRecordingTarget(t *testing.T) *recordingTarget {
 	t.Helper()
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = socket.Close() })
-	s := &sink{socket: socket}
+	s := &recordingTarget{socket: socket}
 	go s.read()
 	return s
 }
 
-func (s *sink) address() netip.AddrPort { return s.socket.LocalAddr().(*net.UDPAddr).AddrPort() }
+func (s *recordingTarget) address() netip.AddrPort {
+	return s.socket.LocalAddr().(*net.UDPAddr).AddrPort()
+}
 
-func (s *sink) read() {
+func (s *recordingTarget) read() {
 	buffer := make([]byte, maxDatagram)
 	for {
 		size, err := s.socket.Read(buffer)
@@ -111,34 +113,34 @@
 	}
 }
 
-func (s *sink) came() ([]time.Time, []uint32) {
+func (s *recordingTarget) received() ([]time.Time, []uint32) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return slices.Clone(s.times), slices.Clone(s.sequences)
 }
 
-// lines is a log in memory.
-type lines struct {
+// logBuffer is an in-memory log that is safe for concurrent use.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  strings.Builder
 }
 
-func (l *lines) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.String()
 }
 
-// startSender starts the packet side of a node with one route and one target.
-func startSender(t *testing.T, link egress.Link, target netip.AddrPort) (*Process, *lines) {
+// startSender starts the packet path of a node with one route and one target.
+func startSender(t *testing.T, link egress.Link, target netip.AddrPort) (*Process, *logBuffer) {
 	t.Helper()
-	log := &lines{}
+	log := &logBuffer{}
 	process := NewProcess(Settings{
 		Name: "edge-1", Zone: "north", PacketAddress: "127.0.0.1:0", Link: link, Format: plainFormat{}, Core: steer.DefaultSettings(),
 	}, eventlog.New(log, "edge-1"))
@@ -148,7 +150,7 @@
 	go process.readPackets()
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("at the failure: %+v", look(t, process))
+			t.Logf("sender state: %+v", readSenderState(t, process))
 		}
 		close(process.stopped)
 		_ = process.socket.Close()
@@ -164,12 +166,12 @@
 			ID: "i-1", Token: plainToken, Service: "booking", Address: target, Slots: 2, State: directory.TargetReady, Revision: 1,
 		}},
 	}}))
-	require.True(t, (<-answer).fits)
+	require.True(t, (<-answer).applied)
 	return process, log
 }
 
-// call sends datagrams to a node all at once.
-func call(t *testing.T, process *Process, datagrams ...[]byte) {
+// sendAll sends datagrams to a node in one burst.
+func sendAll(t *testing.T, process *Process, datagrams ...[]byte) {
 	t.Helper()
 	socket, err := net.DialUDP("udp4", nil, process.socket.LocalAddr().(*net.UDPAddr))
 	require.NoError(t, err)
@@ -180,7 +182,7 @@
 	}
 }
 
-func window(port uint16, count int) [][]byte {
+func dataWindow(port uint16, count int) [][]byte {
 	var datagrams [][]byte
 	for number := range count {
 		datagrams = append(datagrams, plainDatagram(port, uint32(number*windowData), 0, windowData))
@@ -188,27 +190,24 @@
 	return datagrams
 }
 
-// A window of 16 packets needs 83 ms of a link of 2 Mbit/s, of which the burst saves
-// 12 ms.
-func TestAWindowLeavesWholeAndPacedByTheLink(t *testing.T) {
-	target := newSink(t)
+// 16 packets take 83 ms on a link of 2 Mbit/s, of which the initial burst saves 12 ms.
+func TestLinkPacesData(t *testing.T) {
+	target := newRecordingTarget(t)
 	process, _ := startSender(t, egress.Link{Mbps: 2}, target.address())
 	began := time.Now()
-	call(t, process, window(5, windowCount)...)
-	require.Eventually(t, func() bool { times, _ := target.came(); return len(times) >= windowCount }, hangTime, time.Millisecond)
-	times, sequences := target.came()
+	sendAll(t, process, dataWindow(5, windowCount)...)
+	require.Eventually(t, func() bool { times, _ := target.received(); return len(times) >= windowCount }, testTimeout, time.Millisecond)
+	times, sequences := target.received()
 	assert.Greater(t, times[windowCount-1].Sub(began), 65*time.Millisecond)
-	assert.True(t, slices.IsSorted(sequences), "in order: %v", sequences)
+	assert.True(t, slices.IsSorted(sequences), "not in order: %v", sequences)
 	time.Sleep(20 * time.Millisecond)
-	times, _ = target.came()
+	times, _ = target.received()
 	assert.Len(t, times, windowCount)
 }
 
-// The node stands still between the packets and their repeats, and between two rounds of
-// sending, for as long as a busy machine has let it (1.3 s) and longer. All is on the
-// node's own clock: a wait on the machine's clock failed when the machine stood still
-// beyond it (5.5 s of SIGSTOP: 11 of 16 packets were still waiting).
-func TestDataThatWaitsForTheLinkIsNotSentTwice(t *testing.T) {
+// Retransmissions of queued data are not sent twice, however long the node stalls in
+// between. The test uses the node's clock, so stalls of the machine do not matter.
+func TestQueuedDataIsNotSentTwice(t *testing.T) {
 	const step = 10 * time.Millisecond
 	for _, stall := range []time.Duration{0, step, 100 * time.Millisecond, 1300 * time.Millisecond, 6 * time.Second} {
 		t.Run(stall.String(), func(t *testing.T) {
@@ -218,106 +217,106 @@
 				sequences = append(sequences, binary.BigEndian.Uint32(datagram[2:]))
 				return nil
 			}
-			for _, datagram := range window(5, windowCount) {
+			for _, datagram := range dataWindow(5, windowCount) {
 				n.process.handleDatagram(n.now, datagram)
 			}
-			require.Greater(t, n.process.sender.scheduler.Len(), windowCount/2, "the second half waits")
+			require.Greater(t, n.process.sender.scheduler.Len(), windowCount/2, "the second half is queued")
 			n.now = n.now.Add(stall)
-			for _, datagram := range window(5, windowCount)[windowCount/2:] {
+			for _, datagram := range dataWindow(5, windowCount)[windowCount/2:] {
 				n.process.handleDatagram(n.now, datagram)
 			}
-			// 16 packets of 1,240 bytes need 0.33 s of half a Mbit/s.
+			// 16 packets of 1,240 bytes take 0.33 s at 0.5 Mbit/s.
 			for until := n.now.Add(400 * time.Millisecond); n.now.Before(until); n.now = n.now.Add(step) {
 				n.process.sender.flush(n.now)
 			}
 			n.now = n.now.Add(stall)
 			n.process.sender.flush(n.now)
-			assert.Zero(t, n.process.sender.scheduler.Len(), "nothing waits any more")
+			assert.Zero(t, n.process.sender.scheduler.Len(), "the queue is empty")
 			assert.Len(t, sequences, windowCount)
-			assert.True(t, slices.IsSorted(sequences), "in order: %v", sequences)
+			assert.True(t, slices.IsSorted(sequences), "not in order: %v", sequences)
 		})
 	}
 }
 
-func TestAWideLinkSendsAtOnce(t *testing.T) {
+func TestWideLinkDoesNotQueue(t *testing.T) {
 	for _, mbps := range []float64{0, 1000} {
-		target := newSink(t)
+		target := newRecordingTarget(t)
 		process, _ := startSender(t, egress.Link{Mbps: mbps}, target.address())
-		call(t, process, window(5, windowCount)...)
-		require.Eventually(t, func() bool { times, _ := target.came(); return len(times) == windowCount }, hangTime, time.Millisecond)
-		assert.Equal(t, senderLook{}, look(t, process), "nothing was ever queued")
+		sendAll(t, process, dataWindow(5, windowCount)...)
+		require.Eventually(t, func() bool { times, _ := target.received(); return len(times) == windowCount }, testTimeout, time.Millisecond)
+		assert.Equal(t, senderState{}, readSenderState(t, process), "nothing was queued")
 	}
 }
 
-func TestAnOpeningDoesNotWaitBehindBulk(t *testing.T) {
-	target := newSink(t)
+func TestOpeningOvertakesBulkData(t *testing.T) {
+	target := newRecordingTarget(t)
 	process, _ := startSender(t, egress.Link{Mbps: 0.5}, target.address())
-	call(t, process, window(5, windowCount)...)
-	call(t, process, plainDatagram(6, 4_000_000, plainOpening, 0))
+	sendAll(t, process, dataWindow(5, windowCount)...)
+	sendAll(t, process, plainDatagram(6, 4_000_000, plainOpening, 0))
 	require.Eventually(t, func() bool {
-		_, sequences := target.came()
+		_, sequences := target.received()
 		return slices.Contains(sequences, uint32(4_000_000))
-	}, hangTime, time.Millisecond)
-	_, sequences := target.came()
+	}, testTimeout, time.Millisecond)
+	_, sequences := target.received()
 	assert.Less(t, len(sequences), windowCount)
 }
 
-func TestALongWaitIsTold(t *testing.T) {
-	target := newSink(t)
+func TestLongWaitIsLogged(t *testing.T) {
+	target := newRecordingTarget(t)
 	process, log := startSender(t, egress.Link{Mbps: 0.5}, target.address())
-	call(t, process, window(5, windowCount)...)
-	require.Eventually(t, func() bool { times, _ := target.came(); return len(times) == windowCount }, hangTime, time.Millisecond)
-	require.Eventually(t, func() bool { return strings.Contains(log.String(), "name=link_relieved") }, hangTime, 10*time.Millisecond)
+	sendAll(t, process, dataWindow(5, windowCount)...)
+	require.Eventually(t, func() bool { times, _ := target.received(); return len(times) == windowCount }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(log.String(), "name=link_relieved") }, testTimeout, 10*time.Millisecond)
 	assert.Equal(t, 1, strings.Count(log.String(), "name=link_congested"))
-	assert.Equal(t, 1, strings.Count(log.String(), "name=flow_waited_for_link"), "one line a flow")
+	assert.Equal(t, 1, strings.Count(log.String(), "name=flow_waited_for_link"), "one line per flow")
 	assert.Contains(t, log.String(), "caller=127.0.0.1:5 ")
 }
 
-// A wait that begins and ends between two ticks is told as well.
-func TestAWaitBetweenTwoTicksIsNoted(t *testing.T) {
+// A wait that begins and ends between two ticks counts as congestion too.
+func TestWaitBetweenTicksCountsAsCongestion(t *testing.T) {
 	n := newLoadedNode(egress.Link{Mbps: 2}, 0)
 	for n.process.sender.scheduler.Bytes() < 40_000 {
-		n.offer()
+		n.sendNext()
 	}
 	for n.process.sender.scheduler.Len() > 0 {
 		n.now = n.now.Add(10 * time.Millisecond)
 		n.process.sender.flush(n.now)
 	}
 	n.process.sender.tick(n.now)
-	assert.True(t, n.process.sender.watch.IsCongested())
+	assert.True(t, n.process.sender.congestion.IsCongested())
 	n.process.sender.tick(n.now.Add(2 * time.Second))
-	assert.False(t, n.process.sender.watch.IsCongested())
+	assert.False(t, n.process.sender.congestion.IsCongested())
 }
 
-func TestDataForALostTargetLeavesUnsent(t *testing.T) {
-	target := newSink(t)
+func TestDataForLostTargetIsDropped(t *testing.T) {
+	target := newRecordingTarget(t)
 	process, _ := startSender(t, egress.Link{Mbps: 0.1}, target.address())
-	call(t, process, window(5, windowCount)...)
-	require.Eventually(t, func() bool { times, _ := target.came(); return len(times) >= 1 }, hangTime, time.Millisecond)
+	sendAll(t, process, dataWindow(5, windowCount)...)
+	require.Eventually(t, func() bool { times, _ := target.received(); return len(times) >= 1 }, testTimeout, time.Millisecond)
 	require.True(t, process.inputs.Push(verdictsInput{directory.Verdicts{Lost: []directory.Token{plainToken}}}))
-	assert.LessOrEqual(t, look(t, process).waiting, 1, "only the reset may wait")
+	assert.LessOrEqual(t, readSenderState(t, process).waiting, 1, "only the reset may be queued")
 }
 
-// A socket that cannot be read for a while costs some looks a second, is told, and is
-// read on.
-func TestASocketThatCannotBeReadIsToldAndTriedAgain(t *testing.T) {
-	target := newSink(t)
+// A socket with read errors is retried at intervals, the error is logged, and reading
+// resumes.
+func TestSocketReadErrorsAreLoggedAndRetried(t *testing.T) {
+	target := newRecordingTarget(t)
 	process, log := startSender(t, egress.Link{Mbps: 1000}, target.address())
 	require.NoError(t, process.socket.SetReadDeadline(time.Now().Add(-time.Second)))
-	require.Eventually(t, func() bool { return strings.Contains(log.String(), "name=socket_failed") }, hangTime, time.Millisecond)
-	time.Sleep(10 * readPause)
+	require.Eventually(t, func() bool { return strings.Contains(log.String(), "name=socket_failed") }, testTimeout, time.Millisecond)
+	time.Sleep(10 * readRetryDelay)
 	answer := httptest.NewRecorder()
 	process.Metrics().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/", nil))
-	assert.Regexp(t, `(?m)^\w+read_errors_total [0-9]{1,2}$`, answer.Body.String(), "no more than one a pause")
+	assert.Regexp(t, `(?m)^\w+read_errors_total [0-9]{1,2}$`, answer.Body.String(), "at most one read per delay")
 	require.NoError(t, process.socket.SetReadDeadline(time.Time{}))
-	call(t, process, plainDatagram(5, 1, 0, windowData))
-	require.Eventually(t, func() bool { times, _ := target.came(); return len(times) == 1 }, hangTime, time.Millisecond)
+	sendAll(t, process, plainDatagram(5, 1, 0, windowData))
+	require.Eventually(t, func() bool { times, _ := target.received(); return len(times) == 1 }, testTimeout, time.Millisecond)
 }
 
-// A wake-up that finds no room in the ring stalls nothing: the ring is full of inputs,
-// and the sender looks at its timer after each batch of them.
-func TestAWakeUpThatFindsNoRoomIsMadeGood(t *testing.T) {
-	node := newStillNode(t, io.Discard)
+// A wake-up dropped by a full ring does not stall the queue, since the timer is set again
+// after each batch of inputs.
+func TestLostWakeupIsRepeated(t *testing.T) {
+	node := newManualNode(t, io.Discard)
 	for node.inputs.TryPush(wakeInput{}) {
 		continue
 	}
@@ -326,33 +325,32 @@
 	now := node.now()
 	for node.sender.scheduler.Len() < windowCount {
 		sequence += windowData
-		node.decide(now, steer.Packet{
+		node.handlePacket(now, steer.Packet{
 			Flow: steer.FlowKey{Caller: plainCaller(1), Virtual: plainRoute}, Token: plainToken, Sequence: sequence, Size: windowData,
 		}, plainDatagram(1, sequence, 0, windowData))
 	}
 	node.sender.flush(now)
-	require.Eventually(t, func() bool { return node.inputs.Dropped() > dropped }, hangTime, time.Millisecond)
+	require.Eventually(t, func() bool { return node.inputs.Dropped() > dropped }, testTimeout, time.Millisecond)
 	node.inputs.Discard()
 	node.sender.flush(node.now())
-	require.NotZero(t, node.sender.scheduler.Len(), "more than the burst waits")
-	require.Eventually(t, func() bool { return node.inputs.Len() > 0 }, hangTime, time.Millisecond)
+	require.NotZero(t, node.sender.scheduler.Len(), "more than the burst is queued")
+	require.Eventually(t, func() bool { return node.inputs.Len() > 0 }, testTimeout, time.Millisecond)
 	node.sender.stop()
 }
 
-// senderLook is the number of datagrams that wait for the link, and that of the buffers
-// of those that have waited.
-type senderLook struct{ waiting, buffers int }
+// senderState is the number of queued datagrams and of free buffers.
+type senderState struct{ waiting, buffers int }
 
-// lookInput asks the goroutine that owns the sender for a look at it.
-type lookInput struct{ answer chan senderLook }
+// senderStateInput requests the state from the goroutine that owns the sender.
+type senderStateInput struct{ answer chan senderState }
 
-func (i lookInput) handle(p *Process, _ kernel.Instant) {
-	i.answer <- senderLook{waiting: p.sender.scheduler.Len(), buffers: len(p.sender.spare)}
+func (i senderStateInput) handle(p *Process, _ kernel.Instant) {
+	i.answer <- senderState{waiting: p.sender.scheduler.Len(), buffers: len(p.sender.freeBuffers)}
 }
 
-func look(t *testing.T, process *Process) senderLook {
+func readSenderState(t *testing.T, process *Process) senderState {
 	t.Helper()
-	answer := make(chan senderLook, 1)
-	require.True(t, process.inputs.Push(lookInput{answer}))
+	answer := make(chan senderState, 1)
+	require.True(t, process.inputs.Push(senderStateInput{answer}))
 	return <-answer
 }
--- a/internal/edge/subscriber.go
+++ b/internal/edge/subscriber.go
@@ -22,52 +22,53 @@
 )
 
 const (
-	// SilenceTimeout is the longest time without a byte from a member.
+	// SilenceTimeout is the maximum time without a byte from a member.
 	SilenceTimeout = 3*registry.KeepaliveInterval + 100*time.Millisecond
-	// gapLimit is the longest usual time between two signs of a current member.
-	gapLimit = 2 * registry.KeepaliveInterval
-	// reportCapacity is the number of reports that wait for a slow member.
-	reportCapacity = 8
+	// maxCurrentGap is the time between two keepalives of a current member above which
+	// the gap is recorded.
+	maxCurrentGap = 2 * registry.KeepaliveInterval
+	// reportQueueSize is the number of reports queued for a slow member.
+	reportQueueSize = 8
 )
 
-// subscriber follows one control member at a time. One goroutine owns it but
-// for what the mutex guards.
+// subscriber follows one control member at a time. Except for the fields guarded by the
+// mutex it is owned by one goroutine.
 type subscriber struct {
 	process  *Process
 	revision uint64
 	follower *steer.Follower
 	verdicts directory.Verdicts
 
-	// following is the address of the member that is followed, or "".
-	following atomic.Pointer[string]
-	// currentAt is when a member last said that it was current.
-	currentAt atomic.Pointer[time.Time]
+	// followedMember is the address of the followed member, or nil.
+	followedMember atomic.Pointer[string]
+	// lastCurrentAt is when a member last reported being current.
+	lastCurrentAt atomic.Pointer[time.Time]
 
-	// hints tells that an announcement waits, and informed is closed once the node knows
+	// hints signals a new announcement. membersKnown is closed once the node knows
 	// members.
-	hints, informed chan struct{}
+	hints, membersKnown chan struct{}
 
 	mutex sync.Mutex
-	// announced is the newest announcement that was not taken yet, or nil.
-	announced *registry.Announcement
-	// seeds are taken over into the list before the next attempt.
+	// announcement is the latest unused announcement, or nil.
+	announcement *registry.Announcement
+	// seeds are used from the next attempt on.
 	seeds []string
-	// strength is what is stated of the machine, and untold is set until the member that
-	// is followed has heard of a change.
-	strength strength.Resources
-	untold   bool
-	// reports is the queue to the member that is followed, or nil.
+	// strength is the current strength, and strengthPending is set until the followed
+	// member has been sent a change.
+	strength        strength.Resources
+	strengthPending bool
+	// reports is the queue to the followed member, or nil.
 	reports *ring.Ring[wire.Frame]
 }
 
 func newSubscriber(process *Process) *subscriber {
 	return &subscriber{
-		process:  process,
-		follower: steer.NewFollower(steer.NewMemberList(process.settings.Zone), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		seeds:    process.settings.Seeds,
-		strength: process.settings.Strength,
-		hints:    make(chan struct{}, 1),
-		informed: make(chan struct{}),
+		process:      process,
+		follower:     steer.NewFollower(steer.NewMemberList(process.settings.Zone), rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		seeds:        process.settings.Seeds,
+		strength:     process.settings.Strength,
+		hints:        make(chan struct{}, 1),
+		membersKnown: make(chan struct{}),
 	}
 }
 
@@ -83,24 +84,24 @@
 	return slices.Clone(s.seeds)
 }
 
-// setStrength replaces what is stated of the machine; the next report tells it.
+// setStrength changes the strength, which is sent with the next report.
 func (s *subscriber) setStrength(stated strength.Resources) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.untold = s.untold || stated != s.strength
+	s.strengthPending = s.strengthPending || stated != s.strength
 	s.strength = stated
 }
 
-// takeStrength returns what is stated of the machine for a subscription, which tells it.
-func (s *subscriber) takeStrength() strength.Resources {
+// strengthToSend returns the strength for a subscription, which also sends it.
+func (s *subscriber) strengthToSend() strength.Resources {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.untold = false
+	s.strengthPending = false
 	return s.strength
 }
 
-// run follows members until the process stops. After each member that was
-// followed the order is made anew, since more members may be known by then.
+// run follows members until the process stops. The order is rebuilt after each one, since
+// more members may be known by then.
 func (s *subscriber) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -109,7 +110,7 @@
 		cancel()
 	}()
 	for ctx.Err() == nil {
-		connection, member := s.reach(ctx)
+		connection, member := s.connect(ctx)
 		if connection == nil {
 			return
 		}
@@ -121,13 +122,13 @@
 	}
 }
 
-// reach connects to the first member in the list's order that answers, the
-// next one beside those that have not yet. It returns nil once the process stops.
-func (s *subscriber) reach(ctx context.Context) (net.Conn, directory.Member) {
+// connect connects to members in order, overlapping the attempts, and returns the first
+// connection. It returns nil once the process stops.
+func (s *subscriber) connect(ctx context.Context) (net.Conn, directory.Member) {
 	tried := map[string]directory.Member{}
 	var order []directory.Member
 	connection, address, err := peerlink.DialFirst(ctx, func() (string, bool) {
-		if announced := s.takeAnnounced(); announced != nil {
+		if announced := s.takeAnnouncedMembers(); announced != nil {
 			order = announced
 		}
 		if len(order) == 0 {
@@ -147,8 +148,7 @@
 	return connection, tried[address]
 }
 
-// follow takes updates from a member until it is silent or not current, and
-// returns why it ended.
+// follow receives updates from a member until it fails, and returns the reason.
 func (s *subscriber) follow(ctx context.Context, connection net.Conn, member directory.Member) error {
 	closed := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer closed()
@@ -158,16 +158,16 @@
 		return err
 	}
 	s.process.logger.Sampled(eventlog.ControlConnected, "address", member.Address, "zone", member.Zone, "revision", s.revision)
-	s.following.Store(&member.Address)
-	defer s.following.Store(nil)
-	s.openReports(connection)
-	defer s.closeReports()
+	s.followedMember.Store(&member.Address)
+	defer s.followedMember.Store(nil)
+	s.startReports(connection)
+	defer s.stopReports()
 	err := s.read(connection, member)
 	s.process.logger.Sampled(eventlog.ControlLost, "address", member.Address, "err", err)
 	return err
 }
 
-// subscription returns what the node asks a member for.
+// subscription returns the subscription to send to a member.
 func (s *subscriber) subscription() registry.Subscribe {
 	return registry.Subscribe{
 		Node:             s.process.settings.Name,
@@ -179,7 +179,7 @@
 
 		AnnouncementAddress: s.process.settings.AnnouncementAddress,
 		CachesVerdicts:      true,
-		Strength:            s.takeStrength(),
+		Strength:            s.strengthToSend(),
 	}
 }
 
@@ -203,23 +203,23 @@
 	}
 }
 
-// silenceLimit returns how long the node waits for the member's next byte.
+// silenceLimit returns the read timeout for the current member.
 func (s *subscriber) silenceLimit() time.Duration {
 	return s.follower.ReadTimeout(SilenceTimeout, s.revision == 0)
 }
 
-// followed returns the address of the member that is followed, or "".
-func (s *subscriber) followed() string {
-	if address := s.following.Load(); address != nil {
+// followedAddress returns the address of the followed member, or "".
+func (s *subscriber) followedAddress() string {
+	if address := s.followedMember.Load(); address != nil {
 		return *address
 	}
 	return ""
 }
 
-// stateAge returns how long ago a member last said that it was current; since
-// the start when none has.
+// stateAge returns the time since a member last reported being current, or since the
+// start if none has.
 func (s *subscriber) stateAge() time.Duration {
-	if at := s.currentAt.Load(); at != nil {
+	if at := s.lastCurrentAt.Load(); at != nil {
 		return time.Since(*at)
 	}
 	return time.Since(s.process.started)
--- a/internal/edge/subscriber_test.go
+++ b/internal/edge/subscriber_test.go
@@ -17,8 +17,8 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// soon is how long a node may take to go from one member to another.
-const soon = 500 * time.Millisecond
+// followTimeout is how long a node may take to switch to another member.
+const followTimeout = 500 * time.Millisecond
 
 // fakeMember answers each subscription with frames and keeps the connection open.
 type fakeMember struct {
@@ -71,8 +71,8 @@
 	_ = connection.Close()
 }
 
-// visits returns the subscriptions so far.
-func (m *fakeMember) visits() []registry.Subscribe {
+// subscriptions returns the subscriptions received so far.
+func (m *fakeMember) subscriptions() []registry.Subscribe {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return append([]registry.Subscribe(nil), m.subscribed...)
@@ -87,34 +87,32 @@
 	return process
 }
 
-// After a loss of all power 291 nodes came to three seeds, one of which so
-// lacked the time to vote: the leader stood 0.65 s after its members had
-// started, and half of the nodes were ready 0.4 s later (swancoast-geo-large
-// trouble-2).
-func TestANodeGoesWhereASeedRefersItTo(t *testing.T) {
+// Referrals spread the nodes over the members, so that seeds are not overloaded when all
+// nodes reconnect.
+func TestNodeFollowsReferral(t *testing.T) {
 	near := newFakeMember(t)
 	members := []directory.Member{{ID: 1, Zone: "south"}, {ID: 2, Zone: "north", Address: near.address()}}
 	seed := newFakeMember(t, registry.Referral{Members: members}.Frame())
 	members[0].Address = seed.address()
 	startNode(t, seed.address())
-	assert.Eventually(t, func() bool { return len(near.visits()) == 1 }, soon, time.Millisecond)
-	assert.True(t, seed.visits()[0].Referable, "the node knows only the seed")
-	assert.False(t, near.visits()[0].Referable, "it is sent on once")
+	assert.Eventually(t, func() bool { return len(near.subscriptions()) == 1 }, followTimeout, time.Millisecond)
+	assert.True(t, seed.subscriptions()[0].Referable, "the node knows only its seed")
+	assert.False(t, near.subscriptions()[0].Referable, "a node is referred only once")
 }
 
-// A member whose disk was lost knows nothing until the group has taken it in.
-func TestANodeLeavesAMemberThatKnowsNothing(t *testing.T) {
+// A member that lost its disk is empty until it has caught up.
+func TestNodeLeavesEmptyMemberOnce(t *testing.T) {
 	empty := registry.Keepalive{Empty: true}.Frame()
 	first, second := newFakeMember(t, empty), newFakeMember(t, empty)
 	startNode(t, first.address(), second.address())
-	met := func() int { return len(first.visits()) + len(second.visits()) }
-	assert.Eventually(t, func() bool { return len(first.visits()) == 1 && len(second.visits()) == 1 }, soon, time.Millisecond)
-	time.Sleep(soon)
-	assert.Equal(t, 2, met(), "while the group is founded nodes do not go round")
+	connections := func() int { return len(first.subscriptions()) + len(second.subscriptions()) }
+	assert.Eventually(t, func() bool { return len(first.subscriptions()) == 1 && len(second.subscriptions()) == 1 }, followTimeout, time.Millisecond)
+	time.Sleep(followTimeout)
+	assert.Equal(t, 2, connections(), "nodes do not cycle through empty members")
 }
 
-// A node that stops leaves nothing behind that follows a member.
-func TestANodeThatStopsEndsWhatItHasBegun(t *testing.T) {
+// No goroutine follows a member after Run has returned.
+func TestRunEndsAllGoroutines(t *testing.T) {
 	member := newFakeMember(t)
 	process := NewProcess(Settings{
 		Name: "edge-1", Zone: "north", PacketAddress: "127.0.0.1:0", Seeds: []string{member.address()}, AnnouncementAddress: "127.0.0.1:0", Format: plainFormat{},
@@ -123,13 +121,13 @@
 	defer cancel()
 	ended := make(chan error, 1)
 	go func() { ended <- process.Run(ctx) }()
-	require.Eventually(t, func() bool { return process.subscriber.followed() != "" }, hangTime, time.Millisecond)
+	require.Eventually(t, func() bool { return process.subscriber.followedAddress() != "" }, testTimeout, time.Millisecond)
 	cancel()
 	select {
 	case err := <-ended:
 		require.NoError(t, err)
-	case <-time.After(hangTime):
-		t.Fatal("the node does not stop")
+	case <-time.After(testTimeout):
+		t.Fatal("Run did not return")
 	}
-	assert.Empty(t, process.subscriber.followed())
+	assert.Empty(t, process.subscriber.followedAddress())
 }
--- a/internal/edge/waitlist.go
+++ b/internal/edge/waitlist.go
@@ -11,207 +11,199 @@
 )
 
 const (
-	// waitCapacity is the largest number of flows whose packets wait for the node to
-	// be ready.
-	waitCapacity = 1024
-	// callerPatience is how long a caller waits for its flow to open before it
-	// ends the attempt.
-	callerPatience = 1400 * time.Millisecond
-	// promptAge is the age up to which an answer can still be a prompt one where the
-	// route states no objective: the caller has not sent its packet again yet.
-	promptAge = 200 * time.Millisecond
-	// answerTime is the part of an objective that is left to the target: twice the work
-	// of an ordinary request and the way there and back.
-	answerTime = 100 * time.Millisecond
-	// releaseInterval is the time between two looks at the packets that wait.
+	// maxWaitlist is the maximum number of flows with a waiting packet.
+	maxWaitlist = 1024
+	// callerTimeout is how long a caller waits for its flow to open before it gives up.
+	callerTimeout = 1400 * time.Millisecond
+	// defaultSendLimit is the age up to which a packet counts as on time if its route has
+	// no objective: the caller has not retransmitted yet.
+	defaultSendLimit = 200 * time.Millisecond
+	// serviceAllowance is the part of an objective reserved for the target: twice the
+	// usual service time plus the round trip.
+	serviceAllowance = 100 * time.Millisecond
+	// releaseInterval is the interval at which waiting packets are released.
 	releaseInterval = 10 * time.Millisecond
-	// releaseWindow is the number of flows that may wait for an answer while
-	// packets that have waited are sent. Many nodes become ready at once; with
-	// more, new callers wait behind those that are late already.
+	// releaseWindow is the maximum number of unanswered flows at which on-time packets
+	// are released. Since many nodes become ready at once, more would delay new callers.
 	releaseWindow = 6
-	// lateWindow is the same for packets whose answers are late in any case: targets
-	// are kept free for new callers, who still can have theirs in time.
+	// lateWindow is the same for late packets. It keeps targets available to callers that
+	// can still be answered on time.
 	lateWindow = 2
 )
 
-// copyAges are the ages of an opening packet and its copies when the caller
-// sends them.
-var copyAges = [...]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
+// retransmissionAges are the ages of an opening packet and its retransmissions when sent.
+var retransmissionAges = [...]time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
-// waitingPacket is the newest packet of a flow.
+// waitingPacket is the newest packet of a flow on the waitlist.
 type waitingPacket struct {
 	packet   steer.Packet
 	datagram []byte
-	// since is when the caller first sent the packet, as far as it shows.
+	// since is when the caller first sent the packet, as far as known.
 	since kernel.Instant
-	// promptUntil is until when the packet must leave for its answer to be in time.
-	promptUntil kernel.Instant
-	urgency     uint8
+	// sendBy is the latest time at which the packet can be released for an answer on
+	// time.
+	sendBy  kernel.Instant
+	urgency uint8
 	// classified is set once the route is known.
 	classified bool
-	// dropped is set once the packet waits no more; it stays in the order until clean.
-	dropped bool
+	// removed is set once the packet is no longer waiting. It stays in the order until
+	// expire.
+	removed bool
 }
 
-// isPrompt reports whether the answer can still be in time.
-func (k *waitingPacket) isPrompt(now kernel.Instant) bool { return now.Before(k.promptUntil) }
+// isOnTime reports whether the answer can still be on time.
+func (w *waitingPacket) isOnTime(now kernel.Instant) bool { return now.Before(w.sendBy) }
 
-// goesBefore reports whether the packet is worth more than another one that waits.
-// One whose answer can be in time goes before one that is late already, then the more
-// urgent one goes first. Of those in time the one that must leave first goes first: what
-// can be served in time is served so, and one that has waited too long is among the late
-// ones. Of these the oldest goes first, whose caller leaves next.
-func (k *waitingPacket) goesBefore(now kernel.Instant, other *waitingPacket) bool {
-	prompt := k.isPrompt(now)
+// precedes reports whether the packet is released before another. On-time packets precede
+// late ones, and more urgent ones precede others. Among equals, on-time packets are
+// ordered by deadline and late ones by age, since the oldest caller gives up first.
+func (w *waitingPacket) precedes(now kernel.Instant, other *waitingPacket) bool {
+	onTime := w.isOnTime(now)
 	switch {
-	case prompt != other.isPrompt(now):
-		return prompt
-	case k.urgency != other.urgency:
-		return k.urgency < other.urgency
-	case prompt:
-		return k.promptUntil < other.promptUntil
+	case onTime != other.isOnTime(now):
+		return onTime
+	case w.urgency != other.urgency:
+		return w.urgency < other.urgency
+	case onTime:
+		return w.sendBy < other.sendBy
 	}
-	return k.since < other.since
+	return w.since < other.since
 }
 
-// waitlist keeps the newest packet of each flow that came before the node was
-// ready. Without it a caller whose copies all came too early would wait until
-// it gives the attempt up.
+// waitlist holds the newest packet of each flow that arrived before the node was ready.
+// Without it, a caller whose retransmissions all came too early would time out.
 type waitlist struct {
 	packets map[steer.FlowKey]*waitingPacket
-	// capacity is the number of flows whose packets may wait.
+	// capacity is the maximum number of flows.
 	capacity int
-	// order holds the packets by since. Those that were dropped are still in it.
+	// order holds the packets sorted by since, including removed ones.
 	order []*waitingPacket
-	// roomAt is when the list last looked for room.
-	roomAt kernel.Instant
+	// lastEviction is when the full list was last searched for expired packets.
+	lastEviction kernel.Instant
 }
 
 func newWaitlist() *waitlist {
-	return &waitlist{packets: map[steer.FlowKey]*waitingPacket{}, capacity: waitCapacity}
+	return &waitlist{packets: map[steer.FlowKey]*waitingPacket{}, capacity: maxWaitlist}
 }
 
-// add keeps a packet in place of an older one of its flow. It returns false
-// when there is no room.
+// add adds a packet, replacing an older one of its flow. It returns false if the list is
+// full.
 func (w *waitlist) add(now kernel.Instant, packet steer.Packet, datagram []byte) bool {
-	kept, known := w.packets[packet.Flow]
+	entry, known := w.packets[packet.Flow]
 	if !known {
 		if len(w.packets) >= w.capacity {
 			return false
 		}
-		kept = &waitingPacket{since: now.Add(-ageOf(packet))}
-		kept.promptUntil = kept.since.Add(promptAge)
-		w.packets[packet.Flow] = kept
-		w.insert(kept)
+		entry = &waitingPacket{since: now.Add(-packetAge(packet))}
+		entry.sendBy = entry.since.Add(defaultSendLimit)
+		w.packets[packet.Flow] = entry
+		w.insert(entry)
 	}
-	kept.packet = packet
-	kept.datagram = append(kept.datagram[:0], datagram...)
+	entry.packet = packet
+	entry.datagram = append(entry.datagram[:0], datagram...)
 	return true
 }
 
-// makeRoom forgets the packets whose callers have left when the list is full, and
-// returns their number. It looks no more often than packets are released: a full
-// list takes a while to go through.
-func (w *waitlist) makeRoom(now kernel.Instant, patience func(steer.FlowKey) time.Duration) int {
-	if len(w.packets) < w.capacity || now.Sub(w.roomAt) < releaseInterval {
+// evictExpired removes the packets of callers that have timed out if the list is full,
+// and returns their number. It does so at most once per releaseInterval, since it visits
+// all packets.
+func (w *waitlist) evictExpired(now kernel.Instant, waitLimit func(steer.FlowKey) time.Duration) int {
+	if len(w.packets) < w.capacity || now.Sub(w.lastEviction) < releaseInterval {
 		return 0
 	}
-	w.roomAt = now
-	return w.clean(now, patience)
+	w.lastEviction = now
+	return w.expire(now, waitLimit)
 }
 
-// insert puts a packet behind those whose callers began to wait earlier.
-func (w *waitlist) insert(kept *waitingPacket) {
-	position := sort.Search(len(w.order), func(i int) bool { return w.order[i].since > kept.since })
-	w.order = slices.Insert(w.order, position, kept)
+// insert inserts a packet in the order.
+func (w *waitlist) insert(entry *waitingPacket) {
+	position := sort.Search(len(w.order), func(i int) bool { return w.order[i].since > entry.since })
+	w.order = slices.Insert(w.order, position, entry)
 }
 
-// ageOf returns how long ago the caller first sent a packet, as far as it shows.
-func ageOf(packet steer.Packet) time.Duration {
+// packetAge returns the time since the caller first sent a packet, as far as known.
+func packetAge(packet steer.Packet) time.Duration {
 	if !packet.Opening {
 		return 0
 	}
-	return copyAges[min(int(packet.Copy), len(copyAges)-1)]
+	return retransmissionAges[min(int(packet.Copy), len(retransmissionAges)-1)]
 }
 
-// drop forgets the packet of a flow: a newer one has come. It stays in the
-// order until clean.
-func (w *waitlist) drop(flow steer.FlowKey) {
-	if kept, known := w.packets[flow]; known {
-		kept.dropped = true
+// remove removes the packet of a flow. It stays in the order until expire.
+func (w *waitlist) remove(flow steer.FlowKey) {
+	if entry, known := w.packets[flow]; known {
+		entry.removed = true
 		delete(w.packets, flow)
 	}
 }
 
-// classify tells the list what the routes of its flows state, as far as the node knows
-// them yet. A flow without a route states nothing.
+// classify sets the urgency and deadline of packets whose routes have become known.
 func (w *waitlist) classify(routeOf func(steer.FlowKey) *directory.Route) {
-	for _, kept := range w.order {
-		if kept.classified || kept.dropped {
+	for _, entry := range w.order {
+		if entry.classified || entry.removed {
 			continue
 		}
-		route := routeOf(kept.packet.Flow)
+		route := routeOf(entry.packet.Flow)
 		if route == nil {
 			continue
 		}
-		kept.classified = true
-		kept.urgency = route.Urgency
+		entry.classified = true
+		entry.urgency = route.Urgency
 		if route.Objective > 0 {
-			kept.promptUntil = kept.since.Add(route.Objective - answerTime)
+			entry.sendBy = entry.since.Add(route.Objective - serviceAllowance)
 		}
 	}
 }
 
-// take returns the packet that is worth most of those that can be sent, while so many
-// flows wait for an answer.
-func (w *waitlist) take(now kernel.Instant, canSend func(steer.Packet) bool, waitingFlows int) (*waitingPacket, bool) {
+// next removes and returns the first packet that can be sent, unless too many flows wait
+// for an answer.
+func (w *waitlist) next(now kernel.Instant, canSend func(steer.Packet) bool, waitingFlows int) (*waitingPacket, bool) {
 	position := w.best(now, canSend)
-	if position < 0 || waitingFlows >= w.order[position].window(now) {
+	if position < 0 || waitingFlows >= w.order[position].maxWaitingFlows(now) {
 		return nil, false
 	}
-	taken := w.order[position]
+	entry := w.order[position]
 	w.order = slices.Delete(w.order, position, position+1)
-	w.drop(taken.packet.Flow)
-	return taken, true
+	w.remove(entry.packet.Flow)
+	return entry, true
 }
 
-// window returns the number of flows that may wait for an answer when the packet is
-// sent.
-func (k *waitingPacket) window(now kernel.Instant) int {
-	if k.isPrompt(now) {
+// maxWaitingFlows returns the number of unanswered flows at which the packet is not
+// released.
+func (w *waitingPacket) maxWaitingFlows(now kernel.Instant) int {
+	if w.isOnTime(now) {
 		return releaseWindow
 	}
 	return lateWindow
 }
 
-// clean forgets the packets that were dropped and those whose callers have left,
-// and returns the number of the latter. Patience tells how long a flow's caller
-// waits.
-func (w *waitlist) clean(now kernel.Instant, patience func(steer.FlowKey) time.Duration) int {
-	left := 0
-	w.order = slices.DeleteFunc(w.order, func(kept *waitingPacket) bool {
-		flow := kept.packet.Flow
-		if kept.dropped {
+// expire deletes removed packets and those of callers that have timed out, and returns
+// the number of the latter. waitLimit returns how long the caller of a flow waits.
+func (w *waitlist) expire(now kernel.Instant, waitLimit func(steer.FlowKey) time.Duration) int {
+	expired := 0
+	w.order = slices.DeleteFunc(w.order, func(entry *waitingPacket) bool {
+		flow := entry.packet.Flow
+		if entry.removed {
 			return true
 		}
-		if now.Sub(kept.since) < patience(flow) {
+		if now.Sub(entry.since) < waitLimit(flow) {
 			return false
 		}
-		left++
-		w.drop(flow)
+		expired++
+		w.remove(flow)
 		return true
 	})
-	return left
+	return expired
 }
 
-// best returns the position of the packet that is worth most, or -1.
+// best returns the position of the first packet that can be sent, or -1.
 func (w *waitlist) best(now kernel.Instant, canSend func(steer.Packet) bool) int {
 	best := -1
-	for position, kept := range w.order {
-		if kept.dropped || !canSend(kept.packet) {
+	for position, entry := range w.order {
+		if entry.removed || !canSend(entry.packet) {
 			continue
 		}
-		if best < 0 || kept.goesBefore(now, w.order[best]) {
+		if best < 0 || entry.precedes(now, w.order[best]) {
 			best = position
 		}
 	}
--- a/internal/edge/waitlist_test.go
+++ b/internal/edge/waitlist_test.go
@@ -18,24 +18,24 @@
 
 func packet(port uint16) steer.Packet { return steer.Packet{Flow: flow(port)} }
 
-func forASecond(steer.FlowKey) time.Duration { return time.Second }
+func waitOneSecond(steer.FlowKey) time.Duration { return time.Second }
 
 func always(steer.Packet) bool { return true }
 
-// takeAll returns what the list gives, in order.
-func takeAll(w *waitlist, now kernel.Instant) []string {
+// nextAll returns the released packets in order.
+func nextAll(w *waitlist, now kernel.Instant) []string {
 	var list []string
-	w.clean(now, forASecond)
+	w.expire(now, waitOneSecond)
 	for {
-		kept, more := w.take(now, always, 0)
+		entry, more := w.next(now, always, 0)
 		if !more {
 			return list
 		}
-		list = append(list, string(kept.datagram))
+		list = append(list, string(entry.datagram))
 	}
 }
 
-func TestTheNewestPacketOfEachFlowWaits(t *testing.T) {
+func TestWaitlistKeepsNewestPacketOfFlow(t *testing.T) {
 	w := newWaitlist()
 	now := kernel.Instant(time.Minute)
 	buffer := []byte("first")
@@ -43,26 +43,26 @@
 	assert.True(t, w.add(now, packet(2), []byte("other")))
 	assert.True(t, w.add(now, packet(1), []byte("second")))
 	copy(buffer, "xxxxx")
-	assert.ElementsMatch(t, []string{"second", "other"}, takeAll(w, now))
+	assert.ElementsMatch(t, []string{"second", "other"}, nextAll(w, now))
 	assert.True(t, w.isEmpty())
 }
 
-// After an outage new callers waited behind hundreds that were late already.
-func TestPromptPacketsComeFirstAndOfEachKindTheOldest(t *testing.T) {
+// Callers that can be answered on time must not wait behind late ones.
+func TestOnTimePacketsPrecedeLateOnes(t *testing.T) {
 	w := newWaitlist()
 	now := kernel.Instant(time.Minute)
-	ages := map[string]time.Duration{"left": 1100, "old": 900, "late": 500, "prompt": 150, "new": 20}
+	ages := map[string]time.Duration{"timed out": 1100, "old": 900, "late": 500, "on time": 150, "new": 20}
 	port := uint16(0)
 	for name, age := range ages {
 		port++
 		w.add(now.Add(-age*time.Millisecond), packet(port), []byte(name))
 	}
-	assert.Equal(t, 1, w.clean(now, forASecond), "one caller has left")
-	assert.Equal(t, []string{"prompt", "new", "old", "late"}, takeAll(w, now))
+	assert.Equal(t, 1, w.expire(now, waitOneSecond), "one caller has timed out")
+	assert.Equal(t, []string{"on time", "new", "old", "late"}, nextAll(w, now))
 	assert.True(t, w.isEmpty())
 }
 
-func TestACopyShowsWhenItsCallerBeganToWait(t *testing.T) {
+func TestRetransmissionRevealsWaitingTime(t *testing.T) {
 	w := newWaitlist()
 	now := kernel.Instant(time.Minute)
 	w.add(now, packet(1), []byte("new"))
@@ -73,35 +73,35 @@
 	w.add(now, packet(3), []byte("newer"))
 	assert.Equal(t, "copy", string(w.order[0].datagram))
 	later := now.Add(300 * time.Millisecond)
-	assert.Equal(t, []string{"copy", "new", "newer"}, takeAll(w, later))
+	assert.Equal(t, []string{"copy", "new", "newer"}, nextAll(w, later))
 }
 
-func TestAPacketThatCameAnewIsNotSentTwice(t *testing.T) {
+func TestRemovedPacketIsNotSent(t *testing.T) {
 	w := newWaitlist()
 	now := kernel.Instant(time.Minute)
 	w.add(now, packet(1), []byte("one"))
 	w.add(now, packet(2), []byte("two"))
-	w.drop(flow(1))
-	kept, more := w.take(now, always, 0)
+	w.remove(flow(1))
+	entry, more := w.next(now, always, 0)
 	assert.True(t, more)
-	assert.Equal(t, "two", string(kept.datagram))
-	_, more = w.take(now, always, 0)
+	assert.Equal(t, "two", string(entry.datagram))
+	_, more = w.next(now, always, 0)
 	assert.False(t, more)
 	w.add(now, packet(2), []byte("two"))
-	assert.Equal(t, []string{"two"}, takeAll(w, now))
+	assert.Equal(t, []string{"two"}, nextAll(w, now))
 }
 
-func TestTheWaitlistIsBounded(t *testing.T) {
+func TestWaitlistCapacity(t *testing.T) {
 	w := newWaitlist()
-	for port := range uint16(waitCapacity) {
+	for port := range uint16(maxWaitlist) {
 		assert.True(t, w.add(0, packet(port), nil))
 	}
-	assert.False(t, w.add(0, packet(waitCapacity), nil))
-	assert.True(t, w.add(0, packet(3), nil), "a flow that already waits")
-	assert.Len(t, takeAll(w, 0), waitCapacity)
+	assert.False(t, w.add(0, packet(maxWaitlist), nil))
+	assert.True(t, w.add(0, packet(3), nil), "a flow that is already waiting")
+	assert.Len(t, nextAll(w, 0), maxWaitlist)
 }
 
-func TestPacketsOfOpenFlowsGoBeforeTheNodeIsReady(t *testing.T) {
+func TestOpenFlowsAreReleasedBeforeReadiness(t *testing.T) {
 	w := newWaitlist()
 	now := kernel.Instant(time.Minute)
 	newFlow := packet(1)
@@ -109,33 +109,31 @@
 	w.add(now, newFlow, []byte("new flow"))
 	w.add(now, packet(2), []byte("open flow"))
 	isOpen := func(packet steer.Packet) bool { return !packet.Opening }
-	kept, more := w.take(now, isOpen, 0)
+	entry, more := w.next(now, isOpen, 0)
 	assert.True(t, more)
-	assert.Equal(t, "open flow", string(kept.datagram))
-	_, more = w.take(now, isOpen, 0)
+	assert.Equal(t, "open flow", string(entry.datagram))
+	_, more = w.next(now, isOpen, 0)
 	assert.False(t, more)
-	assert.Equal(t, []string{"new flow"}, takeAll(w, now))
+	assert.Equal(t, []string{"new flow"}, nextAll(w, now))
 }
 
-// A node that is not ready for long kept the packets of callers that had left, and
-// refused new ones once so many flows had waited (found by reading).
-func TestAFullListMakesRoomForCallersThatAreStillThere(t *testing.T) {
+// Packets of callers that have timed out must not keep out new ones.
+func TestFullWaitlistEvictsExpiredPackets(t *testing.T) {
 	w := newWaitlist()
 	now := kernel.Instant(time.Minute)
-	for port := range waitCapacity {
+	for port := range maxWaitlist {
 		assert.True(t, w.add(now, packet(uint16(port)), []byte("old")))
 	}
-	assert.Zero(t, w.makeRoom(now.Add(time.Second/2), forASecond), "all callers still wait")
-	assert.False(t, w.add(now.Add(time.Second/2), packet(waitCapacity), []byte("new")))
+	assert.Zero(t, w.evictExpired(now.Add(time.Second/2), waitOneSecond), "no caller has timed out")
+	assert.False(t, w.add(now.Add(time.Second/2), packet(maxWaitlist), []byte("new")))
 	later := now.Add(2 * time.Second)
-	assert.Equal(t, waitCapacity, w.makeRoom(later, forASecond))
-	assert.True(t, w.add(later, packet(waitCapacity), []byte("new")))
+	assert.Equal(t, maxWaitlist, w.evictExpired(later, waitOneSecond))
+	assert.True(t, w.add(later, packet(maxWaitlist), []byte("new")))
 	assert.Len(t, w.order, 1)
 }
 
-// After an outage of seconds callers of all routes come back at once, and targets
-// cannot serve all of them in time.
-func TestWhatCanBeInTimeGoesFirstAndTheUrgentOfIt(t *testing.T) {
+// Targets cannot serve all waiting callers on time after an outage.
+func TestOnTimePacketsAreOrderedByUrgency(t *testing.T) {
 	w := newWaitlist()
 	now := kernel.Instant(time.Minute)
 	routes := map[uint16]*directory.Route{
@@ -152,7 +150,7 @@
 		{"urgent, late", 11, 1, 900 * time.Millisecond},
 		{"urgent, in time, older", 12, 1, 400 * time.Millisecond},
 		{"less urgent, late", 13, 2, 950 * time.Millisecond},
-		{"urgent, no time left for the target", 14, 1, 550 * time.Millisecond},
+		{"urgent, too late for the target", 14, 1, 550 * time.Millisecond},
 		{"urgent, in time", 15, 1, 300 * time.Millisecond},
 	}
 	routeOf := map[steer.FlowKey]*directory.Route{}
@@ -163,21 +161,21 @@
 	w.classify(func(key steer.FlowKey) *directory.Route { return routeOf[key] })
 	assert.Equal(t, []string{
 		"urgent, in time, older", "urgent, in time", "less urgent, in time",
-		"urgent, late", "urgent, no time left for the target", "less urgent, late",
-	}, takeAll(w, now))
+		"urgent, late", "urgent, too late for the target", "less urgent, late",
+	}, nextAll(w, now))
 }
 
-// Late packets filled the targets while new callers came.
-func TestLatePacketsLeaveTargetsFreeForNewCallers(t *testing.T) {
+// Late packets must not occupy the targets while new callers arrive.
+func TestLatePacketsAreLimited(t *testing.T) {
 	w := newWaitlist()
 	now := kernel.Instant(time.Minute)
 	w.add(now.Add(-time.Second), packet(1), []byte("late"))
-	_, more := w.take(now, always, lateWindow)
+	_, more := w.next(now, always, lateWindow)
 	assert.False(t, more)
-	w.add(now, packet(2), []byte("prompt"))
-	kept, more := w.take(now, always, lateWindow)
+	w.add(now, packet(2), []byte("on time"))
+	entry, more := w.next(now, always, lateWindow)
 	assert.True(t, more)
-	assert.Equal(t, "prompt", string(kept.datagram))
-	_, more = w.take(now, always, lateWindow-1)
+	assert.Equal(t, "on time", string(entry.datagram))
+	_, more = w.next(now, always, lateWindow-1)
 	assert.True(t, more)
 }
