--- a/internal/heartbeat/cache.go
+++ b/internal/heartbeat/cache.go
@@ -55,8 +55,8 @@
 	clear(c.targets)
 }
 
-// Acknowledge reports whether a heartbeat agrees with the committed state and records it
-// if so. It returns false for heartbeats of another start than the registered one.
+// Acknowledge records a heartbeat and returns true if its state is already committed. It
+// returns false for heartbeats of another start than the registered one.
 func (c *Cache) Acknowledge(start directory.Start, state directory.TargetState) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
