--- a/internal/balancer/admin.go
+++ b/internal/balancer/admin.go
@@ -79,7 +79,7 @@
 
 // observe copies the router's counters into the metrics.
 func (m *metrics) observe(now kernel.Instant, router *routing.Router, dropped uint64) {
-	m.flows.Set(float64(router.Flows()))
+	m.flows.Set(float64(router.FlowCount()))
 	m.revision.Set(float64(router.Revision()))
 	m.view.Set(float64(router.ViewNumber()))
 	m.dropped.Set(float64(dropped))
@@ -150,6 +150,6 @@
 		Policy:    explanation.Policy,
 		Weight:    uint32(explanation.Weight),
 		DecidedBy: explanation.DecidedBy,
-		AgeMs:     explanation.SinceSeen.Milliseconds(),
+		AgeMs:     explanation.IdleTime.Milliseconds(),
 	}), nil
 }
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -109,7 +109,7 @@
 type reconnectedInput struct{}
 
 func (reconnectedInput) handle(p *Process, now kernel.Instant) []routing.Action {
-	return p.router.Reconnected(now)
+	return p.router.HandleReconnect(now)
 }
 
 // controlInput is a frame of the control member.
--- a/internal/balancer/process.go
+++ b/internal/balancer/process.go
@@ -236,7 +236,7 @@
 	out := !p.router.InView()
 	quietSince := max(p.lastCaller, p.leavingAt)
 	quiet := now.Sub(quietSince) > lingerQuiet
-	if out && quiet && (p.router.Idle() || !p.joined) {
+	if out && quiet && (p.router.HasNoPendingRequests() || !p.joined) {
 		p.stopOnce.Do(func() { close(p.stopped) })
 	}
 }
--- a/internal/lab/sim/balancer.go
+++ b/internal/lab/sim/balancer.go
@@ -123,7 +123,7 @@
 func (b *balancer) checkLeave() {
 	b.joined = b.joined || b.router.InView()
 	quiet := b.now().Sub(max(b.lastCaller, b.leavingAt)) > lingerQuiet
-	if b.leaving && quiet && !b.router.InView() && (b.router.Idle() || !b.joined) {
+	if b.leaving && quiet && !b.router.InView() && (b.router.HasNoPendingRequests() || !b.joined) {
 		b.world.fault("%s has left", b.name)
 		b.end()
 	}
@@ -145,7 +145,7 @@
 		memberRun:  to.generation,
 	}
 	b.health.ConnectionOpened(b.now())
-	b.carryOut(b.router.Reconnected(b.now()))
+	b.carryOut(b.router.HandleReconnect(b.now()))
 }
 
 func (b *balancer) hangUp() {
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -224,7 +224,7 @@
 		Trace:        w.lines,
 	}
 	for _, b := range w.balancers {
-		result.FlowsHeld = max(result.FlowsHeld, b.router.Flows())
+		result.FlowsHeld = max(result.FlowsHeld, b.router.FlowCount())
 	}
 	return result
 }
--- a/internal/routing/explain.go
+++ b/internal/routing/explain.go
@@ -22,7 +22,7 @@
 	Policy    string
 	Weight    uint8
 	DecidedBy string
-	SinceSeen time.Duration
+	IdleTime time.Duration
 }
 
 // Explain looks a flow up. The second result is false when the service is not
@@ -56,7 +56,7 @@
 
 func (r *Router) explainRecord(now kernel.Instant, record flowRecord, explanation *Explanation) {
 	explanation.Known = true
-	explanation.SinceSeen = time.Duration(lastSeenAt(now)-record.lastSeen) * lastSeenUnit
+	explanation.IdleTime = time.Duration(lastSeenAt(now)-record.lastSeen) * lastSeenUnit
 	to := r.table.targets[record.targetID]
 	if to == nil {
 		explanation.Reason = "the flow's target is no longer known"
--- a/internal/routing/flow_test.go
+++ b/internal/routing/flow_test.go
@@ -139,10 +139,10 @@
 	c.service.Limits.IdleTimeoutMs = 2000
 	c.configure()
 	c.place(1, callerAddress)
-	assert.Equal(t, 1, c.routers[1].Flows())
+	assert.Equal(t, 1, c.routers[1].FlowCount())
 	assert.Equal(t, 1, c.routers[1].table.targets[100].placed)
 	c.pass(3 * time.Second)
-	assert.Zero(t, c.routers[1].Flows())
+	assert.Zero(t, c.routers[1].FlowCount())
 	assert.Zero(t, c.routers[1].table.targets[100].placed)
 }
 
--- a/internal/routing/membership.go
+++ b/internal/routing/membership.go
@@ -19,9 +19,9 @@
 	return r.actions
 }
 
-// Reconnected reports at once after the connection to the control plane was
+// HandleReconnect sends a report at once after the connection to the control plane was
 // opened anew, so that the lease does not lapse over it.
-func (r *Router) Reconnected(now kernel.Instant) []Action {
+func (r *Router) HandleReconnect(now kernel.Instant) []Action {
 	r.begin(now)
 	r.sendReport()
 	return r.actions
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -154,8 +154,8 @@
 // Nonce returns the number that identifies this run of the process.
 func (r *Router) Nonce() uint64 { return r.settings.Nonce }
 
-// Flows returns the number of flows held.
-func (r *Router) Flows() int { return r.flows.len() }
+// FlowCount returns the number of flows held.
+func (r *Router) FlowCount() int { return r.flows.len() }
 
 // Revision returns the revision in force.
 func (r *Router) Revision() uint64 { return r.table.revision }
@@ -176,9 +176,9 @@
 // InView reports whether the balancer is a member of the view in force.
 func (r *Router) InView() bool { return r.table.view.member(r.id) != nil }
 
-// Idle reports whether no request that went through this balancer is still
+// HasNoPendingRequests reports whether no request that went through this balancer is still
 // waiting for its answer.
-func (r *Router) Idle() bool {
+func (r *Router) HasNoPendingRequests() bool {
 	for _, record := range r.ledger.records {
 		if record.state == requestForwarded {
 			return false
