--- a/internal/routing/explain.go
+++ b/internal/routing/explain.go
@@ -22,7 +22,7 @@
 	Policy    string
 	Weight    uint8
 	DecidedBy string
-	IdleTime time.Duration
+	IdleTime  time.Duration
 }
 
 // Explain looks a flow up. The second result is false when the service is not
