--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -46,19 +46,19 @@
 	// LagLimit is how long a balancer may be behind its cell's configuration
 	// before its lease is no longer renewed.
 	LagLimit time.Duration
-	// FoundingWait collects the first balancers of a cell into one view.
-	FoundingWait time.Duration
-	// SettleLimit is the longest wait for a view to settle before the next
+	// InitialViewDelay collects the first balancers of a cell into one view.
+	InitialViewDelay time.Duration
+	// SettleTimeout is the longest wait for a view to settle before the next
 	// planned change.
-	SettleLimit time.Duration
+	SettleTimeout time.Duration
 	// SnapshotEntries is the length of the log at which it is compacted.
 	SnapshotEntries int
 	Mechanisms      Mechanisms
-	// Founders are the members of a group that does not exist yet; empty when
+	// InitialMembers are the members of a group that does not exist yet; empty when
 	// this member is to be added to one that does.
-	Founders []*beamdoorv1.Member
-	// Contacts are the members to which one with an empty folder introduces itself.
-	Contacts []raft.MemberID
+	InitialMembers []*beamdoorv1.Member
+	// SeedMembers are the members to which one with an empty folder introduces itself.
+	SeedMembers []raft.MemberID
 }
 
 // DefaultSettings returns the settings of a member in production.
@@ -70,12 +70,12 @@
 			MaxAppend:       256,
 			ChunkSize:       256 << 10,
 		},
-		Lease:           3 * time.Second,
-		LeaseMargin:     300 * time.Millisecond,
-		LagLimit:        5 * time.Second,
-		FoundingWait:    1500 * time.Millisecond,
-		SettleLimit:     60 * time.Second,
-		SnapshotEntries: 4096,
+		Lease:            3 * time.Second,
+		LeaseMargin:      300 * time.Millisecond,
+		LagLimit:         5 * time.Second,
+		InitialViewDelay: 1500 * time.Millisecond,
+		SettleTimeout:    60 * time.Second,
+		SnapshotEntries:  4096,
 	}
 }
 
@@ -201,8 +201,8 @@
 	return c.take()
 }
 
-// HandleMember handles a frame from another control member.
-func (c *Core) HandleMember(now kernel.Instant, from raft.MemberID, frame wire.Frame) Output {
+// HandleMemberFrame handles a frame from another control member.
+func (c *Core) HandleMemberFrame(now kernel.Instant, from raft.MemberID, frame wire.Frame) Output {
 	if c.replica.Failed != nil {
 		return Output{}
 	}
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -40,8 +40,8 @@
 
 func newFounding(settings Settings) *founding {
 	return &founding{
-		founders: settings.Founders,
-		contacts: settings.Contacts,
+		founders: settings.InitialMembers,
+		contacts: settings.SeedMembers,
 		heard:    map[raft.MemberID]introduction{},
 	}
 }
--- a/internal/control/judge.go
+++ b/internal/control/judge.go
@@ -44,15 +44,17 @@
 	return r.report != nil || r.failures >= deadAfter || r.target.Admin == ""
 }
 
-// Judge turns the targets' load reports into verdicts by the operators'
+// TargetEvaluator turns the targets' load reports into verdicts by the operators'
 // policies. It is deterministic; the prober and the simulator feed it.
-type Judge struct {
+type TargetEvaluator struct {
 	records map[uint32]*judgeRecord
 	events  []LogEvent
 }
 
-// NewJudge returns a judge that has heard of no target.
-func NewJudge() *Judge { return &Judge{records: map[uint32]*judgeRecord{}} }
+// NewTargetEvaluator returns a judge that has heard of no target.
+func NewTargetEvaluator() *TargetEvaluator {
+	return &TargetEvaluator{records: map[uint32]*judgeRecord{}}
+}
 
 // programs are the compiled policies of one service.
 type programs struct {
@@ -110,8 +112,8 @@
 	return result
 }
 
-// Adopt follows the configuration.
-func (j *Judge) Adopt(now kernel.Instant, services []*beamdoorv1.Service) {
+// SetServices follows the configuration.
+func (j *TargetEvaluator) SetServices(now kernel.Instant, services []*beamdoorv1.Service) {
 	current := map[uint32]*judgeRecord{}
 	for _, service := range services {
 		for _, target := range service.Targets {
@@ -127,8 +129,8 @@
 	j.records = current
 }
 
-// Report notes the load report of a target.
-func (j *Judge) Report(now kernel.Instant, targetID uint32, report *beamdoorv1.LoadResponse) {
+// RecordReport notes the load report of a target.
+func (j *TargetEvaluator) RecordReport(now kernel.Instant, targetID uint32, report *beamdoorv1.LoadResponse) {
 	record := j.records[targetID]
 	if record == nil {
 		return
@@ -145,8 +147,8 @@
 // foldRun shortens the identifier of a run to what signals carry.
 func foldRun(run uint64) uint32 { return uint32(run) ^ uint32(run>>32) }
 
-// Missed notes that a target did not report in time.
-func (j *Judge) Missed(targetID uint32) {
+// RecordMissedReport notes that a target did not report in time.
+func (j *TargetEvaluator) RecordMissedReport(targetID uint32) {
 	if record := j.records[targetID]; record != nil {
 		record.failures++
 	}
@@ -188,9 +190,9 @@
 	return uint32(min(int64(milliseconds)+passed.Milliseconds(), math.MaxUint32))
 }
 
-// Judge runs the policies and returns, for each cell in which a verdict
+// Evaluate runs the policies and returns, for each cell in which a verdict
 // changed, the verdicts on its targets, with the events to log.
-func (j *Judge) Judge(now kernel.Instant, services []*beamdoorv1.Service, policies Policies) (map[uint32][]wire.TargetSignal, []LogEvent) {
+func (j *TargetEvaluator) Evaluate(now kernel.Instant, services []*beamdoorv1.Service, policies Policies) (map[uint32][]wire.TargetSignal, []LogEvent) {
 	j.events = nil
 	changed := map[uint32]bool{}
 	for _, service := range services {
@@ -218,7 +220,7 @@
 
 // judgeService judges one service's targets. When most of them seem dead at
 // once, the fault is more likely on this side, and none is held for dead.
-func (j *Judge) judgeService(now kernel.Instant, service *beamdoorv1.Service, compiled programs) bool {
+func (j *TargetEvaluator) judgeService(now kernel.Instant, service *beamdoorv1.Service, compiled programs) bool {
 	dead := 0
 	for _, target := range service.Targets {
 		if j.records[target.Id].failures >= deadAfter {
@@ -245,7 +247,7 @@
 }
 
 // evaluate runs the programs; when they fail, the last verdict stays in force.
-func (j *Judge) evaluate(now kernel.Instant, record *judgeRecord, compiled programs) policy.Verdict {
+func (j *TargetEvaluator) evaluate(now kernel.Instant, record *judgeRecord, compiled programs) policy.Verdict {
 	err := compiled.err
 	if err == nil {
 		var verdict policy.Verdict
@@ -257,7 +259,7 @@
 	return record.verdict
 }
 
-func (j *Judge) noteVerdict(record *judgeRecord, verdict policy.Verdict, alive bool) {
+func (j *TargetEvaluator) noteVerdict(record *judgeRecord, verdict policy.Verdict, alive bool) {
 	if verdict.Alone != record.verdict.Alone || alive != record.alive {
 		j.log(eventlog.TargetVerdict, "service", record.service.Name, "target", record.target.Name,
 			"weight", verdict.Weight, "alive", alive, "reason", verdict.Reason)
@@ -266,12 +268,12 @@
 	record.alive = alive
 }
 
-func (j *Judge) log(event eventlog.ID, fields ...any) {
+func (j *TargetEvaluator) log(event eventlog.ID, fields ...any) {
 	j.events = append(j.events, LogEvent{Event: event, Fields: fields})
 }
 
 // Status returns the verdicts in order of service and target.
-func (j *Judge) Status() []*beamdoorv1.TargetStatus {
+func (j *TargetEvaluator) Status() []*beamdoorv1.TargetStatus {
 	var list []*beamdoorv1.TargetStatus
 	for _, record := range j.records {
 		firing := record.service.SharingPolicy
--- a/internal/control/judge_test.go
+++ b/internal/control/judge_test.go
@@ -15,7 +15,7 @@
 
 // judged is a judge of one service with four targets.
 type judged struct {
-	*Judge
+	*TargetEvaluator
 	now      kernel.Instant
 	services []*beamdoorv1.Service
 	policies []*beamdoorv1.Policy
@@ -26,17 +26,19 @@
 	for id := uint32(1); id <= 4; id++ {
 		service.Targets = append(service.Targets, &beamdoorv1.Target{Id: id, Name: fmt.Sprintf("t%d", id), Admin: "a", Slots: 2})
 	}
-	j := &judged{Judge: NewJudge(), services: []*beamdoorv1.Service{service}}
-	j.Adopt(0, j.services)
+	j := &judged{TargetEvaluator: NewTargetEvaluator(), services: []*beamdoorv1.Service{service}}
+	j.SetServices(0, j.services)
 	return j
 }
 
-func (j *judged) report(id uint32, report *beamdoorv1.LoadResponse) { j.Report(j.now, id, report) }
+func (j *judged) report(id uint32, report *beamdoorv1.LoadResponse) {
+	j.RecordReport(j.now, id, report)
+}
 
 // verdicts returns the signals of the cell by target, or nil without a change.
 func (j *judged) verdicts() map[uint32]wire.TargetSignal {
 	j.now = j.now.Add(time.Second)
-	changed, _ := j.Judge.Judge(j.now, j.services, CompilePolicies(j.services, j.policies))
+	changed, _ := j.TargetEvaluator.Evaluate(j.now, j.services, CompilePolicies(j.services, j.policies))
 	if changed[1] == nil {
 		return nil
 	}
@@ -68,12 +70,12 @@
 	}
 	j.verdicts()
 	for range deadAfter {
-		j.Missed(1)
+		j.RecordMissedReport(1)
 	}
 	assert.False(t, j.verdicts()[1].Alive)
 	for range deadAfter {
-		j.Missed(2)
-		j.Missed(3)
+		j.RecordMissedReport(2)
+		j.RecordMissedReport(3)
 	}
 	got := j.verdicts()
 	assert.True(t, got[1].Alive, "when most seem dead the fault is on this side")
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -280,7 +280,7 @@
 }
 
 func (t *leaseTable) foundingChange(now kernel.Instant, number uint32, cell *cellRecord, change *beamdoorv1.ViewChange) *beamdoorv1.ViewChange {
-	if now.Sub(cell.firstReport) < t.core.settings.FoundingWait {
+	if now.Sub(cell.firstReport) < t.core.settings.InitialViewDelay {
 		return nil
 	}
 	for _, record := range t.joiners(now, number) {
@@ -295,7 +295,7 @@
 // settled reports whether every live member has handed over what the newest
 // view took from it, or the wait for it has been too long.
 func (t *leaseTable) settled(now kernel.Instant, view *beamdoorv1.View, cell *cellRecord) bool {
-	if now.Sub(cell.lastChange) > t.core.settings.SettleLimit {
+	if now.Sub(cell.lastChange) > t.core.settings.SettleTimeout {
 		return true
 	}
 	for _, member := range view.Members {
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// HandleNode handles a frame from a connected balancer.
-func (c *Core) HandleNode(now kernel.Instant, connection ConnectionID, frame wire.Frame) Output {
+// HandleNodeFrame handles a frame from a connected balancer.
+func (c *Core) HandleNodeFrame(now kernel.Instant, connection ConnectionID, frame wire.Frame) Output {
 	if c.replica.Failed != nil || frame.Kind != wire.FrameReport {
 		return Output{}
 	}
@@ -132,8 +132,8 @@
 	}
 }
 
-// NodeGone forgets a balancer's connection.
-func (c *Core) NodeGone(connection ConnectionID) { c.nodes.remove(connection) }
+// NodeDisconnected forgets a balancer's connection.
+func (c *Core) NodeDisconnected(connection ConnectionID) { c.nodes.remove(connection) }
 
 // ConnectedNodes returns the number of balancers connected to this member.
 func (c *Core) ConnectedNodes() int { return len(c.nodes.byConnection) }
@@ -209,9 +209,9 @@
 	c.sendNode(node.connection, frame)
 }
 
-// SetSignals spreads new verdicts on the targets of a cell; only a leader
+// PublishSignals spreads new verdicts on the targets of a cell; only a leader
 // calls it.
-func (c *Core) SetSignals(now kernel.Instant, cell uint32, targets []wire.TargetSignal) Output {
+func (c *Core) PublishSignals(now kernel.Instant, cell uint32, targets []wire.TargetSignal) Output {
 	if !c.IsLeader() {
 		return c.take()
 	}
--- a/internal/control/prober.go
+++ b/internal/control/prober.go
@@ -31,7 +31,7 @@
 	policies Policies
 
 	mutex sync.Mutex
-	judge *Judge
+	judge *TargetEvaluator
 }
 
 func newProber(process *Process) *prober {
@@ -39,7 +39,7 @@
 	return &prober{
 		process: process,
 		client:  &http.Client{Timeout: probeTimeout, Transport: transport},
-		judge:   NewJudge(),
+		judge:   NewTargetEvaluator(),
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 	p.probeAll()
 	p.mutex.Lock()
-	changed, events := p.judge.Judge(p.process.now(), p.services, p.policies)
+	changed, events := p.judge.Evaluate(p.process.now(), p.services, p.policies)
 	p.mutex.Unlock()
 	for _, event := range events {
 		p.process.logger.Event(event.Event, event.Fields...)
@@ -102,7 +102,7 @@
 		p.services = services
 		p.policies = CompilePolicies(services, policies)
 		p.mutex.Lock()
-		p.judge.Adopt(p.process.now(), services)
+		p.judge.SetServices(p.process.now(), services)
 		p.mutex.Unlock()
 	}
 	return true
@@ -112,7 +112,7 @@
 	p.revision = 0
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.judge = NewJudge()
+	p.judge = NewTargetEvaluator()
 }
 
 // probeAll asks all targets, a bounded number at a time.
@@ -159,10 +159,10 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if err != nil {
-		p.judge.Missed(target.Id)
+		p.judge.RecordMissedReport(target.Id)
 		return
 	}
-	p.judge.Report(p.process.now(), target.Id, response.Msg)
+	p.judge.RecordReport(p.process.now(), target.Id, response.Msg)
 }
 
 // status returns the verdicts in order of service and target.
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -79,8 +79,8 @@
 	}
 	core.Raft.ID = raft.MemberID(loaded.ID)
 	core.Raft.Identity = identity
-	core.Founders = founders(loaded)
-	core.Contacts = contacts(loaded)
+	core.InitialMembers = founders(loaded)
+	core.SeedMembers = contacts(loaded)
 	core.Raft.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	process := &Process{
 		settings: loaded,
@@ -253,7 +253,7 @@
 }
 
 func (m memberInput) handle(p *Process, now kernel.Instant) Output {
-	return p.core.HandleMember(now, m.from, m.frame)
+	return p.core.HandleMemberFrame(now, m.from, m.frame)
 }
 
 type nodeInput struct {
@@ -262,7 +262,7 @@
 }
 
 func (n nodeInput) handle(p *Process, now kernel.Instant) Output {
-	return p.core.HandleNode(now, n.connection, n.frame)
+	return p.core.HandleNodeFrame(now, n.connection, n.frame)
 }
 
 type nodeOpened struct {
@@ -278,7 +278,7 @@
 type nodeClosed struct{ connection ConnectionID }
 
 func (n nodeClosed) handle(p *Process, _ kernel.Instant) Output {
-	p.core.NodeGone(n.connection)
+	p.core.NodeDisconnected(n.connection)
 	delete(p.nodes, n.connection)
 	return Output{}
 }
@@ -315,7 +315,7 @@
 }
 
 func (s signalsInput) handle(p *Process, now kernel.Instant) Output {
-	return p.core.SetSignals(now, s.cell, s.targets)
+	return p.core.PublishSignals(now, s.cell, s.targets)
 }
 
 type watchInput struct {
--- a/internal/control/restore_test.go
+++ b/internal/control/restore_test.go
@@ -39,8 +39,8 @@
 	settings.Raft.ID = id
 	settings.Raft.Identity = identity
 	settings.Raft.Random = rand.New(rand.NewPCG(uint64(id), 1))
-	settings.Founders = founders
-	settings.Contacts = []raft.MemberID{1, 2, 3}
+	settings.InitialMembers = founders
+	settings.SeedMembers = []raft.MemberID{1, 2, 3}
 	core, err := NewCore(0, settings, log, restored)
 	require.NoError(t, err)
 	return core
@@ -82,7 +82,7 @@
 func deliver(cores map[raft.MemberID]*Core, now kernel.Instant, from raft.MemberID, output Output) {
 	for _, message := range output.Members {
 		if to := cores[message.To]; to != nil {
-			deliver(cores, now, message.To, to.HandleMember(now, from, message.Frame))
+			deliver(cores, now, message.To, to.HandleMemberFrame(now, from, message.Frame))
 		}
 	}
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -94,9 +94,9 @@
 	return response
 }
 
-// InForce returns the newest revision that every balancer with a lease has
+// InForceRevision returns the newest revision that every balancer with a lease has
 // confirmed.
-func (c *Core) InForce(now kernel.Instant) uint64 {
+func (c *Core) InForceRevision(now kernel.Instant) uint64 {
 	newest := c.store.Revision()
 	for _, view := range c.store.Views() {
 		for _, member := range view.Members {
@@ -134,7 +134,7 @@
 	if !c.IsLeader() {
 		return response
 	}
-	response.InForceRevision = c.InForce(now)
+	response.InForceRevision = c.InForceRevision(now)
 	response.Balancers = c.balancerStatus(now)
 	return response
 }
--- a/internal/lab/sim/member.go
+++ b/internal/lab/sim/member.go
@@ -25,7 +25,7 @@
 	id       raft.MemberID
 	disk     *disk.Disk
 	core     *control.Core
-	judge    *control.Judge
+	judge    *control.TargetEvaluator
 	policies control.Policies
 	// services are those that the judge follows at present.
 	services    []*beamdoorv1.Service
@@ -51,7 +51,7 @@
 	m.start()
 	m.connections = map[control.ConnectionID]*connection{}
 	m.waiting = map[control.Token]func(control.Outcome){}
-	m.judge = control.NewJudge()
+	m.judge = control.NewTargetEvaluator()
 	m.judged = 0
 	if m.failure = m.open(founders); m.failure != nil {
 		m.world.trace("%s does not start: %v", m.name, m.failure)
@@ -83,8 +83,8 @@
 	}
 	log.SkipSync = m.world.mechanisms.SkipSync
 	settings := m.settings(identity, random)
-	settings.Founders = founders
-	settings.Contacts = m.world.contacts()
+	settings.InitialMembers = founders
+	settings.SeedMembers = m.world.contacts()
 	m.core, err = control.NewCore(m.now(), settings, log, restored)
 	return err
 }
@@ -142,7 +142,7 @@
 	}
 	m.world.network.stream(m.place, to.place, func() {
 		to.deliver(func() {
-			to.carryOut(to.core.HandleMember(to.now(), m.id, message.Frame))
+			to.carryOut(to.core.HandleMemberFrame(to.now(), m.id, message.Frame))
 		})
 	})
 }
@@ -150,13 +150,13 @@
 // receiveNode handles a frame of a connected balancer.
 func (m *member) receiveNode(open *connection, frame wire.Frame) {
 	m.connections[open.id] = open
-	m.carryOut(m.core.HandleNode(m.now(), open.id, frame))
+	m.carryOut(m.core.HandleNodeFrame(m.now(), open.id, frame))
 }
 
 // probe asks all targets for their load while this member leads.
 func (m *member) probe() {
 	if !m.core.IsLeader() || !m.core.CanRead(m.now()) {
-		m.judge = control.NewJudge()
+		m.judge = control.NewTargetEvaluator()
 		m.judged = 0
 		return
 	}
@@ -165,7 +165,7 @@
 		m.judged = state.Revision()
 		m.services = state.Services()
 		m.policies = control.CompilePolicies(m.services, state.Policies())
-		m.judge.Adopt(m.now(), m.services)
+		m.judge.SetServices(m.now(), m.services)
 	}
 	answered := map[uint32]bool{}
 	for _, service := range m.services {
@@ -188,7 +188,7 @@
 			m.world.network.stream(back.place, m.place, func() {
 				if _, open := answered[target.Id]; open {
 					answered[target.Id] = true
-					m.judge.Report(m.now(), target.Id, report)
+					m.judge.RecordReport(m.now(), target.Id, report)
 				}
 			})
 		})
@@ -199,7 +199,7 @@
 	for _, service := range m.services {
 		for _, target := range service.Targets {
 			if got, asked := answered[target.Id]; asked && !got {
-				m.judge.Missed(target.Id)
+				m.judge.RecordMissedReport(target.Id)
 			}
 		}
 	}
@@ -207,13 +207,13 @@
 	if !m.core.IsLeader() || m.frozen || m.judged == 0 {
 		return
 	}
-	changed, events := m.judge.Judge(m.now(), m.services, m.policies)
+	changed, events := m.judge.Evaluate(m.now(), m.services, m.policies)
 	for _, logged := range events {
 		m.world.logged(m.name, logged.Event, logged.Fields)
 	}
 	for cell := uint32(0); cell <= m.world.plan.Cells; cell++ {
 		if signals, any := changed[cell]; any {
-			m.carryOut(m.core.SetSignals(m.now(), cell, signals))
+			m.carryOut(m.core.PublishSignals(m.now(), cell, signals))
 		}
 	}
 }
