--- a/internal/routing/action.go
+++ b/internal/routing/action.go
@@ -7,26 +7,26 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// ActionKind tells what an Action asks for.
+// ActionKind identifies the operation that an Action requests.
 type ActionKind uint8
 
-// The kinds of actions.
+// The operations that the router requests from its process.
 const (
-	// ActionToTarget sends Payload to the target at Address, behind a header
-	// with Caller, Service and Tag.
+	// ActionToTarget sends Payload to the target at Address, prefixed with a
+	// header that holds Caller, Service and Tag.
 	ActionToTarget ActionKind = iota + 1
-	// ActionToCaller sends Payload to Caller from the address Service.
+	// ActionToCaller sends Payload to Caller with Service as source address.
 	ActionToCaller
 	// ActionToPeer sends Packet to the balancer at Address.
 	ActionToPeer
 	// ActionToControl sends Report to the control plane.
 	ActionToControl
-	// ActionLog writes an event.
+	// ActionLog writes Event with Fields to the event log.
 	ActionLog
 )
 
-// Action is something that the router wants done. Its byte slices are valid
-// until the next Step.
+// Action is an operation that the process carries out for the router. Its byte
+// slices are valid until the next call of a Router method that returns actions.
 type Action struct {
 	Kind    ActionKind
 	Address netip.AddrPort
@@ -40,7 +40,8 @@
 	Fields  []any
 }
 
-// Counters are the router's statistics since its start.
+// Counters holds counts of packets and decisions since the router started. The field
+// names are label values of a metric.
 type Counters struct {
 	CallerPackets    uint64
 	TargetPackets    uint64
@@ -70,7 +71,7 @@
 	AnswersKept      uint64
 	HistoryUnknown   uint64
 	HandoverRecords  uint64
-	// ControlBytes counts the payload bytes of all messages that carry no
-	// caller's packet: reports, handovers and notices of views.
+	// ControlBytes counts the encoded bytes of all messages that carry no caller's
+	// packet: reports, handovers, probes and view notices.
 	ControlBytes uint64
 }
--- a/internal/routing/answer.go
+++ b/internal/routing/answer.go
@@ -11,72 +11,75 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// keptAnswerLimit is the largest answer kept for retransmissions, in bytes.
-const keptAnswerLimit = 1280
+// maxStoredAnswerSize is the size in bytes of the largest answer that is stored
+// to answer retransmissions.
+const maxStoredAnswerSize = 1280
 
-// serviceTimeShare is the weight of one answer in the moving average: one eighth.
-const serviceTimeShare = 8
+// serviceTimeSmoothing is the divisor of the exponential moving average of
+// service times: each answer has a weight of 1/8.
+const serviceTimeSmoothing = 8
 
-// handleAnswer passes a target's answer to the caller. It drops what does not
-// come from a target of the service.
+// handleAnswer forwards a target's answer to the caller. It drops an answer whose
+// tag does not name a target of the service.
 func (r *Router) handleAnswer(serviceAddress, caller netip.AddrPort, tag wire.ForwardTag, payload []byte) {
-	owner := r.table.byAddress[serviceAddress]
+	svc := r.table.byAddress[serviceAddress]
 	from := r.table.targets[tag.TargetID]
-	genuine := owner != nil && from != nil && from.service == owner && tag.ServiceID == owner.id
-	if !genuine && !r.settings.Mechanisms.NoTagCheck {
+	authentic := svc != nil && from != nil && from.service == svc && tag.ServiceID == svc.id
+	if !authentic && !r.settings.Mechanisms.NoTagCheck {
 		r.counters.StaleAnswers++
 		return
 	}
-	if owner == nil {
+	if svc == nil {
 		return
 	}
 	code := coapmsg.Code(payload)
 	refusal := code == codes.ServiceUnavailable
-	fingerprint := Flow{Caller: caller, ServiceID: owner.id}.Fingerprint()
+	fingerprint := Flow{Caller: caller, ServiceID: svc.id}.Fingerprint()
 	if from != nil && !refusal {
-		r.learn(fingerprint, from, tag.View)
+		r.learnFlow(fingerprint, from, tag.View)
 	}
 	if tag.RequestKey == 0 || code == codes.Empty {
-		r.toCaller(owner, caller, payload)
+		r.toCaller(svc, caller, payload)
 		return
 	}
 	if !refusal {
-		r.toCaller(owner, caller, payload)
+		r.toCaller(svc, caller, payload)
 	}
-	r.reportAnswer(owner, caller, fingerprint, tag, refusal, payload)
+	r.reportAnswer(svc, caller, fingerprint, tag, refusal, payload)
 }
 
-// learn remembers the target of a flow from an answer that passes by.
-func (r *Router) learn(fingerprint uint64, from *target, registered uint64) {
+// learnFlow records the target of a flow from an answer. A record of another
+// target that was registered in the same or a later view is kept.
+func (r *Router) learnFlow(fingerprint uint64, from *target, registeredView uint64) {
 	record, known := r.flows.get(fingerprint)
-	if known && record.targetID != from.id && record.registered >= registered {
+	if known && record.targetID != from.id && record.registeredView >= registeredView {
 		return
 	}
 	if !from.usable() {
 		return
 	}
 	if known && record.targetID != from.id {
-		r.uncount(record)
+		r.uncountPlaced(record)
 		record = flowRecord{}
 	}
 	if !known {
-		record.confirmed = lastSeenAt(r.now)
+		record.confirmedAt = flowTimestamp(r.now)
 	}
 	record.targetID = from.id
-	record.registered = max(record.registered, registered)
-	record.lastSeen = lastSeenAt(r.now)
+	record.registeredView = max(record.registeredView, registeredView)
+	record.lastSeen = flowTimestamp(r.now)
 	record.flags |= flowAnswered
 	r.flows.put(fingerprint, record)
 }
 
-// reportAnswer tells the primary how a request that may not be repeated ended.
-func (r *Router) reportAnswer(owner *service, caller netip.AddrPort, fingerprint uint64, tag wire.ForwardTag, refusal bool, payload []byte) {
+// reportAnswer sends the answer to an unsafe request to the primary of its flow.
+func (r *Router) reportAnswer(svc *service, caller netip.AddrPort, fingerprint uint64, tag wire.ForwardTag, refusal bool, payload []byte) {
 	if r.table.view == nil {
 		return
 	}
 	packet := wire.PeerPacket{
 		Kind:       wire.PeerAnswer,
-		ServiceID:  owner.id,
+		ServiceID:  svc.id,
 		TargetID:   tag.TargetID,
 		RequestKey: tag.RequestKey,
 		Caller:     caller,
@@ -93,18 +96,18 @@
 	r.toPeer(owners.primary, packet)
 }
 
-// receiveAnswer notes the end of a request on the primary, and on the backup
-// when the primary has passed it on.
+// receiveAnswer records the answer to a request, on the primary first and then on
+// the backup. The primary also retries or delivers a refusal.
 func (r *Router) receiveAnswer(packet *wire.PeerPacket) {
 	request := r.ledger.get(packet.RequestKey)
 	refusal := packet.Flags.Has(wire.FlagRefusal)
-	owner := r.table.byID[packet.ServiceID]
-	if owner == nil || r.table.view == nil {
+	svc := r.table.byID[packet.ServiceID]
+	if svc == nil || r.table.view == nil {
 		return
 	}
 	if request == nil {
 		if refusal {
-			r.toCaller(owner, packet.Caller, packet.Payload)
+			r.toCaller(svc, packet.Caller, packet.Payload)
 		}
 		return
 	}
@@ -114,7 +117,7 @@
 	if request.targetID != 0 && request.targetID != packet.TargetID {
 		return
 	}
-	if refusal && !packet.Flags.Has(wire.FlagFinal) && r.retry(packet.RequestKey, request, owner) {
+	if refusal && !packet.Flags.Has(wire.FlagFinal) && r.retry(packet.RequestKey, request, svc) {
 		return
 	}
 	r.finishRequest(request, refusal, packet.Payload)
@@ -122,167 +125,175 @@
 		return
 	}
 	if refusal {
-		r.toCaller(owner, packet.Caller, packet.Payload)
+		r.toCaller(svc, packet.Caller, packet.Payload)
 	}
-	r.passToBackup(request, packet)
+	r.forwardAnswerToBackup(request, packet)
 }
 
-func (r *Router) passToBackup(request *requestRecord, packet *wire.PeerPacket) {
+// forwardAnswerToBackup sends the answer to the backup, if this balancer is the
+// primary.
+func (r *Router) forwardAnswerToBackup(request *requestRecord, packet *wire.PeerPacket) {
 	owners := r.table.view.pairs[PartitionOf(request.flow)]
 	if owners.backup == 0 || owners.primary != r.id {
 		return
 	}
-	copied := *packet
-	copied.Flags |= wire.FlagFinal
-	r.toPeer(owners.backup, copied)
+	forwarded := *packet
+	forwarded.Flags |= wire.FlagFinal
+	r.toPeer(owners.backup, forwarded)
 }
 
+// finishRequest marks a request as answered or refused and stores the answer for
+// retransmissions.
 func (r *Router) finishRequest(request *requestRecord, refusal bool, answer []byte) {
 	request.state = requestAnswered
 	if refusal {
 		request.state = requestRefused
 	}
 	request.packet = nil
-	if len(answer) <= keptAnswerLimit {
+	if len(answer) <= maxStoredAnswerSize {
 		request.answer = append([]byte(nil), answer...)
 		r.counters.AnswersKept++
 	}
-	r.untrack(request, !refusal)
+	r.releaseOutstanding(request, !refusal)
 }
 
-// untrack ends the request's count at its target; an answer also updates the
-// target's service time.
-func (r *Router) untrack(request *requestRecord, answered bool) {
-	if !request.tracked {
+// releaseOutstanding decrements the target's count of outstanding requests. An
+// answer also updates the target's average service time.
+func (r *Router) releaseOutstanding(request *requestRecord, answered bool) {
+	if !request.countedOutstanding {
 		return
 	}
-	request.tracked = false
-	to := r.table.targets[request.targetID]
-	if to == nil {
+	request.countedOutstanding = false
+	dest := r.table.targets[request.targetID]
+	if dest == nil {
 		return
 	}
-	to.outstanding--
+	dest.outstanding--
 	if answered {
-		taken := r.now.Sub(request.started)
-		to.serviceTime += (taken - to.serviceTime) / serviceTimeShare
+		elapsed := r.now.Sub(request.started)
+		dest.serviceTime += (elapsed - dest.serviceTime) / serviceTimeSmoothing
 	}
 }
 
-// requestExpired ends a request whose deadline has passed without an answer.
-func (r *Router) requestExpired(key uint64, request *requestRecord) { r.giveUp(key, request) }
+// handleRequestTimeout ends a request whose deadline passed without an answer.
+func (r *Router) handleRequestTimeout(key uint64, request *requestRecord) {
+	r.endAsUnknown(key, request)
+}
 
-// speaksFor reports whether this balancer tells the caller of the request's
-// end: the decider does, also when the partition has moved on since, and the
-// backup does once the decider has left the view.
-func (r *Router) speaksFor(request *requestRecord) bool {
+// mustNotifyCaller reports whether this balancer tells the caller how the request
+// ended: it decided on the request, or the balancer that did has left the view.
+func (r *Router) mustNotifyCaller(request *requestRecord) bool {
 	return request.decider == r.id || r.table.view.member(request.decider) == nil
 }
 
-// giveUp answers "outcome unknown" at once, or only marks the record when
-// another balancer speaks.
-func (r *Router) giveUp(key uint64, request *requestRecord) {
+// endAsUnknown marks the request's outcome as unknown and answers 5.04, unless
+// another balancer is responsible for telling the caller.
+func (r *Router) endAsUnknown(key uint64, request *requestRecord) {
 	if r.settings.Mechanisms.UnsafeRetry && r.retryUnsafe(key, request) {
 		return
 	}
 	request.state = requestUnknown
-	r.untrack(request, false)
+	r.releaseOutstanding(request, false)
 	packet := request.packet
 	request.packet = nil
-	owner := r.table.byID[request.service]
-	if owner == nil || packet == nil || r.table.view == nil {
+	svc := r.table.byID[request.service]
+	if svc == nil || packet == nil || r.table.view == nil {
 		return
 	}
-	if !r.speaksFor(request) {
+	if !r.mustNotifyCaller(request) {
 		return
 	}
 	if r.parser.Parse(packet) != nil {
 		return
 	}
 	r.counters.UnknownOutcome++
-	r.log(eventlog.RequestUnknown, "service", owner.name, "caller", request.caller, "target", request.targetID)
-	r.toCaller(owner, request.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.log(eventlog.RequestUnknown, "service", svc.name, "caller", request.caller, "target", request.targetID)
+	r.toCaller(svc, request.caller, r.parser.Answer(codes.GatewayTimeout, 0))
 }
 
-// endTarget ends all flows of a target that died, and tells their callers.
-func (r *Router) endTarget(dead *target) {
-	flows := r.flows.of(dead.id)
+// handleTargetDeath ends the flows and the pending requests of a dead target. The
+// primaries of the flows notify the observers.
+func (r *Router) handleTargetDeath(dead *target) {
+	flows := r.flows.withTarget(dead.id)
 	for _, fingerprint := range flows {
-		r.uncount(r.flows.records[fingerprint])
+		r.uncountPlaced(r.flows.records[fingerprint])
 		r.flows.remove(fingerprint)
 		if r.table.view != nil && r.table.view.pairs[PartitionOf(fingerprint)].primary == r.id {
 			r.counters.FlowsBroken++
-			r.endObserver(fingerprint)
+			r.notifyObservationEnded(fingerprint)
 		}
 	}
-	for _, key := range r.ledger.waitingFor(dead.id) {
-		r.giveUp(key, r.ledger.get(key))
+	for _, key := range r.ledger.pendingAt(dead.id) {
+		r.endAsUnknown(key, r.ledger.get(key))
 	}
 	r.log(eventlog.TargetLost, "target", dead.name, "service", dead.service.name, "flows", len(flows))
 }
 
-// endEarlierRun ends what a target's earlier run knew: observations that began
-// before its present run, and requests under way there. Flows go on with the
-// present run, which also has those that began with it.
-func (r *Router) endEarlierRun(restarted *target, began kernel.Instant) {
-	ended := 0
-	for _, fingerprint := range r.flows.of(restarted.id) {
+// handleTargetRestart ends the observations and pending requests that a target's
+// process lost in a restart, which are those older than its current run. The
+// flows keep the target.
+func (r *Router) handleTargetRestart(restarted *target, runStarted kernel.Instant) {
+	endedObservations := 0
+	for _, fingerprint := range r.flows.withTarget(restarted.id) {
 		entry, known := r.observers[fingerprint]
-		if !known || entry.since >= began {
+		if !known || entry.startedAt >= runStarted {
 			continue
 		}
-		ended++
+		endedObservations++
 		if r.table.view != nil && r.table.view.pairs[PartitionOf(fingerprint)].primary == r.id {
 			r.counters.FlowsBroken++
-			r.endObserver(fingerprint)
+			r.notifyObservationEnded(fingerprint)
 		}
 	}
-	for _, key := range r.ledger.waitingFor(restarted.id) {
-		if request := r.ledger.get(key); request.started < began {
-			r.giveUp(key, request)
+	for _, key := range r.ledger.pendingAt(restarted.id) {
+		if request := r.ledger.get(key); request.started < runStarted {
+			r.endAsUnknown(key, request)
 		}
 	}
-	r.log(eventlog.TargetRestarted, "target", restarted.name, "service", restarted.service.name, "observations", ended)
+	r.log(eventlog.TargetRestarted, "target", restarted.name, "service", restarted.service.name, "observations", endedObservations)
 }
 
-// observer is a caller that waits for notifications of a flow.
+// observer is a caller that is registered for notifications (RFC 7641).
 type observer struct {
-	service uint32
-	caller  netip.AddrPort
-	since   kernel.Instant
-	token   [8]byte
-	size    uint8
+	service     uint32
+	caller      netip.AddrPort
+	startedAt   kernel.Instant
+	token       [8]byte
+	tokenLength uint8
 }
 
-// noteObserver remembers who must be told when the flow's target dies.
-func (r *Router) noteObserver(work *job) {
-	if work.class != coapmsg.ClassObserve {
+// updateObserver adds or removes the flow's observer, which is notified when the
+// target dies. Other requests leave it unchanged.
+func (r *Router) updateObserver(incoming *incomingPacket) {
+	if incoming.class != coapmsg.ClassObserve {
 		return
 	}
 	if !r.parser.IsRegistration() {
-		delete(r.observers, work.fingerprint)
+		delete(r.observers, incoming.fingerprint)
 		return
 	}
-	entry := observer{service: work.service.id, caller: work.caller, since: r.now}
-	entry.size = uint8(copy(entry.token[:], r.parser.Message.Token))
-	r.observers[work.fingerprint] = entry
+	entry := observer{service: incoming.service.id, caller: incoming.caller, startedAt: r.now}
+	entry.tokenLength = uint8(copy(entry.token[:], r.parser.Message.Token))
+	r.observers[incoming.fingerprint] = entry
 }
 
-// observerMaxAge asks the caller of a broken observation to come back at once.
-const observerMaxAge = 1
+// endedObservationMaxAge is the Max-Age in seconds of the answer that ends an
+// observation, so that the caller registers again without delay.
+const endedObservationMaxAge = 1
 
-// endObserver tells a caller that its observation has ended (RFC 7641,
-// section 4.2: an error code removes the observer).
-func (r *Router) endObserver(fingerprint uint64) {
+// notifyObservationEnded ends the flow's observation with an error response,
+// which removes the observer (RFC 7641, section 4.2).
+func (r *Router) notifyObservationEnded(fingerprint uint64) {
 	entry, known := r.observers[fingerprint]
 	if !known {
 		return
 	}
 	delete(r.observers, fingerprint)
-	owner := r.table.byID[entry.service]
-	if owner == nil {
+	svc := r.table.byID[entry.service]
+	if svc == nil {
 		return
 	}
-	r.ownMessageID++
-	answer := coapmsg.SeparateAnswer(codes.ServiceUnavailable, r.ownMessageID, entry.token[:entry.size], observerMaxAge)
-	r.toCaller(owner, entry.caller, answer)
+	r.lastMessageID++
+	answer := coapmsg.SeparateAnswer(codes.ServiceUnavailable, r.lastMessageID, entry.token[:entry.tokenLength], endedObservationMaxAge)
+	r.toCaller(svc, entry.caller, answer)
 }
--- a/internal/routing/backup.go
+++ b/internal/routing/backup.go
@@ -6,33 +6,35 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// receiveToBackup records the primary's decision and carries it out. It is
-// refused when the two do not have the same view, or when this balancer's
-// lease has lapsed: then another pair may have taken over.
+// receiveToBackup records the primary's decision and forwards the packet. It
+// rejects the relay when the views differ or this balancer has no lease, because
+// another pair may own the partition by then.
 func (r *Router) receiveToBackup(packet *wire.PeerPacket) {
-	var work job
-	if !r.readPeerJob(&work, packet) {
+	var incoming incomingPacket
+	if !r.parseRelayedPacket(&incoming, packet) {
 		return
 	}
-	if !r.acceptsFrom(packet, work.partition) {
+	if !r.acceptsDecision(packet, incoming.partition) {
 		return
 	}
-	if work.unsafe() {
-		r.backupRequest(&work, packet)
+	if incoming.unsafe() {
+		r.recordAsBackup(&incoming, packet)
 		return
 	}
-	to := r.table.targets[packet.TargetID]
-	if to == nil || !to.usable() {
+	dest := r.table.targets[packet.TargetID]
+	if dest == nil || !dest.usable() {
 		r.counters.Unroutable++
 		return
 	}
-	r.storeFlow(&work, to)
-	r.noteObserver(&work)
-	r.toTarget(to, work.caller, r.table.view.number, 0, work.payload)
+	r.storeFlow(&incoming, dest)
+	r.updateObserver(&incoming)
+	r.toTarget(dest, incoming.caller, r.table.view.number, 0, incoming.payload)
 }
 
-// acceptsFrom checks lease, view and pair.
-func (r *Router) acceptsFrom(packet *wire.PeerPacket, partition int) bool {
+// acceptsDecision reports whether this balancer holds a lease, has the sender's
+// view and is the backup of the sender's partition. It notifies a sender with an
+// older view.
+func (r *Router) acceptsDecision(packet *wire.PeerPacket, partition int) bool {
 	if r.settings.Mechanisms.NoViewCheck {
 		return true
 	}
@@ -51,73 +53,75 @@
 	return true
 }
 
-// sendControlPacket sends a packet that carries no caller's packet.
-func (r *Router) sendControlPacket(to uint32, packet wire.PeerPacket) {
+// sendControlPacket sends a packet that carries no caller's packet and adds its
+// size to ControlBytes.
+func (r *Router) sendControlPacket(peerID uint32, packet wire.PeerPacket) {
 	r.counters.ControlBytes += uint64(wire.PeerHeaderSize + len(packet.Payload))
-	r.toPeer(to, packet)
+	r.toPeer(peerID, packet)
 }
 
-// storeFlow stores the primary's choice. The next answer of the target shows
-// the view in which it was registered.
-func (r *Router) storeFlow(work *job, to *target) {
-	record, known := r.flows.get(work.fingerprint)
-	if !known || record.targetID != to.id {
-		r.uncount(record)
-		record = flowRecord{targetID: to.id}
+// storeFlow records the target that the primary chose as registered in the
+// current view.
+func (r *Router) storeFlow(incoming *incomingPacket, dest *target) {
+	record, known := r.flows.get(incoming.fingerprint)
+	if !known || record.targetID != dest.id {
+		r.uncountPlaced(record)
+		record = flowRecord{targetID: dest.id}
 	}
-	record.registered = r.table.view.number
-	record.confirmed = lastSeenAt(r.now)
-	record.lastSeen = lastSeenAt(r.now)
-	r.flows.put(work.fingerprint, record)
+	record.registeredView = r.table.view.number
+	record.confirmedAt = flowTimestamp(r.now)
+	record.lastSeen = flowTimestamp(r.now)
+	r.flows.put(incoming.fingerprint, record)
 }
 
-// backupRequest is the last place before the target, and so decides whether a
-// request that may not be repeated was seen before.
-func (r *Router) backupRequest(work *job, packet *wire.PeerPacket) {
-	previous := r.ledger.get(work.requestKey)
-	again := previous != nil && (packet.Attempt <= previous.attempt || previous.state != requestForwarded)
-	if again {
-		r.answerRepeated(work)
+// recordAsBackup records an unsafe request and forwards it to the target. As the
+// last hop before the target, it rejects a request that it has seen before and
+// one that an unknown earlier owner may have forwarded.
+func (r *Router) recordAsBackup(incoming *incomingPacket, packet *wire.PeerPacket) {
+	previous := r.ledger.get(incoming.requestKey)
+	repeated := previous != nil && (packet.Attempt <= previous.attempt || previous.state != requestForwarded)
+	if repeated {
+		r.answerRetransmission(incoming)
 		return
 	}
 	covered := packet.Flags.Has(wire.FlagCovered)
-	if !covered && !r.historyKnown(work.partition) {
-		r.answerUnknown(work)
+	if !covered && !r.hasRequestHistory(incoming.partition) {
+		r.answerOutcomeUnknown(incoming)
 		return
 	}
-	request := r.newRequest(work)
+	request := r.newRequestRecord(incoming)
 	request.attempt = packet.Attempt
 	request.targetID = packet.TargetID
 	request.decider = packet.From
-	request.packet = append([]byte(nil), work.payload...)
+	request.packet = append([]byte(nil), incoming.payload...)
 	if packet.Flags.Has(wire.FlagRefuse) {
 		request.state = requestRefused
-		r.ledger.put(work.requestKey, request)
-		r.refuse(work)
+		r.ledger.put(incoming.requestKey, request)
+		r.refuse(incoming)
 		return
 	}
-	to := r.table.targets[packet.TargetID]
-	if to == nil || !to.usable() {
-		r.backupCannotReach(work, request)
+	dest := r.table.targets[packet.TargetID]
+	if dest == nil || !dest.usable() {
+		r.answerTargetUnusable(incoming, request)
 		return
 	}
-	r.ledger.put(work.requestKey, request)
-	r.storeFlow(work, to)
-	r.toTarget(to, work.caller, r.table.view.number, work.requestKey, work.payload)
+	r.ledger.put(incoming.requestKey, request)
+	r.storeFlow(incoming, dest)
+	r.toTarget(dest, incoming.caller, r.table.view.number, incoming.requestKey, incoming.payload)
 }
 
-// backupCannotReach ends a request whose target is dead by this balancer's
-// newer knowledge. Nobody forwarded it, but the primary's record says that it
-// may have run, so both say that the outcome is unknown.
-func (r *Router) backupCannotReach(work *job, request *requestRecord) {
+// answerTargetUnusable ends a request whose target is unusable according to this
+// balancer. The request was not forwarded, but the primary recorded it as
+// forwarded, so both balancers report an unknown outcome.
+func (r *Router) answerTargetUnusable(incoming *incomingPacket, request *requestRecord) {
 	request.state = requestUnknown
-	r.ledger.put(work.requestKey, request)
+	r.ledger.put(incoming.requestKey, request)
 	r.counters.UnknownOutcome++
-	r.toCaller(work.service, work.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.GatewayTimeout, 0))
 }
 
-// historyKnown reports whether this balancer holds the records of all
-// requests of a partition that may still be retransmitted.
-func (r *Router) historyKnown(partition int) bool {
-	return r.settings.Mechanisms.NoHistoryCheck || r.coverage.coversRequests(partition)
+// hasRequestHistory reports whether this balancer holds the records of all
+// requests of a partition that can still be retransmitted.
+func (r *Router) hasRequestHistory(partition int) bool {
+	return r.settings.Mechanisms.NoHistoryCheck || r.coverage.hasAllRequests(partition)
 }
--- a/internal/routing/caller.go
+++ b/internal/routing/caller.go
@@ -10,12 +10,12 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// hopLimit bounds the relays of one packet while balancers disagree on who
-// is the primary.
-const hopLimit = 3
+// maxHops limits the relays of a packet while balancers with different views
+// disagree on the primary.
+const maxHops = 3
 
-// job is a caller's packet with what is known of it.
-type job struct {
+// incomingPacket is a caller's packet with the fields derived from it.
+type incomingPacket struct {
 	service     *service
 	caller      netip.AddrPort
 	class       coapmsg.Class
@@ -25,31 +25,31 @@
 	payload     []byte
 }
 
-func (j *job) unsafe() bool { return j.class == coapmsg.ClassUnsafe }
+func (p *incomingPacket) unsafe() bool { return p.class == coapmsg.ClassUnsafe }
 
-// handleCaller reads a caller's packet and hands it to the scheme.
+// handleCaller parses a caller's packet and routes it by the configured scheme.
+// It answers pings and malformed packets itself.
 func (r *Router) handleCaller(serviceAddress, caller netip.AddrPort, payload []byte) {
-	owner := r.table.byAddress[serviceAddress]
-	if owner == nil {
+	svc := r.table.byAddress[serviceAddress]
+	if svc == nil {
 		r.refuseUnknownService(serviceAddress, caller, payload)
 		return
 	}
-	work := &r.callerJob
-	if !r.readJob(work, owner, caller, payload) {
+	incoming := &r.callerPacket
+	if !r.parseCallerPacket(incoming, svc, caller, payload) {
 		r.counters.Malformed++
-		r.toCaller(owner, caller, coapmsg.Reset(payload))
+		r.toCaller(svc, caller, coapmsg.Reset(payload))
 		return
 	}
-	if work.class == coapmsg.ClassPing {
-		r.toCaller(owner, caller, coapmsg.Reset(payload))
+	if incoming.class == coapmsg.ClassPing {
+		r.toCaller(svc, caller, coapmsg.Reset(payload))
 		return
 	}
-	r.scheme.Route(r, work)
+	r.scheme.Route(r, incoming)
 }
 
-// refuseUnknownService answers 4.04 to a request to an address that is no
-// service; everything else is only counted. Without a lease this balancer may
-// not have heard of the service yet, and says nothing.
+// refuseUnknownService answers 4.04 to a request to an address without a service.
+// Without a lease it stays silent, because its configuration may be out of date.
 func (r *Router) refuseUnknownService(address, caller netip.AddrPort, payload []byte) {
 	r.counters.UnknownService++
 	if !r.HasLease(r.now) {
@@ -61,148 +61,154 @@
 	r.toCaller(&service{address: address}, caller, r.parser.Answer(codes.NotFound, 0))
 }
 
-// readJob decodes a packet. It returns false when the packet is malformed.
-func (r *Router) readJob(work *job, owner *service, caller netip.AddrPort, payload []byte) bool {
+// parseCallerPacket fills in incoming from a payload. It returns false when the
+// payload is malformed.
+func (r *Router) parseCallerPacket(incoming *incomingPacket, svc *service, caller netip.AddrPort, payload []byte) bool {
 	if r.parser.Parse(payload) != nil {
 		return false
 	}
-	*work = job{service: owner, caller: caller, payload: payload}
-	work.class = r.parser.Class()
-	work.fingerprint = Flow{Caller: caller, ServiceID: owner.id}.Fingerprint()
-	work.partition = PartitionOf(work.fingerprint)
-	if work.unsafe() {
-		work.requestKey = r.parser.RequestKey(work.fingerprint)
+	*incoming = incomingPacket{service: svc, caller: caller, payload: payload}
+	incoming.class = r.parser.Class()
+	incoming.fingerprint = Flow{Caller: caller, ServiceID: svc.id}.Fingerprint()
+	incoming.partition = PartitionOf(incoming.fingerprint)
+	if incoming.unsafe() {
+		incoming.requestKey = r.parser.RequestKey(incoming.fingerprint)
 	}
 	return true
 }
 
-// certainTarget returns the flow's target when this balancer knows it and the
-// partition's pair is known to hold the flow too.
-func (r *Router) certainTarget(work *job, record flowRecord) *target {
-	if record.registered < r.table.view.epochs[work.partition] || !r.confirmedLately(work, record) {
+// confirmedTarget returns the flow's target, or nil when the target is unusable or
+// the partition's current pair may not hold the flow.
+func (r *Router) confirmedTarget(incoming *incomingPacket, record flowRecord) *target {
+	if record.registeredView < r.table.view.pairChangedIn[incoming.partition] || !r.recentlyConfirmed(incoming, record) {
 		return nil
 	}
-	to := r.table.targets[record.targetID]
-	if to == nil || !to.usable() || to.service != work.service {
+	dest := r.table.targets[record.targetID]
+	if dest == nil || !dest.usable() || dest.service != incoming.service {
 		return nil
 	}
-	return to
+	return dest
 }
 
-// confirmShare is the part of the idle timeout after which a packet of a
-// known flow goes through the pair again, so that the pair does not forget it.
-const confirmShare = 3
+// confirmDivisor sets how often a packet of a known flow goes through the pair:
+// once per idle timeout divided by it, so that the pair does not expire the flow.
+const confirmDivisor = 3
 
-func (r *Router) confirmedLately(work *job, record flowRecord) bool {
-	age := time.Duration(lastSeenAt(r.now)-record.confirmed) * lastSeenUnit
-	return age < work.service.limits.idleTimeout/confirmShare
+// recentlyConfirmed reports whether a packet of the flow went through the pair
+// within the confirmation interval.
+func (r *Router) recentlyConfirmed(incoming *incomingPacket, record flowRecord) bool {
+	age := time.Duration(flowTimestamp(r.now)-record.confirmedAt) * timestampUnit
+	return age < incoming.service.limits.idleTimeout/confirmDivisor
 }
 
-// forwardDirect sends a packet of a known flow straight to its target.
-func (r *Router) forwardDirect(work *job, record flowRecord, to *target) {
-	if current := lastSeenAt(r.now); record.lastSeen != current {
+// forwardDirect sends a packet of a known flow to its target without the pair.
+func (r *Router) forwardDirect(incoming *incomingPacket, record flowRecord, dest *target) {
+	if current := flowTimestamp(r.now); record.lastSeen != current {
 		record.lastSeen = current
-		r.flows.put(work.fingerprint, record)
+		r.flows.put(incoming.fingerprint, record)
 	}
 	r.counters.ForwardedDirect++
-	r.toTarget(to, work.caller, record.registered, 0, work.payload)
+	r.toTarget(dest, incoming.caller, record.registeredView, 0, incoming.payload)
 }
 
-// relayToPrimary passes a packet to the primary of its partition, together
-// with the target that this balancer knows for the flow.
-func (r *Router) relayToPrimary(work *job) {
-	owners := r.table.view.pairs[work.partition]
-	packet := r.peerPacket(wire.PeerToPrimary, work)
-	if record, known := r.flows.get(work.fingerprint); known {
+// relayToPrimary sends a packet to the primary of its partition, with the target
+// that this balancer has recorded for the flow. It uses the backup instead when
+// the primary is suspected to be down.
+func (r *Router) relayToPrimary(incoming *incomingPacket) {
+	owners := r.table.view.pairs[incoming.partition]
+	packet := r.peerPacket(wire.PeerToPrimary, incoming)
+	if record, known := r.flows.get(incoming.fingerprint); known {
 		packet.Flags |= wire.FlagKnown
 		packet.TargetID = record.targetID
-		record.confirmed = lastSeenAt(r.now)
-		r.flows.put(work.fingerprint, record)
+		record.confirmedAt = flowTimestamp(r.now)
+		r.flows.put(incoming.fingerprint, record)
 	}
 	if owners.primary == r.id {
-		r.decide(work, packet.Flags, packet.TargetID)
+		r.decide(incoming, packet.Flags, packet.TargetID)
 		return
 	}
 	r.counters.RelayedToPrimary++
 	packet.Hops = 1
-	to := owners.primary
-	if owners.backup != 0 && owners.backup != r.id && r.suspects(to) {
-		to = owners.backup
+	peerID := owners.primary
+	if owners.backup != 0 && owners.backup != r.id && r.isSuspected(peerID) {
+		peerID = owners.backup
 	}
-	r.toPeer(to, packet)
+	r.toPeer(peerID, packet)
 }
 
-func (r *Router) peerPacket(kind wire.PeerKind, work *job) wire.PeerPacket {
+// peerPacket returns a relay of a caller's packet.
+func (r *Router) peerPacket(kind wire.PeerKind, incoming *incomingPacket) wire.PeerPacket {
 	packet := wire.PeerPacket{
 		Kind:       kind,
-		ServiceID:  work.service.id,
-		RequestKey: work.requestKey,
-		Caller:     work.caller,
-		Payload:    work.payload,
+		ServiceID:  incoming.service.id,
+		RequestKey: incoming.requestKey,
+		Caller:     incoming.caller,
+		Payload:    incoming.payload,
 	}
-	if work.unsafe() {
+	if incoming.unsafe() {
 		packet.Flags |= wire.FlagUnsafe
 	}
 	return packet
 }
 
-// readPeerJob decodes the caller's packet inside a relay.
-func (r *Router) readPeerJob(work *job, packet *wire.PeerPacket) bool {
-	owner := r.table.byID[packet.ServiceID]
-	if owner == nil {
+// parseRelayedPacket parses the caller's packet inside a relay. It returns false
+// when the service is unknown, the packet is malformed or there is no view.
+func (r *Router) parseRelayedPacket(incoming *incomingPacket, packet *wire.PeerPacket) bool {
+	svc := r.table.byID[packet.ServiceID]
+	if svc == nil {
 		r.counters.UnknownService++
 		return false
 	}
-	if r.table.view == nil || !r.readJob(work, owner, packet.Caller, packet.Payload) {
+	if r.table.view == nil || !r.parseCallerPacket(incoming, svc, packet.Caller, packet.Payload) {
 		r.counters.Malformed++
 		return false
 	}
 	return true
 }
 
-// serveAsBackup sends a packet that may be repeated straight to the target of
-// its flow while the primary does not answer. It places nothing.
-func (r *Router) serveAsBackup(work *job) bool {
-	if work.class != coapmsg.ClassSafe {
+// serveAsBackup forwards a safe request of a known flow while the primary is
+// suspected to be down. It places no new flows.
+func (r *Router) serveAsBackup(incoming *incomingPacket) bool {
+	if incoming.class != coapmsg.ClassSafe {
 		return false
 	}
-	record, known := r.flows.get(work.fingerprint)
+	record, known := r.flows.get(incoming.fingerprint)
 	if !known {
 		return false
 	}
-	to := r.certainTarget(work, record)
-	if to == nil {
+	dest := r.confirmedTarget(incoming, record)
+	if dest == nil {
 		return false
 	}
 	r.counters.ServedByBackup++
-	r.forwardDirect(work, record, to)
+	r.forwardDirect(incoming, record, dest)
 	return true
 }
 
-// receiveToPrimary handles a relay. A balancer that is not the primary by its
-// own view passes it on, a few times at most.
+// receiveToPrimary handles a packet relayed to the primary. A balancer that is not
+// the primary in its own view, or has no lease, relays it further, up to maxHops.
 func (r *Router) receiveToPrimary(packet *wire.PeerPacket) {
-	var work job
-	if !r.readPeerJob(&work, packet) {
+	var incoming incomingPacket
+	if !r.parseRelayedPacket(&incoming, packet) {
 		return
 	}
-	owners := r.table.view.pairs[work.partition]
+	owners := r.table.view.pairs[incoming.partition]
 	if owners.primary == r.id && r.HasLease(r.now) {
-		r.decide(&work, packet.Flags, packet.TargetID)
+		r.decide(&incoming, packet.Flags, packet.TargetID)
 		return
 	}
-	if owners.backup == r.id && r.suspects(owners.primary) && r.serveAsBackup(&work) {
+	if owners.backup == r.id && r.isSuspected(owners.primary) && r.serveAsBackup(&incoming) {
 		return
 	}
-	if packet.Hops >= hopLimit {
+	if packet.Hops >= maxHops {
 		r.counters.Unroutable++
 		return
 	}
 	next := *packet
 	next.Hops++
-	to := owners.primary
-	if to == r.id {
-		to = owners.backup
+	peerID := owners.primary
+	if peerID == r.id {
+		peerID = owners.backup
 	}
-	r.toPeer(to, next)
+	r.toPeer(peerID, next)
 }
--- a/internal/routing/coverage.go
+++ b/internal/routing/coverage.go
@@ -7,121 +7,125 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// coverage tells for each partition whether this balancer holds all its
-// records. A balancer that is new to a pair does not, until the other one has
-// handed them over or they are too old to matter.
+// coverage tracks for which partitions this balancer holds all records. A new
+// member of a pair lacks them until the other member has handed them over or all
+// missing records have expired.
 type coverage struct {
-	flows    [Partitions]bool
-	requests [Partitions]bool
-	since    [Partitions]kernel.Instant
-	// partner is the other member of the pair once it is known to hold all
-	// records too.
-	partner [Partitions]uint32
-	mine    int
-	missing int
+	completeFlows    [Partitions]bool
+	completeRequests [Partitions]bool
+	// recordsSince is the time from which the records of a partition are complete.
+	recordsSince [Partitions]kernel.Instant
+	// syncedPartner is the other member of the pair, once it has confirmed the
+	// records that this balancer could hand over.
+	syncedPartner   [Partitions]uint32
+	ownedCount      int
+	incompleteCount int
 }
 
-// adopt follows a change of the view. Membership in a pair counts as
-// unbroken only from one view to the very next.
-func (c *coverage) adopt(r *Router, previous *view) {
+// updateForView updates the coverage for a new view. Coverage carries over only
+// if this balancer has been in the pair since the directly preceding view.
+func (c *coverage) updateForView(r *Router, previous *view) {
 	current := r.table.view
 	contiguous := previous != nil && previous.number+1 == current.number && previous.member(r.id) != nil
-	lost := 0
+	unknownPartitions := 0
 	for partition := range current.pairs {
 		owners := current.pairs[partition]
 		if !owners.has(r.id) {
-			c.flows[partition] = false
-			c.requests[partition] = false
-			c.partner[partition] = 0
+			c.completeFlows[partition] = false
+			c.completeRequests[partition] = false
+			c.syncedPartner[partition] = 0
 			continue
 		}
 		if current.founding {
-			c.set(partition, owners.other(r.id))
+			c.markComplete(partition, owners.other(r.id))
 			continue
 		}
 		if contiguous && previous.pairs[partition].has(r.id) {
 			continue
 		}
-		c.flows[partition] = false
-		c.requests[partition] = false
-		c.partner[partition] = 0
-		c.since[partition] = r.now
+		c.completeFlows[partition] = false
+		c.completeRequests[partition] = false
+		c.syncedPartner[partition] = 0
+		c.recordsSince[partition] = r.now
 		if previous != nil && !previous.pairs[partition].has(owners.other(r.id)) {
-			lost++
+			unknownPartitions++
 		}
 	}
-	if lost > 0 && !current.founding {
-		r.log(eventlog.HistoryUnknown, "view", current.number, "partitions", lost)
+	if unknownPartitions > 0 && !current.founding {
+		r.log(eventlog.HistoryUnknown, "view", current.number, "partitions", unknownPartitions)
 	}
-	c.recount(r)
-	r.recountPlaced()
+	c.updateCounts(r)
+	r.recountPlacedFlows()
 }
 
-func (c *coverage) set(partition int, partner uint32) {
-	c.flows[partition] = true
-	c.requests[partition] = true
-	c.partner[partition] = partner
+// markComplete marks all records of a partition as held by both members.
+func (c *coverage) markComplete(partition int, partner uint32) {
+	c.completeFlows[partition] = true
+	c.completeRequests[partition] = true
+	c.syncedPartner[partition] = partner
 }
 
-func (c *coverage) recount(r *Router) {
-	c.mine = 0
-	c.missing = 0
+// updateCounts recounts the partitions that this balancer owns and those among
+// them that lack records.
+func (c *coverage) updateCounts(r *Router) {
+	c.ownedCount = 0
+	c.incompleteCount = 0
 	for partition := range r.table.view.pairs {
 		if !r.table.view.pairs[partition].has(r.id) {
 			continue
 		}
-		c.mine++
-		if !c.flows[partition] || !c.requests[partition] {
-			c.missing++
+		c.ownedCount++
+		if !c.completeFlows[partition] || !c.completeRequests[partition] {
+			c.incompleteCount++
 		}
 	}
 }
 
-// tick lets time replace a handover: after the retransmission span no earlier
-// request can come back, and after the idle timeout no earlier flow is open.
+// tick marks a partition as complete once all missing records have expired: no
+// earlier request can be retransmitted, and no earlier flow is still open.
 func (c *coverage) tick(r *Router) {
-	if c.missing == 0 || r.table.view == nil {
+	if c.incompleteCount == 0 || r.table.view == nil {
 		return
 	}
-	requestSpan, flowSpan := r.spans()
+	requestLifetime, flowLifetime := r.maxRecordLifetimes()
 	for partition := range r.table.view.pairs {
 		if !r.table.view.pairs[partition].has(r.id) {
 			continue
 		}
-		age := r.now.Sub(c.since[partition])
-		c.requests[partition] = c.requests[partition] || age > requestSpan
-		c.flows[partition] = c.flows[partition] || age > flowSpan
+		age := r.now.Sub(c.recordsSince[partition])
+		c.completeRequests[partition] = c.completeRequests[partition] || age > requestLifetime
+		c.completeFlows[partition] = c.completeFlows[partition] || age > flowLifetime
 	}
-	c.recount(r)
+	c.updateCounts(r)
 }
 
-// spans returns the longest time for which an earlier request and an earlier
-// flow can matter.
-func (r *Router) spans() (requests, flows time.Duration) {
+// maxRecordLifetimes returns the longest time for which any service needs the
+// record of a request and of an idle flow.
+func (r *Router) maxRecordLifetimes() (requests, flows time.Duration) {
 	if len(r.table.byID) == 0 {
-		return DefaultRetransmitSpan + networkLifetime, DefaultIdleTimeout
+		return DefaultRetransmitSpan + maxPacketLifetime, DefaultIdleTimeout
 	}
-	for _, owner := range r.table.byID {
-		requests = max(requests, owner.limits.retransmitSpan+networkLifetime)
-		flows = max(flows, owner.limits.idleTimeout)
+	for _, svc := range r.table.byID {
+		requests = max(requests, svc.limits.retransmitSpan+maxPacketLifetime)
+		flows = max(flows, svc.limits.idleTimeout)
 	}
 	return requests, flows
 }
 
-func (c *coverage) coversFlows(partition int) bool    { return c.flows[partition] }
-func (c *coverage) coversRequests(partition int) bool { return c.requests[partition] }
+func (c *coverage) hasAllFlows(partition int) bool    { return c.completeFlows[partition] }
+func (c *coverage) hasAllRequests(partition int) bool { return c.completeRequests[partition] }
 
-// recountPlaced counts anew the flows whose partitions this balancer is the
-// primary of.
-func (r *Router) recountPlaced() {
-	for _, to := range r.table.targets {
-		to.placed = 0
+// recountPlacedFlows recounts for each target the flows in partitions of which
+// this balancer is the primary.
+func (r *Router) recountPlacedFlows() {
+	for _, dest := range r.table.targets {
+		dest.placedFlows = 0
 	}
 	for fingerprint, record := range r.flows.records {
 		record.flags &^= flowCounted
-		to := r.table.targets[record.targetID]
-		if to != nil && r.id != 0 && r.table.view.pairs[PartitionOf(fingerprint)].primary == r.id {
-			r.count(&record, to)
+		dest := r.table.targets[record.targetID]
+		if dest != nil && r.id != 0 && r.table.view.pairs[PartitionOf(fingerprint)].primary == r.id {
+			r.countPlaced(&record, dest)
 		}
 		r.flows.records[fingerprint] = record
 	}
--- a/internal/routing/explain.go
+++ b/internal/routing/explain.go
@@ -8,9 +8,9 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Explanation says why a flow goes where it goes.
+// Explanation describes the target of a flow and why it was chosen.
 type Explanation struct {
-	// Known says that this balancer holds the flow.
+	// Known reports whether this balancer holds a record of the flow.
 	Known     bool
 	Target    string
 	Partition int
@@ -25,18 +25,18 @@
 	IdleTime  time.Duration
 }
 
-// Explain looks a flow up. The second result is false when the service is not
-// in force here.
+// Explain returns the explanation of a caller's flow with a service. The second
+// result is false when the service is not in the current configuration.
 func (r *Router) Explain(now kernel.Instant, serviceName string, caller netip.AddrPort) (Explanation, bool) {
-	owner := r.table.byName[serviceName]
-	if owner == nil {
+	svc := r.table.byName[serviceName]
+	if svc == nil {
 		return Explanation{}, false
 	}
-	fingerprint := Flow{Caller: caller, ServiceID: owner.id}.Fingerprint()
+	fingerprint := Flow{Caller: caller, ServiceID: svc.id}.Fingerprint()
 	explanation := Explanation{
 		Partition: PartitionOf(fingerprint),
 		Revision:  r.table.revision,
-		Policy:    owner.policy,
+		Policy:    svc.policy,
 		View:      r.ViewNumber(),
 	}
 	if r.table.view != nil {
@@ -54,22 +54,23 @@
 	return explanation, true
 }
 
+// explainRecord fills in the fields that depend on the flow's record.
 func (r *Router) explainRecord(now kernel.Instant, record flowRecord, explanation *Explanation) {
 	explanation.Known = true
-	explanation.IdleTime = time.Duration(lastSeenAt(now)-record.lastSeen) * lastSeenUnit
-	to := r.table.targets[record.targetID]
-	if to == nil {
+	explanation.IdleTime = time.Duration(flowTimestamp(now)-record.lastSeen) * timestampUnit
+	dest := r.table.targets[record.targetID]
+	if dest == nil {
 		explanation.Reason = "the flow's target is no longer known"
 		return
 	}
-	explanation.Target = to.name
-	explanation.Weight = to.weight
+	explanation.Target = dest.name
+	explanation.Weight = dest.weight
 	switch {
-	case !to.usable():
+	case !dest.usable():
 		explanation.Reason = "the flow's target is dead; the next packet is placed anew"
-	case to.draining || to.removed:
+	case dest.draining || dest.removed:
 		explanation.Reason = "the flow was open before its target began to drain, and stays until it ends"
-	case to.service.balance:
+	case dest.service.balance:
 		explanation.Reason = "placed on the least loaded of all targets by weight"
 	default:
 		explanation.Reason = "placed on the less loaded of two targets drawn by weight"
@@ -83,7 +84,7 @@
 	return ""
 }
 
-// ByName returns the counters by the names of their fields.
+// ByName returns the counters keyed by field name.
 func (c Counters) ByName() map[string]uint64 {
 	counts := map[string]uint64{}
 	value := reflect.ValueOf(c)
--- a/internal/routing/flows.go
+++ b/internal/routing/flows.go
@@ -7,40 +7,42 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// flowRecord is what a balancer knows of one flow. It has no pointers, so
-// that the garbage collector passes over a table of hundreds of thousands.
+// flowRecord is a balancer's record of a flow. It has no pointers, so that the
+// garbage collector does not scan the flow table.
 type flowRecord struct {
-	// registered is the view in which the pair of the partition is known to
-	// hold the flow.
-	registered uint64
-	targetID   uint32
-	// lastSeen counts tenths of a second since the start.
+	// registeredView is the last view in which the partition's pair is known to
+	// have recorded the flow.
+	registeredView uint64
+	targetID       uint32
+	// lastSeen is the time of the last packet, in units of timestampUnit.
 	lastSeen uint32
-	// confirmed is when a packet last went through the pair, in the same unit.
-	confirmed uint32
-	flags     flowFlags
+	// confirmedAt is when a packet last went through the pair, in the same unit.
+	confirmedAt uint32
+	flags       flowFlags
 }
 
 type flowFlags uint8
 
 const (
-	// flowCounted marks a flow that counts among its target's placed flows.
+	// flowCounted marks a flow that is included in its target's placedFlows.
 	flowCounted flowFlags = 1 << iota
-	// flowAnswered marks a flow whose choice can no longer be moved.
+	// flowAnswered marks a flow whose target has answered or was reported by
+	// another balancer.
 	flowAnswered
 )
 
-const lastSeenUnit = 100 * time.Millisecond
+// timestampUnit is the resolution of the times in a flowRecord.
+const timestampUnit = 100 * time.Millisecond
 
-func lastSeenAt(now kernel.Instant) uint32 { return uint32(time.Duration(now) / lastSeenUnit) }
+func flowTimestamp(now kernel.Instant) uint32 { return uint32(time.Duration(now) / timestampUnit) }
 
-// flowTable holds the flows that this balancer has seen or keeps as one of a
-// pair.
+// flowTable holds the flows that this balancer has seen or holds as a member of
+// their pair.
 type flowTable struct {
-	records map[uint64]flowRecord
-	limit   int
-	sweep   []uint64
-	dropped uint64
+	records      map[uint64]flowRecord
+	limit        int
+	pendingSweep []uint64
+	dropped      uint64
 }
 
 func newFlowTable(limit int) *flowTable {
@@ -54,8 +56,8 @@
 
 func (t *flowTable) len() int { return len(t.records) }
 
-// put stores a record. A full table takes no flow that it does not hold yet
-// and counts it; such a flow is still relayed to its pair.
+// put stores a record. A full table drops and counts new flows and returns false;
+// packets of such a flow are relayed to its pair.
 func (t *flowTable) put(fingerprint uint64, record flowRecord) bool {
 	if _, known := t.records[fingerprint]; !known && len(t.records) >= t.limit {
 		t.dropped++
@@ -65,8 +67,9 @@
 	return true
 }
 
-// of returns the flows of a target in a fixed order.
-func (t *flowTable) of(targetID uint32) []uint64 {
+// withTarget returns the fingerprints of a target's flows, sorted for
+// reproducible simulations.
+func (t *flowTable) withTarget(targetID uint32) []uint64 {
 	var list []uint64
 	for fingerprint, record := range t.records {
 		if record.targetID == targetID {
@@ -79,27 +82,28 @@
 
 func (t *flowTable) remove(fingerprint uint64) { delete(t.records, fingerprint) }
 
-// sweepBatch is the number of records looked at in one tick.
-const sweepBatch = 4096
+// sweepBatchSize is the largest number of records checked in one tick.
+const sweepBatchSize = 4096
 
-// expire calls gone for each flow idle beyond its limit, a batch at a time.
-func (t *flowTable) expire(now kernel.Instant, idle func(flowRecord) time.Duration, gone func(uint64, flowRecord)) {
-	if len(t.sweep) == 0 {
+// expire checks one batch of records, removes the flows that exceed their idle
+// timeout and calls onExpired for each of them.
+func (t *flowTable) expire(now kernel.Instant, idleTimeout func(flowRecord) time.Duration, onExpired func(uint64, flowRecord)) {
+	if len(t.pendingSweep) == 0 {
 		for fingerprint := range t.records {
-			t.sweep = append(t.sweep, fingerprint)
+			t.pendingSweep = append(t.pendingSweep, fingerprint)
 		}
 	}
-	batch := min(sweepBatch, len(t.sweep))
-	current := lastSeenAt(now)
-	for _, fingerprint := range t.sweep[len(t.sweep)-batch:] {
+	batch := min(sweepBatchSize, len(t.pendingSweep))
+	current := flowTimestamp(now)
+	for _, fingerprint := range t.pendingSweep[len(t.pendingSweep)-batch:] {
 		record, known := t.records[fingerprint]
 		if !known || record.lastSeen > current {
 			continue
 		}
-		if time.Duration(current-record.lastSeen)*lastSeenUnit > idle(record) {
+		if time.Duration(current-record.lastSeen)*timestampUnit > idleTimeout(record) {
 			delete(t.records, fingerprint)
-			gone(fingerprint, record)
+			onExpired(fingerprint, record)
 		}
 	}
-	t.sweep = t.sweep[:len(t.sweep)-batch]
+	t.pendingSweep = t.pendingSweep[:len(t.pendingSweep)-batch]
 }
--- a/internal/routing/frame.go
+++ b/internal/routing/frame.go
@@ -9,8 +9,8 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// HandleControlFrame handles a frame of the control plane. It returns an error
-// for one that cannot be read, which changes nothing.
+// HandleControlFrame handles a frame from the control plane. It rejects a frame
+// that is malformed or of an unexpected kind without a change of state.
 func (r *Router) HandleControlFrame(now kernel.Instant, frame wire.Frame) ([]Action, error) {
 	const step = "routing.control_frame"
 	decoder := wire.NewDecoder(frame.Payload)
@@ -34,5 +34,5 @@
 		}
 		return r.HandleConfig(now, config), nil
 	}
-	return nil, steperror.New(step, "", "frame kind is not for a balancer")
+	return nil, steperror.New(step, "", "unexpected frame kind for a balancer")
 }
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -10,59 +10,63 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// handoverKind tells what a handover message lists.
+// handoverKind identifies the contents of a handover message.
 type handoverKind uint8
 
 const (
 	handoverRequests handoverKind = iota + 1
 	handoverFlows
-	// handoverRequestsDone and handoverFlowsDone list the partitions whose
-	// records have all been sent.
+	// handoverRequestsDone and handoverFlowsDone list partitions whose records
+	// have all been sent.
 	handoverRequestsDone
 	handoverFlowsDone
-	// handoverPartialDone lists partitions whose records have all been sent by
-	// an owner that does not know what came before it, with the time since.
+	// handoverPartialDone lists partitions of which the sender holds only the recent
+	// records, each with the age from which its records are complete.
 	handoverPartialDone
 )
 
 const (
-	// handoverBatch is the largest number of records in one message.
-	handoverBatch = 64
-	// attemptBits is the place of the attempt below the state of a request.
+	// handoverBatchSize is the largest number of records in one message.
+	handoverBatchSize = 64
+	// attemptBits is the number of low bits that hold the attempt in the encoded
+	// status of a request; the high bits hold its state.
 	attemptBits = 4
-	// ageUnit and maxAge are the unit and the largest number of units of the
-	// time for which an owner knows a partition.
-	ageUnit = 100 * time.Millisecond
-	maxAge  = 1<<16 - 1
-	// forgetUnit and maxForget are the unit and the largest number of units of
-	// the times until a request's deadline and until it is forgotten.
-	forgetUnit = 500 * time.Millisecond
-	maxForget  = 255
-	// handoverDoneBatch is the largest number of partitions in one message.
-	handoverDoneBatch = 256
-	// handoverResend is the time after which a message is sent again.
-	handoverResend = 300 * time.Millisecond
-	// handoverBurst is the budget that can be saved up, in seconds of the rate.
-	handoverBurst = 2
+	// ageUnit and maxAgeUnits are the unit and the largest value of the ages in a
+	// handoverPartialDone message.
+	ageUnit     = 100 * time.Millisecond
+	maxAgeUnits = 1<<16 - 1
+	// expiryUnit and maxExpiryUnits are the unit and the largest value of the times
+	// until a request's deadline and until its record expires.
+	expiryUnit     = 500 * time.Millisecond
+	maxExpiryUnits = 255
+	// handoverDoneBatchSize is the largest number of partitions in one message.
+	handoverDoneBatchSize = 256
+	// handoverResendInterval is the time after which an unconfirmed message is
+	// sent again.
+	handoverResendInterval = 300 * time.Millisecond
+	// handoverBurstSeconds limits the unused budget, in seconds at HandoverRate.
+	handoverBurstSeconds = 2
 )
 
-// handoverMessage is one message of a handover, already encoded.
+// handoverMessage is an encoded message of a handover.
 type handoverMessage struct {
 	sequence uint64
 	payload  []byte
-	// done lists the partitions that the partner holds once this is confirmed.
-	done []int
+	// donePartitions lists the partitions whose handover is complete once the
+	// partner confirms this message.
+	donePartitions []int
 }
 
-// handoverJob brings one partner up to date, one message at a time.
+// handoverJob is the queue of messages to one partner. Only the first message is
+// in flight; it is repeated until the partner confirms it.
 type handoverJob struct {
 	queue  []handoverMessage
 	sentAt kernel.Instant
 	sent   bool
 }
 
-// handover sends the records of the partitions whose pair has a new member,
-// within a budget of bytes a second.
+// handover sends records to the new members of pairs, at a limited number of bytes
+// per second.
 type handover struct {
 	jobs     map[uint32]*handoverJob
 	sequence uint64
@@ -74,41 +78,41 @@
 
 func (h *handover) idle() bool { return len(h.jobs) == 0 }
 
-// plan starts a job for every partner that lacks records that this balancer
-// holds. A new view replaces all plans.
+// plan queues a job for every partner that may lack records that this balancer
+// holds. It discards the jobs of the previous view.
 func (h *handover) plan(r *Router) {
 	h.jobs = map[uint32]*handoverJob{}
 	if r.settings.Mechanisms.NoHandover || r.id == 0 {
 		return
 	}
-	partitions := map[uint32][]int{}
+	complete := map[uint32][]int{}
 	partial := map[uint32][]int{}
-	owed := map[int]uint32{}
+	recipients := map[int]uint32{}
 	for partition := range r.table.view.pairs {
 		partner := r.table.view.pairs[partition].other(r.id)
 		has := r.table.view.pairs[partition].has(r.id)
-		if !has || partner == 0 || r.coverage.partner[partition] == partner {
+		if !has || partner == 0 || r.coverage.syncedPartner[partition] == partner {
 			continue
 		}
-		owed[partition] = partner
-		if r.coverage.coversRequests(partition) {
-			partitions[partner] = append(partitions[partner], partition)
+		recipients[partition] = partner
+		if r.coverage.hasAllRequests(partition) {
+			complete[partner] = append(complete[partner], partition)
 		} else {
 			partial[partner] = append(partial[partner], partition)
 		}
 	}
-	h.queueRequests(r, owed)
-	h.queueDone(partitions, handoverRequestsDone)
+	h.queueRequests(r, recipients)
+	h.queueDone(complete, handoverRequestsDone)
 	h.queuePartial(r, partial)
-	h.queueFlows(r, owed)
-	h.queueDone(partitions, handoverFlowsDone)
+	h.queueFlows(r, recipients)
+	h.queueDone(complete, handoverFlowsDone)
 	for _, partner := range sortedKeys(h.jobs) {
-		r.log(eventlog.HandoverPlanned, "view", r.ViewNumber(), "partner", partner, "bytes", h.jobs[partner].size(), "partitions", len(partitions[partner]))
+		r.log(eventlog.HandoverPlanned, "view", r.ViewNumber(), "partner", partner, "bytes", h.jobs[partner].remainingBytes(), "partitions", len(complete[partner]))
 	}
 }
 
-// size returns the bytes that a job still has to send.
-func (j *handoverJob) size() int {
+// remainingBytes returns the size of the job's unconfirmed messages.
+func (j *handoverJob) remainingBytes() int {
 	total := 0
 	for _, message := range j.queue {
 		total += wire.PeerHeaderSize + len(message.payload)
@@ -116,6 +120,7 @@
 	return total
 }
 
+// job returns the partner's job and creates it if necessary.
 func (h *handover) job(partner uint32) *handoverJob {
 	job, known := h.jobs[partner]
 	if !known {
@@ -125,31 +130,32 @@
 	return job
 }
 
-func (h *handover) add(partner uint32, payload []byte, done []int) {
+// add queues a message to a partner.
+func (h *handover) add(partner uint32, payload []byte, donePartitions []int) {
 	h.sequence++
 	job := h.job(partner)
-	job.queue = append(job.queue, handoverMessage{sequence: h.sequence, payload: payload, done: done})
+	job.queue = append(job.queue, handoverMessage{sequence: h.sequence, payload: payload, donePartitions: donePartitions})
 }
 
-// queueRequests queues the ledger's records. All queues are made in a fixed
-// order, so that a simulated run can be repeated.
-func (h *handover) queueRequests(r *Router, owed map[int]uint32) {
+// queueRequests queues the ledger's records. The order is deterministic, so that
+// simulations are reproducible.
+func (h *handover) queueRequests(r *Router, recipients map[int]uint32) {
 	keys := map[uint32][]uint64{}
 	for key, request := range r.ledger.records {
-		partner := owed[PartitionOf(request.flow)]
-		if partner != 0 && request.forget > r.now {
+		partner := recipients[PartitionOf(request.flow)]
+		if partner != 0 && request.expiresAt > r.now {
 			keys[partner] = append(keys[partner], key)
 		}
 	}
 	h.queueBatches(r, keys, encodeRequests)
 }
 
-// queueBatches queues records in the order of their keys, some in a message.
+// queueBatches queues messages of up to handoverBatchSize records, sorted by key.
 func (h *handover) queueBatches(r *Router, keys map[uint32][]uint64, encode func(*Router, []uint64) []byte) {
 	for _, partner := range sortedKeys(keys) {
 		list := keys[partner]
 		slices.Sort(list)
-		for batch := range slices.Chunk(list, handoverBatch) {
+		for batch := range slices.Chunk(list, handoverBatchSize) {
 			h.add(partner, encode(r, batch), nil)
 		}
 	}
@@ -165,20 +171,20 @@
 	encoder.Uint32(uint32(len(keys)))
 	for _, key := range keys {
 		request := r.ledger.records[key]
-		left := max(0, request.forget.Sub(r.now))
+		remaining := max(0, request.expiresAt.Sub(r.now))
 		encoder.Uint64(key)
 		encoder.Uint16(uint16(PartitionOf(request.flow)))
 		encoder.Uint8(uint8(request.state)<<attemptBits | request.attempt)
-		encoder.Uint8(uint8(min(left/forgetUnit+1, maxForget)))
-		encoder.Uint8(uint8(min(max(0, request.deadline.Sub(r.now))/forgetUnit+1, maxForget)))
+		encoder.Uint8(uint8(min(remaining/expiryUnit+1, maxExpiryUnits)))
+		encoder.Uint8(uint8(min(max(0, request.deadline.Sub(r.now))/expiryUnit+1, maxExpiryUnits)))
 	}
 	return encoder.Buffer
 }
 
-func (h *handover) queueFlows(r *Router, owed map[int]uint32) {
+func (h *handover) queueFlows(r *Router, recipients map[int]uint32) {
 	keys := map[uint32][]uint64{}
 	for fingerprint := range r.flows.records {
-		if partner := owed[PartitionOf(fingerprint)]; partner != 0 {
+		if partner := recipients[PartitionOf(fingerprint)]; partner != 0 {
 			keys[partner] = append(keys[partner], fingerprint)
 		}
 	}
@@ -198,56 +204,59 @@
 
 func (h *handover) queueDone(partitions map[uint32][]int, kind handoverKind) {
 	for _, partner := range sortedKeys(partitions) {
-		for batch := range slices.Chunk(partitions[partner], handoverDoneBatch) {
+		for batch := range slices.Chunk(partitions[partner], handoverDoneBatchSize) {
 			var encoder wire.Encoder
 			encoder.Uint8(uint8(kind))
 			encoder.Uint32(uint32(len(batch)))
 			for _, partition := range batch {
 				encoder.Uint16(uint16(partition))
 			}
-			var done []int
+			var donePartitions []int
 			if kind == handoverFlowsDone {
-				done = batch
+				donePartitions = batch
 			}
-			h.add(partner, encoder.Buffer, done)
+			h.add(partner, encoder.Buffer, donePartitions)
 		}
 	}
 }
 
-// queuePartial tells partners since when this balancer knows partitions whose
-// earlier records are lost, so that they need not wait for longer than it does.
+// queuePartial queues the ages from which this balancer's records of partitions are
+// complete, so that a partner waits no longer than this balancer for lost records
+// to expire.
 func (h *handover) queuePartial(r *Router, partitions map[uint32][]int) {
 	for _, partner := range sortedKeys(partitions) {
-		for batch := range slices.Chunk(partitions[partner], handoverDoneBatch) {
+		for batch := range slices.Chunk(partitions[partner], handoverDoneBatchSize) {
 			var encoder wire.Encoder
 			encoder.Uint8(uint8(handoverPartialDone))
 			encoder.Uint32(uint32(len(batch)))
 			for _, partition := range batch {
-				age := r.now.Sub(r.coverage.since[partition]) / ageUnit
+				age := r.now.Sub(r.coverage.recordsSince[partition]) / ageUnit
 				encoder.Uint16(uint16(partition))
-				encoder.Uint16(uint16(min(age, maxAge)))
+				encoder.Uint16(uint16(min(age, maxAgeUnits)))
 			}
 			h.add(partner, encoder.Buffer, batch)
 		}
 	}
 }
 
-// tick sends the next message of each job as far as the budget goes.
+// tick refills the budget and sends the next message of each job within it.
 func (h *handover) tick(r *Router) {
 	rate := float64(r.settings.HandoverRate)
-	h.budget = min(h.budget+rate*r.now.Sub(h.lastTick).Seconds(), handoverBurst*rate)
+	h.budget = min(h.budget+rate*r.now.Sub(h.lastTick).Seconds(), handoverBurstSeconds*rate)
 	h.lastTick = r.now
 	for _, partner := range sortedKeys(h.jobs) {
-		h.push(r, partner)
+		h.sendNext(r, partner)
 	}
 }
 
-func (h *handover) push(r *Router, partner uint32) {
+// sendNext sends the first message of a partner's job, unless the budget is used
+// up or the message was sent within handoverResendInterval.
+func (h *handover) sendNext(r *Router, partner uint32) {
 	job := h.jobs[partner]
 	if job == nil || h.budget <= 0 {
 		return
 	}
-	if job.sent && r.now.Sub(job.sentAt) < handoverResend {
+	if job.sent && r.now.Sub(job.sentAt) < handoverResendInterval {
 		return
 	}
 	message := job.queue[0]
@@ -261,14 +270,14 @@
 	})
 }
 
-// receiveHandoverReply moves on to the next message.
+// receiveHandoverReply removes the confirmed message and sends the next one.
 func (r *Router) receiveHandoverReply(packet *wire.PeerPacket) {
 	job := r.handover.jobs[packet.From]
 	if job == nil || job.queue[0].sequence != packet.RequestKey || packet.View != r.ViewNumber() {
 		return
 	}
-	for _, partition := range job.queue[0].done {
-		r.coverage.partner[partition] = packet.From
+	for _, partition := range job.queue[0].donePartitions {
+		r.coverage.syncedPartner[partition] = packet.From
 	}
 	job.queue = job.queue[1:]
 	job.sent = false
@@ -277,12 +286,12 @@
 		r.log(eventlog.HandoverDone, "view", r.ViewNumber(), "partner", packet.From)
 		return
 	}
-	r.handover.push(r, packet.From)
+	r.handover.sendNext(r, packet.From)
 }
 
-// receiveHandover takes over records. A request's record that this balancer
-// has of its own stays, and so does a flow's that was registered since its
-// pair was formed; an older one is from before and may be wrong by now.
+// receiveHandover imports records. It keeps its own record of a request, and its
+// own record of a flow if that was registered since the pair was formed; older
+// flow records may be out of date and are replaced.
 func (r *Router) receiveHandover(packet *wire.PeerPacket) {
 	if r.table.view == nil || packet.View != r.table.view.number {
 		return
@@ -293,37 +302,39 @@
 	for ; count > 0; count-- {
 		switch kind {
 		case handoverRequests:
-			r.takeRequest(decoder)
+			r.importRequest(decoder)
 		case handoverFlows:
-			r.takeFlow(decoder)
+			r.importFlow(decoder)
 		case handoverPartialDone:
-			r.takePartial(decoder)
+			r.importPartialCoverage(decoder)
 		default:
-			r.takeDone(kind, int(decoder.Uint16()), packet.From)
+			r.markPartitionDone(kind, int(decoder.Uint16()), packet.From)
 		}
 	}
 	if decoder.Err("routing.handover") != nil {
 		r.counters.Malformed++
 		return
 	}
-	r.coverage.recount(r)
+	r.coverage.updateCounts(r)
 	r.sendControlPacket(packet.From, wire.PeerPacket{Kind: wire.PeerHandoverReply, RequestKey: packet.RequestKey})
 }
 
-func (r *Router) takeRequest(decoder *wire.Decoder) {
+// importRequest imports the record of a request. As answers are not handed over, an
+// answered request is imported with an unknown outcome.
+func (r *Router) importRequest(decoder *wire.Decoder) {
 	key := decoder.Uint64()
 	partition := decoder.Uint16()
 	status := decoder.Uint8()
-	left := time.Duration(decoder.Uint8()) * forgetUnit
-	deadline := time.Duration(decoder.Uint8()) * forgetUnit
+	remaining := time.Duration(decoder.Uint8()) * expiryUnit
+	deadline := time.Duration(decoder.Uint8()) * expiryUnit
 	if decoder.Err("routing.handover") != nil || r.ledger.get(key) != nil {
 		return
 	}
 	request := &requestRecord{
-		flow:    uint64(partition),
-		state:   requestState(status >> attemptBits),
-		attempt: status & (1<<attemptBits - 1),
-		forget:  r.now.Add(left),
+		flow:      uint64(partition),
+		state:     requestState(status >> attemptBits),
+		attempt:   status & (1<<attemptBits - 1),
+		expiresAt: r.now.Add(remaining),
 
 		deadline: r.now.Add(deadline),
 	}
@@ -334,44 +345,47 @@
 	r.ledger.put(key, request)
 }
 
-func (r *Router) takeFlow(decoder *wire.Decoder) {
+// importFlow imports the record of a flow to a known target.
+func (r *Router) importFlow(decoder *wire.Decoder) {
 	fingerprint := decoder.Uint64()
 	targetID := decoder.Uint32()
-	to := r.table.targets[targetID]
-	own, known := r.flows.get(fingerprint)
-	if to == nil || known && own.registered >= r.table.view.epochs[PartitionOf(fingerprint)] {
+	dest := r.table.targets[targetID]
+	existing, known := r.flows.get(fingerprint)
+	if dest == nil || known && existing.registeredView >= r.table.view.pairChangedIn[PartitionOf(fingerprint)] {
 		return
 	}
-	r.uncount(own)
+	r.uncountPlaced(existing)
 	r.counters.HandoverRecords++
-	record := flowRecord{targetID: targetID, lastSeen: lastSeenAt(r.now), flags: flowAnswered}
+	record := flowRecord{targetID: targetID, lastSeen: flowTimestamp(r.now), flags: flowAnswered}
 	if r.table.view.pairs[PartitionOf(fingerprint)].primary == r.id {
-		r.count(&record, to)
+		r.countPlaced(&record, dest)
 	}
 	r.flows.put(fingerprint, record)
 }
 
-// takePartial learns since when the partner knows a partition. The age was true
-// when the message was made; it can only have grown since.
-func (r *Router) takePartial(decoder *wire.Decoder) {
+// importPartialCoverage adopts the time from which the partner's records of a
+// partition are complete, if it is earlier. The delay of the message makes the
+// result too late, which is safe.
+func (r *Router) importPartialCoverage(decoder *wire.Decoder) {
 	partition := int(decoder.Uint16())
 	since := r.now.Add(-time.Duration(decoder.Uint16()) * ageUnit)
 	if partition >= Partitions || !r.table.view.pairs[partition].has(r.id) {
 		return
 	}
-	if since < r.coverage.since[partition] {
-		r.coverage.since[partition] = since
+	if since < r.coverage.recordsSince[partition] {
+		r.coverage.recordsSince[partition] = since
 	}
 }
 
-func (r *Router) takeDone(kind handoverKind, partition int, from uint32) {
+// markPartitionDone records that a partition's requests or flows are complete.
+func (r *Router) markPartitionDone(kind handoverKind, partition int, from uint32) {
 	if partition >= Partitions || !r.table.view.pairs[partition].has(r.id) {
 		return
 	}
 	if kind == handoverRequestsDone {
-		r.coverage.requests[partition] = true
+		r.coverage.completeRequests[partition] = true
 		return
 	}
-	r.coverage.flows[partition] = true
-	r.coverage.partner[partition] = from
+	r.coverage.completeFlows[partition] = true
+	r.coverage.syncedPartner[partition] = from
 }
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -23,7 +23,7 @@
 	callerAddress  = netip.MustParseAddrPort("10.9.0.1:4000")
 )
 
-// delivery is a packet that a target or a caller got.
+// delivery is a packet sent to a target or a caller.
 type delivery struct {
 	target  netip.AddrPort
 	caller  netip.AddrPort
@@ -31,21 +31,21 @@
 	payload []byte
 }
 
-// cell runs some routers whose packets to each other arrive at once.
+// cell runs routers that exchange packets without delay.
 type cell struct {
-	t         testing.TB
-	now       kernel.Instant
-	revision  uint64
-	view      *beamdoorv1.View
-	service   *beamdoorv1.Service
-	routers   map[uint32]*Router
-	cut       map[uint32]bool
-	toTargets []delivery
-	toCallers []delivery
+	t            testing.TB
+	now          kernel.Instant
+	revision     uint64
+	view         *beamdoorv1.View
+	service      *beamdoorv1.Service
+	routers      map[uint32]*Router
+	disconnected map[uint32]bool
+	toTargets    []delivery
+	toCallers    []delivery
 }
 
 func newCell(t testing.TB, balancers, targets int) *cell {
-	c := &cell{t: t, routers: map[uint32]*Router{}, cut: map[uint32]bool{}, view: &beamdoorv1.View{Cell: 1, Number: 1, Founding: true}}
+	c := &cell{t: t, routers: map[uint32]*Router{}, disconnected: map[uint32]bool{}, view: &beamdoorv1.View{Cell: 1, Number: 1, Founding: true}}
 	c.service = &beamdoorv1.Service{
 		Id: 1, Name: "booking", Address: bookingAddress.String(), Cell: 1, Priority: "flows",
 		Limits: &beamdoorv1.Limits{DefaultDeadlineMs: 5000, RetransmitSpanMs: 10_000, IdleTimeoutMs: 600_000},
@@ -56,22 +56,22 @@
 		})
 	}
 	for id := uint32(1); id <= uint32(balancers); id++ {
-		c.add(id)
-		c.view.Members = append(c.view.Members, c.member(id))
+		c.addRouter(id)
+		c.view.Members = append(c.view.Members, c.viewMember(id))
 	}
 	c.configure()
 	return c
 }
 
-func peerOf(id uint32) string { return fmt.Sprintf("10.3.0.%d:8200", id) }
+func peerAddress(id uint32) string { return fmt.Sprintf("10.3.0.%d:8200", id) }
 
-func (c *cell) member(id uint32) *beamdoorv1.Balancer {
+func (c *cell) viewMember(id uint32) *beamdoorv1.Balancer {
 	return &beamdoorv1.Balancer{
-		Id: id, Name: fmt.Sprintf("b%d", id), Peer: peerOf(id), Nonce: uint64(id), State: beamdoorv1.BalancerState_BALANCER_STATE_ACTIVE,
+		Id: id, Name: fmt.Sprintf("b%d", id), Peer: peerAddress(id), Nonce: uint64(id), State: beamdoorv1.BalancerState_BALANCER_STATE_ACTIVE,
 	}
 }
 
-func (c *cell) add(id uint32) *Router {
+func (c *cell) addRouter(id uint32) *Router {
 	settings := DefaultSettings()
 	settings.Nonce = uint64(id)
 	settings.Random = rand.New(rand.NewPCG(uint64(id), 3))
@@ -81,42 +81,42 @@
 	return router
 }
 
-// configure brings the service and the view to all that are not cut off, with
-// a lease for each member.
+// configure sends the service and the view to all connected routers and grants
+// them leases.
 func (c *cell) configure() {
 	c.revision++
 	for id, router := range c.routers {
-		if c.cut[id] {
+		if c.disconnected[id] {
 			continue
 		}
 		config := &beamdoorv1.CellConfig{Revision: c.revision, Services: []*beamdoorv1.Service{c.service}, View: c.view}
-		c.carryOut(router.HandleConfig(c.now, config))
+		c.execute(router.HandleConfig(c.now, config))
 		c.grant(id)
 	}
 }
 
 func (c *cell) grant(id uint32) {
 	router := c.routers[id]
-	for sequence := range router.reportSent {
+	for sequence := range router.reportSentAt {
 		grant := wire.Grant{Nonce: uint64(id), Sequence: sequence, ID: id, LeaseMilliseconds: 3000, Revision: c.revision, CellRevision: c.revision}
-		c.carryOut(router.HandleGrant(c.now, grant))
+		c.execute(router.HandleGrant(c.now, grant))
 		return
 	}
 }
 
-// changeView commits the next view with other members.
+// changeView configures the next view with the given members.
 func (c *cell) changeView(ids ...uint32) {
 	c.view = &beamdoorv1.View{Cell: 1, Number: c.view.Number + 1}
 	for _, id := range ids {
 		if c.routers[id] == nil {
-			c.add(id)
+			c.addRouter(id)
 		}
-		c.view.Members = append(c.view.Members, c.member(id))
+		c.view.Members = append(c.view.Members, c.viewMember(id))
 	}
 	c.configure()
 }
 
-func (c *cell) carryOut(actions []Action) {
+func (c *cell) execute(actions []Action) {
 	var peers []Action
 	for _, action := range actions {
 		payload := append([]byte(nil), action.Payload...)
@@ -131,25 +131,26 @@
 		}
 	}
 	for i := range peers {
-		c.toPeer(&peers[i])
+		c.deliverToPeer(&peers[i])
 	}
 }
 
-func (c *cell) toPeer(action *Action) {
+func (c *cell) deliverToPeer(action *Action) {
 	for id, router := range c.routers {
-		if action.Address.String() == peerOf(id) && !c.cut[id] && !c.cut[action.Packet.From] {
-			c.carryOut(router.HandlePeerPacket(c.now, c.now, &action.Packet))
+		if action.Address.String() == peerAddress(id) && !c.disconnected[id] && !c.disconnected[action.Packet.From] {
+			c.execute(router.HandlePeerPacket(c.now, c.now, &action.Packet))
 		}
 	}
 }
 
-// pass lets time go on, with reports and grants.
-func (c *cell) pass(length time.Duration) {
+// advance moves the clock forward in steps, with ticks of all routers and grants to
+// the connected ones.
+func (c *cell) advance(length time.Duration) {
 	for end := c.now.Add(length); c.now < end; {
 		c.now = c.now.Add(50 * time.Millisecond)
 		for id, router := range c.routers {
-			c.carryOut(router.Tick(c.now))
-			if !c.cut[id] {
+			c.execute(router.Tick(c.now))
+			if !c.disconnected[id] {
 				c.grant(id)
 			}
 		}
@@ -157,44 +158,44 @@
 }
 
 func (c *cell) send(id uint32, caller netip.AddrPort, packet []byte) {
-	c.carryOut(c.routers[id].HandleCallerPacket(c.now, c.now, bookingAddress, caller, packet))
+	c.execute(c.routers[id].HandleCallerPacket(c.now, c.now, bookingAddress, caller, packet))
 }
 
-// answer lets a target answer a packet through a balancer.
-func (c *cell) answer(id uint32, got delivery, code codes.Code) {
+// answerPacket sends a target's answer to a packet through a balancer.
+func (c *cell) answerPacket(id uint32, got delivery, code codes.Code) {
 	parser := coapmsg.NewParser()
 	require.NoError(c.t, parser.Parse(got.payload))
-	c.carryOut(c.routers[id].HandleTargetPacket(c.now, bookingAddress, got.caller, got.tag, parser.Answer(code, 1)))
+	c.execute(c.routers[id].HandleTargetPacket(c.now, bookingAddress, got.caller, got.tag, parser.Answer(code, 1)))
 }
 
-// last returns the last packet that a target got.
-func (c *cell) last() delivery {
+// lastForwarded returns the last packet sent to a target.
+func (c *cell) lastForwarded() delivery {
 	require.NotEmpty(c.t, c.toTargets)
 	return c.toTargets[len(c.toTargets)-1]
 }
 
-// lastCode returns the code of the last answer that a caller got.
+// lastCode returns the code of the last answer sent to a caller.
 func (c *cell) lastCode() codes.Code {
 	require.NotEmpty(c.t, c.toCallers)
 	return coapmsg.Code(c.toCallers[len(c.toCallers)-1].payload)
 }
 
-func request(t testing.TB, code codes.Code, messageID int32, change func(*message.Message)) []byte {
-	made := message.Message{Type: message.Confirmable, Code: code, MessageID: messageID, Token: []byte{1, 2, byte(messageID)}}
-	if change != nil {
-		change(&made)
+func request(t testing.TB, code codes.Code, messageID int32, modify func(*message.Message)) []byte {
+	outgoing := message.Message{Type: message.Confirmable, Code: code, MessageID: messageID, Token: []byte{1, 2, byte(messageID)}}
+	if modify != nil {
+		modify(&outgoing)
 	}
 	buffer := make([]byte, 256)
-	size, err := coder.DefaultCoder.Encode(made, buffer)
+	size, err := coder.DefaultCoder.Encode(outgoing, buffer)
 	require.NoError(t, err)
 	return buffer[:size]
 }
 
-func observing(made *message.Message) {
-	made.Options, _, _ = made.Options.SetObserve(make([]byte, 8), 0)
+func withObserve(outgoing *message.Message) {
+	outgoing.Options, _, _ = outgoing.Options.SetObserve(make([]byte, 8), 0)
 }
 
-// owners returns primary and backup of a caller's flow, and the others.
+// owners returns the primary and backup of a caller's flow, and the other members.
 func (c *cell) owners(caller netip.AddrPort) (primary, backup uint32, others []uint32) {
 	for _, router := range c.routers {
 		if router.table.view == nil || router.table.view.number != c.view.Number {
@@ -209,6 +210,6 @@
 		}
 		return chosen.primary, chosen.backup, others
 	}
-	c.t.Fatal("no router has the view")
+	c.t.Fatal("no router has the current view")
 	return 0, 0, nil
 }
--- a/internal/routing/main_test.go
+++ b/internal/routing/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives the property tests a fixed seed, so that each run has the same
-// verdict; -rapid.seed=0 draws one.
+// TestMain sets a fixed default seed for the property tests, so that runs are
+// reproducible; -rapid.seed=0 uses a random one.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/routing/membership.go
+++ b/internal/routing/membership.go
@@ -8,46 +8,46 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// reportMemory is how long the time of a report is remembered for its grant.
-const reportMemory = 10 * time.Second
+// reportRetention is how long the send time of a report is kept for its grant.
+const reportRetention = 10 * time.Second
 
-// Leave asks the control plane for a planned leave.
+// Leave asks the control plane to remove this balancer from the view.
 func (r *Router) Leave(now kernel.Instant) []Action {
-	r.begin(now)
+	r.beginStep(now)
 	r.leaving = true
 	r.sendReport()
 	return r.actions
 }
 
-// HandleReconnect sends a report at once after the connection to the control plane was
-// opened anew, so that the lease does not lapse over it.
+// HandleReconnect sends a report at once after the connection to the control plane
+// was reopened, so that the lease does not expire.
 func (r *Router) HandleReconnect(now kernel.Instant) []Action {
-	r.begin(now)
+	r.beginStep(now)
 	r.sendReport()
 	return r.actions
 }
 
-// sendReport sends a heartbeat, and draws the time of the next one with a
-// jitter of a quarter against reports that come in step.
+// sendReport sends a report and schedules the next one with a jitter of up to a
+// quarter of the interval, so that balancers do not report in step.
 func (r *Router) sendReport() {
 	r.sequence++
 	interval := r.settings.ReportInterval
 	jitter := time.Duration(r.settings.Random.Int64N(int64(interval)/4 + 1))
 	r.nextReport = r.now.Add(interval - jitter)
-	r.reportSent[r.sequence] = r.now
-	for sequence, sent := range r.reportSent {
-		if r.now.Sub(sent) > reportMemory {
-			delete(r.reportSent, sequence)
+	r.reportSentAt[r.sequence] = r.now
+	for sequence, sent := range r.reportSentAt {
+		if r.now.Sub(sent) > reportRetention {
+			delete(r.reportSentAt, sequence)
 		}
 	}
-	action := r.next(ActionToControl)
+	action := r.appendAction(ActionToControl)
 	action.Report = wire.NodeReport{
 		Nonce:    r.settings.Nonce,
 		Sequence: r.sequence,
 		Applied:  r.table.revision,
 		View:     r.ViewNumber(),
 		Cell:     r.settings.Cell,
-		Settled:  r.settled(),
+		Settled:  r.handoverComplete(),
 		Leaving:  r.leaving,
 	}
 	if r.id == 0 {
@@ -61,20 +61,20 @@
 	r.counters.ControlBytes += uint64(wire.FrameSize(wire.ReportFrame(action.Report)))
 }
 
-// settled reports whether this balancer has handed over all records that the
-// newest view took from it. What it lacks itself it does not wait for: either
-// its partner is not settled yet, or nobody holds the records any more.
-func (r *Router) settled() bool { return r.id == 0 || r.handover.idle() }
+// handoverComplete reports whether this balancer has handed over all records that
+// the current view requires. Records that it has yet to receive don't count: the
+// sender reports those, or no balancer holds them any more.
+func (r *Router) handoverComplete() bool { return r.id == 0 || r.handover.idle() }
 
-// HandleGrant handles the leader's answer to a report. The lease counts from
-// when the report was sent, on this process's own clock.
+// HandleGrant handles the leader's reply to a report. The lease starts at the time
+// when the report was sent, by the clock of this process.
 func (r *Router) HandleGrant(now kernel.Instant, grant wire.Grant) []Action {
-	r.begin(now)
-	sent, known := r.reportSent[grant.Sequence]
+	r.beginStep(now)
+	sent, known := r.reportSentAt[grant.Sequence]
 	if grant.Nonce != r.settings.Nonce || !known {
 		return r.actions
 	}
-	delete(r.reportSent, grant.Sequence)
+	delete(r.reportSentAt, grant.Sequence)
 	if r.table.revision >= grant.CellRevision && grant.Revision > r.table.revision {
 		r.table.revision = grant.Revision
 	}
@@ -82,22 +82,22 @@
 		return r.actions
 	}
 	lease := time.Duration(grant.LeaseMilliseconds) * time.Millisecond
-	until := sent.Add(lease - lease/leaseDrift)
+	until := sent.Add(lease - lease/leaseDriftDivisor)
 	if until > r.leaseUntil {
 		r.leaseUntil = until
 	}
-	r.noteLease()
+	r.logLeaseChange()
 	return r.actions
 }
 
-// noteLease logs the gain and the loss of the lease.
-func (r *Router) noteLease() {
-	leased := r.HasLease(r.now)
-	if leased == r.leased {
+// logLeaseChange logs that the lease was gained or lost.
+func (r *Router) logLeaseChange() {
+	hasLease := r.HasLease(r.now)
+	if hasLease == r.hadLease {
 		return
 	}
-	r.leased = leased
-	if leased {
+	r.hadLease = hasLease
+	if hasLease {
 		r.log(eventlog.LeaseGained, "view", r.ViewNumber())
 		return
 	}
--- a/internal/routing/peerhealth.go
+++ b/internal/routing/peerhealth.go
@@ -9,79 +9,79 @@
 )
 
 const (
-	// freshFor is how long a packet of another balancer shows that it runs.
-	freshFor = 300 * time.Millisecond
-	// probePatience is how long it may take to answer a probe.
-	probePatience = 300 * time.Millisecond
+	// peerFreshness is how long a peer counts as alive after a packet from it.
+	peerFreshness = 300 * time.Millisecond
+	// probeTimeout is the time without an answer to a probe after which a peer is
+	// suspected, and the interval of further probes.
+	probeTimeout = 300 * time.Millisecond
 )
 
-// peerHealth tells which other balancers seem to be dead or stopped, long
-// before their leases run out. It decides only where a packet is worth
-// sending, never who may decide. Every packet of a peer counts as a sign of
-// life, so that probes cost nothing while there is load, and none is sent to a
-// peer that there is nothing to send to.
+// peerHealth detects unresponsive balancers before their leases expire. It
+// affects only where packets are sent, never which balancer may decide. Every
+// packet of a peer counts as a sign of life, and a peer is probed only when there
+// is a packet for it.
 type peerHealth struct {
-	heard map[uint32]kernel.Instant
-	// probed is when the first probe that has got no answer was sent, and
-	// lastProbe when the last one was.
-	probed    map[uint32]kernel.Instant
-	lastProbe map[uint32]kernel.Instant
+	lastHeard map[uint32]kernel.Instant
+	// unansweredSince is when the first unanswered probe was sent, and lastProbeAt
+	// when the latest one was.
+	unansweredSince map[uint32]kernel.Instant
+	lastProbeAt     map[uint32]kernel.Instant
 }
 
 func newPeerHealth() peerHealth {
 	return peerHealth{
-		heard:     map[uint32]kernel.Instant{},
-		probed:    map[uint32]kernel.Instant{},
-		lastProbe: map[uint32]kernel.Instant{},
+		lastHeard:       map[uint32]kernel.Instant{},
+		unansweredSince: map[uint32]kernel.Instant{},
+		lastProbeAt:     map[uint32]kernel.Instant{},
 	}
 }
 
-// noteHeard notes a sign of life.
-func (h *peerHealth) noteHeard(now kernel.Instant, id uint32) {
-	h.heard[id] = now
-	delete(h.probed, id)
+// recordHeard records a packet from a peer.
+func (h *peerHealth) recordHeard(now kernel.Instant, id uint32) {
+	h.lastHeard[id] = now
+	delete(h.unansweredSince, id)
 }
 
-// forget drops the balancers that are in the view no longer.
-func (h *peerHealth) forget(current *view) {
-	gone := func(id uint32, _ kernel.Instant) bool { return current.member(id) == nil }
-	maps.DeleteFunc(h.heard, gone)
-	maps.DeleteFunc(h.probed, gone)
-	maps.DeleteFunc(h.lastProbe, gone)
+// removeDeparted removes the balancers that are not in the current view.
+func (h *peerHealth) removeDeparted(current *view) {
+	departed := func(id uint32, _ kernel.Instant) bool { return current.member(id) == nil }
+	maps.DeleteFunc(h.lastHeard, departed)
+	maps.DeleteFunc(h.unansweredSince, departed)
+	maps.DeleteFunc(h.lastProbeAt, departed)
 }
 
-// suspects reports whether a balancer seems not to run. It is asked when there
-// is something to send to it, and probes one that has been quiet.
-func (r *Router) suspects(id uint32) bool {
+// isSuspected reports whether a balancer is suspected to be down. It is called
+// before a packet is sent to the balancer, and probes one that has been silent.
+func (r *Router) isSuspected(id uint32) bool {
 	if r.settings.Mechanisms.NoPeerHealth {
 		return false
 	}
-	if heard, known := r.health.heard[id]; known && r.now.Sub(heard) <= freshFor {
+	if heard, known := r.health.lastHeard[id]; known && r.now.Sub(heard) <= peerFreshness {
 		return false
 	}
-	probed, waiting := r.health.probed[id]
+	probedAt, waiting := r.health.unansweredSince[id]
 	if !waiting {
-		r.probe(id)
+		r.startProbing(id)
 		return false
 	}
-	if r.now.Sub(probed) < probePatience {
+	if r.now.Sub(probedAt) < probeTimeout {
 		return false
 	}
 	r.counters.PeersSuspected++
-	if r.now.Sub(r.health.lastProbe[id]) >= probePatience {
+	if r.now.Sub(r.health.lastProbeAt[id]) >= probeTimeout {
 		r.sendProbe(id)
 	}
 	return true
 }
 
-// probe starts to wait for an answer.
-func (r *Router) probe(id uint32) {
-	r.health.probed[id] = r.now
+// startProbing sends the first probe and starts the timeout.
+func (r *Router) startProbing(id uint32) {
+	r.health.unansweredSince[id] = r.now
 	r.sendProbe(id)
 }
 
 func (r *Router) sendProbe(id uint32) {
-	r.health.lastProbe[id] = r.now
+	r.health.lastProbeAt[id] = r.now
 	r.sendControlPacket(id, wire.PeerPacket{Kind: wire.PeerProbe})
 }
 
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// activeMembers returns the number of balancers that place flows.
-func (r *Router) activeMembers() int {
+// activeMemberCount returns the number of members that are not leaving, which are
+// those that place flows; it is at least 1.
+func (r *Router) activeMemberCount() int {
 	if r.table.view == nil {
 		return 1
 	}
@@ -16,54 +17,56 @@
 	return max(active, 1)
 }
 
-// pick chooses the target for a new flow, or nil when none takes one. Each
-// primary evens out the flows it has placed itself. A service that puts
-// balance first compares all its targets; one that puts unbroken flows first
-// compares two that were drawn by weight, so that a target whose reports make
-// it look best does not get everything (Mitzenmacher, "The Power of Two Choices
-// in Randomized Load Balancing", 2001).
-func (r *Router) pick(owner *service, exclude *target) *target {
-	candidates := r.candidates(owner, exclude)
+// pickTarget returns the target for a new flow, or nil when none accepts one. Each
+// primary balances only the flows that it placed itself. A service with priority
+// "balance" uses the least loaded target; others use the less loaded of two
+// targets drawn by weight, so that a target with misleading reports does not get
+// all flows (Mitzenmacher, "The Power of Two Choices in Randomized Load
+// Balancing", 2001).
+func (r *Router) pickTarget(svc *service, exclude *target) *target {
+	candidates := r.candidates(svc, exclude)
 	if len(candidates) == 0 {
 		return nil
 	}
-	if owner.balance {
+	if svc.balance {
 		return r.leastLoaded(candidates)
 	}
-	first := r.drawByWeight(candidates)
-	second := r.drawByWeight(candidates)
+	first := r.pickByWeight(candidates)
+	second := r.pickByWeight(candidates)
 	if loadScore(second) < loadScore(first) {
 		return second
 	}
 	return first
 }
 
-func (r *Router) candidates(owner *service, exclude *target) []*target {
+// candidates returns the targets that accept new flows. Every primary assumes that
+// the others have placed as many flows on a target as it has itself.
+func (r *Router) candidates(svc *service, exclude *target) []*target {
 	var candidates []*target
-	share := r.activeMembers()
-	for _, candidate := range owner.targets {
-		takes := candidate.takesNewFlows() && candidate.placed*share < int(max(candidate.connections, 1))
+	balancers := r.activeMemberCount()
+	for _, candidate := range svc.targets {
+		eligible := candidate.takesNewFlows() && candidate.placedFlows*balancers < int(max(candidate.connections, 1))
 		if r.settings.Mechanisms.NoDrain {
-			takes = candidate.usable()
+			eligible = candidate.usable()
 		}
-		if takes && candidate != exclude {
+		if eligible && candidate != exclude {
 			candidates = append(candidates, candidate)
 		}
 	}
 	return candidates
 }
 
-// loadScore is the number of flows and requests a target has by its weight;
-// the lowest is the least loaded.
+// loadScore returns the target's flows and outstanding requests in proportion to
+// its weight.
 func loadScore(candidate *target) float64 {
-	const requestCost = 4
-	load := float64(candidate.placed + requestCost*candidate.outstanding + 1)
+	const requestWeight = 4
+	load := float64(candidate.placedFlows + requestWeight*candidate.outstanding + 1)
 	return load / float64(max(candidate.weight, 1))
 }
 
-// leastLoaded compares all candidates. Each primary begins at another place of
-// the list, evenly spread by its place in the view, so that primaries with few
-// flows of their own do not all choose the same targets.
+// leastLoaded returns the candidate with the lowest load score. The primaries
+// start their search at evenly spaced candidates, so that ties do not lead all of
+// them to the same target.
 func (r *Router) leastLoaded(candidates []*target) *target {
 	start := 0
 	if r.table.view != nil {
@@ -80,47 +83,52 @@
 	return best
 }
 
-func (r *Router) drawByWeight(candidates []*target) *target {
+// pickByWeight returns a random candidate with a probability proportional to its
+// weight.
+func (r *Router) pickByWeight(candidates []*target) *target {
 	total := 0
 	for _, candidate := range candidates {
 		total += int(max(candidate.weight, 1))
 	}
-	mark := r.settings.Random.IntN(total)
+	remaining := r.settings.Random.IntN(total)
 	for _, candidate := range candidates {
-		mark -= int(max(candidate.weight, 1))
-		if mark < 0 {
+		remaining -= int(max(candidate.weight, 1))
+		if remaining < 0 {
 			return candidate
 		}
 	}
 	return candidates[len(candidates)-1]
 }
 
-// admits reports whether the target can finish one more request before its
-// deadline, as far as this primary can tell from its own share of them.
-func (r *Router) admits(work *job, to *target) bool {
-	share := r.activeMembers()
-	queued := to.outstanding * share
-	if queued >= int(to.slots*work.service.limits.queueFactor) {
+// canMeetDeadline reports whether the target can accept one more request and answer
+// it before its deadline. It estimates the target's queue from the requests of
+// this primary.
+func (r *Router) canMeetDeadline(incoming *incomingPacket, dest *target) bool {
+	balancers := r.activeMemberCount()
+	queued := dest.outstanding * balancers
+	if queued >= int(dest.slots*incoming.service.limits.queueFactor) {
 		return false
 	}
-	left := work.service.limits.deadline
-	if asked := r.parser.DeadlineMilliseconds(); asked > 0 {
-		left = min(left, time.Duration(asked)*time.Millisecond)
+	available := incoming.service.limits.deadline
+	if requested := r.parser.DeadlineMilliseconds(); requested > 0 {
+		available = min(available, time.Duration(requested)*time.Millisecond)
 	}
-	return to.wait(queued) <= left
+	return dest.estimatedWait(queued) <= available
 }
 
-// wait estimates the time until a request behind queued others is answered.
-func (t *target) wait(queued int) time.Duration {
+// estimatedWait returns the estimated time until a request behind queued others is
+// answered.
+func (t *target) estimatedWait(queued int) time.Duration {
 	return t.serviceTime * time.Duration(queued/int(t.slots)+1)
 }
 
-// expectedWait estimates when a refused caller may come back.
-func (r *Router) expectedWait(owner *service) time.Duration {
+// shortestWait returns the shortest estimated wait among the service's targets that
+// is not zero, or 0.
+func (r *Router) shortestWait(svc *service) time.Duration {
 	var shortest time.Duration
-	share := r.activeMembers()
-	for _, candidate := range owner.targets {
-		wait := candidate.wait(candidate.outstanding * share)
+	balancers := r.activeMemberCount()
+	for _, candidate := range svc.targets {
+		wait := candidate.estimatedWait(candidate.outstanding * balancers)
 		if shortest == 0 || wait < shortest {
 			shortest = wait
 		}
--- a/internal/routing/primary.go
+++ b/internal/routing/primary.go
@@ -10,335 +10,342 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// decision is what the primary has found for a packet.
+// decision is the primary's choice for a packet.
 type decision struct {
-	to      *target
+	target  *target
 	record  flowRecord
-	first   bool
+	placed  bool
 	refuse  bool
 	attempt uint8
 }
 
-// decide is the one decision point for a packet. The caller has checked that
-// this balancer is the primary of the partition.
-func (r *Router) decide(work *job, flags wire.PeerFlags, hint uint32) {
+// decide chooses the target of a packet. The caller has checked that this balancer
+// is the primary of the partition, so no other balancer decides on the packet.
+func (r *Router) decide(incoming *incomingPacket, flags wire.PeerFlags, hint uint32) {
 	if !r.HasLease(r.now) {
 		r.counters.WithoutLease++
-		r.relayWithoutLease(work)
+		r.relayWithoutLease(incoming)
 		return
 	}
-	if work.unsafe() && (r.answerRepeated(work) || r.holdForView(work) || r.ledgerFull(work)) {
+	if incoming.unsafe() && (r.answerRetransmission(incoming) || r.dropWhileBackupSilent(incoming) || r.rejectIfLedgerFull(incoming)) {
 		return
 	}
-	record, known := r.flows.get(work.fingerprint)
+	record, known := r.flows.get(incoming.fingerprint)
 	if !known && flags.Has(wire.FlagKnown) {
-		record, known = r.adoptHint(work, hint)
+		record, known = r.adoptHint(incoming, hint)
 	}
-	if !known && r.mustConsult(work.partition) {
-		r.consult(work)
+	if !known && r.mustConsult(incoming.partition) {
+		r.consult(incoming)
 		return
 	}
-	r.decideKnown(work, record, known)
+	r.decideTarget(incoming, record, known)
 }
 
-// relayWithoutLease passes a packet to the backup, whose lease may stand.
-func (r *Router) relayWithoutLease(work *job) {
-	owners := r.table.view.pairs[work.partition]
+// relayWithoutLease sends a packet to the backup, which may still have a lease.
+func (r *Router) relayWithoutLease(incoming *incomingPacket) {
+	owners := r.table.view.pairs[incoming.partition]
 	if owners.backup == 0 {
 		r.counters.Unroutable++
 		return
 	}
-	packet := r.peerPacket(wire.PeerToPrimary, work)
-	packet.Hops = hopLimit - 1
+	packet := r.peerPacket(wire.PeerToPrimary, incoming)
+	packet.Hops = maxHops - 1
 	r.toPeer(owners.backup, packet)
 }
 
-// answerRepeated handles a request that the ledger already holds: it is never
-// forwarded again.
-func (r *Router) answerRepeated(work *job) bool {
-	request := r.ledger.get(work.requestKey)
+// answerRetransmission handles a request that is already in the ledger and returns
+// true for it. The target gets it again only where it cannot run twice.
+func (r *Router) answerRetransmission(incoming *incomingPacket) bool {
+	request := r.ledger.get(incoming.requestKey)
 	if request == nil {
 		return false
 	}
 	r.counters.Retransmissions++
 	switch request.state {
 	case requestForwarded:
-		r.repeatForwarded(work, request)
+		r.resendForwarded(incoming, request)
 	case requestAnswered:
-		r.toCaller(work.service, work.caller, request.answer)
+		r.toCaller(incoming.service, incoming.caller, request.answer)
 	case requestRefused:
-		r.repeatRefusal(work, request)
+		r.resendRefusal(incoming, request)
 	case requestUnknown:
-		r.toCaller(work.service, work.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+		r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.GatewayTimeout, 0))
 	}
 	return true
 }
 
-// repeatForwarded sends a request on once more where that cannot run it
-// twice: to the same backup, which keeps its own record of it, or to a target
-// that detects duplicates.
-func (r *Router) repeatForwarded(work *job, request *requestRecord) {
-	owners := r.table.view.pairs[work.partition]
-	to := r.table.targets[request.targetID]
-	if to == nil || !to.usable() {
+// resendForwarded sends a request again if it cannot run twice: to the same
+// backup, which has its own record of it, or to a target that detects duplicates.
+func (r *Router) resendForwarded(incoming *incomingPacket, request *requestRecord) {
+	owners := r.table.view.pairs[incoming.partition]
+	dest := r.table.targets[request.targetID]
+	if dest == nil || !dest.usable() {
 		return
 	}
 	if owners.primary == r.id && request.relayedTo != 0 {
 		if request.relayedTo == owners.backup {
-			r.relayToBackup(work, decision{to: to, attempt: request.attempt})
+			r.relayToBackup(incoming, decision{target: dest, attempt: request.attempt})
 		}
 		return
 	}
-	if to.dedupes {
-		r.toTarget(to, work.caller, r.table.view.number, work.requestKey, work.payload)
+	if dest.detectsDuplicates {
+		r.toTarget(dest, incoming.caller, r.table.view.number, incoming.requestKey, incoming.payload)
 	}
 }
 
-// repeatRefusal answers "not run" again. A primary that decided without all
-// earlier records leaves the answer to the backup that decided with it.
-func (r *Router) repeatRefusal(work *job, request *requestRecord) {
-	if !request.unsure {
-		r.refuse(work)
+// resendRefusal answers a retransmission of a refused request. A primary that
+// lacked earlier records leaves the answer to the backup that got the refusal.
+func (r *Router) resendRefusal(incoming *incomingPacket, request *requestRecord) {
+	if !request.historyIncomplete {
+		r.refuse(incoming)
 		return
 	}
-	if request.relayedTo == r.table.view.pairs[work.partition].backup {
-		r.relayToBackup(work, decision{refuse: true, attempt: request.attempt})
+	if request.relayedTo == r.table.view.pairs[incoming.partition].backup {
+		r.relayToBackup(incoming, decision{refuse: true, attempt: request.attempt})
 		return
 	}
-	r.toCaller(work.service, work.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.GatewayTimeout, 0))
 }
 
-// adoptHint takes the target that the relaying balancer knows for the flow.
-func (r *Router) adoptHint(work *job, hint uint32) (flowRecord, bool) {
-	to := r.table.targets[hint]
-	if to == nil || to.service != work.service {
+// adoptHint returns a record with the target that the relaying balancer has
+// recorded for the flow, if that target belongs to the service.
+func (r *Router) adoptHint(incoming *incomingPacket, hint uint32) (flowRecord, bool) {
+	dest := r.table.targets[hint]
+	if dest == nil || dest.service != incoming.service {
 		return flowRecord{}, false
 	}
 	record := flowRecord{targetID: hint, flags: flowAnswered}
-	r.count(&record, to)
+	r.countPlaced(&record, dest)
 	return record, true
 }
 
-func (r *Router) count(record *flowRecord, to *target) {
+// countPlaced includes a flow in its target's placedFlows, once.
+func (r *Router) countPlaced(record *flowRecord, dest *target) {
 	if record.flags&flowCounted == 0 {
 		record.flags |= flowCounted
-		to.placed++
+		dest.placedFlows++
 	}
 }
 
-// decideKnown finds the target for a packet whose flow was looked up with
-// certainty, and sends the packet on its way.
-func (r *Router) decideKnown(work *job, record flowRecord, known bool) {
+// decideTarget chooses the target after the flow lookup is conclusive, and commits
+// the decision. It places the flow anew if its target is unusable.
+func (r *Router) decideTarget(incoming *incomingPacket, record flowRecord, known bool) {
 	choice := decision{record: record, attempt: 1}
 	if known {
-		choice.to = r.table.targets[record.targetID]
-		if choice.to == nil || !choice.to.usable() {
-			r.endFlow(work.fingerprint, record)
+		choice.target = r.table.targets[record.targetID]
+		if choice.target == nil || !choice.target.usable() {
+			r.dropBrokenFlow(incoming.fingerprint, record)
 			known = false
 		}
 	}
-	if !known && !r.place(work, &choice, nil) {
+	if !known && !r.placeFlow(incoming, &choice, nil) {
 		choice.refuse = true
 	}
-	if !choice.refuse && work.unsafe() && !r.admits(work, choice.to) {
+	if !choice.refuse && incoming.unsafe() && !r.canMeetDeadline(incoming, choice.target) {
 		choice.refuse = true
 	}
-	r.commit(work, choice)
+	r.commitDecision(incoming, choice)
 }
 
-// endFlow forgets a flow whose target is gone.
-func (r *Router) endFlow(fingerprint uint64, record flowRecord) {
+// dropBrokenFlow removes a flow whose target is unusable.
+func (r *Router) dropBrokenFlow(fingerprint uint64, record flowRecord) {
 	r.counters.FlowsBroken++
-	r.uncount(record)
+	r.uncountPlaced(record)
 	r.flows.remove(fingerprint)
 }
 
-// place chooses a target for a new flow. It returns false when no target
-// takes one.
-func (r *Router) place(work *job, choice *decision, exclude *target) bool {
-	to := r.pick(work.service, exclude)
-	if to == nil {
+// placeFlow chooses a target for a new flow. It returns false when no target
+// accepts one.
+func (r *Router) placeFlow(incoming *incomingPacket, choice *decision, exclude *target) bool {
+	dest := r.pickTarget(incoming.service, exclude)
+	if dest == nil {
 		return false
 	}
 	r.counters.FlowsPlaced++
-	choice.to = to
-	choice.first = true
-	choice.record = flowRecord{targetID: to.id}
-	r.count(&choice.record, to)
+	choice.target = dest
+	choice.placed = true
+	choice.record = flowRecord{targetID: dest.id}
+	r.countPlaced(&choice.record, dest)
 	return true
 }
 
-// commit records the decision and sends the packet on: through the backup if
-// it must record it too, and straight to the target otherwise.
-func (r *Router) commit(work *job, choice decision) {
+// commitDecision records the decision and forwards the packet: through the backup
+// if that must record the decision too, and otherwise to the target.
+func (r *Router) commitDecision(incoming *incomingPacket, choice decision) {
 	view := r.table.view
-	owners := view.pairs[work.partition]
-	registered := choice.record.registered >= view.epochs[work.partition] && r.confirmedLately(work, choice.record)
-	choice.record.lastSeen = lastSeenAt(r.now)
+	owners := view.pairs[incoming.partition]
+	registered := choice.record.registeredView >= view.pairChangedIn[incoming.partition] && r.recentlyConfirmed(incoming, choice.record)
+	choice.record.lastSeen = flowTimestamp(r.now)
 	if !registered {
-		choice.record.confirmed = lastSeenAt(r.now)
+		choice.record.confirmedAt = flowTimestamp(r.now)
 	}
 	if !choice.refuse {
-		r.flows.put(work.fingerprint, choice.record)
-		r.noteObserver(work)
+		r.flows.put(incoming.fingerprint, choice.record)
+		r.updateObserver(incoming)
 	}
-	throughBackup := owners.backup != 0 && !r.settings.Mechanisms.NoBackupRecord
-	if !work.unsafe() {
-		needsBackup := throughBackup && !(registered && work.class == coapmsg.ClassSafe)
-		r.commitSafe(work, choice, needsBackup)
+	viaBackup := owners.backup != 0 && !r.settings.Mechanisms.NoBackupRecord
+	if !incoming.unsafe() {
+		needsBackup := viaBackup && !(registered && incoming.class == coapmsg.ClassSafe)
+		r.sendSafe(incoming, choice, needsBackup)
 		return
 	}
-	if !throughBackup {
-		r.finishAlone(work, choice)
+	if !viaBackup {
+		r.commitWithoutBackup(incoming, choice)
 		return
 	}
-	request := r.recordRequest(work, choice)
+	request := r.recordRequest(incoming, choice)
 	request.relayedTo = owners.backup
-	request.unsure = !r.historyKnown(work.partition)
-	r.relayToBackup(work, choice)
+	request.historyIncomplete = !r.hasRequestHistory(incoming.partition)
+	r.relayToBackup(incoming, choice)
 }
 
-// commitSafe sends on a packet that may be repeated. While the backup does not
-// answer, the packet goes to the target without being registered there.
-func (r *Router) commitSafe(work *job, choice decision, throughBackup bool) {
+// sendSafe forwards a packet that is not an unsafe request. While the backup is
+// suspected to be down, the packet goes to the target with view 0 in its tag, so
+// that the flow does not count as registered.
+func (r *Router) sendSafe(incoming *incomingPacket, choice decision, viaBackup bool) {
 	switch {
 	case choice.refuse:
-		r.refuse(work)
-	case !throughBackup:
-		r.toTarget(choice.to, work.caller, r.table.view.number, 0, work.payload)
-	case r.suspects(r.table.view.pairs[work.partition].backup):
-		r.toTarget(choice.to, work.caller, 0, 0, work.payload)
+		r.refuse(incoming)
+	case !viaBackup:
+		r.toTarget(choice.target, incoming.caller, r.table.view.number, 0, incoming.payload)
+	case r.isSuspected(r.table.view.pairs[incoming.partition].backup):
+		r.toTarget(choice.target, incoming.caller, 0, 0, incoming.payload)
 	default:
-		r.relayToBackup(work, choice)
+		r.relayToBackup(incoming, choice)
 	}
 }
 
-// ledgerFull ends a request for which there is no room in the ledger. Without a
-// record it can neither be forwarded nor be said not to run.
-func (r *Router) ledgerFull(work *job) bool {
+// rejectIfLedgerFull answers 5.04 when the ledger is full. Without a record, the
+// balancer can neither forward the request nor promise that it will not run.
+func (r *Router) rejectIfLedgerFull(incoming *incomingPacket) bool {
 	if len(r.ledger.records) < r.settings.LedgerLimit {
 		return false
 	}
 	r.counters.LedgerFull++
-	r.toCaller(work.service, work.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.GatewayTimeout, 0))
 	return true
 }
 
-// noteFullLedger logs that requests found no room since the last note.
-func (r *Router) noteFullLedger() {
-	if r.counters.LedgerFull == r.ledgerNoted || r.now < r.nextLedgerNote {
+// logLedgerFull logs rejections by a full ledger, at most once per
+// fullTableLogInterval.
+func (r *Router) logLedgerFull() {
+	if r.counters.LedgerFull == r.loggedLedgerFull || r.now < r.nextLedgerLog {
 		return
 	}
-	r.nextLedgerNote = r.now.Add(fullTableInterval)
-	r.log(eventlog.LedgerFull, "records", len(r.ledger.records), "ended", r.counters.LedgerFull-r.ledgerNoted)
-	r.ledgerNoted = r.counters.LedgerFull
+	r.nextLedgerLog = r.now.Add(fullTableLogInterval)
+	r.log(eventlog.LedgerFull, "records", len(r.ledger.records), "ended", r.counters.LedgerFull-r.loggedLedgerFull)
+	r.loggedLedgerFull = r.counters.LedgerFull
 }
 
-// holdForView drops a request that may not be repeated while the backup does
-// not answer: forwarded now, its outcome would most likely stay unknown.
-// Nothing is recorded, so the caller's retransmission is a first attempt once
-// the view has changed.
-func (r *Router) holdForView(work *job) bool {
-	owners := r.table.view.pairs[work.partition]
-	if owners.backup == 0 || r.settings.Mechanisms.NoBackupRecord || !r.suspects(owners.backup) {
+// dropWhileBackupSilent drops an unsafe request while the backup is suspected to be
+// down, since its outcome would probably be unknown. It records nothing, so after
+// a view change the caller's retransmission counts as the first attempt.
+func (r *Router) dropWhileBackupSilent(incoming *incomingPacket) bool {
+	owners := r.table.view.pairs[incoming.partition]
+	if owners.backup == 0 || r.settings.Mechanisms.NoBackupRecord || !r.isSuspected(owners.backup) {
 		return false
 	}
 	r.counters.HeldForView++
 	return true
 }
 
-// finishAlone ends the decision on a primary that has no backup.
-func (r *Router) finishAlone(work *job, choice decision) {
-	if !r.historyKnown(work.partition) {
-		r.answerUnknown(work)
+// commitWithoutBackup commits the decision on an unsafe request on a primary that
+// does not use a backup.
+func (r *Router) commitWithoutBackup(incoming *incomingPacket, choice decision) {
+	if !r.hasRequestHistory(incoming.partition) {
+		r.answerOutcomeUnknown(incoming)
 		return
 	}
-	r.recordRequest(work, choice)
+	r.recordRequest(incoming, choice)
 	if choice.refuse {
-		r.refuse(work)
+		r.refuse(incoming)
 		return
 	}
-	r.toTarget(choice.to, work.caller, r.table.view.number, work.requestKey, work.payload)
+	r.toTarget(choice.target, incoming.caller, r.table.view.number, incoming.requestKey, incoming.payload)
 }
 
-func (r *Router) relayToBackup(work *job, choice decision) {
+// relayToBackup sends a packet and the decision on it to the backup.
+func (r *Router) relayToBackup(incoming *incomingPacket, choice decision) {
 	r.counters.RelayedToBackup++
-	packet := r.peerPacket(wire.PeerToBackup, work)
+	packet := r.peerPacket(wire.PeerToBackup, incoming)
 	packet.Attempt = choice.attempt
-	if choice.to != nil {
-		packet.TargetID = choice.to.id
+	if choice.target != nil {
+		packet.TargetID = choice.target.id
 	}
 	if choice.refuse {
 		packet.Flags |= wire.FlagRefuse
 	}
-	if r.coverage.coversRequests(work.partition) {
+	if r.coverage.hasAllRequests(incoming.partition) {
 		packet.Flags |= wire.FlagCovered
 	}
-	r.toPeer(r.table.view.pairs[work.partition].backup, packet)
+	r.toPeer(r.table.view.pairs[incoming.partition].backup, packet)
 }
 
-// recordRequest enters the request into the ledger before anyone can run it.
-func (r *Router) recordRequest(work *job, choice decision) *requestRecord {
-	request := r.newRequest(work)
+// recordRequest adds the request to the ledger. It is called before the packet is
+// sent.
+func (r *Router) recordRequest(incoming *incomingPacket, choice decision) *requestRecord {
+	request := r.newRequestRecord(incoming)
 	request.attempt = choice.attempt
-	request.first = choice.first
+	request.placedFlow = choice.placed
 	if choice.refuse {
 		request.state = requestRefused
 	} else {
-		request.targetID = choice.to.id
-		request.packet = append([]byte(nil), work.payload...)
+		request.targetID = choice.target.id
+		request.packet = append([]byte(nil), incoming.payload...)
 		request.decider = r.id
-		request.tracked = true
-		choice.to.outstanding++
-		work.service.retries.earn()
+		request.countedOutstanding = true
+		choice.target.outstanding++
+		incoming.service.retries.earn()
 	}
-	r.ledger.put(work.requestKey, request)
+	r.ledger.put(incoming.requestKey, request)
 	return request
 }
 
-// networkLifetime is how long a packet can be under way after its last
-// transmission: the network's part is short, and each of three balancers may
-// hold it for maxPacketAge.
-const networkLifetime = 3*maxPacketAge + time.Second
+// maxPacketLifetime is the longest time from a packet's last transmission to its
+// arrival at the target: maxPacketAge at each of three balancers, and one second
+// in the network.
+const maxPacketLifetime = 3*maxPacketAge + time.Second
 
-func (r *Router) newRequest(work *job) *requestRecord {
-	deadline := work.service.limits.deadline
-	if asked := r.parser.DeadlineMilliseconds(); asked > 0 {
-		deadline = min(deadline, time.Duration(asked)*time.Millisecond)
+// newRequestRecord returns the record of a request with its deadline and expiry.
+func (r *Router) newRequestRecord(incoming *incomingPacket) *requestRecord {
+	deadline := incoming.service.limits.deadline
+	if requested := r.parser.DeadlineMilliseconds(); requested > 0 {
+		deadline = min(deadline, time.Duration(requested)*time.Millisecond)
 	}
-	forget := max(deadline, work.service.limits.retransmitSpan) + networkLifetime
+	lifetime := max(deadline, incoming.service.limits.retransmitSpan) + maxPacketLifetime
 	return &requestRecord{
-		state:    requestForwarded,
-		started:  r.now,
-		deadline: r.now.Add(deadline),
-		forget:   r.now.Add(forget),
-		flow:     work.fingerprint,
-		service:  work.service.id,
-		caller:   work.caller,
+		state:     requestForwarded,
+		started:   r.now,
+		deadline:  r.now.Add(deadline),
+		expiresAt: r.now.Add(lifetime),
+		flow:      incoming.fingerprint,
+		service:   incoming.service.id,
+		caller:    incoming.caller,
 	}
 }
 
-// refuse answers "not run". It is called only where the refusal is recorded
-// or the request may be repeated.
-func (r *Router) refuse(work *job) {
+// refuse answers 5.03, which tells the caller that the request did not run. It is
+// called only for a safe request or after the refusal was recorded.
+func (r *Router) refuse(incoming *incomingPacket) {
 	r.counters.RefusedNotRun++
-	wait := r.expectedWait(work.service)
-	r.toCaller(work.service, work.caller, r.parser.Answer(codes.ServiceUnavailable, refusalMaxAge(wait)))
+	wait := r.shortestWait(incoming.service)
+	r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.ServiceUnavailable, refusalMaxAge(wait)))
 }
 
-// answerUnknown answers "outcome unknown": a predecessor may have forwarded
-// this very request, and its records are lost.
-func (r *Router) answerUnknown(work *job) {
+// answerOutcomeUnknown answers 5.04 to a request that an earlier owner of the
+// partition may have forwarded and of which no record is available.
+func (r *Router) answerOutcomeUnknown(incoming *incomingPacket) {
 	r.counters.UnknownOutcome++
 	r.counters.HistoryUnknown++
-	r.log(eventlog.HistoryUnknown, "view", r.ViewNumber(), "partition", work.partition, "caller", work.caller)
-	request := r.newRequest(work)
+	r.log(eventlog.HistoryUnknown, "view", r.ViewNumber(), "partition", incoming.partition, "caller", incoming.caller)
+	request := r.newRequestRecord(incoming)
 	request.state = requestUnknown
-	r.ledger.put(work.requestKey, request)
-	r.toCaller(work.service, work.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.ledger.put(incoming.requestKey, request)
+	r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.GatewayTimeout, 0))
 }
 
-// refusalMaxAge returns the seconds after which a refused caller may come back.
+// refusalMaxAge returns the Max-Age of a refusal: the wait in whole seconds,
+// rounded up, and at least 1.
 func refusalMaxAge(wait time.Duration) uint32 {
 	return uint32(max(1, (wait+time.Second-1)/time.Second))
 }
--- a/internal/routing/prune.go
+++ b/internal/routing/prune.go
@@ -7,52 +7,53 @@
 )
 
 const (
-	// pruneInterval is the time between two looks at targets that are gone.
+	// pruneInterval is the time between two searches for unused targets.
 	pruneInterval = time.Minute
-	// keepGone is how long a target is remembered after it was removed, for
-	// answers that are still under way.
-	keepGone = time.Minute
+	// removedTargetRetention is how long a removed target is kept for answers that
+	// are still in flight.
+	removedTargetRetention = time.Minute
 )
 
-// pruneTargets forgets targets that the configuration no longer names and that
-// no flow and no request goes to any more.
+// pruneTargets deletes targets that were removed from the configuration and have
+// no flows and no pending requests.
 func (r *Router) pruneTargets() {
 	if r.now < r.nextPrune {
 		return
 	}
 	r.nextPrune = r.now.Add(pruneInterval)
-	gone := r.table.goneBefore(r.now.Add(-keepGone))
-	if len(gone) == 0 {
+	unused := r.table.removedBefore(r.now.Add(-removedTargetRetention))
+	if len(unused) == 0 {
 		return
 	}
 	for _, record := range r.flows.records {
-		delete(gone, record.targetID)
+		delete(unused, record.targetID)
 	}
 	for _, request := range r.ledger.records {
 		if request.state == requestForwarded {
-			delete(gone, request.targetID)
+			delete(unused, request.targetID)
 		}
 	}
-	for id := range gone {
-		r.table.forgetTarget(id)
+	for id := range unused {
+		r.table.deleteTarget(id)
 	}
 }
 
-// goneBefore returns the targets that were removed before a point in time.
-func (t *table) goneBefore(limit kernel.Instant) map[uint32]bool {
-	gone := map[uint32]bool{}
+// removedBefore returns the IDs of the targets that were removed before the cutoff.
+func (t *routingTable) removedBefore(cutoff kernel.Instant) map[uint32]bool {
+	removed := map[uint32]bool{}
 	for id, candidate := range t.targets {
-		if candidate.removed && candidate.removedAt < limit {
-			gone[id] = true
+		if candidate.removed && candidate.removedAt < cutoff {
+			removed[id] = true
 		}
 	}
-	return gone
+	return removed
 }
 
-func (t *table) forgetTarget(id uint32) {
-	forgotten := t.targets[id]
+// deleteTarget deletes a target, and its address unless a newer target uses it.
+func (t *routingTable) deleteTarget(id uint32) {
+	deleted := t.targets[id]
 	delete(t.targets, id)
-	if t.byTarget[forgotten.address] == forgotten {
-		delete(t.byTarget, forgotten.address)
+	if t.byTargetAddress[deleted.address] == deleted {
+		delete(t.byTargetAddress, deleted.address)
 	}
 }
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -8,54 +8,57 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// requestState is where a request that may not be repeated stands.
+// requestState is the state of an unsafe request.
 type requestState uint8
 
 const (
-	// requestForwarded may have run.
+	// requestForwarded means that the request may have run and has no answer yet.
 	requestForwarded requestState = iota + 1
-	// requestAnswered has the target's answer.
+	// requestAnswered means that the target has answered.
 	requestAnswered
-	// requestRefused was answered "not run" and never will run.
+	// requestRefused means that the request was refused and will not run.
 	requestRefused
-	// requestUnknown was answered "outcome unknown" and will not be forwarded.
+	// requestUnknown means that the request may have run and will not be forwarded
+	// again.
 	requestUnknown
 )
 
-// requestRecord is one entry of the ledger.
+// requestRecord is the ledger's record of an unsafe request.
 type requestRecord struct {
 	state    requestState
 	attempt  uint8
 	started  kernel.Instant
 	deadline kernel.Instant
-	// forget is when no retransmission can arrive any more.
-	forget kernel.Instant
-	// flow is the fingerprint of the flow; of a record that was handed over it
-	// is only the partition.
+	// expiresAt is the time after which no retransmission can arrive.
+	expiresAt kernel.Instant
+	// flow is the fingerprint of the flow. In a record from a handover it is the
+	// partition, which maps to the same partition.
 	flow     uint64
 	targetID uint32
 	service  uint32
 	caller   netip.AddrPort
-	// first says that this request placed its flow.
-	first bool
-	// tracked says that the request counts as outstanding at its target.
-	tracked bool
-	// relayedTo is the backup that got the request; only it may have forwarded it.
+	// placedFlow reports whether the flow was placed for this request.
+	placedFlow bool
+	// countedOutstanding reports whether the request is included in its target's
+	// outstanding requests.
+	countedOutstanding bool
+	// relayedTo is the backup to which the primary relayed the request, 0 if none.
 	relayedTo uint32
-	// decider is the primary that decided on the request, 0 when it is not
-	// known any more. It tells the caller how the request ended.
+	// decider is the primary that decided on the request, 0 if unknown. It tells
+	// the caller when the outcome is unknown.
 	decider uint32
-	// unsure says that the primary decided without all earlier records.
-	unsure bool
-	// packet is kept until the answer, for a retry.
+	// historyIncomplete reports whether the primary lacked earlier records of the
+	// partition when it decided.
+	historyIncomplete bool
+	// packet is the caller's packet, kept for a retry until the request ends.
 	packet []byte
-	// answer is kept for retransmissions.
+	// answer is the response to retransmissions, nil if it was too large to store.
 	answer []byte
 }
 
-// waitingFor returns the requests without an answer at a target, in a fixed
-// order.
-func (l *ledger) waitingFor(targetID uint32) []uint64 {
+// pendingAt returns the keys of the requests that await an answer from a target,
+// sorted for reproducible simulations.
+func (l *ledger) pendingAt(targetID uint32) []uint64 {
 	var keys []uint64
 	for key, record := range l.records {
 		if record.state == requestForwarded && record.targetID == targetID {
@@ -66,21 +69,22 @@
 	return keys
 }
 
+// ledgerTick is the resolution of the ledger's timers.
 const ledgerTick = 100 * time.Millisecond
 
-// ledger holds the requests that may not be repeated, with a wheel of the
-// times at which each is due.
+// ledger records the unsafe requests, with a timer wheel for their deadlines and
+// expiry.
 type ledger struct {
-	records map[uint64]*requestRecord
-	due     map[int64][]uint64
-	next    int64
+	records  map[uint64]*requestRecord
+	timers   map[int64][]uint64
+	nextTick int64
 }
 
 func newLedger(now kernel.Instant) *ledger {
 	return &ledger{
-		records: map[uint64]*requestRecord{},
-		due:     map[int64][]uint64{},
-		next:    tickOf(now),
+		records:  map[uint64]*requestRecord{},
+		timers:   map[int64][]uint64{},
+		nextTick: tickOf(now),
 	}
 }
 
@@ -91,30 +95,30 @@
 func (l *ledger) put(key uint64, record *requestRecord) {
 	l.records[key] = record
 	l.schedule(key, record.deadline)
-	l.schedule(key, record.forget)
+	l.schedule(key, record.expiresAt)
 }
 
 func (l *ledger) schedule(key uint64, at kernel.Instant) {
-	tick := max(tickOf(at)+1, l.next)
-	l.due[tick] = append(l.due[tick], key)
+	tick := max(tickOf(at)+1, l.nextTick)
+	l.timers[tick] = append(l.timers[tick], key)
 }
 
-// expire calls expired for each request whose deadline has passed without an
-// answer, and drops those that no retransmission can ask for.
-func (l *ledger) expire(now kernel.Instant, expired func(uint64, *requestRecord)) {
-	for ; l.next <= tickOf(now); l.next++ {
-		for _, key := range l.due[l.next] {
+// expire calls onTimeout for each request whose deadline has passed without an
+// answer, and deletes expired records.
+func (l *ledger) expire(now kernel.Instant, onTimeout func(uint64, *requestRecord)) {
+	for ; l.nextTick <= tickOf(now); l.nextTick++ {
+		for _, key := range l.timers[l.nextTick] {
 			record := l.records[key]
 			if record == nil {
 				continue
 			}
 			if record.state == requestForwarded && record.deadline <= now {
-				expired(key, record)
+				onTimeout(key, record)
 			}
-			if record.forget <= now {
+			if record.expiresAt <= now {
 				delete(l.records, key)
 			}
 		}
-		delete(l.due, l.next)
+		delete(l.timers, l.nextTick)
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,15 +1,14 @@
-// Package routing provides the deterministic core of a balancer: it decides
-// for every packet which target receives it, keeps that choice for the life
-// of the flow together with the other balancers of its cell, and sees to it
-// that a request that may not be repeated runs at most once.
+// Package routing provides the deterministic core of a balancer. It chooses the
+// target of every packet, keeps that target for the lifetime of the flow across
+// all balancers of the cell, and ensures that an unsafe request (any method other
+// than GET and FETCH) runs at most once.
 //
 // Every flow belongs to a partition, and every partition has a primary and a
-// backup balancer (rendezvous hashing over the members of the view). A packet
-// of a flow that the receiving balancer does not know is relayed to the
-// primary, which decides, and on to the backup, which records the decision
-// before the target sees the packet. The packet itself carries the
-// replication, so that a flow costs no control traffic. See
-// docs/design/0002-flow-ownership.md.
+// backup balancer, chosen by rendezvous hashing over the members of the view. A
+// packet of an unknown flow is relayed to the primary, which chooses the target,
+// and then to the backup, which records the choice and forwards the packet. The
+// relayed packet carries the decision, so that a new flow needs no separate
+// replication messages. See docs/design/0002-flow-ownership.md.
 package routing
 
 import (
@@ -24,34 +23,39 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Mechanisms switches off single mechanisms for tests. All false is the product.
+// Mechanisms disables single mechanisms in tests and simulations. All are enabled
+// in production.
 type Mechanisms struct {
-	// NoDecisionPoint lets every balancer decide on every request by itself.
+	// NoDecisionPoint lets every balancer decide on unsafe requests without their
+	// primary.
 	NoDecisionPoint bool
-	// NoBackupRecord forwards from the primary without the backup's record.
+	// NoBackupRecord lets the primary forward without a record on the backup.
 	NoBackupRecord bool
-	// NoHistoryCheck answers "not run" and forwards without regard to records
-	// that a predecessor may have held.
+	// NoHistoryCheck decides on requests without the records of earlier owners of
+	// the partition.
 	NoHistoryCheck bool
-	// NoLeaseCheck decides without a lease.
+	// NoLeaseCheck lets a balancer decide without a lease.
 	NoLeaseCheck bool
-	// NoViewCheck accepts relays from balancers with another view.
+	// NoViewCheck lets the backup accept decisions without a check of the lease,
+	// the view and the pair.
 	NoViewCheck bool
-	// NoTagCheck accepts answers of targets that do not belong to the service.
+	// NoTagCheck accepts answers with a tag that does not name a target of the
+	// service.
 	NoTagCheck bool
-	// NoConsult places a flow that this balancer does not know without asking.
+	// NoConsult places an unknown flow without consulting the other members.
 	NoConsult bool
-	// NoHandover gives a new member of a pair no records.
+	// NoHandover sends no records to new members of a pair.
 	NoHandover bool
-	// NoDrain places new flows on leaving targets.
+	// NoDrain places new flows on any usable target, including those that are
+	// draining or at their limits.
 	NoDrain bool
-	// NoPeerHealth sends to balancers without regard to signs of life.
+	// NoPeerHealth sends to balancers that are suspected to be down.
 	NoPeerHealth bool
-	// UnsafeRetry retries a request whose fate is not known.
+	// UnsafeRetry retries requests with an unknown outcome.
 	UnsafeRetry bool
 }
 
-// Settings are the fixed settings of a router.
+// Settings holds the settings of a router, which do not change while it runs.
 type Settings struct {
 	Name  string
 	Zone  string
@@ -66,14 +70,14 @@
 	FlowLimit int
 	// LedgerLimit is the largest number of request records held.
 	LedgerLimit int
-	// HandoverRate is the budget for handovers in bytes a second.
+	// HandoverRate is the budget for handovers in bytes per second.
 	HandoverRate int
 	Scheme       kernel.PluginID
 	Random       *rand.Rand
 	Mechanisms   Mechanisms
 }
 
-// DefaultSettings returns the settings of a balancer in production.
+// DefaultSettings returns the settings for production.
 func DefaultSettings() Settings {
 	return Settings{
 		ReportInterval: 800 * time.Millisecond,
@@ -84,17 +88,18 @@
 	}
 }
 
-// DefaultScheme is the scheme of the product.
+// DefaultScheme is the ID of the scheme used in production.
 const DefaultScheme kernel.PluginID = "routing.scheme.owner"
 
-// leaseDrift is the part of a lease kept back against clocks that run apart.
-const leaseDrift = 20
+// leaseDriftDivisor sets the safety margin for clock drift: a lease is shortened by
+// its length divided by it.
+const leaseDriftDivisor = 20
 
-// Router is the core. One goroutine owns it.
+// Router is the routing core of a balancer. It is not safe for concurrent use.
 type Router struct {
 	settings  Settings
 	scheme    Scheme
-	table     *table
+	table     *routingTable
 	flows     *flowTable
 	ledger    *ledger
 	coverage  coverage
@@ -104,51 +109,51 @@
 	parser    *coapmsg.Parser
 	actions   []Action
 	// callerJob is reused for each caller's packet.
-	callerJob job
-	counters  Counters
-	now       kernel.Instant
-
-	id           uint32
-	leaseUntil   kernel.Instant
-	leased       bool
-	sequence     uint64
-	reportSent   map[uint64]kernel.Instant
-	nextReport   kernel.Instant
-	leaving      bool
-	signalsTerm  uint64
-	signalsSeq   uint64
-	ownMessageID uint16
-	droppedNoted uint64
-	nextFullNote kernel.Instant
-	nextPrune    kernel.Instant
-
-	ledgerNoted    uint64
-	nextLedgerNote kernel.Instant
+	callerPacket incomingPacket
+	counters     Counters
+	now          kernel.Instant
+
+	id               uint32
+	leaseUntil       kernel.Instant
+	hadLease         bool
+	sequence         uint64
+	reportSentAt     map[uint64]kernel.Instant
+	nextReport       kernel.Instant
+	leaving          bool
+	signalsTerm      uint64
+	signalsSequence  uint64
+	lastMessageID    uint16
+	loggedDrops      uint64
+	nextFlowTableLog kernel.Instant
+	nextPrune        kernel.Instant
+
+	loggedLedgerFull uint64
+	nextLedgerLog    kernel.Instant
 }
 
-// NewRouter returns a router without a configuration.
+// NewRouter returns a router that has no configuration yet.
 func NewRouter(now kernel.Instant, settings Settings) (*Router, error) {
 	plugin, err := kernel.New(settings.Scheme)
 	if err != nil {
 		return nil, err
 	}
 	router := &Router{
-		settings:   settings,
-		scheme:     plugin.(Scheme),
-		table:      newTable(),
-		flows:      newFlowTable(settings.FlowLimit),
-		ledger:     newLedger(now),
-		observers:  map[uint64]observer{},
-		parser:     coapmsg.NewParser(),
-		now:        now,
-		reportSent: map[uint64]kernel.Instant{},
+		settings:     settings,
+		scheme:       plugin.(Scheme),
+		table:        newTable(),
+		flows:        newFlowTable(settings.FlowLimit),
+		ledger:       newLedger(now),
+		observers:    map[uint64]observer{},
+		parser:       coapmsg.NewParser(),
+		now:          now,
+		reportSentAt: map[uint64]kernel.Instant{},
 	}
 	router.handover.init()
 	router.health = newPeerHealth()
 	return router, nil
 }
 
-// Counters returns the statistics.
+// Counters returns the counts since the router started.
 func (r *Router) Counters() Counters { return r.counters }
 
 // Nonce returns the number that identifies this run of the process.
@@ -157,10 +162,10 @@
 // FlowCount returns the number of flows held.
 func (r *Router) FlowCount() int { return r.flows.len() }
 
-// Revision returns the revision in force.
+// Revision returns the revision of the current configuration.
 func (r *Router) Revision() uint64 { return r.table.revision }
 
-// ViewNumber returns the number of the view in force, or 0.
+// ViewNumber returns the number of the current view, or 0 if there is none.
 func (r *Router) ViewNumber() uint64 {
 	if r.table.view == nil {
 		return 0
@@ -168,16 +173,17 @@
 	return r.table.view.number
 }
 
-// HasLease reports whether the balancer may decide alone.
+// HasLease reports whether the balancer holds a lease and so may decide as primary
+// or backup.
 func (r *Router) HasLease(now kernel.Instant) bool {
 	return r.settings.Mechanisms.NoLeaseCheck || now < r.leaseUntil
 }
 
-// InView reports whether the balancer is a member of the view in force.
+// InView reports whether the balancer is a member of the current view.
 func (r *Router) InView() bool { return r.table.view.member(r.id) != nil }
 
-// HasNoPendingRequests reports whether no request that went through this balancer is still
-// waiting for its answer.
+// HasNoPendingRequests reports whether no unsafe request recorded on this balancer
+// awaits an answer.
 func (r *Router) HasNoPendingRequests() bool {
 	for _, record := range r.ledger.records {
 		if record.state == requestForwarded {
@@ -187,63 +193,67 @@
 	return true
 }
 
-func (r *Router) begin(now kernel.Instant) {
+// beginStep sets the time and clears the actions of the previous step.
+func (r *Router) beginStep(now kernel.Instant) {
 	r.now = now
 	r.actions = r.actions[:0]
 }
 
-// next returns a fresh action at the end of the list.
-func (r *Router) next(kind ActionKind) *Action {
+// appendAction appends an action and returns it. The pointer is valid until the
+// next call.
+func (r *Router) appendAction(kind ActionKind) *Action {
 	r.actions = append(r.actions, Action{Kind: kind})
 	return &r.actions[len(r.actions)-1]
 }
 
 func (r *Router) log(event eventlog.ID, fields ...any) {
-	action := r.next(ActionLog)
+	action := r.appendAction(ActionLog)
 	action.Event = event
 	action.Fields = fields
 }
 
-// HandleConfig puts a configuration of the cell in force. One that is older
-// than what is in force, or a difference to something else, is ignored.
+// HandleConfig applies a configuration of the cell. It ignores one that is not
+// newer than the current one, and a difference to a newer base revision.
 func (r *Router) HandleConfig(now kernel.Instant, config *beamdoorv1.CellConfig) []Action {
-	r.begin(now)
+	r.beginStep(now)
 	if config.Revision <= r.table.revision || config.BaseRevision > r.table.revision {
 		r.log(eventlog.ConfigIgnored, "revision", config.Revision, "base", config.BaseRevision, "in_force", r.table.revision)
 		return r.actions
 	}
 	if config.BaseRevision == 0 {
-		r.removeMissing(config)
+		r.removeUnlisted(config)
 	}
 	for _, name := range config.RemovedServices {
 		r.table.removeService(r.now, name)
 	}
 	for _, service := range config.Services {
-		r.table.putService(now, service)
+		r.table.applyService(now, service)
 	}
 	r.table.revision = config.Revision
 	if config.View != nil {
-		r.adoptView(config.View)
+		r.applyView(config.View)
 	}
 	r.log(eventlog.ConfigApplied, "revision", config.Revision, "services", len(r.table.byName))
 	r.sendReport()
 	return r.actions
 }
 
-// removeMissing drops the services that a whole configuration does not name.
-func (r *Router) removeMissing(config *beamdoorv1.CellConfig) {
-	named := map[string]bool{}
+// removeUnlisted removes the services that are not in a full configuration.
+func (r *Router) removeUnlisted(config *beamdoorv1.CellConfig) {
+	listed := map[string]bool{}
 	for _, service := range config.Services {
-		named[service.Name] = true
+		listed[service.Name] = true
 	}
 	for name := range r.table.byName {
-		if !named[name] {
+		if !listed[name] {
 			r.table.removeService(r.now, name)
 		}
 	}
 }
 
-func (r *Router) adoptView(config *beamdoorv1.View) {
+// applyView applies a view if it is newer than the current one, and plans the
+// handovers that it requires.
+func (r *Router) applyView(config *beamdoorv1.View) {
 	previous := r.table.view
 	if previous != nil && config.Number <= previous.number {
 		return
@@ -255,50 +265,52 @@
 			r.id = balancer.Id
 		}
 	}
-	r.coverage.adopt(r, previous)
+	r.coverage.updateForView(r, previous)
 	r.handover.plan(r)
-	r.health.forget(r.table.view)
+	r.health.removeDeparted(r.table.view)
 	r.log(eventlog.ViewAdopted, "view", config.Number, "members", len(config.Members), "id", r.id)
 }
 
-// HandleSignals puts new verdicts on targets in force. The flows of a target
-// that died end, and their callers hear of it at once.
+// HandleSignals applies the control plane's health and weight of targets. It
+// ignores signals that are not newer than the last ones. The flows of a dead
+// target end, and their observers are notified.
 func (r *Router) HandleSignals(now kernel.Instant, signals wire.Signals) []Action {
-	r.begin(now)
-	older := signals.Term < r.signalsTerm || signals.Term == r.signalsTerm && signals.Sequence <= r.signalsSeq
-	if older {
+	r.beginStep(now)
+	stale := signals.Term < r.signalsTerm || signals.Term == r.signalsTerm && signals.Sequence <= r.signalsSequence
+	if stale {
 		return r.actions
 	}
 	r.signalsTerm = signals.Term
-	r.signalsSeq = signals.Sequence
+	r.signalsSequence = signals.Sequence
 	for _, signal := range signals.Targets {
 		changed, effect := r.table.applySignal(signal)
 		switch effect {
 		case signalDied:
-			r.endTarget(changed)
+			r.handleTargetDeath(changed)
 		case signalRestarted:
 			uptime := time.Duration(signal.UptimeMilliseconds) * time.Millisecond
-			r.endEarlierRun(changed, now.Add(-uptime))
+			r.handleTargetRestart(changed, now.Add(-uptime))
 		}
 	}
 	return r.actions
 }
 
-// HandleTargetPacket handles a packet from a target for a caller.
+// HandleTargetPacket handles a packet from a target to a caller.
 func (r *Router) HandleTargetPacket(now kernel.Instant, serviceAddress, caller netip.AddrPort, tag wire.ForwardTag, payload []byte) []Action {
-	r.begin(now)
+	r.beginStep(now)
 	r.counters.TargetPackets++
 	r.handleAnswer(serviceAddress, caller, tag, payload)
 	return r.actions
 }
 
-// maxPacketAge is the longest time a packet may have waited before this
-// balancer looks at it. One that waited longer, as in a process that was
-// stopped and goes on, could come after its request was forgotten.
+// maxPacketAge is the longest time between a packet's arrival and its handling. A
+// packet that waited longer, as after a pause of the process, could be handled
+// after the record of its request expired.
 const maxPacketAge = time.Second
 
-// tooOld reports whether a packet has waited for too long.
-func (r *Router) tooOld(arrived kernel.Instant) bool {
+// isTooOld reports whether a packet has waited longer than maxPacketAge, and counts
+// it.
+func (r *Router) isTooOld(arrived kernel.Instant) bool {
 	if r.now.Sub(arrived) <= maxPacketAge {
 		return false
 	}
@@ -306,27 +318,27 @@
 	return true
 }
 
-// HandleCallerPacket handles a packet from a caller to a service that arrived
-// at this machine at the given time.
+// HandleCallerPacket handles a packet from a caller to a service. arrived is when
+// this machine received it.
 func (r *Router) HandleCallerPacket(now, arrived kernel.Instant, serviceAddress, caller netip.AddrPort, payload []byte) []Action {
-	r.begin(now)
+	r.beginStep(now)
 	r.counters.CallerPackets++
-	if r.tooOld(arrived) {
+	if r.isTooOld(arrived) {
 		return r.actions
 	}
 	r.handleCaller(serviceAddress, caller, payload)
 	return r.actions
 }
 
-// HandlePeerPacket handles a packet from another balancer that arrived at
-// this machine at the given time.
+// HandlePeerPacket handles a packet from another balancer. arrived is when this
+// machine received it.
 func (r *Router) HandlePeerPacket(now, arrived kernel.Instant, packet *wire.PeerPacket) []Action {
-	r.begin(now)
+	r.beginStep(now)
 	r.counters.PeerPackets++
-	if r.tooOld(arrived) {
+	if r.isTooOld(arrived) {
 		return r.actions
 	}
-	r.health.noteHeard(now, packet.From)
+	r.health.recordHeard(now, packet.From)
 	switch packet.Kind {
 	case wire.PeerProbe:
 		r.receiveProbe(packet)
@@ -350,68 +362,73 @@
 	return r.actions
 }
 
-// Tick lets time pass. It is called at least ten times a second.
+// Tick performs the work that depends on time, such as reports and timeouts. It
+// must be called at least ten times per second.
 func (r *Router) Tick(now kernel.Instant) []Action {
-	r.begin(now)
+	r.beginStep(now)
 	if now >= r.nextReport {
 		r.sendReport()
 	}
-	r.noteLease()
-	r.ledger.expire(now, r.requestExpired)
-	r.flows.expire(now, r.idleTimeout, r.flowEnded)
+	r.logLeaseChange()
+	r.ledger.expire(now, r.handleRequestTimeout)
+	r.flows.expire(now, r.idleTimeout, r.handleFlowExpired)
 	r.coverage.tick(r)
 	r.handover.tick(r)
 	r.pruneTargets()
-	r.noteFullTable()
+	r.logTablesFull()
 	return r.actions
 }
 
-// fullTableInterval is the shortest time between two notes of a full table.
-const fullTableInterval = 10 * time.Second
+// fullTableLogInterval is the shortest time between two log entries on the same
+// full table.
+const fullTableLogInterval = 10 * time.Second
 
-// noteFullTable logs that flows found no room since the last note.
-func (r *Router) noteFullTable() {
-	r.noteFullLedger()
-	if r.flows.dropped == r.droppedNoted || r.now < r.nextFullNote {
+// logTablesFull logs rejections by a full ledger or flow table, at most once per
+// fullTableLogInterval for each.
+func (r *Router) logTablesFull() {
+	r.logLedgerFull()
+	if r.flows.dropped == r.loggedDrops || r.now < r.nextFlowTableLog {
 		return
 	}
-	r.nextFullNote = r.now.Add(fullTableInterval)
-	r.log(eventlog.FlowTableFull, "flows", r.flows.len(), "not_kept", r.flows.dropped-r.droppedNoted)
-	r.droppedNoted = r.flows.dropped
+	r.nextFlowTableLog = r.now.Add(fullTableLogInterval)
+	r.log(eventlog.FlowTableFull, "flows", r.flows.len(), "not_kept", r.flows.dropped-r.loggedDrops)
+	r.loggedDrops = r.flows.dropped
 }
 
+// idleTimeout returns the idle timeout of a flow.
 func (r *Router) idleTimeout(record flowRecord) time.Duration {
-	if owner := r.table.targets[record.targetID]; owner != nil {
-		return owner.service.limits.idleTimeout
+	if dest := r.table.targets[record.targetID]; dest != nil {
+		return dest.service.limits.idleTimeout
 	}
 	return DefaultRetransmitSpan
 }
 
-func (r *Router) flowEnded(fingerprint uint64, record flowRecord) {
-	r.uncount(record)
+func (r *Router) handleFlowExpired(fingerprint uint64, record flowRecord) {
+	r.uncountPlaced(record)
 	delete(r.observers, fingerprint)
 }
 
-func (r *Router) uncount(record flowRecord) {
+// uncountPlaced removes a flow from its target's placedFlows.
+func (r *Router) uncountPlaced(record flowRecord) {
 	if record.flags&flowCounted == 0 {
 		return
 	}
-	if owner := r.table.targets[record.targetID]; owner != nil {
-		owner.placed--
+	if dest := r.table.targets[record.targetID]; dest != nil {
+		dest.placedFlows--
 	}
 }
 
 // toTarget sends a packet to a target.
-func (r *Router) toTarget(to *target, caller netip.AddrPort, registered, requestKey uint64, payload []byte) {
-	action := r.next(ActionToTarget)
-	action.Address = to.address
+func (r *Router) toTarget(dest *target, caller netip.AddrPort, registeredView, requestKey uint64, payload []byte) {
+	action := r.appendAction(ActionToTarget)
+	action.Address = dest.address
 	action.Caller = caller
-	action.Service = to.service.address
+	action.Service = dest.service.address
 	action.Payload = payload
 	action.Tag = wire.ForwardTag{
-		ServiceID:  to.service.id,
-		TargetID:   to.id,
-		View:       registered,
+		ServiceID:  dest.service.id,
+		TargetID:   dest.id,
+		View:       registeredView,
 		RequestKey: requestKey,
 	}
 }
@@ -421,13 +438,14 @@
 	if payload == nil {
 		return
 	}
-	action := r.next(ActionToCaller)
+	action := r.appendAction(ActionToCaller)
 	action.Caller = caller
 	action.Service = from.address
 	action.Payload = payload
 }
 
-// toPeer sends a packet to another balancer; an unknown one is counted.
+// toPeer sends a packet to another balancer. It drops and counts a packet to one
+// that is not in the view.
 func (r *Router) toPeer(id uint32, packet wire.PeerPacket) {
 	peer := r.table.view.member(id)
 	if peer == nil {
@@ -436,7 +454,7 @@
 	}
 	packet.From = r.id
 	packet.View = r.table.view.number
-	action := r.next(ActionToPeer)
+	action := r.appendAction(ActionToPeer)
 	action.Address = peer.peer
 	action.Packet = packet
 }
--- a/internal/routing/scheme.go
+++ b/internal/routing/scheme.go
@@ -4,12 +4,12 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Scheme decides how the packets of a flow keep their target. The product
-// uses the owner scheme; the others are baselines for comparison.
+// Scheme is a method of routing the packets of a flow to the same target.
+// Production uses the owner scheme; the others are baselines for comparison.
 type Scheme interface {
 	kernel.Plugin
-	// Route sends one caller's packet on its way.
-	Route(r *Router, work *job)
+	// Route forwards, relays or answers a caller's packet.
+	Route(r *Router, incoming *incomingPacket)
 }
 
 func init() {
@@ -18,7 +18,8 @@
 	kernel.Register(func() kernel.Plugin { return cacheScheme{} })
 }
 
-// ownerScheme relays packets of unknown flows to the partition's pair.
+// ownerScheme forwards safe requests of known flows and relays all other packets to
+// the partition's primary.
 type ownerScheme struct{}
 
 var _ Scheme = ownerScheme{}
@@ -27,57 +28,58 @@
 func (ownerScheme) PluginID() kernel.PluginID { return DefaultScheme }
 
 // Route implements Scheme.
-func (ownerScheme) Route(r *Router, work *job) {
+func (ownerScheme) Route(r *Router, incoming *incomingPacket) {
 	if r.table.view == nil {
 		r.counters.Unroutable++
 		return
 	}
-	if work.unsafe() && r.settings.Mechanisms.NoDecisionPoint {
-		routeAlone(r, work)
+	if incoming.unsafe() && r.settings.Mechanisms.NoDecisionPoint {
+		routeWithoutPair(r, incoming)
 		return
 	}
-	if work.class == 0 {
-		record, known := r.flows.get(work.fingerprint)
+	if incoming.class == 0 {
+		record, known := r.flows.get(incoming.fingerprint)
 		if known {
-			if to := r.certainTarget(work, record); to != nil {
-				r.forwardDirect(work, record, to)
+			if dest := r.confirmedTarget(incoming, record); dest != nil {
+				r.forwardDirect(incoming, record, dest)
 				return
 			}
 		}
 	}
-	r.relayToPrimary(work)
+	r.relayToPrimary(incoming)
 }
 
-// routeAlone decides without the pair: what a balancer without a decision
-// point does. Tests show with it what the decision point is for.
-func routeAlone(r *Router, work *job) {
-	record, known := r.flows.get(work.fingerprint)
-	r.decideAlone(work, record, known)
+// routeWithoutPair decides on a packet without the partition's pair. It is used
+// only with Mechanisms.NoDecisionPoint.
+func routeWithoutPair(r *Router, incoming *incomingPacket) {
+	record, known := r.flows.get(incoming.fingerprint)
+	r.decideLocally(incoming, record, known)
 }
 
-func (r *Router) decideAlone(work *job, record flowRecord, known bool) {
-	if r.answerRepeated(work) {
+// decideLocally decides on an unsafe request with the local flow record only.
+func (r *Router) decideLocally(incoming *incomingPacket, record flowRecord, known bool) {
+	if r.answerRetransmission(incoming) {
 		return
 	}
 	choice := decision{record: record, attempt: 1}
 	if known {
-		choice.to = r.table.targets[record.targetID]
+		choice.target = r.table.targets[record.targetID]
 	}
-	if choice.to == nil && !r.place(work, &choice, nil) {
-		r.refuse(work)
+	if choice.target == nil && !r.placeFlow(incoming, &choice, nil) {
+		r.refuse(incoming)
 		return
 	}
-	if !r.admits(work, choice.to) {
-		r.refuse(work)
+	if !r.canMeetDeadline(incoming, choice.target) {
+		r.refuse(incoming)
 		return
 	}
-	r.flows.put(work.fingerprint, choice.record)
-	r.recordRequest(work, choice)
-	r.toTarget(choice.to, work.caller, r.table.view.number, work.requestKey, work.payload)
+	r.flows.put(incoming.fingerprint, choice.record)
+	r.recordRequest(incoming, choice)
+	r.toTarget(choice.target, incoming.caller, r.table.view.number, incoming.requestKey, incoming.payload)
 }
 
-// hashScheme computes the target of every packet from the list of targets
-// alone: rendezvous hashing without any record of flows.
+// hashScheme chooses the target of every packet by rendezvous hashing over the
+// targets that accept new flows, without a flow table.
 type hashScheme struct{}
 
 var _ Scheme = hashScheme{}
@@ -86,29 +88,30 @@
 func (hashScheme) PluginID() kernel.PluginID { return "routing.scheme.hash" }
 
 // Route implements Scheme.
-func (hashScheme) Route(r *Router, work *job) {
-	if to := hashTarget(r, work); to != nil {
+func (hashScheme) Route(r *Router, incoming *incomingPacket) {
+	if dest := hashTarget(r, incoming); dest != nil {
 		r.counters.ForwardedDirect++
-		r.toTarget(to, work.caller, r.ViewNumber(), 0, work.payload)
+		r.toTarget(dest, incoming.caller, r.ViewNumber(), 0, incoming.payload)
 	}
 }
 
-func hashTarget(r *Router, work *job) *target {
+// hashTarget returns the target with the highest score for the flow, or nil.
+func hashTarget(r *Router, incoming *incomingPacket) *target {
 	var best *target
-	var score uint64
-	for _, candidate := range work.service.targets {
+	var bestScore uint64
+	for _, candidate := range incoming.service.targets {
 		if !candidate.takesNewFlows() {
 			continue
 		}
-		if own := rendezvousScore(work.fingerprint, candidate.id); best == nil || own > score {
-			best, score = candidate, own
+		if candidateScore := rendezvousScore(incoming.fingerprint, candidate.id); best == nil || candidateScore > bestScore {
+			best, bestScore = candidate, candidateScore
 		}
 	}
 	return best
 }
 
-// cacheScheme adds to hashScheme a table of the flows that this balancer has
-// seen itself.
+// cacheScheme extends hashScheme with a local table of the flows that this balancer
+// has seen.
 type cacheScheme struct{}
 
 var _ Scheme = cacheScheme{}
@@ -117,17 +120,17 @@
 func (cacheScheme) PluginID() kernel.PluginID { return "routing.scheme.cache" }
 
 // Route implements Scheme.
-func (cacheScheme) Route(r *Router, work *job) {
-	to := hashTarget(r, work)
-	if record, known := r.flows.get(work.fingerprint); known {
-		if held := r.table.targets[record.targetID]; held != nil && held.usable() {
-			to = held
+func (cacheScheme) Route(r *Router, incoming *incomingPacket) {
+	dest := hashTarget(r, incoming)
+	if record, known := r.flows.get(incoming.fingerprint); known {
+		if recorded := r.table.targets[record.targetID]; recorded != nil && recorded.usable() {
+			dest = recorded
 		}
 	}
-	if to == nil {
+	if dest == nil {
 		return
 	}
-	r.flows.put(work.fingerprint, flowRecord{targetID: to.id, lastSeen: lastSeenAt(r.now)})
+	r.flows.put(incoming.fingerprint, flowRecord{targetID: dest.id, lastSeen: flowTimestamp(r.now)})
 	r.counters.ForwardedDirect++
-	r.toTarget(to, work.caller, r.ViewNumber(), 0, work.payload)
+	r.toTarget(dest, incoming.caller, r.ViewNumber(), 0, incoming.payload)
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -11,21 +11,20 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Partitions is the number of parts into which the flows of a cell are
-// divided. Each has a primary and a backup balancer.
+// Partitions is the number of partitions of a cell's flows. Each has a primary and
+// a backup balancer.
 const Partitions = 1024
 
-// defaultWeight is a target's weight until the control plane has one.
+// defaultWeight is the weight of a target until the control plane sends one.
 const defaultWeight = 128
 
-// Flow is one caller's address with one service.
+// Flow identifies the packets between a caller's address and a service.
 type Flow struct {
 	Caller    netip.AddrPort
 	ServiceID uint32
 }
 
-// Fingerprint returns the hash by which a flow is known. Two flows share one
-// with a probability of 2^-64.
+// Fingerprint returns the 64-bit hash that is used as the flow's key.
 func (f Flow) Fingerprint() uint64 {
 	var buffer [22]byte
 	ip := f.Caller.Addr().As16()
@@ -39,10 +38,10 @@
 	return xxhash.Sum64(buffer[:])
 }
 
-// PartitionOf returns the partition of a flow.
+// PartitionOf returns the partition of the flow with a fingerprint.
 func PartitionOf(fingerprint uint64) int { return int(fingerprint % Partitions) }
 
-// service is a service as the balancer has it in force.
+// service is a service in the current configuration.
 type service struct {
 	id      uint32
 	name    string
@@ -54,7 +53,7 @@
 	retries retryBudget
 }
 
-// limits are the limits of a service with defaults filled in.
+// limits holds the limits of a service, with defaults for those not configured.
 type limits struct {
 	queueFactor    uint32
 	deadline       time.Duration
@@ -63,7 +62,7 @@
 	coldStart      time.Duration
 }
 
-// Defaults for limits that the configuration leaves out.
+// Defaults of limits that are not configured.
 const (
 	DefaultQueueFactor = 8
 	DefaultDeadline    = 8 * time.Second
@@ -74,42 +73,43 @@
 	DefaultRetryPercent   = 10
 )
 
-// target is one incarnation of a back end.
+// target is one incarnation of a service's backend. IDs are never reused.
 type target struct {
-	id          uint32
-	name        string
-	service     *service
-	address     netip.AddrPort
-	slots       uint32
-	connections uint32
-	dedupes     bool
-	draining    bool
-	weight      uint8
-	alive       bool
-	// run identifies the run of the target's process, 0 while it is not known.
-	run uint32
-	// removed says that the configuration no longer names the target; its open
-	// flows go on.
+	id                uint32
+	name              string
+	service           *service
+	address           netip.AddrPort
+	slots             uint32
+	connections       uint32
+	detectsDuplicates bool
+	draining          bool
+	weight            uint8
+	alive             bool
+	// runID identifies the run of the target's process, 0 if unknown.
+	runID uint32
+	// removed reports whether the target was removed from the configuration. Its
+	// open flows continue.
 	removed   bool
 	removedAt kernel.Instant
-	// replaced says that its address belongs to another target now.
+	// replaced reports whether a newer target uses the same address.
 	replaced bool
-	// since is when this balancer first heard of the target.
-	since kernel.Instant
-	// placed counts the open flows that this balancer has placed there.
-	placed int
-	// outstanding counts the requests under way through this primary.
+	// firstSeen is when this balancer first received the target's configuration.
+	firstSeen kernel.Instant
+	// placedFlows counts the open flows to this target that this balancer accounts
+	// for as primary.
+	placedFlows int
+	// outstanding counts the unanswered requests that this balancer sent as primary.
 	outstanding int
-	// serviceTime is a moving average of the time to answer a request.
+	// serviceTime is the moving average of the time to answer a request.
 	serviceTime time.Duration
 }
 
 // takesNewFlows reports whether a new flow may be placed on the target.
 func (t *target) takesNewFlows() bool {
-	return t.usable() && !t.removed && !t.draining && t.weight > 0 && t.placed < int(max(t.connections, 1))
+	return t.usable() && !t.removed && !t.draining && t.weight > 0 && t.placedFlows < int(max(t.connections, 1))
 }
 
-// usable reports whether packets of open flows may go to the target.
+// usable reports whether packets of open flows may be sent to the target.
 func (t *target) usable() bool { return t.alive && !t.replaced }
 
 // member is a balancer of the cell's view.
@@ -121,7 +121,7 @@
 	leaving bool
 }
 
-// pair holds the two balancers that keep the records of a partition.
+// pair holds the IDs of a partition's primary and backup, 0 for none.
 type pair struct {
 	primary uint32
 	backup  uint32
@@ -136,15 +136,16 @@
 	return p.primary
 }
 
-// view is the numbered list of the cell's balancers with the pairs that
-// follow from it.
+// view is a numbered membership of the cell's balancers, with the pairs derived
+// from it.
 type view struct {
 	number   uint64
 	founding bool
 	members  []member
 	pairs    [Partitions]pair
-	// epochs holds for each partition the view in which its pair last changed.
-	epochs [Partitions]uint64
+	// pairChangedIn is the number of the view in which a partition's pair last
+	// changed.
+	pairChangedIn [Partitions]uint64
 }
 
 func newView(config *beamdoorv1.View, previous *view) *view {
@@ -161,27 +162,27 @@
 	}
 	for partition := range next.pairs {
 		next.pairs[partition] = choosePair(uint64(partition), next.members)
-		next.epochs[partition] = next.number
+		next.pairChangedIn[partition] = next.number
 		if previous != nil && previous.pairs[partition] == next.pairs[partition] && previous.number+1 == next.number {
-			next.epochs[partition] = previous.epochs[partition]
+			next.pairChangedIn[partition] = previous.pairChangedIn[partition]
 		}
 	}
 	return next
 }
 
-// choosePair returns the member with the highest hash for the partition as
-// primary (rendezvous hashing; Thaler and Ravishankar, 1998), and as backup the
-// one with the highest hash that stands in another zone, or anywhere when there
-// is no other zone. Leaving members are passed over, so that their partitions
-// move before they go. When one member comes or goes, one owner stays.
+// choosePair returns the owners of a partition by rendezvous hashing (Thaler and
+// Ravishankar, 1998). The primary is the member with the highest score; the backup
+// is the one with the highest score in another zone, or in any zone if there is
+// only one. Leaving members are skipped, so that their partitions move before they
+// leave. When a single member joins or leaves, at least one owner stays.
 func choosePair(partition uint64, members []member) pair {
-	primary := highest(partition, members, func(*member) bool { return true })
+	primary := highestRanked(partition, members, func(*member) bool { return true })
 	if primary == nil {
 		return pair{}
 	}
-	backup := highest(partition, members, func(candidate *member) bool { return candidate.zone != primary.zone })
+	backup := highestRanked(partition, members, func(candidate *member) bool { return candidate.zone != primary.zone })
 	if backup == nil {
-		backup = highest(partition, members, func(candidate *member) bool { return candidate.id != primary.id })
+		backup = highestRanked(partition, members, func(candidate *member) bool { return candidate.id != primary.id })
 	}
 	if backup == nil {
 		return pair{primary: primary.id}
@@ -189,14 +190,14 @@
 	return pair{primary: primary.id, backup: backup.id}
 }
 
-// highest returns the member with the highest hash among those that may own
-// the partition, or nil.
-func highest(partition uint64, members []member, may func(*member) bool) *member {
+// highestRanked returns the eligible member with the highest score for the
+// partition that is not leaving, or nil.
+func highestRanked(partition uint64, members []member, eligible func(*member) bool) *member {
 	var best *member
 	var bestScore uint64
 	for i := range members {
 		candidate := &members[i]
-		if candidate.leaving || !may(candidate) {
+		if candidate.leaving || !eligible(candidate) {
 			continue
 		}
 		if score := rendezvousScore(partition, candidate.id); best == nil || score > bestScore {
@@ -206,6 +207,7 @@
 	return best
 }
 
+// rendezvousScore returns the score of a member or target for a key.
 func rendezvousScore(key uint64, id uint32) uint64 {
 	var buffer [12]byte
 	for i := 0; i < 8; i++ {
@@ -238,31 +240,31 @@
 	return -1
 }
 
-// table is the configuration in force.
-type table struct {
+// routingTable holds the current configuration and view.
+type routingTable struct {
 	revision  uint64
 	byAddress map[netip.AddrPort]*service
 	byName    map[string]*service
 	byID      map[uint32]*service
 	targets   map[uint32]*target
-	// byTarget holds the newest target at each address.
-	byTarget map[netip.AddrPort]*target
-	view     *view
+	// byTargetAddress holds the newest target with each address.
+	byTargetAddress map[netip.AddrPort]*target
+	view            *view
 }
 
-func newTable() *table {
-	return &table{
-		byAddress: map[netip.AddrPort]*service{},
-		byName:    map[string]*service{},
-		byID:      map[uint32]*service{},
-		targets:   map[uint32]*target{},
-		byTarget:  map[netip.AddrPort]*target{},
+func newTable() *routingTable {
+	return &routingTable{
+		byAddress:       map[netip.AddrPort]*service{},
+		byName:          map[string]*service{},
+		byID:            map[uint32]*service{},
+		targets:         map[uint32]*target{},
+		byTargetAddress: map[netip.AddrPort]*target{},
 	}
 }
 
-// putService puts a service in force. Targets that stay keep their counts;
-// those that are gone are kept as removed, so that late answers are known.
-func (t *table) putService(now kernel.Instant, config *beamdoorv1.Service) {
+// applyService adds or updates a service. Targets that remain keep their counts.
+// Removed targets are kept for late answers.
+func (t *routingTable) applyService(now kernel.Instant, config *beamdoorv1.Service) {
 	if previous := t.byName[config.Name]; previous != nil && previous.id != config.Id {
 		t.removeService(now, config.Name)
 	}
@@ -276,118 +278,118 @@
 	current.address = address
 	current.balance = config.Priority == "balance"
 	current.policy = config.SharingPolicy
-	current.limits = readLimits(config.Limits)
+	current.limits = limitsFromConfig(config.Limits)
 	current.retries.percent = retryPercent(config.Limits)
-	t.putTargets(now, current, config.Targets)
+	t.applyTargets(now, current, config.Targets)
 	t.byAddress[address] = current
 	t.byName[config.Name] = current
 	t.byID[config.Id] = current
 }
 
-func (t *table) putTargets(now kernel.Instant, owner *service, configs []*beamdoorv1.Target) {
-	removeTargets(now, owner.targets)
-	owner.targets = owner.targets[:0]
+func (t *routingTable) applyTargets(now kernel.Instant, svc *service, configs []*beamdoorv1.Target) {
+	removeTargets(now, svc.targets)
+	svc.targets = svc.targets[:0]
 	for _, config := range configs {
 		current := t.targets[config.Id]
 		if current == nil {
-			current = &target{id: config.Id, weight: defaultWeight, alive: true, since: now}
+			current = &target{id: config.Id, weight: defaultWeight, alive: true, firstSeen: now}
 			t.targets[config.Id] = current
 		}
 		current.address, _ = netip.ParseAddrPort(config.Address)
 		t.claimAddress(current)
 		current.name = config.Name
-		current.service = owner
+		current.service = svc
 		current.slots = max(config.Slots, 1)
 		current.connections = config.Connections
-		current.dedupes = config.DetectsDuplicates
+		current.detectsDuplicates = config.DetectsDuplicates
 		current.draining = config.Draining
 		current.removed = false
-		owner.targets = append(owner.targets, current)
+		svc.targets = append(svc.targets, current)
 	}
 }
 
-// claimAddress ends the use of every other target with the same address: its
-// packets would reach a process of another service or incarnation.
-func (t *table) claimAddress(owner *target) {
-	if holder := t.byTarget[owner.address]; holder != nil && holder != owner {
+// claimAddress marks the previous target with the same address as replaced, because
+// its packets would reach another service or a later backend.
+func (t *routingTable) claimAddress(claimant *target) {
+	if holder := t.byTargetAddress[claimant.address]; holder != nil && holder != claimant {
 		holder.replaced = true
 	}
-	t.byTarget[owner.address] = owner
-	owner.replaced = false
+	t.byTargetAddress[claimant.address] = claimant
+	claimant.replaced = false
 }
 
 func removeTargets(now kernel.Instant, targets []*target) {
-	for _, old := range targets {
-		old.removed = true
-		old.removedAt = now
+	for _, removed := range targets {
+		removed.removed = true
+		removed.removedAt = now
 	}
 }
 
-func (t *table) removeService(now kernel.Instant, name string) {
-	gone := t.byName[name]
-	if gone == nil {
+func (t *routingTable) removeService(now kernel.Instant, name string) {
+	removed := t.byName[name]
+	if removed == nil {
 		return
 	}
-	removeTargets(now, gone.targets)
-	if t.byAddress[gone.address] == gone {
-		delete(t.byAddress, gone.address)
+	removeTargets(now, removed.targets)
+	if t.byAddress[removed.address] == removed {
+		delete(t.byAddress, removed.address)
 	}
 	delete(t.byName, name)
-	delete(t.byID, gone.id)
+	delete(t.byID, removed.id)
 }
 
-func readLimits(config *beamdoorv1.Limits) limits {
+func limitsFromConfig(config *beamdoorv1.Limits) limits {
 	return limits{
-		queueFactor:    orDefault(config.GetQueueFactor(), DefaultQueueFactor),
-		deadline:       milliseconds(config.GetDefaultDeadlineMs(), DefaultDeadline),
-		retransmitSpan: milliseconds(config.GetRetransmitSpanMs(), DefaultRetransmitSpan),
-		idleTimeout:    milliseconds(config.GetIdleTimeoutMs(), DefaultIdleTimeout),
-		coldStart:      milliseconds(config.GetColdStartMs(), DefaultColdStart),
+		queueFactor:    valueOrDefault(config.GetQueueFactor(), DefaultQueueFactor),
+		deadline:       millisecondsOrDefault(config.GetDefaultDeadlineMs(), DefaultDeadline),
+		retransmitSpan: millisecondsOrDefault(config.GetRetransmitSpanMs(), DefaultRetransmitSpan),
+		idleTimeout:    millisecondsOrDefault(config.GetIdleTimeoutMs(), DefaultIdleTimeout),
+		coldStart:      millisecondsOrDefault(config.GetColdStartMs(), DefaultColdStart),
 	}
 }
 
 func retryPercent(config *beamdoorv1.Limits) uint32 {
-	return orDefault(config.GetRetryPercent(), DefaultRetryPercent)
+	return valueOrDefault(config.GetRetryPercent(), DefaultRetryPercent)
 }
 
-func orDefault(value, fallback uint32) uint32 {
+func valueOrDefault(value, fallback uint32) uint32 {
 	if value == 0 {
 		return fallback
 	}
 	return value
 }
 
-func milliseconds(value uint32, fallback time.Duration) time.Duration {
+func millisecondsOrDefault(value uint32, fallback time.Duration) time.Duration {
 	if value == 0 {
 		return fallback
 	}
 	return time.Duration(value) * time.Millisecond
 }
 
-// signalEffect is what a verdict means for the flows of its target.
+// signalEffect is the effect of a signal on the flows of its target.
 type signalEffect uint8
 
 const (
-	// signalGoesOn changes nothing for open flows.
-	signalGoesOn signalEffect = iota
+	// signalNoChange leaves open flows unchanged.
+	signalNoChange signalEffect = iota
 	// signalDied ends all flows.
 	signalDied
-	// signalRestarted ends what the target's earlier run knew.
+	// signalRestarted ends the observations and requests of the earlier run.
 	signalRestarted
 )
 
-// applySignal puts a verdict in force.
-func (t *table) applySignal(signal wire.TargetSignal) (*target, signalEffect) {
+// applySignal updates a target from a signal. The target is nil if unknown.
+func (t *routingTable) applySignal(signal wire.TargetSignal) (*target, signalEffect) {
 	current := t.targets[signal.TargetID]
 	if current == nil {
-		return nil, signalGoesOn
+		return nil, signalNoChange
 	}
 	died := current.alive && !signal.Alive
-	restarted := signal.Run != 0 && current.run != 0 && signal.Run != current.run
+	restarted := signal.Run != 0 && current.runID != 0 && signal.Run != current.runID
 	current.weight = signal.Weight
 	current.alive = signal.Alive
 	if signal.Run != 0 {
-		current.run = signal.Run
+		current.runID = signal.Run
 	}
 	switch {
 	case died:
@@ -395,5 +397,5 @@
 	case restarted:
 		return current, signalRestarted
 	}
-	return current, signalGoesOn
+	return current, signalNoChange
 }
