--- a/internal/routing/action.go
+++ b/internal/routing/action.go
@@ -40,8 +40,8 @@
 	Fields  []any
 }
 
-// Counters holds counts of packets and decisions since the router started. The field
-// names are label values of a metric.
+// Counters holds counts of packets and decisions since the router started. The
+// field names are label values of a metric.
 type Counters struct {
 	CallerPackets    uint64
 	TargetPackets    uint64
--- a/internal/routing/flow_test.go
+++ b/internal/routing/flow_test.go
@@ -272,10 +272,10 @@
 		partition := rapid.Uint64Range(0, Partitions-1).Draw(t, "partition")
 		before := choosePair(partition, members)
 		changed := append([]member{}, members...)
-		if rapid.Bool().Draw(t, "joins") {
+		if rapid.Bool().Draw(t, "join") {
 			changed = append(changed, member{id: 99, zone: fmt.Sprint(rapid.IntRange(1, 3).Draw(t, "zone"))})
 		} else {
-			changed[rapid.IntRange(0, len(changed)-1).Draw(t, "goes")].leaving = true
+			changed[rapid.IntRange(0, len(changed)-1).Draw(t, "leaver")].leaving = true
 		}
 		after := choosePair(partition, changed)
 		assert.True(t, after.has(before.primary) || after.has(before.backup))
--- a/internal/routing/primary.go
+++ b/internal/routing/primary.go
@@ -19,8 +19,8 @@
 	attempt uint8
 }
 
-// decide chooses the target of a packet. The caller has checked that this balancer
-// is the primary of the partition, so no other balancer decides on the packet.
+// decide decides on a packet as the primary of its partition. It answers
+// retransmissions and consults the other members if the flow may be known to them.
 func (r *Router) decide(incoming *incomingPacket, flags wire.PeerFlags, hint uint32) {
 	if !r.HasLease(r.now) {
 		r.counters.WithoutLease++
@@ -147,7 +147,7 @@
 	r.commitDecision(incoming, choice)
 }
 
-// dropBrokenFlow removes a flow whose target is unusable.
+// dropBrokenFlow removes and counts a flow whose target is unusable.
 func (r *Router) dropBrokenFlow(fingerprint uint64, record flowRecord) {
 	r.counters.FlowsBroken++
 	r.uncountPlaced(record)
--- a/internal/routing/properties_test.go
+++ b/internal/routing/properties_test.go
@@ -105,8 +105,8 @@
 			"put": func(t *rapid.T) {
 				next++
 				deadline := now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "deadline")) * 100 * time.Millisecond)
-				forget := deadline.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "forget")) * 100 * time.Millisecond)
-				record := &requestRecord{state: requestForwarded, deadline: deadline, expiresAt: forget}
+				expiresAt := deadline.Add(time.Duration(rapid.IntRange(0, 50).Draw(t, "expiry")) * 100 * time.Millisecond)
+				record := &requestRecord{state: requestForwarded, deadline: deadline, expiresAt: expiresAt}
 				entries.put(next, record)
 				model[next] = record
 			},
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -31,8 +31,8 @@
 	deadline kernel.Instant
 	// expiresAt is the time after which no retransmission can arrive.
 	expiresAt kernel.Instant
-	// flow is the fingerprint of the flow. In a record from a handover it is the
-	// partition, which maps to the same partition.
+	// flow is the fingerprint of the flow, or only its partition in a record from a
+	// handover. PartitionOf maps both to the partition.
 	flow     uint64
 	targetID uint32
 	service  uint32
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -108,7 +108,7 @@
 	observers map[uint64]observer
 	parser    *coapmsg.Parser
 	actions   []Action
-	// callerJob is reused for each caller's packet.
+	// callerPacket is reused for each caller's packet to avoid an allocation.
 	callerPacket incomingPacket
 	counters     Counters
 	now          kernel.Instant
