--- a/internal/routing/primary.go
+++ b/internal/routing/primary.go
@@ -128,7 +128,7 @@
 }
 
 // decideTarget chooses the target after the flow lookup is conclusive, and commits
-// the decision. It places the flow anew if its target is unusable.
+// the decision. It replaces an unusable target as for a new flow.
 func (r *Router) decideTarget(incoming *incomingPacket, record flowRecord, known bool) {
 	choice := decision{record: record, attempt: 1}
 	if known {
