--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -68,7 +68,8 @@
 	ReportInterval time.Duration
 	// FlowLimit is the largest number of flows held.
 	FlowLimit int
-	// LedgerLimit is the largest number of request records held.
+	// LedgerLimit is the number of request records from which a primary rejects new
+	// unsafe requests.
 	LedgerLimit int
 	// HandoverRate is the budget for handovers in bytes per second.
 	HandoverRate int
