--- a/internal/registry/dryrun.go
+++ b/internal/registry/dryrun.go
@@ -10,9 +10,9 @@
 	Before, After float64
 }
 
-// heavyLoad is the growth of a zone's part from which on a warning is given: a zone
+// loadWarningFactor is the growth of a zone's part from which on a warning is given: a zone
 // that bears half as much again is at its limit when it was two thirds busy.
-const heavyLoad = 1.5
+const loadWarningFactor = 1.5
 
 // DryRunEvacuation works out what the evacuation of a zone would do, by the shares that a member
 // told, and what to beware of.
@@ -34,7 +34,7 @@
 	for _, service := range services {
 		if left[service] == 0 {
 			warnings = append(warnings, fmt.Sprintf("service %s has no targets elsewhere: its callers are refused meanwhile", service))
-		} else if growth := float64(total[service]) / float64(left[service]); growth >= heavyLoad {
+		} else if growth := float64(total[service]) / float64(left[service]); growth >= loadWarningFactor {
 			warnings = append(warnings, fmt.Sprintf("service %s: the other zones bear %.1f times as much", service, growth))
 		}
 	}
--- a/internal/registry/groupsize.go
+++ b/internal/registry/groupsize.go
@@ -7,18 +7,18 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// noQuorumInterval is the time between two events of a member that cannot
+// quorumEventInterval is the time between two events of a member that cannot
 // reach a quorum.
-const noQuorumInterval = 5 * time.Second
+const quorumEventInterval = 5 * time.Second
 
 // groupSizeState remembers what the log was last told about the group's size.
 type groupSizeState struct {
-	// small is set while the group has fewer voters than its tolerance needs.
-	small bool
-	// exposed is set while the loss of some zones would leave no quorum.
-	exposed bool
-	// nextNoQuorum is when the next event about a missing quorum may be written.
-	nextNoQuorum kernel.Instant
+	// isTooSmall is set while the group has fewer voters than its tolerance needs.
+	isTooSmall bool
+	// isExposed is set while the loss of some zones would leave no quorum.
+	isExposed bool
+	// nextQuorumEvent is when the next event about a missing quorum may be written.
+	nextQuorumEvent kernel.Instant
 }
 
 // Voters returns the number of voters that this member knows of.
@@ -36,15 +36,15 @@
 // logGroupSize writes an event when the group becomes too small for its
 // tolerance or large enough, and now and then while this member has no leader.
 func (c *Core) logGroupSize(now kernel.Instant) {
-	if c.IsLeader() && c.HasTooFewVoters() != c.groupSize.small {
-		c.groupSize.small = !c.groupSize.small
-		c.logEvent(eventlog.GroupSizeChanged, "too_small", c.groupSize.small,
+	if c.IsLeader() && c.HasTooFewVoters() != c.groupSize.isTooSmall {
+		c.groupSize.isTooSmall = !c.groupSize.isTooSmall
+		c.logEvent(eventlog.GroupSizeChanged, "too_small", c.groupSize.isTooSmall,
 			"voters", c.Voters(), "voters_needed", c.settings.Voters, "members", len(c.state.Members()))
 	}
 	c.logZoneTolerance()
-	if c.replica.Node == nil || now.Before(c.groupSize.nextNoQuorum) || !c.needsMembership(now) {
+	if c.replica.Node == nil || now.Before(c.groupSize.nextQuorumEvent) || !c.needsMembership(now) {
 		return
 	}
-	c.groupSize.nextNoQuorum = now.Add(noQuorumInterval)
+	c.groupSize.nextQuorumEvent = now.Add(quorumEventInterval)
 	c.logEvent(eventlog.QuorumMissing, "leaderless_for", c.LeaderlessFor(now), "voters", c.Voters(), "term", c.replica.Node.Term())
 }
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -94,7 +94,7 @@
 	m.suspects.Set(float64(len(core.liveness.verdicts.Suspects)))
 	m.ejected.Set(float64(len(core.liveness.verdicts.Ejected)))
 	m.nodesWithoutStrength.Set(float64(core.strengths.unstated))
-	m.nodesBounded.Set(float64(len(core.strengths.bounded)))
+	m.nodesBounded.Set(float64(len(core.strengths.capped)))
 	m.probation.Set(float64(len(core.liveness.verdicts.Probation)))
 	m.versionsHeld.Set(float64(core.outcomes.judge.HeldVersions()))
 }
--- a/internal/registry/observations.go
+++ b/internal/registry/observations.go
@@ -64,8 +64,8 @@
 		return
 	}
 	c.liveness.nextReport = now.Add(livenessInterval)
-	seen := c.takeObservations(now)
-	c.forgetEnded()
+	seen := c.drainObservations(now)
+	c.removeEndedTargets()
 	if c.IsLeader() {
 		c.recordObservations(now, seen)
 		c.evaluateTargets(now)
@@ -77,8 +77,8 @@
 	c.sendToMember(c.address(c.replica.Node.Leader()), seen.frame())
 }
 
-// takeObservations returns what was seen since the last message.
-func (c *Core) takeObservations(now kernel.Instant) observations {
+// drainObservations returns what was seen since the last message.
+func (c *Core) drainObservations(now kernel.Instant) observations {
 	seen := observations{From: c.settings.Address}
 	seen.Heartbeats = slices.Sorted(maps.Keys(c.liveness.unsentHeartbeats))
 	for _, token := range c.liveness.verdicts.Queried {
@@ -87,8 +87,8 @@
 		}
 	}
 	seen.Evidence.Silent = c.silentTargets(now)
-	seen.Evidence.Openings, seen.Evidence.Refused = c.openings.take()
-	seen.Outcomes = c.outcomes.take(now)
+	seen.Evidence.Openings, seen.Evidence.Refused = c.openings.drain()
+	seen.Outcomes = c.outcomes.drain(now)
 	c.liveness.clearUnsent()
 	return seen
 }
@@ -101,12 +101,12 @@
 	for _, token := range seen.Evidence.Answering {
 		c.liveness.status(token).lastAnswer = now
 	}
-	c.openings.note(now, seen.Evidence.Openings)
-	c.noteOutcomes(now, seen)
+	c.openings.record(now, seen.Evidence.Openings)
+	c.recordOutcomes(now, seen)
 	for _, refused := range seen.Evidence.Refused {
-		c.liveness.status(refused.Token).noteRefused(now, seen.From, refused)
+		c.liveness.status(refused.Token).recordRefusal(now, seen.From, refused)
 	}
 	for _, silent := range seen.Evidence.Silent {
-		c.liveness.status(silent.Token).noteSilence(now, seen.From, silent)
+		c.liveness.status(silent.Token).recordSilence(now, seen.From, silent)
 	}
 }
--- a/internal/registry/openings.go
+++ b/internal/registry/openings.go
@@ -19,23 +19,23 @@
 const (
 	// refusalLifetime is how long a report of refused opening packets counts.
 	refusalLifetime = 500 * time.Millisecond
-	// refusalsNeeded is the number of refused opening packets, at silentNodesNeeded
+	// minRefusals is the number of refused opening packets, at silentNodesNeeded
 	// nodes, from which on a target is suspected.
-	refusalsNeeded = 3
-	// refusedHold is how long a target is suspected without another sign: after that
+	minRefusals = 3
+	// refusalSuspicionTime is how long a target is suspected without another sign: after that
 	// its missing heartbeats speak for themselves.
-	refusedHold = 4 * time.Second
+	refusalSuspicionTime = 4 * time.Second
 	// zoneWindow is the time in which the opening packets to a zone are compared, and
 	// zoneRefusalsNeeded the number of refused ones needed for a verdict.
-	zoneWindow         = 300 * time.Millisecond
-	zoneRefusalsNeeded = 10
+	zoneWindow      = 300 * time.Millisecond
+	minZoneRefusals = 10
 	// zoneRefusedShare is the share of refused opening packets from which on a zone is
 	// avoided: links that lose a tenth of all packets refuse 0.27.
 	zoneRefusedShare = 0.6
-	// zoneHold is how long a zone is avoided, doubled up to longestZoneHold when it
-	// refuses again within zoneHold after that.
-	zoneHold        = time.Second
-	longestZoneHold = 2 * time.Second
+	// zoneAvoidTime is how long a zone is avoided, doubled up to longestZoneHold when it
+	// refuses again within zoneAvoidTime after that.
+	zoneAvoidTime    = time.Second
+	maxZoneAvoidTime = 2 * time.Second
 )
 
 // zoneRecord is what the leader knows of the opening packets to a zone.
@@ -43,7 +43,7 @@
 	// counts are those of the last zoneWindow.
 	counts     []timedOpenings
 	avoidUntil kernel.Instant
-	hold       time.Duration
+	avoidTime  time.Duration
 }
 
 type timedOpenings struct {
@@ -77,8 +77,8 @@
 	}
 }
 
-// take returns the sums since the last call.
-func (o *openingTable) take() (zones []directory.ZoneOpenings, refused []SilentTarget) {
+// drain returns the sums since the last call.
+func (o *openingTable) drain() (zones []directory.ZoneOpenings, refused []SilentTarget) {
 	zones = slices.SortedFunc(maps.Values(o.unsent), func(a, b directory.ZoneOpenings) int { return cmp.Compare(a.Zone, b.Zone) })
 	refused = slices.SortedFunc(maps.Values(o.refused), func(a, b SilentTarget) int { return cmp.Compare(a.Token, b.Token) })
 	clear(o.unsent)
@@ -86,8 +86,8 @@
 	return zones, refused
 }
 
-// note enters a member's sums into the leader's records.
-func (o *openingTable) note(now kernel.Instant, zones []directory.ZoneOpenings) {
+// record enters a member's sums into the leader's records.
+func (o *openingTable) record(now kernel.Instant, zones []directory.ZoneOpenings) {
 	for _, counted := range zones {
 		record, known := o.zones[counted.Zone]
 		if !known {
@@ -98,21 +98,21 @@
 	}
 }
 
-// judge reports whether new flows avoid the zone, and whether they do so from now on.
-func (z *zoneRecord) judge(now kernel.Instant) (avoided, begins bool) {
+// evaluate reports whether new flows avoid the zone, and whether they do so from now on.
+func (z *zoneRecord) evaluate(now kernel.Instant) (avoided, begins bool) {
 	z.counts = slices.DeleteFunc(z.counts, func(counted timedOpenings) bool { return now.Sub(counted.at) >= zoneWindow })
 	if now.Before(z.avoidUntil) {
 		return true, false
 	}
 	opened, refused := z.sum()
-	if refused < zoneRefusalsNeeded || float64(refused) < zoneRefusedShare*float64(opened+refused) {
+	if refused < minZoneRefusals || float64(refused) < zoneRefusedShare*float64(opened+refused) {
 		return false, false
 	}
-	if z.avoidUntil == 0 || now.Sub(z.avoidUntil) > zoneHold {
-		z.hold = zoneHold / 2
+	if z.avoidUntil == 0 || now.Sub(z.avoidUntil) > zoneAvoidTime {
+		z.avoidTime = zoneAvoidTime / 2
 	}
-	z.hold = min(2*z.hold, longestZoneHold)
-	z.avoidUntil = now.Add(z.hold)
+	z.avoidTime = min(2*z.avoidTime, maxZoneAvoidTime)
+	z.avoidUntil = now.Add(z.avoidTime)
 	return true, true
 }
 
@@ -131,22 +131,22 @@
 	for _, zone := range slices.Sorted(maps.Keys(c.openings.zones)) {
 		record := c.openings.zones[zone]
 		opened, refused := record.sum()
-		isAvoided, begins := record.judge(now)
+		isAvoided, begins := record.evaluate(now)
 		if begins {
-			c.logEvent(eventlog.ZoneAvoided, "zone", zone, "opened", opened, "refused", refused, "hold", record.hold)
+			c.logEvent(eventlog.ZoneAvoided, "zone", zone, "opened", opened, "refused", refused, "hold", record.avoidTime)
 		}
 		if isAvoided {
 			avoided = append(avoided, zone)
 		}
 	}
-	if len(avoided) > 0 && c.targetsIn(avoided) > c.state.TargetCount()/verdictShareDivisor {
+	if len(avoided) > 0 && c.countTargetsIn(avoided) > c.state.TargetCount()/verdictShareDivisor {
 		return nil
 	}
 	return avoided
 }
 
-// targetsIn counts the targets of some zones that have not ended.
-func (c *Core) targetsIn(zones []string) int {
+// countTargetsIn counts the targets of some zones that have not ended.
+func (c *Core) countTargetsIn(zones []string) int {
 	count := 0
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.State != directory.TargetEnded && slices.Contains(zones, target.Zone) {
@@ -156,8 +156,8 @@
 	return count
 }
 
-// noteRefused enters a member's report of a target that took no opening packets.
-func (s *targetStatus) noteRefused(now kernel.Instant, from string, refused SilentTarget) {
+// recordRefusal enters a member's report of a target that took no opening packets.
+func (s *targetStatus) recordRefusal(now kernel.Instant, from string, refused SilentTarget) {
 	if s.refusals == nil {
 		s.refusals = map[string]silenceReport{}
 	}
@@ -181,9 +181,9 @@
 			nodes += report.Nodes
 		}
 	}
-	if weight >= refusalsNeeded && nodes >= minSilentNodes {
+	if weight >= minRefusals && nodes >= minSilentNodes {
 		s.refusedAt = now
 		s.refusals = nil
 	}
-	return s.refusedAt > s.lastSeen() && now.Sub(s.refusedAt) < refusedHold
+	return s.refusedAt > s.lastSeen() && now.Sub(s.refusedAt) < refusalSuspicionTime
 }
--- a/internal/registry/order.go
+++ b/internal/registry/order.go
@@ -43,22 +43,22 @@
 	ActionJudgeVersion
 )
 
-// targetRules are the rules that orders about a target ask for.
-var targetRules = map[OperatorAction]directory.TargetRule{
+// targetRuleOf are the rules that orders about a target ask for.
+var targetRuleOf = map[OperatorAction]directory.TargetRule{
 	ActionEjectTarget:   directory.RuleEjected,
 	ActionExemptTarget:  directory.RuleExempt,
 	ActionReadmitTarget: directory.RuleJudged,
 }
 
-// versionRules are the rules that orders about a version ask for.
-var versionRules = map[OperatorAction]directory.VersionRule{
+// versionRuleOf are the rules that orders about a version ask for.
+var versionRuleOf = map[OperatorAction]directory.VersionRule{
 	ActionHoldVersion:    directory.VersionHeld,
 	ActionReleaseVersion: directory.VersionReleased,
 	ActionJudgeVersion:   directory.VersionJudged,
 }
 
-// orderTimeout is how long an order waits for the group: an election and a write.
-const orderTimeout = 3 * time.Second
+// operatorTimeout is how long an order waits for the group: an election and a write.
+const operatorTimeout = 3 * time.Second
 
 // OperatorRequest is an operator's order to a member.
 type OperatorRequest struct {
@@ -83,7 +83,7 @@
 	return wire.Frame{Kind: wire.FrameOrder, Payload: encoder.Buffer}
 }
 
-func decodeOrder(payload []byte) (OperatorRequest, error) {
+func decodeOperatorRequest(payload []byte) (OperatorRequest, error) {
 	decoder := wire.NewDecoder(payload)
 	order := OperatorRequest{Action: OperatorAction(decoder.Uint8()), Zone: decoder.String()}
 	// Orders of versions that knew none about targets end here.
@@ -130,29 +130,29 @@
 		encoder.Uint32(share.Slots)
 		encoder.Bool(share.Evacuated)
 	}
-	encodeTargetShares(&encoder, r.Targets)
+	encodeTargetStatuses(&encoder, r.Targets)
 	if len(r.Versions) > 0 {
-		encodeVersionShares(&encoder, r.Versions)
+		encodeVersionStatuses(&encoder, r.Versions)
 	}
 	return wire.Frame{Kind: wire.FrameOrderReply, Payload: encoder.Buffer}
 }
 
-// smallestShare is the encoded size in bytes of a share without names.
-const smallestShare = 17
+// minZoneStatusSize is the encoded size in bytes of a share without names.
+const minZoneStatusSize = 17
 
-func decodeOrderReply(payload []byte) (OperatorResponse, error) {
+func decodeOperatorResponse(payload []byte) (OperatorResponse, error) {
 	decoder := wire.NewDecoder(payload)
 	reply := OperatorResponse{Error: decoder.String(), Rejected: decoder.Bool()}
-	for count := decoder.Count(smallestShare); count > 0; count-- {
+	for count := decoder.Count(minZoneStatusSize); count > 0; count-- {
 		reply.Zones = append(reply.Zones, ZoneStatus{
 			Zone: decoder.String(), Service: decoder.String(), Targets: decoder.Uint32(), Slots: decoder.Uint32(), Evacuated: decoder.Bool(),
 		})
 	}
 	if decoder.HasMore() {
-		reply.Targets = decodeTargetShares(decoder)
+		reply.Targets = decodeTargetStatuses(decoder)
 	}
 	if decoder.HasMore() {
-		reply.Versions = decodeVersionShares(decoder)
+		reply.Versions = decodeVersionStatuses(decoder)
 	}
 	return reply, decoder.Err("registry.decode_order_reply")
 }
@@ -176,32 +176,32 @@
 	if err := peerlink.Write(connection, wire.AppendFrame(nil, order.frame())); err != nil {
 		return OperatorResponse{}, steperror.Wrap(step, address, err)
 	}
-	if err := connection.SetReadDeadline(time.Now().Add(orderTimeout + time.Second)); err != nil {
+	if err := connection.SetReadDeadline(time.Now().Add(operatorTimeout + time.Second)); err != nil {
 		return OperatorResponse{}, steperror.Wrap(step, address, err)
 	}
 	frame, err := wire.ReadFrame(bufio.NewReader(connection))
 	if err != nil {
 		return OperatorResponse{}, steperror.Wrap(step, address, err)
 	}
-	return decodeOrderReply(frame.Payload)
+	return decodeOperatorResponse(frame.Payload)
 }
 
 // serveOperatorRequest carries out an order and answers it.
 func (p *Process) serveOperatorRequest(connection net.Conn, frame wire.Frame) {
-	order, err := decodeOrder(frame.Payload)
+	order, err := decodeOperatorRequest(frame.Payload)
 	if err != nil {
 		p.logger.Event(eventlog.BadFrame, "peer", connection.RemoteAddr(), "err", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	reply := p.carryOut(ctx, order)
+	reply := p.handleOperatorRequest(ctx, order)
 	if err := peerlink.Write(connection, wire.AppendFrame(nil, reply.frame())); err != nil {
 		p.logger.Sampled(eventlog.BadFrame, "peer", connection.RemoteAddr(), "err", err)
 	}
 }
 
-func (p *Process) carryOut(ctx context.Context, order OperatorRequest) OperatorResponse {
+func (p *Process) handleOperatorRequest(ctx context.Context, order OperatorRequest) OperatorResponse {
 	var err error
 	switch order.Action {
 	case ActionEvacuateZone:
@@ -209,13 +209,13 @@
 	case ActionEndEvacuation:
 		err = p.Evacuate(ctx, order.Zone, false)
 	case ActionEjectTarget, ActionExemptTarget, ActionReadmitTarget:
-		err = p.SetTargetRule(ctx, order.Target, targetRules[order.Action])
+		err = p.SetTargetRule(ctx, order.Target, targetRuleOf[order.Action])
 	case ActionHoldVersion, ActionReleaseVersion, ActionJudgeVersion:
-		err = p.SetVersionRule(ctx, order.Version, versionRules[order.Action])
+		err = p.SetVersionRule(ctx, order.Version, versionRuleOf[order.Action])
 	}
 	var reply OperatorResponse
 	if err == nil {
-		reply, err = p.report(ctx, order.Target)
+		reply, err = p.readStatus(ctx, order.Target)
 	}
 	if err != nil {
 		var problem *directory.Problem
@@ -224,15 +224,15 @@
 	return reply
 }
 
-// report returns what each zone bears and which targets are not as usual, as a
+// readStatus returns what each zone bears and which targets are not as usual, as a
 // linearizable read.
-func (p *Process) report(ctx context.Context, id string) (OperatorResponse, error) {
+func (p *Process) readStatus(ctx context.Context, id string) (OperatorResponse, error) {
 	if _, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) { return core.Read(now) }); err != nil {
 		return OperatorResponse{}, err
 	}
 	answer := make(chan OperatorResponse, 1)
 	_, err := p.call(ctx, func(core *Core, _ kernel.Instant) (Ticket, Output) {
-		answer <- OperatorResponse{Zones: core.zoneShares(), Targets: core.targetShares(id), Versions: core.versionShares()}
+		answer <- OperatorResponse{Zones: core.zoneStatuses(), Targets: core.targetStatuses(id), Versions: core.versionStatuses()}
 		return 0, Output{}
 	})
 	if err != nil {
@@ -241,14 +241,14 @@
 	return <-answer, nil
 }
 
-func (c *Core) zoneShares() []ZoneStatus {
-	type place struct{ zone, service string }
-	shares := map[place]ZoneStatus{}
+func (c *Core) zoneStatuses() []ZoneStatus {
+	type zoneService struct{ zone, service string }
+	shares := map[zoneService]ZoneStatus{}
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.State != directory.TargetReady {
 			return
 		}
-		key := place{zone: target.Zone, service: target.Service}
+		key := zoneService{zone: target.Zone, service: target.Service}
 		share := shares[key]
 		share.Zone, share.Service = target.Zone, target.Service
 		share.Targets++
--- a/internal/registry/order_test.go
+++ b/internal/registry/order_test.go
@@ -92,11 +92,11 @@
 	f.Add(OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}.frame().Payload)
 	f.Add(OperatorResponse{Error: "p", Zones: []ZoneStatus{{Zone: "a", Service: "b", Targets: 1, Slots: 2}}}.frame().Payload)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if decoded, err := decodeOrder(data); err == nil {
-			again, err := decodeOrder(decoded.frame().Payload)
+		if decoded, err := decodeOperatorRequest(data); err == nil {
+			again, err := decodeOperatorRequest(decoded.frame().Payload)
 			require.NoError(t, err)
 			assert.Equal(t, decoded, again)
 		}
-		_, _ = decodeOrderReply(data)
+		_, _ = decodeOperatorResponse(data)
 	})
 }
--- a/internal/registry/outliers_test.go
+++ b/internal/registry/outliers_test.go
@@ -271,9 +271,9 @@
 		{Outcomes: directory.Outcomes{Token: 7, Answered: 9, Unanswered: 3}, FailingNodes: 2, RecentFailures: 3, TopFailures: 2, TopNode: directory.NodeKey("a")},
 		{Outcomes: directory.Outcomes{Token: 8, Answered: 6}},
 	}
-	taken := table.take(0)
+	taken := table.drain(0)
 	assert.Equal(t, expected, taken)
-	assert.Empty(t, table.take(0))
+	assert.Empty(t, table.drain(0))
 	message := observations{From: "m", Outcomes: taken}
 	fromLeader, _, seen, err := decodeLiveness(message.frame().Payload)
 	require.NoError(t, err)
@@ -285,9 +285,9 @@
 func TestTheSpreadOfFailuresIsForgotten(t *testing.T) {
 	table := newOutcomeTable(0, 0, directory.Verdicts{})
 	table.add(0, "a", []directory.Outcomes{{Token: 7, Answered: 9, Unanswered: 1}})
-	table.take(0)
+	table.drain(0)
 	for now := range 6 {
-		table.take(kernel.Instant(now) * kernel.Instant(time.Second))
+		table.drain(kernel.Instant(now) * kernel.Instant(time.Second))
 	}
 	nodes, seen, most, witness := table.spreadOf(7)
 	assert.Zero(t, nodes)
@@ -375,11 +375,11 @@
 	core := b.leader.core
 	ejected := core.liveness.verdicts.Ejected
 	require.Equal(t, []directory.Token{b.targets[0].Token}, ejected)
-	core.outcomes.judgeAt = b.now.Add(time.Second)
+	core.outcomes.nextJudgement = b.now.Add(time.Second)
 	b.ill[b.targets[1].Token] = true
 	b.serve(900 * time.Millisecond)
 	assert.Equal(t, ejected, core.liveness.verdicts.Ejected, "verdicts hold until the next judgement")
 	b.serve(time.Second)
 	assert.Contains(t, core.liveness.verdicts.Ejected, b.targets[1].Token)
-	assert.LessOrEqual(t, 3333*judgePause, livenessInterval, "usual fleets are judged with each message")
+	assert.LessOrEqual(t, 3333*judgeTimePerTarget, livenessInterval, "usual fleets are judged with each message")
 }
--- a/internal/registry/room.go
+++ b/internal/registry/room.go
@@ -13,19 +13,19 @@
 // Nodes tell their member how their links are used, members tell the leader the sums of
 // their nodes, and the leader tells all the fleet's. None of it is replicated.
 
-// teller tells the same again only now and then.
-type teller struct {
-	last  []room.ZoneSummary
-	again kernel.Instant
+// sendThrottle tells the same again only now and then.
+type sendThrottle struct {
+	last       []room.ZoneSummary
+	nextRepeat kernel.Instant
 }
 
 // isDue reports whether sums are to be told: they are others, or the last ones age out.
-func (t *teller) isDue(now kernel.Instant, zones []room.ZoneSummary) bool {
-	if now.Before(t.again) && slices.Equal(zones, t.last) {
+func (t *sendThrottle) isDue(now kernel.Instant, zones []room.ZoneSummary) bool {
+	if now.Before(t.nextRepeat) && slices.Equal(zones, t.last) {
 		return false
 	}
 	t.last = zones
-	t.again = now.Add(room.RepeatInterval)
+	t.nextRepeat = now.Add(room.RepeatInterval)
 	return true
 }
 
@@ -38,11 +38,11 @@
 	// fleet is what the leader told last, or found itself, and fleetAt when.
 	fleet   room.Message
 	fleetAt kernel.Instant
-	// toLeader and toNodes are what was told last.
-	toLeader, toNodes teller
-	next              kernel.Instant
-	// full is set while most nodes refuse new flows.
-	full bool
+	// leaderThrottle and nodeThrottle are what was told last.
+	leaderThrottle, nodeThrottle sendThrottle
+	nextRun                      kernel.Instant
+	// isZoneFull is set while most nodes refuse new flows.
+	isZoneFull bool
 }
 
 func newLinkUsageTable() linkUsageTable {
@@ -59,27 +59,27 @@
 // tickLinkUsage tells the leader how this member's nodes are used, or as the leader all
 // members how all are, and nodes what is known of their zones.
 func (c *Core) tickLinkUsage(now kernel.Instant) {
-	if now.Before(c.room.next) {
+	if now.Before(c.room.nextRun) {
 		return
 	}
-	c.room.next = now.Add(room.ReportInterval)
+	c.room.nextRun = now.Add(room.ReportInterval)
 	own := c.room.nodes.Summaries(now)
 	if c.IsLeader() {
-		c.sumRoom(now, own)
-	} else if len(own) > 0 && c.room.toLeader.isDue(now, own) {
+		c.publishFleetUsage(now, own)
+	} else if len(own) > 0 && c.room.leaderThrottle.isDue(now, own) {
 		c.sendToMember(c.address(c.replica.Node.Leader()), room.Message{Member: c.settings.Address, Zones: own}.Frame())
 	}
-	c.tellRoom(now)
+	c.sendUsageToNodes(now)
 }
 
-// sumRoom sums up what all members told and tells them.
-func (c *Core) sumRoom(now kernel.Instant, own []room.ZoneSummary) {
+// publishFleetUsage sums up what all members told and tells them.
+func (c *Core) publishFleetUsage(now kernel.Instant, own []room.ZoneSummary) {
 	c.room.members.RecordSummaries(now, c.settings.Address, own)
 	zones := c.room.members.Summaries(now)
-	if len(zones) == 0 || !c.room.toLeader.isDue(now, zones) {
+	if len(zones) == 0 || !c.room.leaderThrottle.isDue(now, zones) {
 		return
 	}
-	c.takeFleet(now, room.Message{Term: c.replica.Node.Term(), Zones: zones})
+	c.setFleetUsage(now, room.Message{Term: c.replica.Node.Term(), Zones: zones})
 	for _, member := range c.state.Members() {
 		c.sendToMember(member.Address, c.room.fleet.Frame())
 	}
@@ -95,37 +95,37 @@
 		c.room.members.RecordSummaries(now, message.Member, message.Zones)
 		return nil
 	}
-	c.takeFleet(now, message)
+	c.setFleetUsage(now, message)
 	return nil
 }
 
-// takeFleet takes the fleet's sums. Those of a leader that has been replaced are left out.
-func (c *Core) takeFleet(now kernel.Instant, message room.Message) {
+// setFleetUsage takes the fleet's sums. Those of a leader that has been replaced are left out.
+func (c *Core) setFleetUsage(now kernel.Instant, message room.Message) {
 	if message.Term < c.room.fleet.Term && now.Sub(c.room.fleetAt) < room.ReportLifetime {
 		return
 	}
 	c.room.fleet = message
 	c.room.fleetAt = now
-	c.noteFull(message.Zones)
+	c.logFullZones(message.Zones)
 }
 
-// noteFull writes an event when most nodes of a zone begin to refuse new flows, and when
+// logFullZones writes an event when most nodes of a zone begin to refuse new flows, and when
 // none of the zones has that any more.
-func (c *Core) noteFull(zones []room.ZoneSummary) {
+func (c *Core) logFullZones(zones []room.ZoneSummary) {
 	fullest := slices.IndexFunc(zones, func(zone room.ZoneSummary) bool { return 2*int(zone.RefusingNodes) > zone.Nodes() })
 	switch {
-	case fullest >= 0 && !c.room.full:
+	case fullest >= 0 && !c.room.isZoneFull:
 		zone := zones[fullest]
 		c.logEvent(eventlog.ZoneShortOfRoom, "zone", zone.Zone, "nodes", zone.Nodes(), "refusing", zone.RefusingNodes, "rate", zone.Rate, "used", zone.UsedRate)
-	case fullest < 0 && c.room.full:
+	case fullest < 0 && c.room.isZoneFull:
 		c.logEvent(eventlog.ZonesHaveRoom, "zones", len(zones))
 	}
-	c.room.full = fullest >= 0
+	c.room.isZoneFull = fullest >= 0
 }
 
-// tellRoom tells each node the sums of its zone.
-func (c *Core) tellRoom(now kernel.Instant) {
-	if len(c.room.fleet.Zones) == 0 || now.Sub(c.room.fleetAt) >= room.ReportLifetime || !c.room.toNodes.isDue(now, c.room.fleet.Zones) {
+// sendUsageToNodes tells each node the sums of its zone.
+func (c *Core) sendUsageToNodes(now kernel.Instant) {
+	if len(c.room.fleet.Zones) == 0 || now.Sub(c.room.fleetAt) >= room.ReportLifetime || !c.room.nodeThrottle.isDue(now, c.room.fleet.Zones) {
 		return
 	}
 	frames := map[string]wire.Frame{}
@@ -144,14 +144,14 @@
 	return c.room.fleet.Zones, now.Sub(c.room.fleetAt)
 }
 
-type roomInput struct {
+type linkReportInput struct {
 	connection ConnectionID
-	word       room.LinkReport
+	report     room.LinkReport
 }
 
-func (i roomInput) handle(p *Process, now kernel.Instant) Output {
+func (i linkReportInput) handle(p *Process, now kernel.Instant) Output {
 	if p.core != nil {
-		p.core.RecordLinkUsage(now, i.connection, i.word)
+		p.core.RecordLinkUsage(now, i.connection, i.report)
 	}
 	return Output{}
 }
@@ -165,6 +165,6 @@
 		return
 	}
 	if message.Report != nil {
-		p.inputs.TryPush(roomInput{connection: connection, word: *message.Report})
+		p.inputs.TryPush(linkReportInput{connection: connection, report: *message.Report})
 	}
 }
--- a/internal/registry/sightings.go
+++ b/internal/registry/sightings.go
@@ -6,8 +6,8 @@
 // which on those of ended ones are forgotten: it bounds how often all are looked at.
 const sightingSlack = 64
 
-// forgetEnded forgets what is known of targets that have ended, now and then.
-func (c *Core) forgetEnded() {
+// removeEndedTargets forgets what is known of targets that have ended, now and then.
+func (c *Core) removeEndedTargets() {
 	if len(c.liveness.statuses) <= sightingSlack {
 		return
 	}
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -6,10 +6,10 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// doubtfulSilence is the silence after which doubtful evidence counts: more than the
+// doubtfulSilenceTime is the silence after which doubtful evidence counts: more than the
 // longest between two signs of living targets where all links are full (0.96 s seen,
 // most below 0.7 s), with the way of an answer's report to the leader (0.3 s).
-const doubtfulSilence = 1300 * time.Millisecond
+const doubtfulSilenceTime = 1300 * time.Millisecond
 
 // silenceReport is a member's newest report that a target leaves flows unanswered.
 type silenceReport struct {
@@ -20,8 +20,8 @@
 // totalWeight returns the weight of totalWeight evidence, also what is doubtful.
 func (s silenceReport) totalWeight() uint32 { return s.Weight + s.UnreliableWeight }
 
-// isEnough reports whether weight from so many nodes holds a target for lost.
-func isEnough(weight, nodes uint32) bool {
+// meetsThreshold reports whether weight from so many nodes holds a target for lost.
+func meetsThreshold(weight, nodes uint32) bool {
 	return weight >= minSilentWeight && nodes >= minSilentNodes
 }
 
@@ -40,13 +40,13 @@
 // doubtful counts only after a longer silence.
 func (s *targetStatus) isSilent(now kernel.Instant) bool {
 	sum := s.currentSilence(now)
-	if isEnough(sum.Weight, sum.Nodes) {
+	if meetsThreshold(sum.Weight, sum.Nodes) {
 		return true
 	}
-	return now.Sub(s.lastSeen()) >= doubtfulSilence && isEnough(sum.totalWeight(), sum.Reporters)
+	return now.Sub(s.lastSeen()) >= doubtfulSilenceTime && meetsThreshold(sum.totalWeight(), sum.Reporters)
 }
 
-// noteSilence enters a member's report of silence.
-func (s *targetStatus) noteSilence(now kernel.Instant, from string, silent SilentTarget) {
+// recordSilence enters a member's report of silence.
+func (s *targetStatus) recordSilence(now kernel.Instant, from string, silent SilentTarget) {
 	s.silences[from] = silenceReport{SilentTarget: silent, at: now}
 }
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -21,10 +21,10 @@
 	}{
 		{"certain", SilentTarget{Weight: 2}, 2, time.Millisecond, true},
 		{"certain, of one node", SilentTarget{Weight: 9}, 1, time.Minute, false},
-		{"doubtful, lately seen", SilentTarget{UnreliableWeight: 9}, 2, doubtfulSilence - time.Millisecond, false},
-		{"doubtful", SilentTarget{UnreliableWeight: 2}, 2, doubtfulSilence, true},
+		{"doubtful, lately seen", SilentTarget{UnreliableWeight: 9}, 2, doubtfulSilenceTime - time.Millisecond, false},
+		{"doubtful", SilentTarget{UnreliableWeight: 2}, 2, doubtfulSilenceTime, true},
 		{"doubtful, of one node", SilentTarget{UnreliableWeight: 9}, 1, time.Minute, false},
-		{"both", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, doubtfulSilence, true},
+		{"both", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, doubtfulSilenceTime, true},
 		{"both, lately seen", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, time.Millisecond, false},
 		{"too little", SilentTarget{UnreliableWeight: 1}, 3, time.Minute, false},
 	}
@@ -33,7 +33,7 @@
 			now := kernel.Instant(time.Hour)
 			seen := &targetStatus{silences: map[string]silenceReport{}, lastHeartbeat: now.Add(-test.quiet)}
 			for number := range test.nodes {
-				seen.noteSilence(now, address(number), test.seen.FromSingleNode())
+				seen.recordSilence(now, address(number), test.seen.FromSingleNode())
 			}
 			assert.Equal(t, test.silent, seen.isSilent(now))
 		})
--- a/internal/registry/speeds_test.go
+++ b/internal/registry/speeds_test.go
@@ -34,8 +34,8 @@
 // learn lets nodes time requests and tell of them.
 func (b *speedBench) learn(duration time.Duration) {
 	const spread = 0.4
-	for end := b.now.Add(duration); b.now < end; b.run(speedInterval) {
-		fade := math.Exp2(-float64(speedInterval) / float64(speed.HalfLife))
+	for end := b.now.Add(duration); b.now < end; b.run(responseTimeInterval) {
+		fade := math.Exp2(-float64(responseTimeInterval) / float64(speed.HalfLife))
 		for node := range nodesOfBench {
 			if b.sums[node] == nil {
 				b.sums[node] = map[directory.Token]*speed.Sums{}
@@ -62,9 +62,9 @@
 // assertTold compares what a member tells with what is true, relative to one target.
 func (b *speedBench) assertTold(m *machine, reference directory.Token) {
 	b.Helper()
-	usual := m.core.speeds.told[reference].TimeRatio() / b.times[reference]
+	usual := m.core.speeds.steps[reference].TimeRatio() / b.times[reference]
 	for _, target := range b.targets {
-		assert.InEpsilon(b, b.times[target.Token]*usual, m.core.speeds.told[target.Token].TimeRatio(), 0.25, target.ID)
+		assert.InEpsilon(b, b.times[target.Token]*usual, m.core.speeds.steps[target.Token].TimeRatio(), 0.25, target.ID)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	b.learn(20 * time.Second)
 	for _, m := range b.machines {
-		assert.LessOrEqual(t, len(m.core.speeds.told), 2)
+		assert.LessOrEqual(t, len(m.core.speeds.steps), 2)
 	}
 	assert.Zero(t, b.events[eventlog.SpeedsDiffer])
 }
@@ -96,7 +96,7 @@
 	b.kill(b.leader.address, false)
 	next := b.waitForLeader()
 	for range 20 {
-		b.learn(speedInterval)
+		b.learn(responseTimeInterval)
 		for _, m := range b.reporters {
 			b.assertTold(m, b.targets[1].Token)
 		}
@@ -126,13 +126,13 @@
 	require.NoError(t, b.submit(b.leader, command).Err)
 	started, _ := b.leader.core.State().Target(old.ID)
 	require.NotEqual(t, old.Token, started.Token)
-	b.run(speedInterval)
+	b.run(responseTimeInterval)
 	for _, m := range b.reporters {
-		assert.Zero(t, m.core.speeds.told[started.Token])
+		assert.Zero(t, m.core.speeds.steps[started.Token])
 	}
 	b.learn(2 * speed.SweepInterval)
 	for _, m := range b.reporters {
-		assert.Zero(t, m.core.speeds.told[old.Token], "it has ended")
+		assert.Zero(t, m.core.speeds.steps[old.Token], "it has ended")
 	}
 }
 
@@ -147,18 +147,18 @@
 	m := b.reporters[0].core
 	told := b.targets[1].Token
 	missed := b.targets[2].Token
-	b.leader.core.setSteps(b.now, []speed.TargetStep{{Token: missed}})
-	require.NotZero(t, m.speeds.told[missed])
-	later := b.now.Add(stepMemory + time.Second)
+	b.leader.core.applySteps(b.now, []speed.TargetStep{{Token: missed}})
+	require.NotZero(t, m.speeds.steps[missed])
+	later := b.now.Add(stepLifetime + time.Second)
 	b.leader.core.sweepSteps(later)
-	assert.NotZero(t, b.leader.core.speeds.told[told], "the leader knows by itself")
-	m.setSteps(later, []speed.TargetStep{{Token: told, Step: m.speeds.told[told]}})
-	m.speeds.changed = newTokenQueue()
+	assert.NotZero(t, b.leader.core.speeds.steps[told], "the leader knows by itself")
+	m.applySteps(later, []speed.TargetStep{{Token: told, Step: m.speeds.steps[told]}})
+	m.speeds.unsentSteps = newTokenQueue()
 	m.sweepSteps(later)
-	assert.NotZero(t, m.speeds.told[told])
-	assert.NotContains(t, m.speeds.told, missed)
-	assert.NotContains(t, m.speeds.heard, missed)
-	assert.Contains(t, m.speeds.changed.tokens, missed, "nodes are told")
+	assert.NotZero(t, m.speeds.steps[told])
+	assert.NotContains(t, m.speeds.steps, missed)
+	assert.NotContains(t, m.speeds.receivedAt, missed)
+	assert.Contains(t, m.speeds.unsentSteps.tokens, missed, "nodes are told")
 }
 
 // All that is told is told again before members would forget it.
@@ -166,11 +166,11 @@
 	b := newSpeedBench(t)
 	b.learn(10 * time.Second)
 	from := b.now
-	b.learn(speedRepeat + 2*speedInterval)
+	b.learn(stepRefreshInterval + 2*responseTimeInterval)
 	for _, m := range b.machines {
-		require.NotEmpty(t, m.core.speeds.told)
-		for token := range m.core.speeds.told {
-			assert.True(t, from.Before(m.core.speeds.heard[token]), "target %d at %s", token, m.address)
+		require.NotEmpty(t, m.core.speeds.steps)
+		for token := range m.core.speeds.steps {
+			assert.True(t, from.Before(m.core.speeds.receivedAt[token]), "target %d at %s", token, m.address)
 		}
 	}
 }
@@ -182,10 +182,10 @@
 	b.learn(5 * time.Second)
 	token := b.targets[0].Token
 	core := b.leader.core
-	core.noteSums(b.now, "gone", []speed.Report{{Token: token, Sums: speed.Sums{Count: 1000, Total: 1000, Squares: 1000}}})
-	require.Greater(t, core.speeds.members.Total(b.now, token).Count, 1000.0)
+	core.recordSums(b.now, "gone", []speed.Report{{Token: token, Sums: speed.Sums{Count: 1000, Total: 1000, Squares: 1000}}})
+	require.Greater(t, core.speeds.memberSums.Total(b.now, token).Count, 1000.0)
 	b.learn(speed.SweepInterval)
-	assert.Less(t, core.speeds.members.Total(b.now, token).Count, 500.0)
+	assert.Less(t, core.speeds.memberSums.Total(b.now, token).Count, 500.0)
 }
 
 // Nodes that leave a member take their samples along: the leader is told what is left.
@@ -193,13 +193,13 @@
 	b := newSpeedBench(t)
 	b.learn(10 * time.Second)
 	token, m := b.targets[0].Token, b.reporters[0]
-	before := b.leader.core.speeds.members.Total(b.now, token).Count
+	before := b.leader.core.speeds.memberSums.Total(b.now, token).Count
 	for node := 0; node < nodesOfBench; node += len(b.reporters) {
 		m.core.Unsubscribe(b.open(m, node))
 	}
-	b.run(speed.SweepInterval + 2*speedInterval)
+	b.run(speed.SweepInterval + 2*responseTimeInterval)
 	most := 1 - 1/float64(len(b.reporters))
-	assert.Less(t, b.leader.core.speeds.members.Total(b.now, token).Count, most*before)
+	assert.Less(t, b.leader.core.speeds.memberSums.Total(b.now, token).Count, most*before)
 }
 
 // One node of twenty may say what it likes: it moves a target by no more than a step or two.
@@ -213,10 +213,10 @@
 			words = append(words, speed.Report{Token: target.Token, Sums: speed.Sums{Count: 8000, Total: 16000, Squares: 32000}})
 		}
 		m.core.RecordResponseTimes(b.now, b.open(m, nodesOfBench), words)
-		b.learn(speedInterval)
+		b.learn(responseTimeInterval)
 	}
 	for _, target := range b.targets[:6] {
-		told := m.core.speeds.told[target.Token].TimeRatio() / m.core.speeds.told[b.targets[7].Token].TimeRatio()
+		told := m.core.speeds.steps[target.Token].TimeRatio() / m.core.speeds.steps[b.targets[7].Token].TimeRatio()
 		assert.InEpsilon(t, b.times[target.Token]/b.times[b.targets[7].Token], told, 0.3)
 	}
 }
@@ -228,7 +228,7 @@
 	for token := range directory.Token(10_000) {
 		m.core.RecordResponseTimes(b.now, b.open(m, 1), []speed.Report{{Token: token, Sums: speed.Sums{Count: 1}}})
 	}
-	assert.Empty(t, m.core.speeds.nodes.Tokens())
+	assert.Empty(t, m.core.speeds.nodeSums.Tokens())
 }
 
 // The load: 36,000 targets that all change all the time. What a node is told stays under
@@ -252,12 +252,12 @@
 		bytes := map[ConnectionID]int{}
 		for half := range 2 {
 			var list []speed.TargetStep
-			for number := range changedAtOnce {
-				token := directory.Token((second*2+half)*changedAtOnce + number)
+			for number := range maxChangesPerMessage {
+				token := directory.Token((second*2+half)*maxChangesPerMessage + number)
 				list = append(list, speed.TargetStep{Token: 1 + token%targets, Step: speed.Step(1 + second%20)})
 			}
-			core.setSteps(c.now, list)
-			core.tellNodesSpeeds()
+			core.applySteps(c.now, list)
+			core.sendStepsToNodes()
 			for _, sent := range core.takeOutput().Nodes {
 				bytes[sent.Connection] += wire.FrameSize(sent.Frame)
 				message, err := speed.Decode(sent.Frame.Payload)
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -11,21 +11,21 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// weighInterval is the time between two looks at the strengths of all nodes while
+// weightInterval is the time between two looks at the strengths of all nodes while
 // nobody needs them: hundreds of nodes come at once.
-const weighInterval = time.Second
+const weightInterval = time.Second
 
 // strengthTable holds the weights of the nodes that follow this member.
 type strengthTable struct {
 	// isStale is set after a change until the weights are made anew.
-	isStale   bool
-	weighedAt kernel.Instant
-	// draws are the nodes with their weights; the seed of each is its NodeKey.
-	draws []rendezvous.Node
+	isStale    bool
+	computedAt kernel.Instant
+	// weighted are the nodes with their weights; the seed of each is its NodeKey.
+	weighted []rendezvous.Node
 	// unstated is the number of nodes that state no processor.
 	unstated int
-	// bounded are the nodes whose word was taken for less than it says.
-	bounded map[string]bool
+	// capped are the nodes whose word was taken for less than it says.
+	capped map[string]bool
 }
 
 // UpdateStrength takes another strength of a node that follows this member.
@@ -43,18 +43,18 @@
 
 // tickStrengths looks at changed strengths now and then, so that a false one shows.
 func (c *Core) tickStrengths(now kernel.Instant) {
-	if c.strengths.isStale && now.Sub(c.strengths.weighedAt) >= weighInterval {
-		c.strengths.weighedAt = now
-		c.weighNodes()
+	if c.strengths.isStale && now.Sub(c.strengths.computedAt) >= weightInterval {
+		c.strengths.computedAt = now
+		c.weightedNodes()
 	}
 }
 
-// weighNodes returns the nodes that follow this member with their weights. Of two
+// weightedNodes returns the nodes that follow this member with their weights. Of two
 // connections of a node the later one counts.
-func (c *Core) weighNodes() []rendezvous.Node {
+func (c *Core) weightedNodes() []rendezvous.Node {
 	table := &c.strengths
 	if !table.isStale {
-		return table.draws
+		return table.weighted
 	}
 	positions := map[uint32]int{}
 	var nodes []*subscription
@@ -68,12 +68,12 @@
 		positions[key] = len(nodes)
 		nodes = append(nodes, node)
 	}
-	c.weigh(nodes)
+	c.computeWeights(nodes)
 	table.isStale = false
-	return table.draws
+	return table.weighted
 }
 
-func (c *Core) weigh(nodes []*subscription) {
+func (c *Core) computeWeights(nodes []*subscription) {
 	stated := make([]strength.Resources, len(nodes))
 	for position, node := range nodes {
 		stated[position] = node.strength
@@ -91,13 +91,13 @@
 			continue
 		}
 		bounded[node.name] = true
-		if !c.strengths.bounded[node.name] {
+		if !c.strengths.capped[node.name] {
 			c.output.Events = append(c.output.Events, LogEvent{Event: eventlog.StrengthBounded, Sampled: true, Fields: []any{
 				"node", node.name, "strength", node.strength, "weight", weights[position]}})
 		}
 	}
-	c.strengths.draws = draws
-	c.strengths.bounded = bounded
+	c.strengths.weighted = draws
+	c.strengths.capped = bounded
 	c.strengths.unstated = unstated
 }
 
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -95,18 +95,18 @@
 func TestAFalseStrengthIsBoundedAndToldOnce(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := leaderOf(c, 0.1, 0.1, 0.1, 0.1, 0.1, 4000)
-	c.run(2 * weighInterval)
+	c.run(2 * weightInterval)
 	assert.Equal(t, 1, c.events[eventlog.StrengthBounded])
-	for _, node := range leader.core.weighNodes() {
+	for _, node := range leader.core.weightedNodes() {
 		assert.LessOrEqual(t, node.Weight, 0.8)
 	}
 	c.apply(leader, leader.core.Subscribe(c.now, 50, Subscribe{Node: "edge-old"}))
-	c.run(2 * weighInterval)
+	c.run(2 * weightInterval)
 	assert.Equal(t, 1, c.events[eventlog.StrengthBounded], "no second time")
 	assert.Equal(t, 1, leader.core.strengths.unstated)
 	leader.core.Unsubscribe(6)
-	c.run(2 * weighInterval)
-	assert.Empty(t, leader.core.strengths.bounded)
+	c.run(2 * weightInterval)
+	assert.Empty(t, leader.core.strengths.capped)
 }
 
 // Nodes come, go, come again over another connection and state other strengths.
@@ -130,7 +130,7 @@
 			for _, node := range core.nodes {
 				names[directory.NodeKey(node.name)] = true
 			}
-			draws := core.weighNodes()
+			draws := core.weightedNodes()
 			assert.Len(t, draws, len(names), "each node once")
 			for _, node := range draws {
 				assert.True(t, names[uint32(node.Seed)])
--- a/internal/registry/targetorder.go
+++ b/internal/registry/targetorder.go
@@ -23,15 +23,15 @@
 	Ejected, Probation bool
 }
 
-// isPlain reports whether there is nothing to say of the target.
-func (t TargetStatus) isPlain() bool {
+// isDefault reports whether there is nothing to say of the target.
+func (t TargetStatus) isDefault() bool {
 	return t.Rule == directory.RuleJudged && !t.Ejected && !t.Probation
 }
 
-// smallestTargetShare is the encoded size in bytes of a target without names.
-const smallestTargetShare = 19
+// minTargetStatusSize is the encoded size in bytes of a target without names.
+const minTargetStatusSize = 19
 
-func encodeTargetShares(encoder *wire.Encoder, targets []TargetStatus) {
+func encodeTargetStatuses(encoder *wire.Encoder, targets []TargetStatus) {
 	encoder.Uint32(uint32(len(targets)))
 	for _, target := range targets {
 		encoder.String(target.ID)
@@ -44,9 +44,9 @@
 	}
 }
 
-func decodeTargetShares(decoder *wire.Decoder) []TargetStatus {
+func decodeTargetStatuses(decoder *wire.Decoder) []TargetStatus {
 	var targets []TargetStatus
-	for count := decoder.Count(smallestTargetShare); count > 0; count-- {
+	for count := decoder.Count(minTargetStatusSize); count > 0; count-- {
 		targets = append(targets, TargetStatus{
 			ID: decoder.String(), Service: decoder.String(), Zone: decoder.String(), Slots: decoder.Uint32(),
 			Rule: directory.TargetRule(decoder.Uint8()), Ejected: decoder.Bool(), Probation: decoder.Bool(),
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// targetShares returns the targets of which there is something to say, and the one with
+// targetStatuses returns the targets of which there is something to say, and the one with
 // an ID.
-func (c *Core) targetShares(id string) []TargetStatus {
+func (c *Core) targetStatuses(id string) []TargetStatus {
 	verdicts := c.liveness.verdicts.Verdicts
 	var targets []TargetStatus
 	c.state.EachTarget(func(target *directory.Target) {
@@ -94,7 +94,7 @@
 		// The next verdicts, within livenessInterval, say what was just ordered.
 		share.Ejected = slices.Contains(verdicts.Ejected, target.Token) || share.Rule == directory.RuleEjected
 		share.Probation = slices.Contains(verdicts.Probation, target.Token)
-		if target.ID == id || !share.isPlain() {
+		if target.ID == id || !share.isDefault() {
 			targets = append(targets, share)
 		}
 	})
@@ -126,20 +126,20 @@
 	}
 	before := max(total, out) - out
 	after := max(before, chosen.Slots) - chosen.Slots
-	effect = ShareChange{Service: chosen.Service, Zone: chosen.Zone, Before: part(before, total), After: part(after, total)}
+	effect = ShareChange{Service: chosen.Service, Zone: chosen.Zone, Before: fraction(before, total), After: fraction(after, total)}
 	switch {
 	case chosen.Ejected:
 		warnings = append(warnings, fmt.Sprintf("target %s is ejected already", id))
 	case after == 0:
 		warnings = append(warnings, fmt.Sprintf("service %s has no other targets: its callers are sent to ejected ones", chosen.Service))
-	case float64(before)/float64(after) >= heavyLoad:
+	case float64(before)/float64(after) >= loadWarningFactor:
 		warnings = append(warnings, fmt.Sprintf("service %s: the others bear %.1f times as much", chosen.Service, float64(before)/float64(after)))
 	}
 	return effect, warnings, true
 }
 
-// part returns the part that some slots are of all.
-func part(slots, total uint32) float64 {
+// fraction returns the fraction that some slots are of all.
+func fraction(slots, total uint32) float64 {
 	if total == 0 {
 		return 0
 	}
--- a/internal/registry/targetorder_test.go
+++ b/internal/registry/targetorder_test.go
@@ -143,12 +143,12 @@
 func TestOrdersWithoutTargetsAreRead(t *testing.T) {
 	const emptyField = 4
 	payload := OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}.frame().Payload
-	decoded, err := decodeOrder(payload[:len(payload)-emptyField])
+	decoded, err := decodeOperatorRequest(payload[:len(payload)-emptyField])
 	require.NoError(t, err)
 	assert.Equal(t, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}, decoded)
 	reply := OperatorResponse{Zones: []ZoneStatus{{Zone: "a", Service: "b"}}}
 	payload = reply.frame().Payload
-	read, err := decodeOrderReply(payload[:len(payload)-emptyField])
+	read, err := decodeOperatorResponse(payload[:len(payload)-emptyField])
 	require.NoError(t, err)
 	assert.Equal(t, reply, read)
 }
--- a/internal/registry/versionorder.go
+++ b/internal/registry/versionorder.go
@@ -25,10 +25,10 @@
 	Ejected, Probation uint32
 }
 
-// smallestVersionShare is the encoded size in bytes of a version without names.
-const smallestVersionShare = 25
+// minVersionStatusSize is the encoded size in bytes of a version without names.
+const minVersionStatusSize = 25
 
-func encodeVersionShares(encoder *wire.Encoder, versions []VersionStatus) {
+func encodeVersionStatuses(encoder *wire.Encoder, versions []VersionStatus) {
 	encoder.Uint32(uint32(len(versions)))
 	for _, version := range versions {
 		encoder.String(version.Service)
@@ -41,9 +41,9 @@
 	}
 }
 
-func decodeVersionShares(decoder *wire.Decoder) []VersionStatus {
+func decodeVersionStatuses(decoder *wire.Decoder) []VersionStatus {
 	var versions []VersionStatus
-	for count := decoder.Count(smallestVersionShare); count > 0; count-- {
+	for count := decoder.Count(minVersionStatusSize); count > 0; count-- {
 		versions = append(versions, VersionStatus{
 			ServiceVersion: directory.ServiceVersion{Service: decoder.String(), Version: decoder.String()},
 			Targets:        decoder.Uint32(), Slots: decoder.Uint32(), Rule: directory.VersionRule(decoder.Uint8()),
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// versionShares returns the versions of all services, those of a service side by side.
-func (c *Core) versionShares() []VersionStatus {
+// versionStatuses returns the versions of all services, those of a service side by side.
+func (c *Core) versionStatuses() []VersionStatus {
 	verdicts := c.liveness.verdicts.Verdicts
 	shares := map[directory.ServiceVersion]VersionStatus{}
 	c.state.EachTarget(func(target *directory.Target) {
@@ -120,11 +120,11 @@
 		}
 	}
 	left := total - min(total, reply.Versions[position].Slots)
-	effect = ShareChange{Service: version.Service, Before: part(total, total), After: part(left, total)}
+	effect = ShareChange{Service: version.Service, Before: fraction(total, total), After: fraction(left, total)}
 	switch {
 	case left == 0:
 		warnings = append(warnings, fmt.Sprintf("service %s has no other targets: its callers are sent to held ones", version.Service))
-	case float64(total)/float64(left) >= heavyLoad:
+	case float64(total)/float64(left) >= loadWarningFactor:
 		warnings = append(warnings, fmt.Sprintf("service %s: the others bear %.1f times as much", version.Service, float64(total)/float64(left)))
 	}
 	return effect, warnings, true
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -51,56 +51,56 @@
 	// maxZoneStewards is the same for the targets of a zone that is taken back. They
 	// are told once for each service.
 	maxZoneStewards = 16
-	// leastWarmups is the number of targets from which on those that are warm by now
+	// minWarmupSweep is the number of targets from which on those that are warm by now
 	// are forgotten.
-	leastWarmups = 256
+	minWarmupSweep = 256
 )
 
 // warmupTable knows until when targets are cold, on this member's clock. Those of
 // its disk or of another member's snapshot count from when it read them.
 type warmupTable struct {
-	readAt kernel.Instant
-	since  map[directory.Token]kernel.Instant
-	// sweepAt is the number of targets at which the warm ones are forgotten next.
-	sweepAt int
-	// zones holds when zones were taken back.
-	zones map[string]kernel.Instant
+	loadedAt  kernel.Instant
+	startedAt map[directory.Token]kernel.Instant
+	// nextSweepSize is the number of targets at which the warm ones are forgotten next.
+	nextSweepSize int
+	// reopenedAt holds when reopenedAt were taken back.
+	reopenedAt map[string]kernel.Instant
 }
 
 func newWarmupTable(now kernel.Instant) warmupTable {
 	return warmupTable{
-		readAt: now, since: map[directory.Token]kernel.Instant{}, sweepAt: leastWarmups, zones: map[string]kernel.Instant{},
+		loadedAt: now, startedAt: map[directory.Token]kernel.Instant{}, nextSweepSize: minWarmupSweep, reopenedAt: map[string]kernel.Instant{},
 	}
 }
 
-// note enters a target that has just registered.
-func (w *warmupTable) note(now kernel.Instant, target directory.Target) {
+// record enters a target that has just registered.
+func (w *warmupTable) record(now kernel.Instant, target directory.Target) {
 	if target.Warmup == nil {
 		return
 	}
-	if len(w.since) >= w.sweepAt {
-		maps.DeleteFunc(w.since, func(_ directory.Token, at kernel.Instant) bool { return now.Sub(at) > target.Warmup.Left })
+	if len(w.startedAt) >= w.nextSweepSize {
+		maps.DeleteFunc(w.startedAt, func(_ directory.Token, at kernel.Instant) bool { return now.Sub(at) > target.Warmup.Left })
 		// Twice what is left: where a whole fleet is cold at once, looking at all with
 		// each of them grew with the square of the fleet.
-		w.sweepAt = max(leastWarmups, 2*len(w.since))
+		w.nextSweepSize = max(minWarmupSweep, 2*len(w.startedAt))
 	}
-	w.since[target.Token] = now
+	w.startedAt[target.Token] = now
 }
 
-// leftOf returns how much longer a target is cold.
-func (w *warmupTable) leftOf(now kernel.Instant, target directory.Target) time.Duration {
-	since, noted := w.since[target.Token]
+// remaining returns how much longer a target is cold.
+func (w *warmupTable) remaining(now kernel.Instant, target directory.Target) time.Duration {
+	since, noted := w.startedAt[target.Token]
 	if !noted {
-		since = w.readAt
+		since = w.loadedAt
 	}
 	return target.Warmup.Left - now.Sub(since)
 }
 
-// leftIn returns how much longer the targets of a zone that was taken back are cold.
-func (w *warmupTable) leftIn(now kernel.Instant, zone string, warmup directory.Warmup) time.Duration {
-	since, noted := w.zones[zone]
+// remainingInZone returns how much longer the targets of a zone that was taken back are cold.
+func (w *warmupTable) remainingInZone(now kernel.Instant, zone string, warmup directory.Warmup) time.Duration {
+	since, noted := w.reopenedAt[zone]
 	if !noted {
-		since = w.readAt
+		since = w.loadedAt
 	}
 	return warmup.Left - now.Sub(since)
 }
@@ -113,10 +113,10 @@
 	switch command.Kind {
 	case directory.CommandPutTarget:
 		if target, _ := c.state.Target(command.Target.ID); target.Revision == result.Revision {
-			c.warmups.note(now, target)
+			c.warmups.record(now, target)
 		}
 	case directory.CommandEvacuate:
-		c.warmups.zones[command.Evacuation.Zone] = now
+		c.warmups.reopenedAt[command.Evacuation.Zone] = now
 	}
 }
 
@@ -128,7 +128,7 @@
 			continue
 		}
 		warmup := *target.Warmup
-		warmup.Left = c.warmups.leftOf(now, target)
+		warmup.Left = c.warmups.remaining(now, target)
 		update.Targets[position].Warmup = &warmup
 		if warmup.Left <= 0 {
 			update.Targets[position].Warmup = nil
@@ -137,7 +137,7 @@
 	for position, evacuation := range update.Evacuations {
 		var warmups []directory.ServiceWarmup
 		for _, known := range evacuation.Warmups {
-			known.Warmup.Left = c.warmups.leftIn(now, evacuation.Zone, known.Warmup)
+			known.Warmup.Left = c.warmups.remainingInZone(now, evacuation.Zone, known.Warmup)
 			if known.Warmup.Left > 0 {
 				warmups = append(warmups, known)
 			}
@@ -149,7 +149,7 @@
 
 // newWarmup returns the warm-up of a target that is cold, with its budget and stewards.
 func (c *Core) newWarmup(target directory.Target) *directory.Warmup {
-	warmup := directory.Warmup{Left: target.Warmup.Left, Budget: c.budget(c.warmthOf(target.Service))}
+	warmup := directory.Warmup{Left: target.Warmup.Left, Budget: c.budget(c.warmupConfig(target.Service))}
 	warmup.Stewards = c.stewards(target.ID, warmup.Budget, maxStewards)
 	return &warmup
 }
@@ -161,11 +161,11 @@
 	if active {
 		return order
 	}
-	return c.takeBack(order)
+	return c.endEvacuation(order)
 }
 
-// takeBack returns the order that takes a zone back: its targets may be cold.
-func (c *Core) takeBack(order directory.Evacuation) directory.Evacuation {
+// endEvacuation returns the order that takes a zone back: its targets may be cold.
+func (c *Core) endEvacuation(order directory.Evacuation) directory.Evacuation {
 	services := map[string]bool{}
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.Zone == order.Zone && target.State == directory.TargetReady {
@@ -173,7 +173,7 @@
 		}
 	})
 	for _, service := range slices.Sorted(maps.Keys(services)) {
-		warmth := c.warmthOf(service)
+		warmth := c.warmupConfig(service)
 		if warmth.Time <= 0 {
 			continue
 		}
@@ -184,8 +184,8 @@
 	return order
 }
 
-// warmthOf returns what the configuration states about a service's cold targets.
-func (c *Core) warmthOf(name string) WarmupConfig {
+// warmupConfig returns what the configuration states about a service's cold targets.
+func (c *Core) warmupConfig(name string) WarmupConfig {
 	if c.settings.WarmthOf == nil {
 		return WarmupConfig{}
 	}
@@ -221,7 +221,7 @@
 	if budget == 0 {
 		return nil
 	}
-	nodes := c.weighNodes()
+	nodes := c.weightedNodes()
 	var stewards []uint32
 	for _, position := range rendezvous.BestN(nodes, rendezvous.Hash(key), min(limit, int(budget))) {
 		stewards = append(stewards, uint32(nodes[position].Seed))
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -102,7 +102,7 @@
 	require.NoError(t, c.submit(leader, command).Err)
 	require.NoError(t, c.evacuate(leader, "north", true).Err)
 	base := leader.core.State().Evacuation("north").Revision
-	order := leader.core.takeBack(directory.Evacuation{Zone: "north", Revision: base})
+	order := leader.core.endEvacuation(directory.Evacuation{Zone: "north", Revision: base})
 	require.NoError(t, c.submit(leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order}).Err)
 	update := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
 	require.Len(t, update.Evacuations, 1)
@@ -117,10 +117,10 @@
 func TestTheTableOfColdTargetsForgetsWarmOnes(t *testing.T) {
 	now := kernel.Instant(time.Minute)
 	table := newWarmupTable(now)
-	for token := range directory.Token(10 * leastWarmups) {
+	for token := range directory.Token(10 * minWarmupSweep) {
 		now = now.Add(10 * time.Millisecond)
-		table.note(now, directory.Target{Token: token, Warmup: &directory.Warmup{Left: time.Second}})
-		require.LessOrEqual(t, len(table.since), leastWarmups+1)
+		table.record(now, directory.Target{Token: token, Warmup: &directory.Warmup{Left: time.Second}})
+		require.LessOrEqual(t, len(table.startedAt), minWarmupSweep+1)
 	}
 }
 
@@ -132,13 +132,13 @@
 	table := newWarmupTable(now)
 	sweeps := 0
 	for token := range directory.Token(targets) {
-		before := table.sweepAt
-		table.note(now, directory.Target{Token: token, Warmup: &directory.Warmup{Left: time.Minute}})
-		if table.sweepAt != before {
+		before := table.nextSweepSize
+		table.record(now, directory.Target{Token: token, Warmup: &directory.Warmup{Left: time.Minute}})
+		if table.nextSweepSize != before {
 			sweeps++
 		}
 	}
-	assert.Len(t, table.since, targets)
+	assert.Len(t, table.startedAt, targets)
 	assert.LessOrEqual(t, sweeps, 7, "each at twice the number of the one before")
 }
 
--- a/internal/registry/zones.go
+++ b/internal/registry/zones.go
@@ -15,9 +15,9 @@
 // moved by one more voter in the zone that has too few, then one fewer where there
 // are too many; in between the group bears no less than before.
 
-// spreadTolerance is the difference between the voters of two zones from which on
+// minZoneVoterGap is the difference between the voters of two zones from which on
 // a voter is moved. With a difference of 1 no move makes it smaller.
-const spreadTolerance = 2
+const minZoneVoterGap = 2
 
 // zoneOf returns the zone of a member, or "" when it is not known.
 func (c *Core) zoneOf(id raft.MemberID) string {
@@ -42,7 +42,7 @@
 	}
 	voters := c.votersByZone(membership)
 	most := slices.Max(slices.Collect(maps.Values(voters)))
-	return most-voters[c.zoneOf(learner)] >= spreadTolerance
+	return most-voters[c.zoneOf(learner)] >= minZoneVoterGap
 }
 
 // voterInLargestZone returns a voter of the zone with the most voters, of several the one
@@ -80,15 +80,15 @@
 // logZoneTolerance writes an event when the loss of zones would begin or cease to stop
 // the group.
 func (c *Core) logZoneTolerance() {
-	if !c.IsLeader() || c.groupSize.exposed == !c.ToleratesZoneLoss() {
+	if !c.IsLeader() || c.groupSize.isExposed == !c.ToleratesZoneLoss() {
 		return
 	}
-	c.groupSize.exposed = !c.groupSize.exposed
-	c.logEvent(eventlog.ZoneToleranceChanged, "bears_lost_zones", !c.groupSize.exposed, "lost_zones", c.settings.LostZones,
-		"voters_by_zone", zoneText(c.votersByZone(c.replica.Node.Membership())))
+	c.groupSize.isExposed = !c.groupSize.isExposed
+	c.logEvent(eventlog.ZoneToleranceChanged, "bears_lost_zones", !c.groupSize.isExposed, "lost_zones", c.settings.LostZones,
+		"voters_by_zone", formatZones(c.votersByZone(c.replica.Node.Membership())))
 }
 
-func zoneText(voters map[string]int) string {
+func formatZones(voters map[string]int) string {
 	var words []string
 	for _, zone := range slices.Sorted(maps.Keys(voters)) {
 		words = append(words, fmt.Sprintf("%s:%d", zone, voters[zone]))
