--- a/internal/registry/bounds.go
+++ b/internal/registry/bounds.go
@@ -6,10 +6,10 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Connections returns the bound of those that callers over HTTP hold.
+// Connections returns the limit on the connections of HTTP clients.
 func (p *Process) Connections() *hosting.Connections { return p.connections }
 
-// ApplySettings takes over what has changed in the settings.
+// ApplySettings applies changed settings without a restart.
 func (p *Process) ApplySettings(next hosting.Changeable) {
 	p.connections.SetLimit(next.Strength.MaxConnections())
 	p.inputs.Push(changeInput{next: next})
@@ -26,7 +26,7 @@
 	return Output{}
 }
 
-// checkDiskUsage writes an event when what the member keeps begins or ceases to fill its disk.
+// checkDiskUsage logs when the member's data starts or ceases to fill its disk.
 func (p *Process) checkDiskUsage() {
 	held := p.disk.Held()
 	p.metrics.diskHeldBytes.Set(float64(held))
--- a/internal/registry/dryrun.go
+++ b/internal/registry/dryrun.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// ShareChange is what the evacuation of a zone does to a service in another zone.
+// ShareChange is the change in a zone's or service's share of slots that a dry run
+// predicts.
 type ShareChange struct {
 	Service, Zone string
-	// Before and After are the parts of the service's slots that the zone has among
-	// those that take new flows.
+	// Before and After are the shares of the service's slots that take new flows.
 	Before, After float64
 }
 
-// loadWarningFactor is the growth of a zone's part from which on a warning is given: a zone
-// that bears half as much again is at its limit when it was two thirds busy.
+// loadWarningFactor is the load increase from which a warning is given: at 1.5, targets
+// that were two thirds busy reach their limit.
 const loadWarningFactor = 1.5
 
-// DryRunEvacuation works out what the evacuation of a zone would do, by the shares that a member
-// told, and what to beware of.
+// DryRunEvacuation computes the effect of evacuating a zone from the zone statuses of a
+// member, with warnings for the operator.
 func DryRunEvacuation(shares []ZoneStatus, zone string) (effects []ShareChange, warnings []string) {
 	total, left := map[string]uint32{}, map[string]uint32{}
 	var services []string
--- a/internal/registry/groupsize.go
+++ b/internal/registry/groupsize.go
@@ -7,21 +7,21 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// quorumEventInterval is the time between two events of a member that cannot
-// reach a quorum.
+// quorumEventInterval is the time between two events of a member that cannot reach a
+// quorum.
 const quorumEventInterval = 5 * time.Second
 
-// groupSizeState remembers what the log was last told about the group's size.
+// groupSizeState is what was last logged about the size of the group.
 type groupSizeState struct {
-	// isTooSmall is set while the group has fewer voters than its tolerance needs.
+	// isTooSmall is set while the group has fewer voters than its tolerance requires.
 	isTooSmall bool
-	// isExposed is set while the loss of some zones would leave no quorum.
+	// isExposed is set while the loss of LostZones zones would leave no quorum.
 	isExposed bool
-	// nextQuorumEvent is when the next event about a missing quorum may be written.
+	// nextQuorumEvent is when the next event about a missing quorum may be logged.
 	nextQuorumEvent kernel.Instant
 }
 
-// Voters returns the number of voters that this member knows of.
+// Voters returns the number of voters that this member knows.
 func (c *Core) Voters() int {
 	if c.replica.Node == nil {
 		return 0
@@ -29,12 +29,12 @@
 	return len(c.replica.Node.Membership().Voters)
 }
 
-// HasTooFewVoters reports whether the group has fewer voters than it needs to bear
-// the losses that the settings state.
+// HasTooFewVoters reports whether the group has fewer voters than the configured tolerance
+// requires.
 func (c *Core) HasTooFewVoters() bool { return c.Voters() < c.settings.Voters }
 
-// logGroupSize writes an event when the group becomes too small for its
-// tolerance or large enough, and now and then while this member has no leader.
+// logGroupSize logs when the number of voters falls below or reaches what the tolerance
+// requires, and periodically while this member cannot reach a quorum.
 func (c *Core) logGroupSize(now kernel.Instant) {
 	if c.IsLeader() && c.HasTooFewVoters() != c.groupSize.isTooSmall {
 		c.groupSize.isTooSmall = !c.groupSize.isTooSmall
--- a/internal/registry/observations.go
+++ b/internal/registry/observations.go
@@ -9,10 +9,10 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// A member collects what its nodes and targets tell and passes it on to the leader.
+// A member collects the observations of its nodes and targets and sends them to the leader.
 
-// RecordHeartbeat notes a heartbeat of a registered target. One of another start than the latest
-// is no sign of life.
+// RecordHeartbeat records a heartbeat of a registered target. It ignores heartbeats of an
+// earlier start of the target.
 func (c *Core) RecordHeartbeat(now kernel.Instant, start directory.Start) {
 	target, known := c.state.Target(start.ID)
 	if !known || target.Start() != start {
@@ -21,7 +21,7 @@
 	c.RecordHeartbeats(now, []directory.Token{target.Token})
 }
 
-// RecordHeartbeats notes heartbeats of targets by their tokens.
+// RecordHeartbeats records heartbeats of targets by token.
 func (c *Core) RecordHeartbeats(now kernel.Instant, tokens []directory.Token) {
 	for _, token := range tokens {
 		c.liveness.status(token).lastHeartbeat = now
@@ -29,7 +29,7 @@
 	}
 }
 
-// RecordEvidence notes what a subscribed node has seen of targets.
+// RecordEvidence records a subscribed node's observations of targets.
 func (c *Core) RecordEvidence(now kernel.Instant, connection ConnectionID, evidence Evidence) {
 	for _, token := range evidence.Answering {
 		c.liveness.unsentAnswers[token] = true
@@ -43,7 +43,7 @@
 	}
 }
 
-// silentTargets sums up the newest reports of the subscribed nodes.
+// silentTargets adds up the newest reports of the subscribed nodes.
 func (c *Core) silentTargets(now kernel.Instant) []SilentTarget {
 	sums := map[directory.Token]SilentTarget{}
 	for _, node := range c.nodes {
@@ -57,8 +57,7 @@
 	return slices.SortedFunc(maps.Values(sums), func(a, b SilentTarget) int { return cmp.Compare(a.Token, b.Token) })
 }
 
-// tickLiveness passes observations on to the leader, and on the leader judges
-// which targets are silent.
+// tickLiveness sends observations to the leader; the leader evaluates them.
 func (c *Core) tickLiveness(now kernel.Instant) {
 	if now.Before(c.liveness.nextReport) {
 		return
@@ -77,7 +76,7 @@
 	c.sendToMember(c.address(c.replica.Node.Leader()), seen.frame())
 }
 
-// drainObservations returns what was seen since the last message.
+// drainObservations returns and clears the observations since the last message.
 func (c *Core) drainObservations(now kernel.Instant) observations {
 	seen := observations{From: c.settings.Address}
 	seen.Heartbeats = slices.Sorted(maps.Keys(c.liveness.unsentHeartbeats))
@@ -93,7 +92,7 @@
 	return seen
 }
 
-// recordObservations enters a member's observations into the leader's table.
+// recordObservations adds a member's observations to the leader's tables.
 func (c *Core) recordObservations(now kernel.Instant, seen observations) {
 	for _, token := range seen.Heartbeats {
 		c.liveness.status(token).lastHeartbeat = now
--- a/internal/registry/openings.go
+++ b/internal/registry/openings.go
@@ -11,34 +11,34 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Targets that are down refuse opening packets or leave them without an answer. One
-// node sees few of them; all nodes together see within a fraction of a second that a
-// target, or most of a zone, takes none. New flows then go elsewhere until there is a
-// sign of the target, or for a while in the case of a zone. Open flows are not touched.
+// Targets that are down refuse opening packets or do not answer them. All nodes together
+// detect within a fraction of a second that a target, or most of a zone, accepts none. New
+// flows then avoid the target until it shows a sign of life, and the zone for a limited
+// time. Open flows are not affected.
 
 const (
-	// refusalLifetime is how long a report of refused opening packets counts.
+	// refusalLifetime is how long a report of refused opening packets is valid.
 	refusalLifetime = 500 * time.Millisecond
-	// minRefusals is the number of refused opening packets, at silentNodesNeeded
-	// nodes, from which on a target is suspected.
+	// minRefusals is the number of refused opening packets, at minSilentNodes nodes or
+	// more, that makes a target suspect.
 	minRefusals = 3
-	// refusalSuspicionTime is how long a target is suspected without another sign: after that
-	// its missing heartbeats speak for themselves.
+	// refusalSuspicionTime is how long refusals keep a target suspect without further
+	// evidence. By then missing heartbeats tell whether it is down.
 	refusalSuspicionTime = 4 * time.Second
-	// zoneWindow is the time in which the opening packets to a zone are compared, and
-	// zoneRefusalsNeeded the number of refused ones needed for a verdict.
+	// zoneWindow is the period over which the opening packets to a zone are counted, and
+	// minZoneRefusals the number of refusals that a verdict needs.
 	zoneWindow      = 300 * time.Millisecond
 	minZoneRefusals = 10
-	// zoneRefusedShare is the share of refused opening packets from which on a zone is
-	// avoided: links that lose a tenth of all packets refuse 0.27.
+	// zoneRefusedShare is the share of refused opening packets from which a zone is
+	// avoided. It is well above what links with 10 % packet loss cause.
 	zoneRefusedShare = 0.6
-	// zoneAvoidTime is how long a zone is avoided, doubled up to longestZoneHold when it
-	// refuses again within zoneAvoidTime after that.
+	// zoneAvoidTime is how long a zone is avoided. It doubles, up to maxZoneAvoidTime, when
+	// the zone refuses again within zoneAvoidTime of the end.
 	zoneAvoidTime    = time.Second
 	maxZoneAvoidTime = 2 * time.Second
 )
 
-// zoneRecord is what the leader knows of the opening packets to a zone.
+// zoneRecord is the leader's record of the opening packets to a zone.
 type zoneRecord struct {
 	// counts are those of the last zoneWindow.
 	counts     []timedOpenings
@@ -51,8 +51,8 @@
 	directory.ZoneOpenings
 }
 
-// openingTable holds opening packets as nodes report them. Each member sums up what
-// its nodes report; the leader's records are those of all.
+// openingTable holds the opening packets that nodes report. Each member adds up the reports
+// of its nodes; the records on the leader cover all members.
 type openingTable struct {
 	unsent  map[string]directory.ZoneOpenings
 	refused map[directory.Token]SilentTarget
@@ -63,7 +63,7 @@
 	return openingTable{unsent: map[string]directory.ZoneOpenings{}, refused: map[directory.Token]SilentTarget{}, zones: map[string]*zoneRecord{}}
 }
 
-// add sums up the report of a node.
+// add adds the report of a node.
 func (o *openingTable) add(evidence Evidence) {
 	for _, counted := range evidence.Openings {
 		sum := o.unsent[counted.Zone]
@@ -77,7 +77,7 @@
 	}
 }
 
-// drain returns the sums since the last call.
+// drain returns and clears the sums since the last call.
 func (o *openingTable) drain() (zones []directory.ZoneOpenings, refused []SilentTarget) {
 	zones = slices.SortedFunc(maps.Values(o.unsent), func(a, b directory.ZoneOpenings) int { return cmp.Compare(a.Zone, b.Zone) })
 	refused = slices.SortedFunc(maps.Values(o.refused), func(a, b SilentTarget) int { return cmp.Compare(a.Token, b.Token) })
@@ -86,7 +86,7 @@
 	return zones, refused
 }
 
-// record enters a member's sums into the leader's records.
+// record adds a member's sums to the leader's records.
 func (o *openingTable) record(now kernel.Instant, zones []directory.ZoneOpenings) {
 	for _, counted := range zones {
 		record, known := o.zones[counted.Zone]
@@ -98,7 +98,7 @@
 	}
 }
 
-// evaluate reports whether new flows avoid the zone, and whether they do so from now on.
+// evaluate reports whether new flows avoid the zone, and whether this has just begun.
 func (z *zoneRecord) evaluate(now kernel.Instant) (avoided, begins bool) {
 	z.counts = slices.DeleteFunc(z.counts, func(counted timedOpenings) bool { return now.Sub(counted.at) >= zoneWindow })
 	if now.Before(z.avoidUntil) {
@@ -124,8 +124,8 @@
 	return opened, refused
 }
 
-// avoidedZones returns the zones that new flows avoid. When most targets stand in
-// them, the nodes are more likely at fault, and none is avoided.
+// avoidedZones returns the zones that new flows avoid. If they hold most of the targets,
+// the nodes are more likely at fault, and it returns none.
 func (c *Core) avoidedZones(now kernel.Instant) []string {
 	var avoided []string
 	for _, zone := range slices.Sorted(maps.Keys(c.openings.zones)) {
@@ -145,7 +145,7 @@
 	return avoided
 }
 
-// countTargetsIn counts the targets of some zones that have not ended.
+// countTargetsIn counts the targets in the given zones that have not ended.
 func (c *Core) countTargetsIn(zones []string) int {
 	count := 0
 	c.state.EachTarget(func(target *directory.Target) {
@@ -156,7 +156,7 @@
 	return count
 }
 
-// recordRefusal enters a member's report of a target that took no opening packets.
+// recordRefusal adds a member's report of refused opening packets.
 func (s *targetStatus) recordRefusal(now kernel.Instant, from string, refused SilentTarget) {
 	if s.refusals == nil {
 		s.refusals = map[string]silenceReport{}
@@ -171,8 +171,8 @@
 	s.refusals[from] = report
 }
 
-// isRefusing reports whether a target is suspected because it takes no opening packets.
-// A sign of it ends that.
+// isRefusing reports whether a target is suspect because it refuses opening packets. A
+// later sign of life clears that.
 func (s *targetStatus) isRefusing(now kernel.Instant) bool {
 	var weight, nodes uint32
 	for _, report := range s.refusals {
--- a/internal/registry/order.go
+++ b/internal/registry/order.go
@@ -18,56 +18,58 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// OperatorAction is what an operator asks a member for over its own protocol.
+// OperatorAction is the action that an operator requests from a member over the member
+// protocol.
 type OperatorAction uint8
 
-// The kinds of orders.
+// The actions.
 const (
-	// ActionList changes nothing.
+	// ActionList changes nothing and returns the current status.
 	ActionList OperatorAction = iota
-	// ActionEvacuateZone begins the evacuation of a zone.
+	// ActionEvacuateZone starts the evacuation of a zone.
 	ActionEvacuateZone
-	// ActionEndEvacuation ends it.
+	// ActionEndEvacuation ends the evacuation of a zone.
 	ActionEndEvacuation
-	// ActionEjectTarget keeps new flows from a target.
+	// ActionEjectTarget stops new flows to a target.
 	ActionEjectTarget
 	// ActionExemptTarget keeps a target from being ejected.
 	ActionExemptTarget
-	// ActionReadmitTarget ends either, and readmits a target that the members ejected.
+	// ActionReadmitTarget removes either rule and readmits a target that the members
+	// ejected.
 	ActionReadmitTarget
-	// ActionHoldVersion keeps new flows from a version's targets.
+	// ActionHoldVersion stops new flows to the targets of a version.
 	ActionHoldVersion
 	// ActionReleaseVersion keeps a version from being held.
 	ActionReleaseVersion
-	// ActionJudgeVersion ends either.
+	// ActionJudgeVersion removes either rule.
 	ActionJudgeVersion
 )
 
-// targetRuleOf are the rules that orders about a target ask for.
+// targetRuleOf maps the actions on a target to rules.
 var targetRuleOf = map[OperatorAction]directory.TargetRule{
 	ActionEjectTarget:   directory.RuleEjected,
 	ActionExemptTarget:  directory.RuleExempt,
 	ActionReadmitTarget: directory.RuleJudged,
 }
 
-// versionRuleOf are the rules that orders about a version ask for.
+// versionRuleOf maps the actions on a version to rules.
 var versionRuleOf = map[OperatorAction]directory.VersionRule{
 	ActionHoldVersion:    directory.VersionHeld,
 	ActionReleaseVersion: directory.VersionReleased,
 	ActionJudgeVersion:   directory.VersionJudged,
 }
 
-// operatorTimeout is how long an order waits for the group: an election and a write.
+// operatorTimeout limits how long a request waits for the group: long enough for an
+// election and a write.
 const operatorTimeout = 3 * time.Second
 
-// OperatorRequest is an operator's order to a member.
+// OperatorRequest is a request of an operator to a member.
 type OperatorRequest struct {
 	Action OperatorAction
 	Zone   string
-	// Target is the ID of a target. In a list it is named though there is nothing to
-	// say of it.
+	// Target is the ID of a target. The response always includes this target.
 	Target string
-	// Version names a version of a service.
+	// Version identifies a version of a service.
 	Version directory.ServiceVersion
 }
 
@@ -86,7 +88,7 @@
 func decodeOperatorRequest(payload []byte) (OperatorRequest, error) {
 	decoder := wire.NewDecoder(payload)
 	order := OperatorRequest{Action: OperatorAction(decoder.Uint8()), Zone: decoder.String()}
-	// Orders of versions that knew none about targets end here.
+	// Older clients omit the fields below.
 	if decoder.HasMore() {
 		order.Target = decoder.String()
 	}
@@ -96,7 +98,7 @@
 	return order, decoder.Err("registry.decode_order")
 }
 
-// ZoneStatus is what the targets of a zone that take new flows bear of a service.
+// ZoneStatus is the number of ready targets of a service in a zone, and their slots.
 type ZoneStatus struct {
 	Zone, Service  string
 	Targets, Slots uint32
@@ -104,17 +106,18 @@
 	Evacuated bool
 }
 
-// OperatorResponse is a member's answer to an order.
+// OperatorResponse is a member's response to a request.
 type OperatorResponse struct {
-	// Error says why the order was not carried out; empty when it was. Refused is
-	// set when giving it again is no use.
+	// Error says why the request failed, and is empty when it succeeded. Rejected is set
+	// when a retry cannot succeed.
 	Error    string
 	Rejected bool
-	// Zones are those of all zones and services, in order.
+	// Zones are the zones of all services, sorted by service and zone.
 	Zones []ZoneStatus
-	// Targets are those that are not as usual, and the one that the order names.
+	// Targets are those that are not in the default state, and the one that the request
+	// names.
 	Targets []TargetStatus
-	// Versions are those of all services, in order.
+	// Versions are the versions of all services, sorted by service and version.
 	Versions []VersionStatus
 }
 
@@ -137,7 +140,7 @@
 	return wire.Frame{Kind: wire.FrameOrderReply, Payload: encoder.Buffer}
 }
 
-// minZoneStatusSize is the encoded size in bytes of a share without names.
+// minZoneStatusSize is the encoded size in bytes of a status with empty names.
 const minZoneStatusSize = 17
 
 func decodeOperatorResponse(payload []byte) (OperatorResponse, error) {
@@ -157,7 +160,8 @@
 	return reply, decoder.Err("registry.decode_order_reply")
 }
 
-// SendOperatorRequest gives an order to the first of some members that answers.
+// SendOperatorRequest sends a request to the first member that accepts a connection, and
+// returns its response.
 func SendOperatorRequest(ctx context.Context, addresses []string, order OperatorRequest) (OperatorResponse, error) {
 	const step = "registry.send_order"
 	remaining := slices.Clone(addresses)
@@ -186,7 +190,7 @@
 	return decodeOperatorResponse(frame.Payload)
 }
 
-// serveOperatorRequest carries out an order and answers it.
+// serveOperatorRequest handles a request and sends the response.
 func (p *Process) serveOperatorRequest(connection net.Conn, frame wire.Frame) {
 	order, err := decodeOperatorRequest(frame.Payload)
 	if err != nil {
@@ -224,8 +228,7 @@
 	return reply
 }
 
-// readStatus returns what each zone bears and which targets are not as usual, as a
-// linearizable read.
+// readStatus returns the status of zones, targets and versions as a linearizable read.
 func (p *Process) readStatus(ctx context.Context, id string) (OperatorResponse, error) {
 	if _, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) { return core.Read(now) }); err != nil {
 		return OperatorResponse{}, err
--- a/internal/registry/outliers.go
+++ b/internal/registry/outliers.go
@@ -14,32 +14,30 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Nodes count how exchanges with targets end. One node sees few of a target; a member
-// sums up what its nodes report, the leader what all members report, and judges each
-// target against the others of its service (package outlier). The sums are not
-// replicated: a new leader begins with none, keeps for a while what the old one left
-// out, and tries that again.
+// Nodes count the outcomes of exchanges with targets. Members add up the counts of their
+// nodes and the leader those of all members; it compares each target with the others of its
+// service (package outlier). The counts are not replicated: a new leader starts without
+// any, keeps the ejections of the previous one for a while, and then puts the ejected
+// targets on probation.
 
 const (
-	// failureWindow is the time after which a member forgets what it knows of the spread of
-	// failures over its nodes from before the last such time: two to four seconds are
-	// known, no more than the window of the judge.
+	// failureWindow is the period after which failure counts by node are rotated. The
+	// current and the previous period together cover at most the detector's window.
 	failureWindow = 2 * time.Second
-	// minFailingTargets is the number of targets with failures from which on a node can be a
-	// poor witness, and poorDivisor the part of all that it reported: half.
+	// A node is unreliable when at least minFailingTargets of the targets that it reported
+	// failed, and these are more than the share 1/failingShareDivisor of all.
 	minFailingTargets   = 4
 	failingShareDivisor = 2
-	// judgeTimePerTarget is the time between two judgements for each target that is judged: it
-	// bounds their cost to an eighth of what a small member has. Up to 3,333 targets each
-	// message to the leader is judged; 36,000 are judged each second.
+	// judgeTimePerTarget, times the number of targets, is the time between two evaluations.
+	// It limits the CPU time that the leader of a large fleet spends on them.
 	judgeTimePerTarget = 30 * time.Microsecond
 )
 
-// nodeReports counts what a node told lately: the targets that it reported, and those
-// of them with failures.
+// nodeReports counts the targets that a node reported in a period, and those among them
+// with failures.
 type nodeReports struct{ targets, failing uint32 }
 
-// failureSpread holds the failures of each target by the name of the node that saw them.
+// failureSpread holds the failures of each target by the name of the reporting node.
 type failureSpread struct {
 	failures map[directory.Token]map[string]uint32
 	reports  map[string]nodeReports
@@ -49,18 +47,19 @@
 	return failureSpread{failures: map[directory.Token]map[string]uint32{}, reports: map[string]nodeReports{}}
 }
 
-// outcomeTable holds how exchanges ended as nodes report it.
+// outcomeTable holds the outcomes of exchanges that nodes report.
 type outcomeTable struct {
 	unsent map[directory.Token]directory.Outcomes
-	// spread is that of the time since turnAt, previous that of the time previous it.
+	// spread covers the time since the last rotation, and previous the period before it.
 	spread, previous failureSpread
 	nextRotation     kernel.Instant
 	judge            *outlier.Detector
-	// nextJudgement is when the targets are judged next.
+	// nextJudgement is when the targets are evaluated next.
 	nextJudgement kernel.Instant
 }
 
-// newOutcomeTable begins anew with what the last leader left out.
+// newOutcomeTable returns an empty table that keeps the ejections and probations of the
+// previous leader.
 func newOutcomeTable(now kernel.Instant, revision uint64, verdicts directory.Verdicts) outcomeTable {
 	table := outcomeTable{
 		unsent:       map[directory.Token]directory.Outcomes{},
@@ -73,8 +72,8 @@
 	return table
 }
 
-// add sums up the report of a node. The failures that a node sees at most of the
-// targets that it reports are its own: its link, or its process, is choked.
+// add adds the report of a node. A node with failures at most of its targets is probably at
+// fault itself, for example because its link is congested, and is ignored.
 func (o *outcomeTable) add(now kernel.Instant, node string, list []directory.Outcomes) {
 	o.rotate(now)
 	o.countReports(node, list)
@@ -114,7 +113,7 @@
 	o.spread.reports[node] = known
 }
 
-// isUnreliable reports whether a node has lately seen failures at most targets.
+// isUnreliable reports whether a node has recently seen failures at most of its targets.
 func (o *outcomeTable) isUnreliable(node string) bool {
 	lately, before := o.spread.reports[node], o.previous.reports[node]
 	failing := lately.failing + before.failing
@@ -130,7 +129,7 @@
 	byNode[node] += failures
 }
 
-// drain returns the sums since the last call.
+// drain returns and clears the sums since the last call.
 func (o *outcomeTable) drain(now kernel.Instant) []outlier.Report {
 	o.rotate(now)
 	reports := make([]outlier.Report, 0, len(o.unsent))
@@ -144,8 +143,8 @@
 	return reports
 }
 
-// spreadOf returns the number of nodes that lately saw failures of a target, that of
-// these failures, those that the node with the most of them saw, and its key.
+// spreadOf returns how many nodes recently saw failures of a target, how many failures they
+// saw in all, and the largest count of a single node with the key of that node.
 func (o *outcomeTable) spreadOf(token directory.Token) (nodes, seen, most, witness uint32) {
 	byNode := maps.Clone(o.spread.failures[token])
 	if byNode == nil {
@@ -164,16 +163,16 @@
 	return uint32(len(byNode)), seen, most, witness
 }
 
-// recordOutcomes enters a member's sums into the leader's.
+// recordOutcomes adds a member's sums to the leader's.
 func (c *Core) recordOutcomes(now kernel.Instant, seen observations) {
 	for _, report := range seen.Outcomes {
 		c.outcomes.judge.AddReport(now, seen.From, report)
 	}
 }
 
-// ejectOutliers adds the targets that fail their work to the verdicts. Those that take
-// no new flows anyway, also in evacuated zones, or are held for lost, are not judged and
-// forgotten; they bear nothing, so they do not count in the share that may be left out.
+// ejectOutliers adds the targets to eject and those on probation to the verdicts. Targets
+// without new flows are left out: those not ready, held for lost or in evacuated zones.
+// They do not count towards the limit on the share of ejected targets either.
 func (c *Core) ejectOutliers(now kernel.Instant, next *leaderVerdicts) {
 	if now.Before(c.outcomes.nextJudgement) {
 		next.Ejected = c.liveness.verdicts.Ejected
@@ -198,8 +197,8 @@
 	}
 }
 
-// outlierTarget returns what the judge needs to know of a target. One that is cold, or was within
-// the judge's window, tells nothing of its version.
+// outlierTarget returns the detector's input for a target. A target that is cold, or was
+// within the detector's window, is no evidence about its version.
 func (c *Core) outlierTarget(now kernel.Instant, target *directory.Target) outlier.Target {
 	return outlier.Target{
 		Token: target.Token, Service: target.Service, Zone: target.Zone, Order: c.state.TargetOrder(target.ID),
@@ -237,15 +236,14 @@
 	}
 }
 
-// failureText returns a count as words for operators.
+// failureText returns a count as text for operators.
 func failureText(count outlier.Count) string {
 	return fmt.Sprintf("%d of %d exchanges ended unanswered", count.Failures, count.Exchanges)
 }
 
 func shareText(share float64) string { return fmt.Sprintf("%.3f", share) }
 
-// minReportSize is the encoded size in bytes of a report with small counts. A member
-// of nine, with 1,200 exchanges a second in all, sends the leader 1.5 kB/s of them.
+// minReportSize is the smallest encoded size of a report in bytes.
 const minReportSize = 11
 
 func encodeReports(encoder *wire.Encoder, reports []outlier.Report) {
--- a/internal/registry/room.go
+++ b/internal/registry/room.go
@@ -10,16 +10,18 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Nodes tell their member how their links are used, members tell the leader the sums of
-// their nodes, and the leader tells all the fleet's. None of it is replicated.
+// Nodes report the usage of their links to their member, members send the leader summaries
+// of their nodes, and the leader sends the summaries of the whole fleet to all members.
+// None of this is replicated.
 
-// sendThrottle tells the same again only now and then.
+// sendThrottle suppresses the repetition of unchanged summaries until they would expire.
 type sendThrottle struct {
 	last       []room.ZoneSummary
 	nextRepeat kernel.Instant
 }
 
-// isDue reports whether sums are to be told: they are others, or the last ones age out.
+// isDue reports whether summaries must be sent: they changed, or the last ones are about to
+// expire.
 func (t *sendThrottle) isDue(now kernel.Instant, zones []room.ZoneSummary) bool {
 	if now.Before(t.nextRepeat) && slices.Equal(zones, t.last) {
 		return false
@@ -29,19 +31,21 @@
 	return true
 }
 
-// linkUsageTable knows how the links of nodes are used.
+// linkUsageTable holds the link usage of nodes.
 type linkUsageTable struct {
-	// nodes are the words of this member's nodes.
+	// nodes holds the reports of the nodes that follow this member.
 	nodes room.Table[ConnectionID]
-	// members are the sums of all members, on the leader.
+	// members holds the summaries of all members; used on the leader.
 	members room.Table[string]
-	// fleet is what the leader told last, or found itself, and fleetAt when.
+	// fleet is the newest message of the leader, or of this member while it leads, and
+	// fleetAt when it came.
 	fleet   room.Message
 	fleetAt kernel.Instant
-	// leaderThrottle and nodeThrottle are what was told last.
+	// leaderThrottle and nodeThrottle limit the messages to the leader, or as the leader to
+	// members, and to nodes.
 	leaderThrottle, nodeThrottle sendThrottle
 	nextRun                      kernel.Instant
-	// isZoneFull is set while most nodes refuse new flows.
+	// isZoneFull is set while most nodes of some zone refuse new flows.
 	isZoneFull bool
 }
 
@@ -49,15 +53,15 @@
 	return linkUsageTable{nodes: room.NewTable[ConnectionID](), members: room.NewTable[string]()}
 }
 
-// RecordLinkUsage notes what a subscribed node tells of its link.
+// RecordLinkUsage records a subscribed node's report of its link usage.
 func (c *Core) RecordLinkUsage(now kernel.Instant, connection ConnectionID, word room.LinkReport) {
 	if node, connected := c.nodes[connection]; connected {
 		c.room.nodes.RecordReport(now, connection, node.zone, word)
 	}
 }
 
-// tickLinkUsage tells the leader how this member's nodes are used, or as the leader all
-// members how all are, and nodes what is known of their zones.
+// tickLinkUsage sends this member's summaries to the leader, or as the leader those of the
+// fleet to all members, and the zone summaries to the nodes.
 func (c *Core) tickLinkUsage(now kernel.Instant) {
 	if now.Before(c.room.nextRun) {
 		return
@@ -72,7 +76,7 @@
 	c.sendUsageToNodes(now)
 }
 
-// publishFleetUsage sums up what all members told and tells them.
+// publishFleetUsage combines the summaries of all members and sends them to all members.
 func (c *Core) publishFleetUsage(now kernel.Instant, own []room.ZoneSummary) {
 	c.room.members.RecordSummaries(now, c.settings.Address, own)
 	zones := c.room.members.Summaries(now)
@@ -85,7 +89,7 @@
 	}
 }
 
-// receiveLinkUsage takes the sums of a member, or the leader's of all.
+// receiveLinkUsage handles the summaries of a member or the leader's of the whole fleet.
 func (c *Core) receiveLinkUsage(now kernel.Instant, payload []byte) error {
 	message, err := room.Decode(payload)
 	if err != nil || message.Report != nil {
@@ -99,7 +103,8 @@
 	return nil
 }
 
-// setFleetUsage takes the fleet's sums. Those of a leader that has been replaced are left out.
+// setFleetUsage stores the fleet's summaries. It ignores those of an earlier term while
+// newer ones have not expired.
 func (c *Core) setFleetUsage(now kernel.Instant, message room.Message) {
 	if message.Term < c.room.fleet.Term && now.Sub(c.room.fleetAt) < room.ReportLifetime {
 		return
@@ -109,8 +114,8 @@
 	c.logFullZones(message.Zones)
 }
 
-// logFullZones writes an event when most nodes of a zone begin to refuse new flows, and when
-// none of the zones has that any more.
+// logFullZones logs when most nodes of a zone start to refuse new flows, and when this
+// holds for no zone any more.
 func (c *Core) logFullZones(zones []room.ZoneSummary) {
 	fullest := slices.IndexFunc(zones, func(zone room.ZoneSummary) bool { return 2*int(zone.RefusingNodes) > zone.Nodes() })
 	switch {
@@ -123,7 +128,7 @@
 	c.room.isZoneFull = fullest >= 0
 }
 
-// sendUsageToNodes tells each node the sums of its zone.
+// sendUsageToNodes sends each node the summary of its zone.
 func (c *Core) sendUsageToNodes(now kernel.Instant) {
 	if len(c.room.fleet.Zones) == 0 || now.Sub(c.room.fleetAt) >= room.ReportLifetime || !c.room.nodeThrottle.isDue(now, c.room.fleet.Zones) {
 		return
@@ -139,7 +144,7 @@
 	}
 }
 
-// LinkUsage returns the fleet's sums by zone and their age.
+// LinkUsage returns the fleet's summaries by zone and their age.
 func (c *Core) LinkUsage(now kernel.Instant) ([]room.ZoneSummary, time.Duration) {
 	return c.room.fleet.Zones, now.Sub(c.room.fleetAt)
 }
@@ -156,8 +161,8 @@
 	return Output{}
 }
 
-// receiveLinkReport takes what a node tells of its link. It may be dropped under load: the
-// next one says the same.
+// receiveLinkReport handles a node's link report. The report may be dropped under load,
+// since the node repeats it.
 func (p *Process) receiveLinkReport(connection ConnectionID, frame wire.Frame) {
 	message, err := room.Decode(frame.Payload)
 	if err != nil {
--- a/internal/registry/sightings.go
+++ b/internal/registry/sightings.go
@@ -2,11 +2,11 @@
 
 import "github.com/beamdoor/beamdoor/internal/directory"
 
-// sightingSlack is the number of sightings beyond twice those of the living targets from
-// which on those of ended ones are forgotten: it bounds how often all are looked at.
+// statusSweepSlack is how far the number of statuses must exceed twice the number of
+// targets before those of ended targets are removed. It limits how often all are scanned.
 const sightingSlack = 64
 
-// removeEndedTargets forgets what is known of targets that have ended, now and then.
+// removeEndedTargets removes the statuses of ended targets once enough have accumulated.
 func (c *Core) removeEndedTargets() {
 	if len(c.liveness.statuses) <= sightingSlack {
 		return
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -6,9 +6,9 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// doubtfulSilenceTime is the silence after which doubtful evidence counts: more than the
-// longest between two signs of living targets where all links are full (0.96 s seen,
-// most below 0.7 s), with the way of an answer's report to the leader (0.3 s).
+// doubtfulSilenceTime is the silence after which doubtful evidence counts. It exceeds the
+// longest gap between two signs of life of a healthy target over congested links, plus the
+// time until the leader learns of an answer.
 const doubtfulSilenceTime = 1300 * time.Millisecond
 
 // silenceReport is a member's newest report that a target leaves flows unanswered.
@@ -17,15 +17,16 @@
 	at kernel.Instant
 }
 
-// totalWeight returns the weight of totalWeight evidence, also what is doubtful.
+// totalWeight returns the weight of all evidence, including doubtful evidence.
 func (s silenceReport) totalWeight() uint32 { return s.Weight + s.UnreliableWeight }
 
-// meetsThreshold reports whether weight from so many nodes holds a target for lost.
+// meetsThreshold reports whether evidence of this weight, from this many nodes, is enough
+// to hold a target for lost.
 func meetsThreshold(weight, nodes uint32) bool {
 	return weight >= minSilentWeight && nodes >= minSilentNodes
 }
 
-// currentSilence sums up the reports that still count.
+// currentSilence adds up the reports that have not expired.
 func (s *targetStatus) currentSilence(now kernel.Instant) silenceReport {
 	var sum silenceReport
 	for _, report := range s.silences {
@@ -36,8 +37,8 @@
 	return sum
 }
 
-// isSilent reports whether there is evidence enough that a target is silent. What is
-// doubtful counts only after a longer silence.
+// isSilent reports whether there is enough evidence that a target is silent. Doubtful
+// evidence counts only after a longer silence.
 func (s *targetStatus) isSilent(now kernel.Instant) bool {
 	sum := s.currentSilence(now)
 	if meetsThreshold(sum.Weight, sum.Nodes) {
@@ -46,7 +47,7 @@
 	return now.Sub(s.lastSeen()) >= doubtfulSilenceTime && meetsThreshold(sum.totalWeight(), sum.Reporters)
 }
 
-// recordSilence enters a member's report of silence.
+// recordSilence stores a member's newest report of silence.
 func (s *targetStatus) recordSilence(now kernel.Instant, from string, silent SilentTarget) {
 	s.silences[from] = silenceReport{SilentTarget: silent, at: now}
 }
--- a/internal/registry/speeds.go
+++ b/internal/registry/speeds.go
@@ -12,69 +12,72 @@
 	"github.com/beamdoor/beamdoor/internal/speed"
 )
 
-// Nodes tell their member how long targets take, members sum that up and tell the leader,
-// which estimates the time of each target relative to its service (package speed) and
-// tells all members, and those their nodes. Nothing of it is replicated. A new leader
-// begins with the members' next words; until it has heard them, members and nodes keep
-// what they know.
+// Nodes report the response times of targets to their member. Members add up the reports of
+// their nodes and send the sums to the leader, which estimates the response time of each
+// target relative to its service (package speed) and distributes the estimates, as steps,
+// to all members and their nodes. None of this is replicated. A new leader starts from the
+// members' next reports; until it has estimates, members and nodes keep the steps they
+// have.
 
 const (
-	// responseTimeInterval is the time between two words of a member, to the leader and to nodes.
+	// responseTimeInterval is the time between two messages of a member, to the leader and
+	// to its nodes.
 	responseTimeInterval = 500 * time.Millisecond
-	// leaderSettleTime is how long a leader hears words before it tells what it makes of them:
-	// those of all members, and of nodes that have just come to them.
+	// leaderSettleTime is how long a new leader collects reports before it distributes its
+	// own estimates.
 	leaderSettleTime = 6 * responseTimeInterval
-	// estimateTimePerTarget is the time between two estimates for each target, so that a leader of
-	// many targets keeps its time.
+	// estimateTimePerTarget, times the number of targets, is the time between two
+	// estimates. It limits the CPU time that a leader of many targets spends on them.
 	estimateTimePerTarget = 100 * time.Microsecond
-	// inheritedStepLifetime is how long a new leader leaves a target as it was told before while no
-	// member says anything of it.
+	// inheritedStepLifetime is how long a new leader keeps the previous step of a target
+	// with too few samples.
 	inheritedStepLifetime = 5 * time.Minute
-	// stepLifetime is how long a member keeps what the leader does not tell again: that a
-	// target takes the usual time is told once, and may be lost.
+	// stepLifetime is how long a member keeps a step that the leader does not repeat. A
+	// reset to the usual time is sent only once and may be lost.
 	stepLifetime = 10 * time.Minute
-	// maxSamplesPerNode bounds the samples of one node in the sums of a target: one that lies, or
-	// whose link is choked, is one of many.
+	// maxSamplesPerNode limits the weight of one node in the sums of a target, so that a
+	// faulty or congested node cannot dominate them.
 	maxSamplesPerNode = 16
-	// maxSumsPerMessage bounds the targets in a word to the leader to 1 kB, changedAtOnce those
-	// that the leader changes to 2.5 kB to each member. A node is told no more than
-	// toldAtOnce that have changed and as many others, 0.6 kB, and half as much more while
-	// it is new.
+	// maxSumsPerMessage limits the targets in a message to the leader, and
+	// maxChangesPerMessage the changed steps in a message to each member. A message to a
+	// node holds at most maxStepsPerNodeMessage changed steps, as many refreshed ones and,
+	// while the node is new, as many initial ones.
 	maxSumsPerMessage      = 128
 	maxChangesPerMessage   = 512
 	maxStepsPerNodeMessage = 64
-	// stepRefreshInterval is the time in which all that is told is told again, where a word holds
-	// as much.
+	// stepRefreshInterval is the time in which all steps are sent once more, as far as the
+	// message limits allow.
 	stepRefreshInterval = 30 * time.Second
 )
 
-// responseTimeTable holds how long targets take, as nodes and members tell it.
+// responseTimeTable holds the response times of targets that nodes and members report, and
+// the leader's estimates.
 type responseTimeTable struct {
-	// nodeSums are the words of the nodeSums that follow this member, members those of the
-	// members at the leader.
+	// nodeSums are the reports of the nodes that follow this member; memberSums, used on
+	// the leader, those of the members.
 	nodeSums   speed.Table[ConnectionID]
 	memberSums speed.Table[string]
-	// unsentSums are the targets of which the leader was not told the newest sums, in the
-	// order in which they are told.
+	// unsentSums are the targets whose newest sums the leader does not have yet, oldest
+	// first.
 	unsentSums tokenQueue
-	// leader is the address of the leader that was told, and leadsSince when this member
-	// began to lead, or 0.
+	// leader is the address of the leader that gets the sums, and leadingSince when that
+	// leader was first seen.
 	leader       string
 	leadingSince kernel.Instant
-	// term is that of the leader that told last, and told what it told, without targets
-	// that take the usual time.
+	// term is that of the leader whose steps these are. Targets that take the usual time
+	// have no entry in steps.
 	term  uint64
 	steps map[directory.Token]speed.Step
-	// receivedAt is when each of these was told last.
+	// receivedAt is when each step was last received.
 	receivedAt map[directory.Token]kernel.Instant
-	// refreshOrder are the targets of told; it is made anew when isStale is set. The turns are
-	// those that members and nodes are told again next.
+	// refreshOrder lists the targets of steps; it is rebuilt when isOrderStale is set. The
+	// cursors are the positions from which members and nodes are refreshed next.
 	refreshOrder             []directory.Token
 	isOrderStale             bool
 	memberCursor, nodeCursor int
-	// unsentSteps are those of which nodes were not told the newest.
+	// unsentSteps are the targets whose newest step has not been sent to nodes.
 	unsentSteps tokenQueue
-	// unevenServices are the services whose targets are known to differ.
+	// unevenServices are the services whose targets differ in response time.
 	unevenServices                   map[string]bool
 	nextRun, nextEstimate, nextSweep kernel.Instant
 }
@@ -91,7 +94,7 @@
 	}
 }
 
-// tokenQueue is a queue that holds each target once.
+// tokenQueue is a FIFO queue that holds each target at most once.
 type tokenQueue struct {
 	tokens []directory.Token
 	queued map[directory.Token]bool
@@ -106,7 +109,7 @@
 	}
 }
 
-// pop takes no more than a number of targets.
+// pop removes and returns at most limit targets.
 func (q *tokenQueue) pop(most int) []directory.Token {
 	count := min(most, len(q.tokens))
 	taken := slices.Clone(q.tokens[:count])
@@ -117,7 +120,7 @@
 	return taken
 }
 
-// RecordResponseTimes notes what a subscribed node tells of how long targets take.
+// RecordResponseTimes adds a subscribed node's report of response times.
 func (c *Core) RecordResponseTimes(now kernel.Instant, connection ConnectionID, words []speed.Report) {
 	if _, connected := c.nodes[connection]; !connected {
 		return
@@ -131,7 +134,8 @@
 	}
 }
 
-// tickResponseTimes passes on what was learned: to the leader, and to the nodes.
+// tickResponseTimes sends new sums to the leader and new steps to the nodes; the leader
+// also sends steps to the members.
 func (c *Core) tickResponseTimes(now kernel.Instant) {
 	if now.Before(c.speeds.nextRun) {
 		return
@@ -146,7 +150,7 @@
 	c.sweepResponseTimes(now)
 }
 
-// detectLeaderChange has a new leader told of all targets.
+// detectLeaderChange queues the sums of all targets for a new leader.
 func (c *Core) detectLeaderChange(now kernel.Instant) {
 	leader := c.address(c.replica.Node.Leader())
 	if leader == c.speeds.leader {
@@ -160,7 +164,7 @@
 	}
 }
 
-// sendSums tells the leader, or notes for itself, the sums that have changed.
+// sendSums sends the changed sums to the leader, or records them if this member leads.
 func (c *Core) sendSums(now kernel.Instant) {
 	if c.speeds.leader == "" {
 		return
@@ -185,7 +189,7 @@
 	}
 }
 
-// receiveResponseTimes takes the sums of a member, or what the leader tells.
+// receiveResponseTimes handles the sums of a member or the steps of the leader.
 func (c *Core) receiveResponseTimes(now kernel.Instant, payload []byte) error {
 	message, err := speed.Decode(payload)
 	if err != nil {
@@ -205,8 +209,8 @@
 	return nil
 }
 
-// sendStepsToMembers tells the members the targets whose step changes and a part of the
-// rest.
+// sendStepsToMembers sends the members the changed steps and some of the others to refresh
+// them.
 func (c *Core) sendStepsToMembers(now kernel.Instant) {
 	c.speeds.term = c.replica.Term
 	list := append(c.estimateSteps(now), c.speeds.nextRefresh(&c.speeds.memberCursor)...)
@@ -220,8 +224,7 @@
 	}
 }
 
-// estimateSteps works out how long targets take, and returns those whose step changes,
-// the farthest first.
+// estimateSteps returns the targets whose step changes, largest change first.
 func (c *Core) estimateSteps(now kernel.Instant) []speed.TargetStep {
 	if now.Before(c.speeds.nextEstimate) {
 		return nil
@@ -248,7 +251,8 @@
 	return changes[:min(maxChangesPerMessage, len(changes))]
 }
 
-// stepDistance returns how far a step is from what was told before.
+// stepDistance returns the absolute difference between a step and the current one of its
+// target.
 func (s *responseTimeTable) stepDistance(told speed.TargetStep) int {
 	distance := int(told.Step) - int(s.steps[told.Token])
 	return max(distance, -distance)
@@ -278,14 +282,15 @@
 	return changes
 }
 
-// unevenRatio is the ratio of the slowest to the fastest target from which on a service
-// is uneven; it is even again below evenRatio.
+// A service counts as uneven when the ratio of its slowest to its fastest target reaches
+// unevenRatio, and as even again below evenRatio.
 const (
 	unevenRatio = 1.5
 	evenRatio   = 1.2
 )
 
-// logUnevenService logs when the targets of a service turn out to differ, or not to any more.
+// logUnevenService logs when the targets of a service begin or cease to differ in response
+// time.
 func (c *Core) logUnevenService(service string, slowest, fastest speed.Step) {
 	ratio := slowest.TimeRatio() / fastest.TimeRatio()
 	switch {
@@ -298,7 +303,7 @@
 	}
 }
 
-// applySteps takes what the leader tells; nodes are told of it.
+// applySteps sets the steps that the leader sent and queues the changed ones for the nodes.
 func (c *Core) applySteps(now kernel.Instant, list []speed.TargetStep) {
 	for _, told := range list {
 		before := c.speeds.steps[told.Token]
@@ -324,7 +329,8 @@
 	s.isOrderStale = true
 }
 
-// updateRefreshOrder makes the order anew. A long one is left as it is until it is told whole.
+// updateRefreshOrder rebuilds the refresh order if it is stale. An order too long for one
+// message is rebuilt only after a full pass.
 func (s *responseTimeTable) updateRefreshOrder() {
 	isLong := len(s.refreshOrder) > maxStepsPerNodeMessage
 	if !s.isOrderStale || isLong && s.nodeCursor != 0 {
@@ -334,7 +340,7 @@
 	s.refreshOrder = slices.Sorted(maps.Keys(s.steps))
 }
 
-// nextRefresh returns the part of all that is told which is due again, from a turn on.
+// nextRefresh returns the next steps to refresh and advances the cursor.
 func (s *responseTimeTable) nextRefresh(turn *int) []speed.TargetStep {
 	due := min(len(s.refreshOrder)*int(responseTimeInterval)/int(stepRefreshInterval)+1, maxStepsPerNodeMessage)
 	from := min(*turn, len(s.refreshOrder))
@@ -354,8 +360,8 @@
 	return list
 }
 
-// sendStepsToNodes tells nodes what has changed and a part of the rest; a node that has
-// come lately is told all of it part by part.
+// sendStepsToNodes sends nodes the changed steps and some of the others to refresh them. A
+// new node also gets all steps, in parts.
 func (c *Core) sendStepsToNodes() {
 	c.speeds.updateRefreshOrder()
 	list := c.speeds.stepsOf(c.speeds.unsentSteps.pop(maxStepsPerNodeMessage))
@@ -370,7 +376,8 @@
 	}
 }
 
-// nextInitialSteps returns the next part of what a node that has come lately was not told yet.
+// nextInitialSteps returns the next part of the steps that a new node has not been sent
+// yet.
 func (c *Core) nextInitialSteps(node *subscription) []speed.TargetStep {
 	from := min(node.stepsSent, len(c.speeds.refreshOrder))
 	to := min(from+maxStepsPerNodeMessage, len(c.speeds.refreshOrder))
@@ -382,7 +389,8 @@
 	return c.speeds.stepsOf(c.speeds.refreshOrder[from:to])
 }
 
-// sweepResponseTimes forgets targets that have ended and words that count no more.
+// sweepResponseTimes removes ended targets, departed nodes and members, and expired
+// reports.
 func (c *Core) sweepResponseTimes(now kernel.Instant) {
 	if now.Before(c.speeds.nextSweep) {
 		return
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -11,24 +11,24 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// weightInterval is the time between two looks at the strengths of all nodes while
-// nobody needs them: hundreds of nodes come at once.
+// weightInterval is the time between two computations of the weights while nobody needs
+// them. It batches the changes when many nodes subscribe at once.
 const weightInterval = time.Second
 
 // strengthTable holds the weights of the nodes that follow this member.
 type strengthTable struct {
-	// isStale is set after a change until the weights are made anew.
+	// isStale is set when the weights must be recomputed.
 	isStale    bool
 	computedAt kernel.Instant
 	// weighted are the nodes with their weights; the seed of each is its NodeKey.
 	weighted []rendezvous.Node
 	// unstated is the number of nodes that state no processor.
 	unstated int
-	// capped are the nodes whose word was taken for less than it says.
+	// capped are the nodes whose weight is lower than the strength that they state.
 	capped map[string]bool
 }
 
-// UpdateStrength takes another strength of a node that follows this member.
+// UpdateStrength sets the strength that a subscribed node states.
 func (c *Core) UpdateStrength(connection ConnectionID, stated strength.Resources) Output {
 	node, follows := c.nodes[connection]
 	if !follows || node.strength == stated {
@@ -41,7 +41,8 @@
 	return c.takeOutput()
 }
 
-// tickStrengths looks at changed strengths now and then, so that a false one shows.
+// tickStrengths recomputes stale weights now and then, so that an implausible strength is
+// logged even if nobody needs the weights.
 func (c *Core) tickStrengths(now kernel.Instant) {
 	if c.strengths.isStale && now.Sub(c.strengths.computedAt) >= weightInterval {
 		c.strengths.computedAt = now
@@ -49,8 +50,8 @@
 	}
 }
 
-// weightedNodes returns the nodes that follow this member with their weights. Of two
-// connections of a node the later one counts.
+// weightedNodes returns the nodes that follow this member with their weights. If a node has
+// several connections, the latest counts.
 func (c *Core) weightedNodes() []rendezvous.Node {
 	table := &c.strengths
 	if !table.isStale {
@@ -101,7 +102,8 @@
 	c.strengths.unstated = unstated
 }
 
-// receiveStrength takes a node's word about its machine, which has changed.
+// receiveStrength handles a subscription on an open connection, by which a node states that
+// its machine has changed.
 func (p *Process) receiveStrength(connection ConnectionID, frame wire.Frame) {
 	if frame.Kind != wire.FrameSubscribe {
 		return
--- a/internal/registry/targetorder.go
+++ b/internal/registry/targetorder.go
@@ -13,22 +13,22 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// TargetStatus is one target, as an operator sees it.
+// TargetStatus is the status of one target, as shown to operators.
 type TargetStatus struct {
 	ID, Service, Zone string
 	Slots             uint32
-	// Rule is what was ordered about it.
+	// Rule is the rule that an operator set.
 	Rule directory.TargetRule
-	// Ejected is set while it gets no new flows, and Probation while it gets a few.
+	// Ejected is set while the target gets no new flows, and Probation while it gets a few.
 	Ejected, Probation bool
 }
 
-// isDefault reports whether there is nothing to say of the target.
+// isDefault reports whether no rule applies to the target and it gets new flows as usual.
 func (t TargetStatus) isDefault() bool {
 	return t.Rule == directory.RuleJudged && !t.Ejected && !t.Probation
 }
 
-// minTargetStatusSize is the encoded size in bytes of a target without names.
+// minTargetStatusSize is the encoded size in bytes of a status with empty names.
 const minTargetStatusSize = 19
 
 func encodeTargetStatuses(encoder *wire.Encoder, targets []TargetStatus) {
@@ -55,9 +55,9 @@
 	return targets
 }
 
-// SetTargetRule says whether a target is judged, ejected or exempt. It returns once a
-// quorum has the order on disk. An order that has been overtaken by another one since
-// it came fails; what holds may be another one then.
+// SetTargetRule sets whether a target is judged, ejected or exempt. It returns once a
+// quorum has the rule on disk. It fails when another rule for the target was committed
+// after this call; that rule then applies.
 func (p *Process) SetTargetRule(ctx context.Context, id string, rule directory.TargetRule) error {
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
 		order := directory.TargetOrder{ID: id, Rule: rule, Revision: core.State().TargetOrder(id).Revision}
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// targetStatuses returns the targets of which there is something to say, and the one with
-// an ID.
+// targetStatuses returns the targets that are not in the default state, and the one with
+// the given ID.
 func (c *Core) targetStatuses(id string) []TargetStatus {
 	verdicts := c.liveness.verdicts.Verdicts
 	var targets []TargetStatus
@@ -91,7 +91,8 @@
 		}
 		share := TargetStatus{ID: target.ID, Service: target.Service, Zone: target.Zone, Slots: target.Slots}
 		share.Rule = c.state.TargetOrder(target.ID).Rule
-		// The next verdicts, within livenessInterval, say what was just ordered.
+		// A rule that was just set shows only in the next verdicts, within
+		// livenessInterval.
 		share.Ejected = slices.Contains(verdicts.Ejected, target.Token) || share.Rule == directory.RuleEjected
 		share.Probation = slices.Contains(verdicts.Probation, target.Token)
 		if target.ID == id || !share.isDefault() {
@@ -104,9 +105,8 @@
 	return targets
 }
 
-// DryRunTarget works out what the ejection of a target would do, by what a member told,
-// and what to beware of. It is false when the target is not among those that take new
-// flows.
+// DryRunTarget computes the effect of ejecting a target from a member's response, with
+// warnings for the operator. It returns false if the response does not list the target.
 func DryRunTarget(reply OperatorResponse, id string) (effect ShareChange, warnings []string, known bool) {
 	position := slices.IndexFunc(reply.Targets, func(target TargetStatus) bool { return target.ID == id })
 	if position < 0 {
@@ -138,7 +138,7 @@
 	return effect, warnings, true
 }
 
-// fraction returns the fraction that some slots are of all.
+// fraction returns slots as a fraction of total, or 0 if total is 0.
 func fraction(slots, total uint32) float64 {
 	if total == 0 {
 		return 0
--- a/internal/registry/tolerance.go
+++ b/internal/registry/tolerance.go
@@ -6,15 +6,15 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// Tolerance is what may be lost at once while a quorum of the voters must be left:
-// any so many machines, or any so many zones.
+// Tolerance is the number of machines, or of zones, that may fail at once without loss of
+// the quorum.
 type Tolerance struct{ Machines, Zones int }
 
-// Voters returns the number of voters that bear the losses.
+// Voters returns the number of voters that the tolerance requires.
 func (t Tolerance) Voters() int { return 2*max(t.Machines, t.Zones) + 1 }
 
-// Validate returns directory.Problems when numbers are below 0. The field is that of
-// the tolerance in the settings.
+// Validate returns directory.Problems for negative numbers. The parameter names the
+// tolerance in the settings.
 func (t Tolerance) Validate(field string) error {
 	var check directory.Check
 	check.That(t.Machines >= 0, field+".machines", t.Machines, "must not be below 0")
@@ -22,9 +22,9 @@
 	return check.Err()
 }
 
-// CheckZones returns a directory.Problem when so many zones cannot bear the loss of
-// those that are stated; 0 zones means that their number is not known. A member runs
-// all the same: what can be borne is borne.
+// CheckZones returns a directory.Problem if there are too few zones for the tolerance; 0
+// zones means that their number is unknown. A member runs regardless, with the tolerance
+// that is possible.
 func (t Tolerance) CheckZones(field string, zones int) error {
 	if needed := 2*t.Zones + 1; zones > 0 && zones < needed {
 		return directory.NewProblem(field+".zones", t.Zones, fmt.Sprintf("needs %d zones, there are %d", needed, zones))
--- a/internal/registry/versionorder.go
+++ b/internal/registry/versionorder.go
@@ -14,18 +14,18 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// VersionStatus is a version of a service, as an operator sees it.
+// VersionStatus is the status of a version of a service, as shown to operators.
 type VersionStatus struct {
 	directory.ServiceVersion
 	Targets, Slots uint32
-	// Rule is what was ordered about it.
+	// Rule is the rule that an operator set.
 	Rule directory.VersionRule
-	// Ejected is the number of its targets that get no new flows, and Probation that of those
-	// that get a few.
+	// Ejected is the number of its targets without new flows, and Probation the number of
+	// those that get a few.
 	Ejected, Probation uint32
 }
 
-// minVersionStatusSize is the encoded size in bytes of a version without names.
+// minVersionStatusSize is the encoded size in bytes of a status with empty names.
 const minVersionStatusSize = 25
 
 func encodeVersionStatuses(encoder *wire.Encoder, versions []VersionStatus) {
@@ -53,9 +53,9 @@
 	return versions
 }
 
-// SetVersionRule says whether a version of a service is judged, held or released. It returns
-// once a quorum has the order on disk. An order that has been overtaken by another one
-// since it came fails; what holds may be another one then.
+// SetVersionRule sets whether a version of a service is judged, held or released. It
+// returns once a quorum has the rule on disk. It fails when another rule for the version
+// was committed after this call; that rule then applies.
 func (p *Process) SetVersionRule(ctx context.Context, version directory.ServiceVersion, rule directory.VersionRule) error {
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
 		order := directory.VersionOrder{ServiceVersion: version, Rule: rule, Revision: core.State().VersionOrder(version).Revision}
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// versionStatuses returns the versions of all services, those of a service side by side.
+// versionStatuses returns the versions of all services, sorted by service and version.
 func (c *Core) versionStatuses() []VersionStatus {
 	verdicts := c.liveness.verdicts.Verdicts
 	shares := map[directory.ServiceVersion]VersionStatus{}
@@ -106,8 +106,9 @@
 	})
 }
 
-// DryRunVersion works out what a hold of a version would do, by what a member told, and
-// what to beware of. It is false when the version has no targets that take new flows.
+// DryRunVersion computes the effect of holding a version from a member's response, with
+// warnings for the operator. It returns false if the version has no targets that take new
+// flows.
 func DryRunVersion(reply OperatorResponse, version directory.ServiceVersion) (effect ShareChange, warnings []string, known bool) {
 	position := slices.IndexFunc(reply.Versions, func(share VersionStatus) bool { return share.ServiceVersion == version })
 	if position < 0 {
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -12,24 +12,25 @@
 	"github.com/beamdoor/beamdoor/internal/rendezvous"
 )
 
-// WarmupConfig is what is stated about the cold targets of a service.
+// WarmupConfig is the warm-up configuration of a service. A target is cold until its
+// warm-up is over.
 type WarmupConfig struct {
 	// Time is how long a target is cold after its start.
 	Time time.Duration
-	// Rate is the number of requests that a cold target bears in a second; 0 where
-	// none is stated.
+	// Rate is the number of requests per second that a cold target can handle; 0 means
+	// unspecified.
 	Rate float64
 }
 
 const (
-	// maxWarmupTime is the longest warm-up that is taken for meant.
+	// maxWarmupTime is the longest valid warm-up.
 	maxWarmupTime = time.Hour
-	// maxWarmupRate is the largest rate of a cold target that is taken for meant.
+	// maxWarmupRate is the highest valid rate of a cold target.
 	maxWarmupRate = 1_000_000
 )
 
-// Validate returns a directory.Problem when a value cannot be meant. The fields are
-// those of the service that states them.
+// Validate returns a directory.Problem if a value is out of range. The parameters name the
+// fields in the error.
 func (w WarmupConfig) Validate(timeField, rateField string) error {
 	if w.Time < 0 || w.Time > maxWarmupTime {
 		return directory.NewProblem(timeField, w.Time, fmt.Sprintf("must be from 0 to %v", maxWarmupTime))
@@ -40,30 +41,29 @@
 	return nil
 }
 
-// WarmupLimits bound what a cold target may be sent in a second to Over times the
-// rate that it bears, and Slack beyond that.
+// WarmupLimits limit the new flows of a cold target per second to Factor times its rate
+// plus Slack.
 type WarmupLimits struct{ Factor, Slack float64 }
 
 const (
-	// maxStewards is the number of nodes that share the budget of a target. Each is
-	// 4 bytes of the target's registration at each node.
+	// maxStewards is the number of nodes that share the budget of a target. Each takes 4
+	// bytes in the target's registration at each node.
 	maxStewards = 4
-	// maxZoneStewards is the same for the targets of a zone that is taken back. They
-	// are told once for each service.
+	// maxZoneStewards is the same for the targets of a zone whose evacuation has ended.
+	// They are sent once for each service.
 	maxZoneStewards = 16
-	// minWarmupSweep is the number of targets from which on those that are warm by now
-	// are forgotten.
+	// minWarmupSweep is the smallest table size at which warm targets are removed.
 	minWarmupSweep = 256
 )
 
-// warmupTable knows until when targets are cold, on this member's clock. Those of
-// its disk or of another member's snapshot count from when it read them.
+// warmupTable tracks until when targets are cold, on this member's clock. Warm-ups loaded
+// from disk or from a snapshot count from when they were loaded.
 type warmupTable struct {
 	loadedAt  kernel.Instant
 	startedAt map[directory.Token]kernel.Instant
-	// nextSweepSize is the number of targets at which the warm ones are forgotten next.
+	// nextSweepSize is the number of targets at which warm ones are removed next.
 	nextSweepSize int
-	// reopenedAt holds when reopenedAt were taken back.
+	// reopenedAt is when the evacuation of each zone ended.
 	reopenedAt map[string]kernel.Instant
 }
 
@@ -73,15 +73,14 @@
 	}
 }
 
-// record enters a target that has just registered.
+// record adds a target that has just registered.
 func (w *warmupTable) record(now kernel.Instant, target directory.Target) {
 	if target.Warmup == nil {
 		return
 	}
 	if len(w.startedAt) >= w.nextSweepSize {
 		maps.DeleteFunc(w.startedAt, func(_ directory.Token, at kernel.Instant) bool { return now.Sub(at) > target.Warmup.Left })
-		// Twice what is left: where a whole fleet is cold at once, looking at all with
-		// each of them grew with the square of the fleet.
+		// Doubling the size keeps the total cost linear when a whole fleet starts cold.
 		w.nextSweepSize = max(minWarmupSweep, 2*len(w.startedAt))
 	}
 	w.startedAt[target.Token] = now
@@ -96,7 +95,8 @@
 	return target.Warmup.Left - now.Sub(since)
 }
 
-// remainingInZone returns how much longer the targets of a zone that was taken back are cold.
+// remainingInZone returns how much longer the targets of a zone whose evacuation ended are
+// cold.
 func (w *warmupTable) remainingInZone(now kernel.Instant, zone string, warmup directory.Warmup) time.Duration {
 	since, noted := w.reopenedAt[zone]
 	if !noted {
@@ -105,7 +105,7 @@
 	return warmup.Left - now.Sub(since)
 }
 
-// recordWarmup enters what a command has just made cold.
+// recordWarmup starts the clock of the warm-ups that a command has just started.
 func (c *Core) recordWarmup(now kernel.Instant, command directory.Command, result directory.Result) {
 	if c.state.Revision() != result.Revision {
 		return
@@ -120,8 +120,8 @@
 	}
 }
 
-// adjustWarmups leaves out of an update what nodes need not know: the warm-up of targets
-// that are warm by now. A node counts the time that is left from when it is told.
+// adjustWarmups sets the warm-ups in an update to the remaining time, which nodes count
+// from its receipt, and removes those that are over.
 func (c *Core) adjustWarmups(now kernel.Instant, update directory.Update) directory.Update {
 	for position, target := range update.Targets {
 		if target.Warmup == nil {
@@ -147,15 +147,15 @@
 	return update
 }
 
-// newWarmup returns the warm-up of a target that is cold, with its budget and stewards.
+// newWarmup returns the warm-up of a cold target with its budget and stewards.
 func (c *Core) newWarmup(target directory.Target) *directory.Warmup {
 	warmup := directory.Warmup{Left: target.Warmup.Left, Budget: c.budget(c.warmupConfig(target.Service))}
 	warmup.Stewards = c.stewards(target.ID, warmup.Budget, maxStewards)
 	return &warmup
 }
 
-// PrepareEvacuation returns the order that begins or ends the evacuation of a zone, given on
-// what this member knows.
+// PrepareEvacuation returns the command that starts or ends the evacuation of a zone, based
+// on this member's state.
 func (c *Core) PrepareEvacuation(zone string, active bool) directory.Evacuation {
 	order := directory.Evacuation{Zone: zone, Active: active, Revision: c.state.Evacuation(zone).Revision}
 	if active {
@@ -164,7 +164,8 @@
 	return c.endEvacuation(order)
 }
 
-// endEvacuation returns the order that takes a zone back: its targets may be cold.
+// endEvacuation adds the warm-ups of the zone's services: after an evacuation its targets
+// may be cold.
 func (c *Core) endEvacuation(order directory.Evacuation) directory.Evacuation {
 	services := map[string]bool{}
 	c.state.EachTarget(func(target *directory.Target) {
@@ -184,7 +185,7 @@
 	return order
 }
 
-// warmupConfig returns what the configuration states about a service's cold targets.
+// warmupConfig returns the warm-up configuration of a service.
 func (c *Core) warmupConfig(name string) WarmupConfig {
 	if c.settings.WarmthOf == nil {
 		return WarmupConfig{}
@@ -203,9 +204,9 @@
 	return WarmupConfig{}
 }
 
-// budget returns the number of new flows that a cold target gets in a second at
-// most: what it bears, and one at least so that it is used at all, within the
-// limits. It is 0 where no rate is stated.
+// budget returns the number of new flows per second that a cold target may get: its rate
+// within the limits, and at least one so that it is used at all. It is 0 if no rate is
+// configured.
 func (c *Core) budget(warmth WarmupConfig) uint32 {
 	if warmth.Rate <= 0 {
 		return 0
@@ -214,9 +215,9 @@
 	return uint32(max(1, min(bound, warmth.Rate)))
 }
 
-// stewards returns the nodes that share a budget: some of those that follow this
-// member, each with a share of one flow at least. The same nodes are chosen for the
-// same key, a node as often as its processor is strong.
+// stewards returns the nodes that share a budget: some of those that follow this member, so
+// that each has a share of at least one flow. The choice is stable for a key, and the
+// probability of a node is proportional to its weight.
 func (c *Core) stewards(key string, budget uint32, limit int) []uint32 {
 	if budget == 0 {
 		return nil
--- a/internal/registry/zones.go
+++ b/internal/registry/zones.go
@@ -10,16 +10,16 @@
 	"github.com/beamdoor/beamdoor/internal/raft"
 )
 
-// Zones are failure domains: machines of one zone can be lost together. The voters
-// are spread so that the loss of any LostZones zones leaves a quorum. A voter is
-// moved by one more voter in the zone that has too few, then one fewer where there
-// are too many; in between the group bears no less than before.
+// Zones are failure domains: all machines of a zone can fail together. Voters are spread so
+// that a quorum survives the loss of any LostZones zones. To move a vote, a learner in the
+// zone with too few voters is promoted first, and then a voter is demoted where there are
+// too many, so that fault tolerance never drops in between.
 
-// minZoneVoterGap is the difference between the voters of two zones from which on
-// a voter is moved. With a difference of 1 no move makes it smaller.
+// minZoneVoterGap is the smallest difference in voters between two zones at which a vote is
+// moved. Moving one at a difference of 1 gains nothing.
 const minZoneVoterGap = 2
 
-// zoneOf returns the zone of a member, or "" when it is not known.
+// zoneOf returns the zone of a member, or "" if it is unknown.
 func (c *Core) zoneOf(id raft.MemberID) string {
 	member, _ := c.state.Member(uint32(id))
 	return member.Zone
@@ -34,8 +34,8 @@
 	return voters
 }
 
-// improvesZoneSpread reports whether a learner would vote better than a voter of another
-// zone: its own has far fewer voters.
+// improvesZoneSpread reports whether promoting a learner improves the spread: its zone has
+// far fewer voters than another one.
 func (c *Core) improvesZoneSpread(membership raft.Membership, learner raft.MemberID) bool {
 	if c.settings.LostZones == 0 {
 		return false
@@ -45,8 +45,8 @@
 	return most-voters[c.zoneOf(learner)] >= minZoneVoterGap
 }
 
-// voterInLargestZone returns a voter of the zone with the most voters, of several the one
-// that joined last. It is never this leader itself.
+// voterInLargestZone returns the voter with the highest ID in the zone with the most
+// voters. It never returns this member, the leader.
 func (c *Core) voterInLargestZone(membership raft.Membership) raft.MemberID {
 	voters := c.votersByZone(membership)
 	crowded := raft.NoMember
@@ -61,8 +61,8 @@
 	return crowded
 }
 
-// ToleratesZoneLoss reports whether a quorum of the voters is left when the
-// LostZones zones with the most voters are lost.
+// ToleratesZoneLoss reports whether a quorum of the voters survives the loss of the
+// LostZones zones with the most voters.
 func (c *Core) ToleratesZoneLoss() bool {
 	if c.settings.LostZones == 0 || c.replica.Node == nil {
 		return true
@@ -77,8 +77,7 @@
 	return len(membership.Voters)-lost >= membership.Quorum()
 }
 
-// logZoneTolerance writes an event when the loss of zones would begin or cease to stop
-// the group.
+// logZoneTolerance logs when the group begins or ceases to tolerate the loss of zones.
 func (c *Core) logZoneTolerance() {
 	if !c.IsLeader() || c.groupSize.isExposed == !c.ToleratesZoneLoss() {
 		return
