--- a/internal/registry/dryrun.go
+++ b/internal/registry/dryrun.go
@@ -16,36 +16,36 @@
 
 // DryRunEvacuation computes the effect of evacuating a zone from the zone statuses of a
 // member, with warnings for the operator.
-func DryRunEvacuation(shares []ZoneStatus, zone string) (effects []ShareChange, warnings []string) {
+func DryRunEvacuation(zones []ZoneStatus, zone string) (effects []ShareChange, warnings []string) {
 	total, left := map[string]uint32{}, map[string]uint32{}
 	var services []string
-	for _, share := range shares {
-		if share.Evacuated {
+	for _, status := range zones {
+		if status.Evacuated {
 			continue
 		}
-		if _, known := total[share.Service]; !known {
-			services = append(services, share.Service)
+		if _, known := total[status.Service]; !known {
+			services = append(services, status.Service)
 		}
-		total[share.Service] += share.Slots
-		if share.Zone != zone {
-			left[share.Service] += share.Slots
+		total[status.Service] += status.Slots
+		if status.Zone != zone {
+			left[status.Service] += status.Slots
 		}
 	}
 	for _, service := range services {
 		if left[service] == 0 {
-			warnings = append(warnings, fmt.Sprintf("service %s has no targets elsewhere: its callers are refused meanwhile", service))
+			warnings = append(warnings, fmt.Sprintf("service %s has no targets in other zones: new flows are refused during the evacuation", service))
 		} else if growth := float64(total[service]) / float64(left[service]); growth >= loadWarningFactor {
-			warnings = append(warnings, fmt.Sprintf("service %s: the other zones bear %.1f times as much", service, growth))
+			warnings = append(warnings, fmt.Sprintf("service %s: load on the other zones rises by a factor of %.1f", service, growth))
 		}
 	}
-	for _, share := range shares {
-		if share.Evacuated || share.Zone == zone {
+	for _, status := range zones {
+		if status.Evacuated || status.Zone == zone {
 			continue
 		}
 		effects = append(effects, ShareChange{
-			Service: share.Service, Zone: share.Zone,
-			Before: float64(share.Slots) / float64(total[share.Service]),
-			After:  float64(share.Slots) / float64(left[share.Service]),
+			Service: status.Service, Zone: status.Zone,
+			Before: float64(status.Slots) / float64(total[status.Service]),
+			After:  float64(status.Slots) / float64(left[status.Service]),
 		})
 	}
 	return effects, warnings
--- a/internal/registry/order.go
+++ b/internal/registry/order.go
@@ -87,15 +87,15 @@
 
 func decodeOperatorRequest(payload []byte) (OperatorRequest, error) {
 	decoder := wire.NewDecoder(payload)
-	order := OperatorRequest{Action: OperatorAction(decoder.Uint8()), Zone: decoder.String()}
+	request := OperatorRequest{Action: OperatorAction(decoder.Uint8()), Zone: decoder.String()}
 	// Older clients omit the fields below.
 	if decoder.HasMore() {
-		order.Target = decoder.String()
+		request.Target = decoder.String()
 	}
 	if decoder.HasMore() {
-		order.Version = directory.ServiceVersion{Service: decoder.String(), Version: decoder.String()}
+		request.Version = directory.ServiceVersion{Service: decoder.String(), Version: decoder.String()}
 	}
-	return order, decoder.Err("registry.decode_order")
+	return request, decoder.Err("registry.decode_order")
 }
 
 // ZoneStatus is the number of ready targets of a service in a zone, and their slots.
@@ -126,12 +126,12 @@
 	encoder.String(r.Error)
 	encoder.Bool(r.Rejected)
 	encoder.Uint32(uint32(len(r.Zones)))
-	for _, share := range r.Zones {
-		encoder.String(share.Zone)
-		encoder.String(share.Service)
-		encoder.Uint32(share.Targets)
-		encoder.Uint32(share.Slots)
-		encoder.Bool(share.Evacuated)
+	for _, status := range r.Zones {
+		encoder.String(status.Zone)
+		encoder.String(status.Service)
+		encoder.Uint32(status.Targets)
+		encoder.Uint32(status.Slots)
+		encoder.Bool(status.Evacuated)
 	}
 	encodeTargetStatuses(&encoder, r.Targets)
 	if len(r.Versions) > 0 {
@@ -145,24 +145,24 @@
 
 func decodeOperatorResponse(payload []byte) (OperatorResponse, error) {
 	decoder := wire.NewDecoder(payload)
-	reply := OperatorResponse{Error: decoder.String(), Rejected: decoder.Bool()}
+	response := OperatorResponse{Error: decoder.String(), Rejected: decoder.Bool()}
 	for count := decoder.Count(minZoneStatusSize); count > 0; count-- {
-		reply.Zones = append(reply.Zones, ZoneStatus{
+		response.Zones = append(response.Zones, ZoneStatus{
 			Zone: decoder.String(), Service: decoder.String(), Targets: decoder.Uint32(), Slots: decoder.Uint32(), Evacuated: decoder.Bool(),
 		})
 	}
 	if decoder.HasMore() {
-		reply.Targets = decodeTargetStatuses(decoder)
+		response.Targets = decodeTargetStatuses(decoder)
 	}
 	if decoder.HasMore() {
-		reply.Versions = decodeVersionStatuses(decoder)
+		response.Versions = decodeVersionStatuses(decoder)
 	}
-	return reply, decoder.Err("registry.decode_order_reply")
+	return response, decoder.Err("registry.decode_order_reply")
 }
 
 // SendOperatorRequest sends a request to the first member that accepts a connection, and
 // returns its response.
-func SendOperatorRequest(ctx context.Context, addresses []string, order OperatorRequest) (OperatorResponse, error) {
+func SendOperatorRequest(ctx context.Context, addresses []string, request OperatorRequest) (OperatorResponse, error) {
 	const step = "registry.send_order"
 	remaining := slices.Clone(addresses)
 	connection, address, err := peerlink.DialFirst(ctx, func() (string, bool) {
@@ -177,7 +177,7 @@
 		return OperatorResponse{}, err
 	}
 	defer func() { _ = connection.Close() }()
-	if err := peerlink.Write(connection, wire.AppendFrame(nil, order.frame())); err != nil {
+	if err := peerlink.Write(connection, wire.AppendFrame(nil, request.frame())); err != nil {
 		return OperatorResponse{}, steperror.Wrap(step, address, err)
 	}
 	if err := connection.SetReadDeadline(time.Now().Add(operatorTimeout + time.Second)); err != nil {
@@ -192,40 +192,40 @@
 
 // serveOperatorRequest handles a request and sends the response.
 func (p *Process) serveOperatorRequest(connection net.Conn, frame wire.Frame) {
-	order, err := decodeOperatorRequest(frame.Payload)
+	request, err := decodeOperatorRequest(frame.Payload)
 	if err != nil {
 		p.logger.Event(eventlog.BadFrame, "peer", connection.RemoteAddr(), "err", err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
-	reply := p.handleOperatorRequest(ctx, order)
-	if err := peerlink.Write(connection, wire.AppendFrame(nil, reply.frame())); err != nil {
+	response := p.handleOperatorRequest(ctx, request)
+	if err := peerlink.Write(connection, wire.AppendFrame(nil, response.frame())); err != nil {
 		p.logger.Sampled(eventlog.BadFrame, "peer", connection.RemoteAddr(), "err", err)
 	}
 }
 
-func (p *Process) handleOperatorRequest(ctx context.Context, order OperatorRequest) OperatorResponse {
+func (p *Process) handleOperatorRequest(ctx context.Context, request OperatorRequest) OperatorResponse {
 	var err error
-	switch order.Action {
+	switch request.Action {
 	case ActionEvacuateZone:
-		err = p.Evacuate(ctx, order.Zone, true)
+		err = p.Evacuate(ctx, request.Zone, true)
 	case ActionEndEvacuation:
-		err = p.Evacuate(ctx, order.Zone, false)
+		err = p.Evacuate(ctx, request.Zone, false)
 	case ActionEjectTarget, ActionExemptTarget, ActionReadmitTarget:
-		err = p.SetTargetRule(ctx, order.Target, targetRuleOf[order.Action])
+		err = p.SetTargetRule(ctx, request.Target, targetRuleOf[request.Action])
 	case ActionHoldVersion, ActionReleaseVersion, ActionJudgeVersion:
-		err = p.SetVersionRule(ctx, order.Version, versionRuleOf[order.Action])
+		err = p.SetVersionRule(ctx, request.Version, versionRuleOf[request.Action])
 	}
-	var reply OperatorResponse
+	var response OperatorResponse
 	if err == nil {
-		reply, err = p.readStatus(ctx, order.Target)
+		response, err = p.readStatus(ctx, request.Target)
 	}
 	if err != nil {
 		var problem *directory.Problem
-		reply = OperatorResponse{Error: err.Error(), Rejected: errors.As(err, &problem)}
+		response = OperatorResponse{Error: err.Error(), Rejected: errors.As(err, &problem)}
 	}
-	return reply
+	return response
 }
 
 // readStatus returns the status of zones, targets and versions as a linearizable read.
@@ -246,20 +246,20 @@
 
 func (c *Core) zoneStatuses() []ZoneStatus {
 	type zoneService struct{ zone, service string }
-	shares := map[zoneService]ZoneStatus{}
+	statuses := map[zoneService]ZoneStatus{}
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.State != directory.TargetReady {
 			return
 		}
 		key := zoneService{zone: target.Zone, service: target.Service}
-		share := shares[key]
-		share.Zone, share.Service = target.Zone, target.Service
-		share.Targets++
-		share.Slots += target.Slots
-		share.Evacuated = c.state.Evacuation(target.Zone).Active
-		shares[key] = share
+		status := statuses[key]
+		status.Zone, status.Service = target.Zone, target.Service
+		status.Targets++
+		status.Slots += target.Slots
+		status.Evacuated = c.state.Evacuation(target.Zone).Active
+		statuses[key] = status
 	})
-	return slices.SortedFunc(maps.Values(shares), func(a, b ZoneStatus) int {
+	return slices.SortedFunc(maps.Values(statuses), func(a, b ZoneStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Zone, b.Zone))
 	})
 }
--- a/internal/registry/order_test.go
+++ b/internal/registry/order_test.go
@@ -83,8 +83,8 @@
 	assert.Equal(t, ShareChange{Service: "one", Zone: "b", Before: 0.5, After: 1}, effects[0])
 	assert.Equal(t, ShareChange{Service: "three", Zone: "b", Before: 0.8, After: 1}, effects[1])
 	assert.Equal(t, []string{
-		"service one: the other zones bear 2.0 times as much",
-		"service two has no targets elsewhere: its callers are refused meanwhile",
+		"service one: load on the other zones rises by a factor of 2.0",
+		"service two has no targets in other zones: new flows are refused during the evacuation",
 	}, warnings)
 }
 
--- a/internal/registry/outliers.go
+++ b/internal/registry/outliers.go
@@ -115,9 +115,9 @@
 
 // isUnreliable reports whether a node has recently seen failures at most of its targets.
 func (o *outcomeTable) isUnreliable(node string) bool {
-	lately, before := o.spread.reports[node], o.previous.reports[node]
-	failing := lately.failing + before.failing
-	return failing >= minFailingTargets && failing*failingShareDivisor > lately.targets+before.targets
+	recent, previous := o.spread.reports[node], o.previous.reports[node]
+	failing := recent.failing + previous.failing
+	return failing >= minFailingTargets && failing*failingShareDivisor > recent.targets+previous.targets
 }
 
 func (o *outcomeTable) addFailures(node string, token directory.Token, failures uint32) {
@@ -145,7 +145,7 @@
 
 // spreadOf returns how many nodes recently saw failures of a target, how many failures they
 // saw in all, and the largest count of a single node with the key of that node.
-func (o *outcomeTable) spreadOf(token directory.Token) (nodes, seen, most, witness uint32) {
+func (o *outcomeTable) spreadOf(token directory.Token) (nodes, total, top, topNode uint32) {
 	byNode := maps.Clone(o.spread.failures[token])
 	if byNode == nil {
 		byNode = map[string]uint32{}
@@ -154,13 +154,13 @@
 		byNode[node] += failures
 	}
 	for node, failures := range byNode {
-		seen += failures
+		total += failures
 		key := directory.NodeKey(node)
-		if failures > most || failures == most && key < witness {
-			most, witness = failures, key
+		if failures > top || failures == top && key < topNode {
+			top, topNode = failures, key
 		}
 	}
-	return uint32(len(byNode)), seen, most, witness
+	return uint32(len(byNode)), total, top, topNode
 }
 
 // recordOutcomes adds a member's sums to the leader's.
--- a/internal/registry/room.go
+++ b/internal/registry/room.go
@@ -54,9 +54,9 @@
 }
 
 // RecordLinkUsage records a subscribed node's report of its link usage.
-func (c *Core) RecordLinkUsage(now kernel.Instant, connection ConnectionID, word room.LinkReport) {
+func (c *Core) RecordLinkUsage(now kernel.Instant, connection ConnectionID, report room.LinkReport) {
 	if node, connected := c.nodes[connection]; connected {
-		c.room.nodes.RecordReport(now, connection, node.zone, word)
+		c.room.nodes.RecordReport(now, connection, node.zone, report)
 	}
 }
 
--- a/internal/registry/speeds.go
+++ b/internal/registry/speeds.go
@@ -110,27 +110,27 @@
 }
 
 // pop removes and returns at most limit targets.
-func (q *tokenQueue) pop(most int) []directory.Token {
-	count := min(most, len(q.tokens))
-	taken := slices.Clone(q.tokens[:count])
+func (q *tokenQueue) pop(limit int) []directory.Token {
+	count := min(limit, len(q.tokens))
+	popped := slices.Clone(q.tokens[:count])
 	q.tokens = slices.Delete(q.tokens, 0, count)
-	for _, token := range taken {
+	for _, token := range popped {
 		delete(q.queued, token)
 	}
-	return taken
+	return popped
 }
 
 // RecordResponseTimes adds a subscribed node's report of response times.
-func (c *Core) RecordResponseTimes(now kernel.Instant, connection ConnectionID, words []speed.Report) {
+func (c *Core) RecordResponseTimes(now kernel.Instant, connection ConnectionID, reports []speed.Report) {
 	if _, connected := c.nodes[connection]; !connected {
 		return
 	}
-	for _, word := range words {
-		if _, known := c.state.TargetByToken(word.Token); !known {
+	for _, report := range reports {
+		if _, known := c.state.TargetByToken(report.Token); !known {
 			continue
 		}
-		c.speeds.nodeSums.Record(now, connection, word.Token, word.Capped(maxSamplesPerNode))
-		c.speeds.unsentSums.push(word.Token)
+		c.speeds.nodeSums.Record(now, connection, report.Token, report.Capped(maxSamplesPerNode))
+		c.speeds.unsentSums.push(report.Token)
 	}
 }
 
@@ -169,23 +169,23 @@
 	if c.speeds.leader == "" {
 		return
 	}
-	var words []speed.Report
+	var reports []speed.Report
 	for _, token := range c.speeds.unsentSums.pop(maxSumsPerMessage) {
-		words = append(words, speed.Report{Token: token, Sums: c.speeds.nodeSums.Total(now, token)})
+		reports = append(reports, speed.Report{Token: token, Sums: c.speeds.nodeSums.Total(now, token)})
 	}
-	if len(words) == 0 {
+	if len(reports) == 0 {
 		return
 	}
 	if c.IsLeader() {
-		c.recordSums(now, c.settings.Address, words)
+		c.recordSums(now, c.settings.Address, reports)
 		return
 	}
-	c.sendToMember(c.speeds.leader, speed.ReportFrame(c.settings.Address, words))
+	c.sendToMember(c.speeds.leader, speed.ReportFrame(c.settings.Address, reports))
 }
 
-func (c *Core) recordSums(now kernel.Instant, member string, words []speed.Report) {
-	for _, word := range words {
-		c.speeds.memberSums.Record(now, member, word.Token, word.Sums)
+func (c *Core) recordSums(now kernel.Instant, member string, reports []speed.Report) {
+	for _, report := range reports {
+		c.speeds.memberSums.Record(now, member, report.Token, report.Sums)
 	}
 }
 
@@ -213,12 +213,12 @@
 // them.
 func (c *Core) sendStepsToMembers(now kernel.Instant) {
 	c.speeds.term = c.replica.Term
-	list := append(c.estimateSteps(now), c.speeds.nextRefresh(&c.speeds.memberCursor)...)
-	c.applySteps(now, list)
-	if len(list) == 0 {
+	steps := append(c.estimateSteps(now), c.speeds.nextRefresh(&c.speeds.memberCursor)...)
+	c.applySteps(now, steps)
+	if len(steps) == 0 {
 		return
 	}
-	frame := speed.StepFrame(c.speeds.term, list)
+	frame := speed.StepFrame(c.speeds.term, steps)
 	for _, member := range c.state.Members() {
 		c.sendToMember(member.Address, frame)
 	}
@@ -253,8 +253,8 @@
 
 // stepDistance returns the absolute difference between a step and the current one of its
 // target.
-func (s *responseTimeTable) stepDistance(told speed.TargetStep) int {
-	distance := int(told.Step) - int(s.steps[told.Token])
+func (s *responseTimeTable) stepDistance(entry speed.TargetStep) int {
+	distance := int(entry.Step) - int(s.steps[entry.Token])
 	return max(distance, -distance)
 }
 
@@ -304,21 +304,21 @@
 }
 
 // applySteps sets the steps that the leader sent and queues the changed ones for the nodes.
-func (c *Core) applySteps(now kernel.Instant, list []speed.TargetStep) {
-	for _, told := range list {
-		before := c.speeds.steps[told.Token]
-		if told.Step != 0 {
-			c.speeds.receivedAt[told.Token] = now
+func (c *Core) applySteps(now kernel.Instant, steps []speed.TargetStep) {
+	for _, entry := range steps {
+		before := c.speeds.steps[entry.Token]
+		if entry.Step != 0 {
+			c.speeds.receivedAt[entry.Token] = now
 		}
-		if before == told.Step {
+		if before == entry.Step {
 			continue
 		}
-		c.speeds.unsentSteps.push(told.Token)
-		if told.Step == 0 {
-			c.speeds.removeStep(told.Token)
+		c.speeds.unsentSteps.push(entry.Token)
+		if entry.Step == 0 {
+			c.speeds.removeStep(entry.Token)
 			continue
 		}
-		c.speeds.steps[told.Token] = told.Step
+		c.speeds.steps[entry.Token] = entry.Step
 		c.speeds.isOrderStale = c.speeds.isOrderStale || before == 0
 	}
 }
@@ -341,36 +341,36 @@
 }
 
 // nextRefresh returns the next steps to refresh and advances the cursor.
-func (s *responseTimeTable) nextRefresh(turn *int) []speed.TargetStep {
+func (s *responseTimeTable) nextRefresh(cursor *int) []speed.TargetStep {
 	due := min(len(s.refreshOrder)*int(responseTimeInterval)/int(stepRefreshInterval)+1, maxStepsPerNodeMessage)
-	from := min(*turn, len(s.refreshOrder))
+	from := min(*cursor, len(s.refreshOrder))
 	to := min(from+due, len(s.refreshOrder))
-	*turn = to
+	*cursor = to
 	if to == len(s.refreshOrder) {
-		*turn = 0
+		*cursor = 0
 	}
 	return s.stepsOf(s.refreshOrder[from:to])
 }
 
 func (s *responseTimeTable) stepsOf(tokens []directory.Token) []speed.TargetStep {
-	var list []speed.TargetStep
+	var steps []speed.TargetStep
 	for _, token := range tokens {
-		list = append(list, speed.TargetStep{Token: token, Step: s.steps[token]})
+		steps = append(steps, speed.TargetStep{Token: token, Step: s.steps[token]})
 	}
-	return list
+	return steps
 }
 
 // sendStepsToNodes sends nodes the changed steps and some of the others to refresh them. A
 // new node also gets all steps, in parts.
 func (c *Core) sendStepsToNodes() {
 	c.speeds.updateRefreshOrder()
-	list := c.speeds.stepsOf(c.speeds.unsentSteps.pop(maxStepsPerNodeMessage))
-	list = append(list, c.speeds.nextRefresh(&c.speeds.nodeCursor)...)
-	shared := speed.StepFrame(c.speeds.term, list)
+	steps := c.speeds.stepsOf(c.speeds.unsentSteps.pop(maxStepsPerNodeMessage))
+	steps = append(steps, c.speeds.nextRefresh(&c.speeds.nodeCursor)...)
+	shared := speed.StepFrame(c.speeds.term, steps)
 	for _, connection := range c.sortedConnections() {
-		if own := c.nextInitialSteps(c.nodes[connection]); len(own) > 0 {
-			c.sendToNode(connection, speed.StepFrame(c.speeds.term, slices.Concat(list, own)))
-		} else if len(list) > 0 {
+		if initial := c.nextInitialSteps(c.nodes[connection]); len(initial) > 0 {
+			c.sendToNode(connection, speed.StepFrame(c.speeds.term, slices.Concat(steps, initial)))
+		} else if len(steps) > 0 {
 			c.sendToNode(connection, shared)
 		}
 	}
@@ -412,15 +412,15 @@
 }
 
 func (c *Core) sweepSteps(now kernel.Instant) {
-	var old []speed.TargetStep
+	var expired []speed.TargetStep
 	for token := range c.speeds.steps {
 		target, known := c.state.TargetByToken(token)
 		switch {
 		case !known || target.State == directory.TargetEnded:
 			c.speeds.removeStep(token)
 		case !c.IsLeader() && now.Sub(c.speeds.receivedAt[token]) > stepLifetime:
-			old = append(old, speed.TargetStep{Token: token})
+			expired = append(expired, speed.TargetStep{Token: token})
 		}
 	}
-	c.applySteps(now, old)
+	c.applySteps(now, expired)
 }
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -80,25 +80,25 @@
 		stated[position] = node.strength
 	}
 	weights := strength.Weights(stated)
-	draws := make([]rendezvous.Node, len(nodes))
-	bounded := map[string]bool{}
+	weighted := make([]rendezvous.Node, len(nodes))
+	capped := map[string]bool{}
 	unstated := 0
 	for position, node := range nodes {
-		draws[position] = rendezvous.Node{Seed: uint64(directory.NodeKey(node.name)), Weight: weights[position]}
+		weighted[position] = rendezvous.Node{Seed: uint64(directory.NodeKey(node.name)), Weight: weights[position]}
 		if node.strength.CPU() == 0 {
 			unstated++
 		}
 		if !strength.IsCapped(node.strength, weights[position]) {
 			continue
 		}
-		bounded[node.name] = true
+		capped[node.name] = true
 		if !c.strengths.capped[node.name] {
 			c.output.Events = append(c.output.Events, LogEvent{Event: eventlog.StrengthBounded, Sampled: true, Fields: []any{
 				"node", node.name, "strength", node.strength, "weight", weights[position]}})
 		}
 	}
-	c.strengths.weighted = draws
-	c.strengths.capped = bounded
+	c.strengths.weighted = weighted
+	c.strengths.capped = capped
 	c.strengths.unstated = unstated
 }
 
--- a/internal/registry/targetorder.go
+++ b/internal/registry/targetorder.go
@@ -70,7 +70,7 @@
 		p.logger.Event(eventlog.TargetOrderRefused, "target", id, "rule", rule, "reason", problem)
 		return problem
 	case result.Code != directory.CodeDone:
-		err = steperror.New("registry.order_target", p.settings.Name, "another order about the target came first")
+		err = steperror.New("registry.order_target", p.settings.Name, "another rule for the target was committed first")
 	}
 	if err != nil {
 		p.logger.Event(eventlog.TargetOrderUnanswered, "target", id, "rule", rule, "err", err)
@@ -89,14 +89,14 @@
 		if target.State != directory.TargetReady {
 			return
 		}
-		share := TargetStatus{ID: target.ID, Service: target.Service, Zone: target.Zone, Slots: target.Slots}
-		share.Rule = c.state.TargetOrder(target.ID).Rule
+		status := TargetStatus{ID: target.ID, Service: target.Service, Zone: target.Zone, Slots: target.Slots}
+		status.Rule = c.state.TargetOrder(target.ID).Rule
 		// A rule that was just set shows only in the next verdicts, within
 		// livenessInterval.
-		share.Ejected = slices.Contains(verdicts.Ejected, target.Token) || share.Rule == directory.RuleEjected
-		share.Probation = slices.Contains(verdicts.Probation, target.Token)
-		if target.ID == id || !share.isDefault() {
-			targets = append(targets, share)
+		status.Ejected = slices.Contains(verdicts.Ejected, target.Token) || status.Rule == directory.RuleEjected
+		status.Probation = slices.Contains(verdicts.Probation, target.Token)
+		if target.ID == id || !status.isDefault() {
+			targets = append(targets, status)
 		}
 	})
 	slices.SortFunc(targets, func(a, b TargetStatus) int {
@@ -107,19 +107,19 @@
 
 // DryRunTarget computes the effect of ejecting a target from a member's response, with
 // warnings for the operator. It returns false if the response does not list the target.
-func DryRunTarget(reply OperatorResponse, id string) (effect ShareChange, warnings []string, known bool) {
-	position := slices.IndexFunc(reply.Targets, func(target TargetStatus) bool { return target.ID == id })
+func DryRunTarget(response OperatorResponse, id string) (effect ShareChange, warnings []string, known bool) {
+	position := slices.IndexFunc(response.Targets, func(target TargetStatus) bool { return target.ID == id })
 	if position < 0 {
 		return ShareChange{}, nil, false
 	}
-	chosen := reply.Targets[position]
+	chosen := response.Targets[position]
 	var total, out uint32
-	for _, share := range reply.Zones {
-		if share.Service == chosen.Service && !share.Evacuated {
-			total += share.Slots
+	for _, status := range response.Zones {
+		if status.Service == chosen.Service && !status.Evacuated {
+			total += status.Slots
 		}
 	}
-	for _, target := range reply.Targets {
+	for _, target := range response.Targets {
 		if target.Service == chosen.Service && target.Ejected && target.ID != id {
 			out += target.Slots
 		}
@@ -129,11 +129,11 @@
 	effect = ShareChange{Service: chosen.Service, Zone: chosen.Zone, Before: fraction(before, total), After: fraction(after, total)}
 	switch {
 	case chosen.Ejected:
-		warnings = append(warnings, fmt.Sprintf("target %s is ejected already", id))
+		warnings = append(warnings, fmt.Sprintf("target %s is already ejected", id))
 	case after == 0:
-		warnings = append(warnings, fmt.Sprintf("service %s has no other targets: its callers are sent to ejected ones", chosen.Service))
+		warnings = append(warnings, fmt.Sprintf("service %s has no other targets: new flows still go to ejected ones", chosen.Service))
 	case float64(before)/float64(after) >= loadWarningFactor:
-		warnings = append(warnings, fmt.Sprintf("service %s: the others bear %.1f times as much", chosen.Service, float64(before)/float64(after)))
+		warnings = append(warnings, fmt.Sprintf("service %s: load on the other targets rises by a factor of %.1f", chosen.Service, float64(before)/float64(after)))
 	}
 	return effect, warnings, true
 }
--- a/internal/registry/targetorder_test.go
+++ b/internal/registry/targetorder_test.go
@@ -58,14 +58,14 @@
 	assert.Equal(t, ShareChange{Service: "one", Before: 8.0 / 12, After: 6.0 / 12}, effect)
 	assert.Empty(t, warnings)
 	_, warnings, _ = DryRunTarget(reply, "i-3")
-	assert.Equal(t, []string{"service one has no other targets: its callers are sent to ejected ones"}, warnings)
+	assert.Equal(t, []string{"service one has no other targets: new flows still go to ejected ones"}, warnings)
 	_, warnings, _ = DryRunTarget(reply, "i-2")
-	assert.Equal(t, []string{"target i-2 is ejected already"}, warnings)
+	assert.Equal(t, []string{"target i-2 is already ejected"}, warnings)
 	_, _, known = DryRunTarget(reply, "i-9")
 	assert.False(t, known)
 	reply.Targets[0].Slots = 3
 	_, warnings, _ = DryRunTarget(reply, "i-1")
-	assert.Equal(t, []string{"service one: the others bear 1.6 times as much"}, warnings)
+	assert.Equal(t, []string{"service one: load on the other targets rises by a factor of 1.6"}, warnings)
 }
 
 func TestAnAcknowledgedOrderAboutATargetSurvivesLostDisksAndPower(t *testing.T) {
--- a/internal/registry/versionorder.go
+++ b/internal/registry/versionorder.go
@@ -69,7 +69,7 @@
 		p.logger.Event(eventlog.VersionOrderRefused, append(fields, "reason", problem)...)
 		return problem
 	case result.Code != directory.CodeDone:
-		err = steperror.New("registry.order_version", p.settings.Name, "another order about the version came first")
+		err = steperror.New("registry.order_version", p.settings.Name, "another rule for the version was committed first")
 	}
 	if err != nil {
 		p.logger.Event(eventlog.VersionOrderRefused, append(fields, "err", err)...)
@@ -82,26 +82,26 @@
 // versionStatuses returns the versions of all services, sorted by service and version.
 func (c *Core) versionStatuses() []VersionStatus {
 	verdicts := c.liveness.verdicts.Verdicts
-	shares := map[directory.ServiceVersion]VersionStatus{}
+	statuses := map[directory.ServiceVersion]VersionStatus{}
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.State != directory.TargetReady || target.Version == "" {
 			return
 		}
 		name := target.ServiceVersion()
-		share := shares[name]
-		share.ServiceVersion = name
-		share.Targets++
-		share.Slots += target.Slots
-		share.Rule = c.state.VersionOrder(name).Rule
+		status := statuses[name]
+		status.ServiceVersion = name
+		status.Targets++
+		status.Slots += target.Slots
+		status.Rule = c.state.VersionOrder(name).Rule
 		switch {
 		case slices.Contains(verdicts.Ejected, target.Token):
-			share.Ejected++
+			status.Ejected++
 		case slices.Contains(verdicts.Probation, target.Token):
-			share.Probation++
+			status.Probation++
 		}
-		shares[name] = share
+		statuses[name] = status
 	})
-	return slices.SortedFunc(maps.Values(shares), func(a, b VersionStatus) int {
+	return slices.SortedFunc(maps.Values(statuses), func(a, b VersionStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Version, b.Version))
 	})
 }
@@ -109,24 +109,24 @@
 // DryRunVersion computes the effect of holding a version from a member's response, with
 // warnings for the operator. It returns false if the version has no targets that take new
 // flows.
-func DryRunVersion(reply OperatorResponse, version directory.ServiceVersion) (effect ShareChange, warnings []string, known bool) {
-	position := slices.IndexFunc(reply.Versions, func(share VersionStatus) bool { return share.ServiceVersion == version })
+func DryRunVersion(response OperatorResponse, version directory.ServiceVersion) (effect ShareChange, warnings []string, known bool) {
+	position := slices.IndexFunc(response.Versions, func(status VersionStatus) bool { return status.ServiceVersion == version })
 	if position < 0 {
 		return ShareChange{}, nil, false
 	}
 	var total uint32
-	for _, share := range reply.Zones {
-		if share.Service == version.Service && !share.Evacuated {
-			total += share.Slots
+	for _, status := range response.Zones {
+		if status.Service == version.Service && !status.Evacuated {
+			total += status.Slots
 		}
 	}
-	left := total - min(total, reply.Versions[position].Slots)
+	left := total - min(total, response.Versions[position].Slots)
 	effect = ShareChange{Service: version.Service, Before: fraction(total, total), After: fraction(left, total)}
 	switch {
 	case left == 0:
-		warnings = append(warnings, fmt.Sprintf("service %s has no other targets: its callers are sent to held ones", version.Service))
+		warnings = append(warnings, fmt.Sprintf("service %s has no other targets: new flows still go to held ones", version.Service))
 	case float64(total)/float64(left) >= loadWarningFactor:
-		warnings = append(warnings, fmt.Sprintf("service %s: the others bear %.1f times as much", version.Service, float64(total)/float64(left)))
+		warnings = append(warnings, fmt.Sprintf("service %s: load on the other targets rises by a factor of %.1f", version.Service, float64(total)/float64(left)))
 	}
 	return effect, warnings, true
 }
--- a/internal/registry/versions_test.go
+++ b/internal/registry/versions_test.go
@@ -125,7 +125,7 @@
 	effect, warnings, known := DryRunVersion(listed, v1)
 	assert.True(t, known)
 	assert.Equal(t, ShareChange{Service: "booking", Before: 1, After: 0.5}, effect)
-	assert.Equal(t, []string{"service booking: the others bear 2.0 times as much"}, warnings)
+	assert.Equal(t, []string{"service booking: load on the other targets rises by a factor of 2.0"}, warnings)
 	held := order(t, address, OperatorRequest{Action: ActionHoldVersion, Version: v2})
 	require.Len(t, held.Versions, 2)
 	assert.Equal(t, directory.VersionHeld, held.Versions[1].Rule)
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -174,11 +174,11 @@
 		}
 	})
 	for _, service := range slices.Sorted(maps.Keys(services)) {
-		warmth := c.warmupConfig(service)
-		if warmth.Time <= 0 {
+		config := c.warmupConfig(service)
+		if config.Time <= 0 {
 			continue
 		}
-		warmup := directory.Warmup{Left: warmth.Time, Budget: c.budget(warmth)}
+		warmup := directory.Warmup{Left: config.Time, Budget: c.budget(config)}
 		warmup.Stewards = c.stewards(order.Zone, warmup.Budget, maxZoneStewards)
 		order.Warmups = append(order.Warmups, directory.ServiceWarmup{Service: service, Warmup: warmup})
 	}
@@ -194,12 +194,12 @@
 		if service.Name != name {
 			continue
 		}
-		warmth, err := c.settings.WarmthOf(service)
+		config, err := c.settings.WarmthOf(service)
 		if err != nil {
 			c.logEvent(eventlog.WarmthUnreadable, "service", name, "err", err)
 			return WarmupConfig{}
 		}
-		return warmth
+		return config
 	}
 	return WarmupConfig{}
 }
@@ -207,12 +207,12 @@
 // budget returns the number of new flows per second that a cold target may get: its rate
 // within the limits, and at least one so that it is used at all. It is 0 if no rate is
 // configured.
-func (c *Core) budget(warmth WarmupConfig) uint32 {
-	if warmth.Rate <= 0 {
+func (c *Core) budget(config WarmupConfig) uint32 {
+	if config.Rate <= 0 {
 		return 0
 	}
-	bound := warmth.Rate*c.settings.WarmupLimits.Factor + c.settings.WarmupLimits.Slack
-	return uint32(max(1, min(bound, warmth.Rate)))
+	bound := config.Rate*c.settings.WarmupLimits.Factor + c.settings.WarmupLimits.Slack
+	return uint32(max(1, min(bound, config.Rate)))
 }
 
 // stewards returns the nodes that share a budget: some of those that follow this member, so
--- a/internal/registry/zones.go
+++ b/internal/registry/zones.go
@@ -49,16 +49,16 @@
 // voters. It never returns this member, the leader.
 func (c *Core) voterInLargestZone(membership raft.Membership) raft.MemberID {
 	voters := c.votersByZone(membership)
-	crowded := raft.NoMember
+	chosen := raft.NoMember
 	for _, id := range slices.Sorted(slices.Values(membership.Voters)) {
 		if id == c.settings.Raft.ID {
 			continue
 		}
-		if crowded == raft.NoMember || voters[c.zoneOf(id)] >= voters[c.zoneOf(crowded)] {
-			crowded = id
+		if chosen == raft.NoMember || voters[c.zoneOf(id)] >= voters[c.zoneOf(chosen)] {
+			chosen = id
 		}
 	}
-	return crowded
+	return chosen
 }
 
 // ToleratesZoneLoss reports whether a quorum of the voters survives the loss of the
