--- a/internal/registry/ejectedlost_test.go
+++ b/internal/registry/ejectedlost_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	nodesOfDeaths = 16
-	// longestDeath is when a bench stops to wait for a verdict: callers have given up.
-	longestDeath = 5 * time.Second
+	deathTestNodes = 16
+	// maxDetectionTime is when a bench stops to wait for a verdict: callers have given up.
+	maxDetectionTime = 5 * time.Second
 )
 
-// verdictTime is how long it took to hold a dead target for lost.
-type verdictTime struct {
+// detection is how long it took to hold a dead target for lost.
+type detection struct {
 	took    time.Duration
 	ejected bool
 }
 
-// timeToLost lets a target die whose exchanges are judged, or not.
-func timeToLost(t *testing.T, seed uint64, test deathCase, judged bool) verdictTime {
-	b := newUploadBench(newCluster(t, 300+seed, 3), 6, nodesOfDeaths, test.callers)
+// timeUntilLost lets a target die whose exchanges are judged, or not.
+func timeUntilLost(t *testing.T, seed uint64, test deathCase, judged bool) detection {
+	b := newUploadSimulation(newCluster(t, 300+seed, 3), 6, deathTestNodes, test.callers)
 	b.packets = test.packets
 	b.kept = test.kept
 	b.judged = judged
@@ -36,8 +36,8 @@
 	token := b.targets[0].Token
 	b.dead[token] = true
 	died := b.now
-	var seen verdictTime
-	for !slices.Contains(b.leader.core.liveness.verdicts.Lost, token) && b.now.Sub(died) < longestDeath {
+	var seen detection
+	for !slices.Contains(b.leader.core.liveness.verdicts.Lost, token) && b.now.Sub(died) < maxDetectionTime {
 		b.pass(stepTime)
 		seen.ejected = seen.ejected || slices.Contains(b.leader.core.liveness.verdicts.Ejected, token)
 	}
@@ -64,7 +64,7 @@
 			ejected := 0
 			for seed := range uint64(deaths) {
 				for position, judged := range []bool{false, true} {
-					seen := timeToLost(t, seed, test, judged)
+					seen := timeUntilLost(t, seed, test, judged)
 					sums[position] += seen.took
 					longest[position] = max(longest[position], seen.took)
 					if seen.ejected {
@@ -78,10 +78,10 @@
 	}
 }
 
-// timeToLostOf lets a target die that an operator had kept new flows from, or not.
+// timeUntilLostByRule lets a target die that an operator had kept new flows from, or not.
 // A fourth of the flows is kept open for many requests.
-func timeToLostOf(t *testing.T, seed uint64, callers int, ejectedBefore bool) time.Duration {
-	b := newUploadBench(newCluster(t, 500+seed, 3), 6, nodesOfDeaths, callers)
+func timeUntilLostByRule(t *testing.T, seed uint64, callers int, ejectedBefore bool) time.Duration {
+	b := newUploadSimulation(newCluster(t, 500+seed, 3), 6, deathTestNodes, callers)
 	b.packets = 1
 	b.mixed = true
 	b.judged = true
@@ -99,7 +99,7 @@
 	}
 	b.dead[target.Token] = true
 	died := b.now
-	for !slices.Contains(b.leader.core.liveness.verdicts.Lost, target.Token) && b.now.Sub(died) < longestDeath {
+	for !slices.Contains(b.leader.core.liveness.verdicts.Lost, target.Token) && b.now.Sub(died) < maxDetectionTime {
 		b.pass(stepTime)
 	}
 	return b.now.Sub(died)
@@ -113,7 +113,7 @@
 		var sums, longest [2]time.Duration
 		for position, before := range []bool{false, true} {
 			for seed := range uint64(deaths) {
-				took := timeToLostOf(t, seed, callers, before)
+				took := timeUntilLostByRule(t, seed, callers, before)
 				sums[position] += took
 				longest[position] = max(longest[position], took)
 			}
--- a/internal/registry/groupsize_test.go
+++ b/internal/registry/groupsize_test.go
@@ -10,15 +10,15 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// seedsOfPlatform is the number of seed addresses that a process is given.
-const seedsOfPlatform = 3
+// testSeeds is the number of seed addresses that a process is given.
+const testSeeds = 3
 
 // newTolerantCluster returns a group of some members that should bear the loss
 // of some disks at once. Members beyond the seeds join by themselves.
 func newTolerantCluster(t *testing.T, seed uint64, members, tolerance int) *cluster {
 	c := newCluster(t, seed, 0)
 	c.voterCount = 2*tolerance + 1
-	for number := range min(members, seedsOfPlatform) {
+	for number := range min(members, testSeeds) {
 		c.seeds = append(c.seeds, address(number+1))
 	}
 	for number := range members {
--- a/internal/registry/openings_test.go
+++ b/internal/registry/openings_test.go
@@ -16,24 +16,24 @@
 // targetsPerZone is the number of targets in each zone of the tests below.
 const targetsPerZone = 10
 
-// openingBench is a group with targets in three zones.
-type openingBench struct {
+// openingFixture is a group with targets in three zones.
+type openingFixture struct {
 	*cluster
 	leader, follower *machine
 	tokens           map[string][]directory.Token
 }
 
-func newOpeningBench(t *testing.T) *openingBench {
-	b := &openingBench{cluster: newCluster(t, 5, 3), tokens: map[string][]directory.Token{}}
+func newOpeningFixture(t *testing.T) *openingFixture {
+	b := &openingFixture{cluster: newCluster(t, 5, 3), tokens: map[string][]directory.Token{}}
 	b.leader = b.waitForLeader()
 	for _, name := range b.names() {
 		if m := b.machines[name]; m != b.leader {
 			b.follower = m
 		}
 	}
-	for number := range zonesOfTest * targetsPerZone {
+	for number := range testZones * targetsPerZone {
 		command := putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
-		command.Target.Zone = fmt.Sprint("zone-", number%zonesOfTest)
+		command.Target.Zone = fmt.Sprint("zone-", number%testZones)
 		require.NoError(t, b.submit(b.leader, command).Err)
 		target, _ := b.leader.core.State().Target(command.Target.ID)
 		b.tokens[target.Zone] = append(b.tokens[target.Zone], target.Token)
@@ -43,16 +43,16 @@
 }
 
 // report gives the follower the same evidence of some nodes every 100 ms for a time.
-func (b *openingBench) report(duration time.Duration, nodes int, evidence Evidence) {
+func (b *openingFixture) report(duration time.Duration, nodes int, evidence Evidence) {
 	for end := b.now.Add(duration); b.now < end; b.run(livenessInterval) {
 		b.reportEvidence(b.follower, nodes, evidence)
 	}
 }
 
-func (b *openingBench) verdicts() directory.Verdicts { return b.follower.keepalive.Verdicts }
+func (b *openingFixture) verdicts() directory.Verdicts { return b.follower.keepalive.Verdicts }
 
 func TestAZoneThatTakesNoOpeningPacketsIsAvoidedSoon(t *testing.T) {
-	b := newOpeningBench(t)
+	b := newOpeningFixture(t)
 	refusing := Evidence{Openings: []directory.ZoneOpenings{{Zone: "zone-1", Opened: 1, Refused: 6}, {Zone: "zone-2", Opened: 7}}}
 	b.report(300*time.Millisecond, 2, refusing)
 	assert.Equal(t, []string{"zone-1"}, b.verdicts().AvoidedZones)
@@ -76,7 +76,7 @@
 	}
 	for name, counted := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newOpeningBench(t)
+			b := newOpeningFixture(t)
 			counted.Zone = "zone-1"
 			b.report(time.Second, 2, Evidence{Openings: []directory.ZoneOpenings{counted}})
 			assert.Empty(t, b.verdicts().AvoidedZones)
@@ -86,13 +86,13 @@
 
 // Under a burst all targets are full and silent: there is nowhere else to go.
 func TestWhenMostZonesRefuseNoneIsAvoided(t *testing.T) {
-	b := newOpeningBench(t)
+	b := newOpeningFixture(t)
 	b.report(time.Second, 3, Evidence{Openings: []directory.ZoneOpenings{{Zone: "zone-0", Refused: 9}, {Zone: "zone-1", Refused: 9}}})
 	assert.Empty(t, b.verdicts().AvoidedZones)
 }
 
 func TestATargetThatRefusesIsSuspectedUntilThereIsASign(t *testing.T) {
-	b := newOpeningBench(t)
+	b := newOpeningFixture(t)
 	token := b.tokens["zone-1"][0]
 	b.report(200*time.Millisecond, 2, Evidence{Refused: []SilentTarget{{Token: token, Weight: 1, Nodes: 1}}})
 	b.run(KeepaliveInterval)
@@ -103,7 +103,7 @@
 }
 
 func TestOneNodesRefusalsAreNotEnough(t *testing.T) {
-	b := newOpeningBench(t)
+	b := newOpeningFixture(t)
 	token := b.tokens["zone-1"][0]
 	b.report(time.Second, 1, Evidence{Refused: []SilentTarget{{Token: token, Weight: 2, Nodes: 1}}})
 	b.run(KeepaliveInterval)
--- a/internal/registry/outliers_test.go
+++ b/internal/registry/outliers_test.go
@@ -15,8 +15,8 @@
 	"github.com/beamdoor/beamdoor/internal/outlier"
 )
 
-// outcomeBench is a group with one service, whose nodes count at random.
-type outcomeBench struct {
+// outcomeFixture is a group with one service, whose nodes count at random.
+type outcomeFixture struct {
 	*cluster
 	leader  *machine
 	targets []directory.Target
@@ -29,14 +29,14 @@
 }
 
 const (
-	targetsOfBench = 12
-	nodesOfBench   = 20
+	fixtureTargets = 12
+	fixtureNodes   = 20
 )
 
-func newOutcomeBench(t *testing.T) *outcomeBench {
-	b := &outcomeBench{cluster: newCluster(t, 5, 3), ill: map[directory.Token]bool{}}
+func newOutcomeFixture(t *testing.T) *outcomeFixture {
+	b := &outcomeFixture{cluster: newCluster(t, 5, 3), ill: map[directory.Token]bool{}}
 	b.leader = b.waitForLeader()
-	for number := range targetsOfBench {
+	for number := range fixtureTargets {
 		b.register(fmt.Sprint("i-", number), number)
 	}
 	for _, name := range b.names() {
@@ -48,9 +48,9 @@
 	return b
 }
 
-func (b *outcomeBench) register(id string, number int) directory.Target {
+func (b *outcomeFixture) register(id string, number int) directory.Target {
 	command := putTarget(id, fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
-	command.Target.Zone = fmt.Sprint("zone-", number%zonesOfTest)
+	command.Target.Zone = fmt.Sprint("zone-", number%testZones)
 	require.NoError(b, b.submit(b.leader, command).Err)
 	target, _ := b.leader.core.State().Target(id)
 	b.targets = append(b.targets, target)
@@ -58,7 +58,7 @@
 }
 
 // open subscribes a node at a member, unless it is.
-func (b *outcomeBench) open(m *machine, node int) ConnectionID {
+func (b *outcomeFixture) open(m *machine, node int) ConnectionID {
 	connection := ConnectionID(100 + node)
 	if _, known := m.core.nodes[connection]; !known {
 		b.apply(m, m.core.Subscribe(b.now, connection, Subscribe{Node: fmt.Sprint("edge", node)}))
@@ -68,10 +68,10 @@
 
 // serve lets nodes report exchanges for a time: one with each target in 100 ms, each
 // time by some node; each node has its member.
-func (b *outcomeBench) serve(duration time.Duration) {
+func (b *outcomeFixture) serve(duration time.Duration) {
 	for end := b.now.Add(duration); b.now < end; b.run(livenessInterval) {
 		for _, target := range b.targets {
-			node := b.random.IntN(nodesOfBench)
+			node := b.random.IntN(fixtureNodes)
 			counted := directory.Outcomes{Token: target.Token, Answered: 1}
 			if b.ill[target.Token] || node < b.choked {
 				counted = directory.Outcomes{Token: target.Token, Unanswered: 1}
@@ -81,20 +81,20 @@
 	}
 }
 
-func (b *outcomeBench) reportTo(m *machine, node int, counted ...directory.Outcomes) {
+func (b *outcomeFixture) reportTo(m *machine, node int, counted ...directory.Outcomes) {
 	if m.up {
 		m.core.RecordEvidence(b.now, b.open(m, node), Evidence{Outcomes: counted})
 	}
 }
 
 // ejected returns what nodes are told at a member.
-func (b *outcomeBench) ejected(m *machine) []directory.Token {
+func (b *outcomeFixture) ejected(m *machine) []directory.Token {
 	b.run(KeepaliveInterval / 4)
 	return m.keepalive.Verdicts.Ejected
 }
 
 func TestATargetThatFailsItsWorkIsEjectedAtAllMembers(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	assert.Empty(t, b.ejected(b.reporters[0]))
 	sick := b.targets[4].Token
@@ -114,7 +114,7 @@
 }
 
 func TestWhenAllTargetsFailNoneIsEjected(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	for _, target := range b.targets {
 		b.ill[target.Token] = true
@@ -126,7 +126,7 @@
 // A node whose link is choked, or that was frozen and reports late, sees failures of
 // most targets; it may tell of any number.
 func TestANodeThatSeesFailuresEverywhereEjectsNobody(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	for range 30 {
 		var counted []directory.Outcomes
@@ -141,7 +141,7 @@
 
 // What one node sees of one target may be the way between them.
 func TestOneNodesFailuresEjectNobody(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	for range 30 {
 		b.reportTo(b.reporters[0], 1, directory.Outcomes{Token: b.targets[0].Token, Unanswered: 5})
@@ -152,7 +152,7 @@
 
 // A node that comes back on another connection is still one node.
 func TestANodeThatSubscribesAgainIsNoSecondWitness(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	m := b.reporters[0]
 	for number := range 30 {
@@ -166,16 +166,16 @@
 
 // A new leader has no sums. It keeps what the old one left out and tries it soon.
 func TestANewLeaderKeepsWhatIsEjectedAndTriesIt(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	sick := b.targets[4].Token
 	b.ill[sick] = true
 	b.serve(700 * time.Millisecond)
 	require.Equal(t, []directory.Token{sick}, b.ejected(b.reporters[0]))
 	b.kill(b.leader.address, false)
-	b.runUntil(5*time.Second, "another leader", func() bool { l := b.leader2(); return l != nil })
+	b.runUntil(5*time.Second, "another leader", func() bool { l := b.nextLeader(); return l != nil })
 	b.ill = nil
-	b.run(b.leader2().core.settings.LostAfter + 200*time.Millisecond)
+	b.run(b.nextLeader().core.settings.LostAfter + 200*time.Millisecond)
 	for _, m := range b.reporters {
 		assert.Equal(t, []directory.Token{sick}, m.keepalive.Verdicts.Ejected)
 	}
@@ -186,8 +186,8 @@
 	}
 }
 
-// leader2 returns the leader after the first one has gone.
-func (b *outcomeBench) leader2() *machine {
+// nextLeader returns the leader after the first one has gone.
+func (b *outcomeFixture) nextLeader() *machine {
 	if leader := b.cluster.leader(); leader != b.leader {
 		return leader
 	}
@@ -197,7 +197,7 @@
 // A member behind a cut misses the end of an ejection. It hears of it once the cut is
 // over, though nothing changes any more.
 func TestAMemberBehindACutHearsTheVerdictsAfterIt(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	sick := b.targets[4].Token
 	b.ill[sick] = true
@@ -218,7 +218,7 @@
 
 // The counts of nodes behind a cut are missing; the others are enough.
 func TestAMemberBehindACutTakesNothingFromTheVerdict(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	behind := b.reporters[1].address
 	b.cut = func(from, to string) bool { return from == behind || to == behind }
@@ -232,9 +232,9 @@
 // All targets of a service are replaced one after the other; what drains answers less
 // and less, and what has ended is forgotten.
 func TestAReleaseEjectsNobody(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(2 * time.Second)
-	for number := range targetsOfBench {
+	for number := range fixtureTargets {
 		old := b.targets[0]
 		b.targets = b.targets[1:]
 		b.register(fmt.Sprint("new-", number), 100+number)
@@ -250,7 +250,7 @@
 }
 
 func TestAnEjectedTargetThatEndsLeavesTheVerdicts(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	sick := b.targets[4]
 	b.ill[sick.Token] = true
@@ -299,7 +299,7 @@
 // Some nodes are choked and see failures everywhere. They are no witnesses: the others
 // find the target that is ill.
 func TestChokedNodesDoNotHideAnIllTarget(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.choked = 3
 	b.serve(4 * time.Second)
 	sick := b.targets[4].Token
@@ -311,7 +311,7 @@
 
 // What is held for lost gets nothing anyway. When it is heard again, it begins anew.
 func TestAnEjectedTargetThatIsHeldForLostIsForgotten(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	sick := b.targets[4].Token
 	b.ill[sick] = true
@@ -334,7 +334,7 @@
 // A node whose way to one target is cut loses its member too and goes to another one. It
 // is one witness still.
 func TestANodeThatChangesItsMemberIsOneWitness(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.serve(3 * time.Second)
 	seen := []directory.Outcomes{{Token: b.targets[4].Token, Unanswered: 1}}
 	for _, target := range b.targets[:3] {
@@ -351,7 +351,7 @@
 
 // The targets of an evacuated zone bear nothing: a third of the others is left out.
 func TestOfTheTargetsThatBearLoadAThirdIsLeftOut(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	away := b.targets[0].Zone
 	order := directory.Evacuation{Zone: away, Active: true}
 	require.NoError(t, b.submit(b.leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order}).Err)
@@ -369,7 +369,7 @@
 
 // A leader that judged 36,000 targets ten times a second would spend a whole core.
 func TestALargeFleetIsJudgedLessOften(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	b.ill[b.targets[0].Token] = true
 	b.serve(2 * time.Second)
 	core := b.leader.core
--- a/internal/registry/room_test.go
+++ b/internal/registry/room_test.go
@@ -11,14 +11,14 @@
 	"github.com/beamdoor/beamdoor/internal/room"
 )
 
-// roomBench is a group whose nodes tell how their links are used.
-type roomBench struct {
+// linkUsageFixture is a group whose nodes tell how their links are used.
+type linkUsageFixture struct {
 	*cluster
 	leader, follower *machine
 }
 
-func newRoomBench(t *testing.T) *roomBench {
-	b := &roomBench{cluster: newCluster(t, 5, 3)}
+func newLinkUsageFixture(t *testing.T) *linkUsageFixture {
+	b := &linkUsageFixture{cluster: newCluster(t, 5, 3)}
 	b.leader = b.waitForLeader()
 	for _, name := range b.names() {
 		m := b.machines[name]
@@ -33,7 +33,7 @@
 }
 
 // tell lets the nodes of all members that are up say the same for a time.
-func (b *roomBench) tell(duration time.Duration, word room.LinkReport) {
+func (b *linkUsageFixture) tell(duration time.Duration, word room.LinkReport) {
 	for end := b.now.Add(duration); b.now < end; b.run(room.ReportInterval) {
 		for _, name := range b.names() {
 			if m := b.machines[name]; m.up {
@@ -44,7 +44,7 @@
 	}
 }
 
-func (b *roomBench) nodes(m *machine) int {
+func (b *linkUsageFixture) nodes(m *machine) int {
 	zones, age := m.core.LinkUsage(b.now)
 	if len(zones) == 0 || age >= room.ReportLifetime {
 		return 0
@@ -53,7 +53,7 @@
 }
 
 func TestEachMemberLearnsTheRoomOfAllNodes(t *testing.T) {
-	b := newRoomBench(t)
+	b := newLinkUsageFixture(t)
 	b.tell(4*time.Second, room.LinkReport{Rate: 100, InPercent: 50})
 	for _, name := range b.names() {
 		zones, _ := b.machines[name].core.LinkUsage(b.now)
@@ -64,7 +64,7 @@
 }
 
 func TestAMemberThatIsCutOffAgesOutOnBothSides(t *testing.T) {
-	b := newRoomBench(t)
+	b := newLinkUsageFixture(t)
 	b.tell(4*time.Second, room.LinkReport{Rate: 100})
 	b.cut = func(from, to string) bool { return from == b.follower.address || to == b.follower.address }
 	b.tell(2*room.ReportLifetime, room.LinkReport{Rate: 100, InPercent: 10})
@@ -76,7 +76,7 @@
 }
 
 func TestANewLeaderSumsUpAnew(t *testing.T) {
-	b := newRoomBench(t)
+	b := newLinkUsageFixture(t)
 	b.tell(4*time.Second, room.LinkReport{Rate: 100})
 	b.kill(b.leader.address, false)
 	b.run(2 * time.Second)
@@ -88,7 +88,7 @@
 
 // Sums that come late or twice replace each other; one of an earlier leader is left out.
 func TestSumsThatComeLateOrTwice(t *testing.T) {
-	b := newRoomBench(t)
+	b := newLinkUsageFixture(t)
 	b.tell(4*time.Second, room.LinkReport{Rate: 100})
 	old := room.Message{Term: 0, Zones: []room.ZoneSummary{{Zone: "south"}}}
 	b.apply(b.follower, b.follower.core.HandleFrame(b.now, old.Frame()))
@@ -102,7 +102,7 @@
 }
 
 func TestAZoneWhoseNodesRefuseIsAnEvent(t *testing.T) {
-	b := newRoomBench(t)
+	b := newLinkUsageFixture(t)
 	b.tell(4*time.Second, room.LinkReport{Rate: 100, Refusing: true})
 	assert.Equal(t, 3, b.events[eventlog.ZoneShortOfRoom], "once a member")
 	b.tell(4*time.Second, room.LinkReport{Rate: 100})
--- a/internal/registry/speeds_test.go
+++ b/internal/registry/speeds_test.go
@@ -15,16 +15,16 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// speedBench is a group whose nodes see some targets take longer than others.
-type speedBench struct {
-	*outcomeBench
+// responseTimeFixture is a group whose nodes see some targets take longer than others.
+type responseTimeFixture struct {
+	*outcomeFixture
 	// times are the relative times of targets, 1 where there is none.
 	times map[directory.Token]float64
 	sums  map[int]map[directory.Token]*speed.Sums
 }
 
-func newSpeedBench(t *testing.T) *speedBench {
-	b := &speedBench{outcomeBench: newOutcomeBench(t), times: map[directory.Token]float64{}, sums: map[int]map[directory.Token]*speed.Sums{}}
+func newResponseTimeFixture(t *testing.T) *responseTimeFixture {
+	b := &responseTimeFixture{outcomeFixture: newOutcomeFixture(t), times: map[directory.Token]float64{}, sums: map[int]map[directory.Token]*speed.Sums{}}
 	for number, target := range b.targets {
 		b.times[target.Token] = []float64{0.6, 1, 1.7}[number%3]
 	}
@@ -32,11 +32,11 @@
 }
 
 // learn lets nodes time requests and tell of them.
-func (b *speedBench) learn(duration time.Duration) {
+func (b *responseTimeFixture) learn(duration time.Duration) {
 	const spread = 0.4
 	for end := b.now.Add(duration); b.now < end; b.run(responseTimeInterval) {
 		fade := math.Exp2(-float64(responseTimeInterval) / float64(speed.HalfLife))
-		for node := range nodesOfBench {
+		for node := range fixtureNodes {
 			if b.sums[node] == nil {
 				b.sums[node] = map[directory.Token]*speed.Sums{}
 			}
@@ -60,7 +60,7 @@
 }
 
 // assertTold compares what a member tells with what is true, relative to one target.
-func (b *speedBench) assertTold(m *machine, reference directory.Token) {
+func (b *responseTimeFixture) assertTold(m *machine, reference directory.Token) {
 	b.Helper()
 	usual := m.core.speeds.steps[reference].TimeRatio() / b.times[reference]
 	for _, target := range b.targets {
@@ -69,7 +69,7 @@
 }
 
 func TestAllMembersKnowHowLongTargetsTake(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	b.learn(10 * time.Second)
 	for _, m := range b.machines {
 		b.assertTold(m, b.targets[1].Token)
@@ -78,7 +78,7 @@
 }
 
 func TestEqualTargetsCostNothing(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	for _, target := range b.targets {
 		b.times[target.Token] = 1
 	}
@@ -91,7 +91,7 @@
 
 // A new leader has no sums; until it has heard of all members, what was told before holds.
 func TestALeaderChangeKeepsWhatIsKnown(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	b.learn(10 * time.Second)
 	b.kill(b.leader.address, false)
 	next := b.waitForLeader()
@@ -108,7 +108,7 @@
 }
 
 func TestATargetThatChangesItsSpeedIsToldAnew(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	b.learn(10 * time.Second)
 	b.times[b.targets[0].Token] = 2
 	b.learn(40 * time.Second)
@@ -117,7 +117,7 @@
 
 // A target that starts again under its ID may be another machine.
 func TestANewStartIsNotMeasuredByTheOldOne(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	b.learn(10 * time.Second)
 	old := b.targets[2]
 	command := putTarget(old.ID, old.Address.String(), directory.TargetReady)
@@ -139,7 +139,7 @@
 // A member that missed the leader's word that a target takes the usual time does not keep
 // the old one for good, nor do its nodes; what the leader tells again stays.
 func TestALostWordOfAUsualTimeIsMadeUpFor(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	for number, target := range b.targets {
 		b.times[target.Token] = []float64{0.6, 1.7}[number%2]
 	}
@@ -163,7 +163,7 @@
 
 // All that is told is told again before members would forget it.
 func TestWhatIsToldIsHeardAgain(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	b.learn(10 * time.Second)
 	from := b.now
 	b.learn(stepRefreshInterval + 2*responseTimeInterval)
@@ -178,7 +178,7 @@
 // The sums of a member that has left the group do not count beside those of the members
 // that its nodes went to.
 func TestAMemberThatLeftIsNotSummedUp(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	b.learn(5 * time.Second)
 	token := b.targets[0].Token
 	core := b.leader.core
@@ -190,11 +190,11 @@
 
 // Nodes that leave a member take their samples along: the leader is told what is left.
 func TestNodesThatLeftAMemberAreNotSummedUpThere(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	b.learn(10 * time.Second)
 	token, m := b.targets[0].Token, b.reporters[0]
 	before := b.leader.core.speeds.memberSums.Total(b.now, token).Count
-	for node := 0; node < nodesOfBench; node += len(b.reporters) {
+	for node := 0; node < fixtureNodes; node += len(b.reporters) {
 		m.core.Unsubscribe(b.open(m, node))
 	}
 	b.run(speed.SweepInterval + 2*responseTimeInterval)
@@ -204,7 +204,7 @@
 
 // One node of twenty may say what it likes: it moves a target by no more than a step or two.
 func TestANodeThatLiesIsOneOfMany(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	b.learn(10 * time.Second)
 	m := b.reporters[0]
 	for range 40 {
@@ -212,7 +212,7 @@
 		for _, target := range b.targets[:6] {
 			words = append(words, speed.Report{Token: target.Token, Sums: speed.Sums{Count: 8000, Total: 16000, Squares: 32000}})
 		}
-		m.core.RecordResponseTimes(b.now, b.open(m, nodesOfBench), words)
+		m.core.RecordResponseTimes(b.now, b.open(m, fixtureNodes), words)
 		b.learn(responseTimeInterval)
 	}
 	for _, target := range b.targets[:6] {
@@ -223,7 +223,7 @@
 
 // A word of a target that is not known costs no memory.
 func TestWordsOfUnknownTargetsAreNotKept(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	m := b.reporters[0]
 	for token := range directory.Token(10_000) {
 		m.core.RecordResponseTimes(b.now, b.open(m, 1), []speed.Report{{Token: token, Sums: speed.Sums{Count: 1}}})
@@ -278,7 +278,7 @@
 // A third of the targets is slow and its answers look slow to nodes; another one is quick
 // and fails. The judge finds the one that fails.
 func TestSlowTargetsAreNotIll(t *testing.T) {
-	b := newSpeedBench(t)
+	b := newResponseTimeFixture(t)
 	sick := b.targets[0].Token
 	for range 40 {
 		for node := range 4 {
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -17,8 +17,8 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// strengthBytes are what a subscription says of the machine.
-const strengthBytes = 32
+// resourcesSize are what a subscription says of the machine.
+const resourcesSize = 32
 
 // A node of before ends its word where the strength begins, and a member of before reads
 // no further.
@@ -28,7 +28,7 @@
 	known, err := DecodeSubscribe(payload)
 	require.NoError(t, err)
 	assert.Equal(t, subscribe, known)
-	before, err := DecodeSubscribe(payload[:len(payload)-strengthBytes])
+	before, err := DecodeSubscribe(payload[:len(payload)-resourcesSize])
 	require.NoError(t, err)
 	subscribe.Strength = strength.Resources{}
 	assert.Equal(t, subscribe, before)
@@ -36,9 +36,9 @@
 	assert.Error(t, err, "half a strength")
 }
 
-// leaderOf returns a leader that nodes with strengths follow.
-func leaderOf(c *cluster, shares ...float64) *machine {
-	leader := withNodes(c, 0)
+// leaderWithShares returns a leader that nodes with strengths follow.
+func leaderWithShares(c *cluster, shares ...float64) *machine {
+	leader := leaderWithNodes(c, 0)
 	for number, share := range shares {
 		subscribe := Subscribe{Node: fmt.Sprint("edge-", number), Strength: strength.Resources{CPUShare: share}}
 		c.apply(leader, leader.core.Subscribe(c.now, ConnectionID(number+1), subscribe))
@@ -46,8 +46,8 @@
 	return leader
 }
 
-// stewardsOf counts of how many targets each node is a steward.
-func stewardsOf(core *Core, targets int) map[uint32]int {
+// countStewards counts of how many targets each node is a steward.
+func countStewards(core *Core, targets int) map[uint32]int {
 	counts := map[uint32]int{}
 	for number := range targets {
 		for _, steward := range core.stewards(fmt.Sprint("i-", number), 3, 3) {
@@ -59,9 +59,9 @@
 
 func TestStrongNodesAreStewardsMoreOften(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := leaderOf(c, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.153, 0)
+	leader := leaderWithShares(c, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.153, 0)
 	const targets = 2000
-	counts := stewardsOf(leader.core, targets)
+	counts := countStewards(leader.core, targets)
 	strong := counts[directory.NodeKey("edge-7")]
 	weak := counts[directory.NodeKey("edge-0")]
 	assert.Greater(t, strong, 2*weak, "three are drawn without putting back, so less than 3.4 times")
@@ -71,7 +71,7 @@
 // The word of one node moves only targets of its own.
 func TestAChangedStrengthMovesOnlyTheStewardsOfItsNode(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := leaderOf(c, 0.1, 0.1, 0.1, 0.1, 0.1, 0.2)
+	leader := leaderWithShares(c, 0.1, 0.1, 0.1, 0.1, 0.1, 0.2)
 	own := directory.NodeKey("edge-5")
 	before := make([][]uint32, 300)
 	for number := range before {
@@ -94,7 +94,7 @@
 
 func TestAFalseStrengthIsBoundedAndToldOnce(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := leaderOf(c, 0.1, 0.1, 0.1, 0.1, 0.1, 4000)
+	leader := leaderWithShares(c, 0.1, 0.1, 0.1, 0.1, 0.1, 4000)
 	c.run(2 * weightInterval)
 	assert.Equal(t, 1, c.events[eventlog.StrengthBounded])
 	for _, node := range leader.core.weightedNodes() {
--- a/internal/registry/targetorder_test.go
+++ b/internal/registry/targetorder_test.go
@@ -90,7 +90,7 @@
 }
 
 func TestWhatIsOrderedReachesTheNodes(t *testing.T) {
-	b := newOutcomeBench(t)
+	b := newOutcomeFixture(t)
 	m := b.reporters[0]
 	b.open(m, 1)
 	target := b.targets[4]
--- a/internal/registry/upload_test.go
+++ b/internal/registry/upload_test.go
@@ -15,7 +15,7 @@
 
 // upload is a request of many packets over a flow of its own.
 type upload struct {
-	bench *uploadBench
+	bench *uploadSimulation
 	node  *uploadNode
 	key   steer.FlowKey
 	token directory.Token
@@ -38,7 +38,7 @@
 	u.known = make([]bool, u.bench.packets)
 	u.sent = 0
 	u.ended = false
-	u.rest = uploadResend
+	u.rest = resendDelay
 	u.fill()
 	u.await()
 }
@@ -76,7 +76,7 @@
 		return
 	}
 	u.got[number] = true
-	b.after(uploadTurn, func() { u.acknowledge() })
+	b.after(uploadRoundTrip, func() { u.acknowledge() })
 }
 
 // decide gives the node a packet; a reset ends the request.
@@ -95,10 +95,10 @@
 		return
 	}
 	copy(u.known, u.got)
-	u.rest = uploadResend
+	u.rest = resendDelay
 	if u.missing() == len(u.known) {
 		u.ended = true
-		u.bench.after(uploadAnswer, u.answered)
+		u.bench.after(uploadAnswerDelay, u.answered)
 		return
 	}
 	if u.probed {
@@ -127,7 +127,7 @@
 		}
 		u.probed = true
 		u.send(u.missing())
-		u.rest = min(2*u.rest, longestResend)
+		u.rest = min(2*u.rest, maxResendDelay)
 		u.await()
 	})
 }
@@ -163,7 +163,7 @@
 // part of what they send. Living targets were held for lost hundreds of times a day.
 func TestUploadsOverNarrowLinksDoNotMakeLivingTargetsLost(t *testing.T) {
 	for seed := range uint64(5) {
-		b := newUploadBench(newCluster(t, 100+seed, 3), 6, 4, 4)
+		b := newUploadSimulation(newCluster(t, 100+seed, 3), 6, 4, 4)
 		b.packets = 34
 		b.swap = 3 * time.Millisecond
 		b.narrow = true
@@ -199,7 +199,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			var sum time.Duration
 			for seed := range uint64(deaths) {
-				sum += timeToVerdict(t, seed, test)
+				sum += timeUntilVerdict(t, seed, test)
 			}
 			mean := sum / deaths
 			t.Logf("%s: %v on average", test.name, mean)
@@ -208,9 +208,9 @@
 	}
 }
 
-// timeToVerdict returns the time from a target's death to the verdict about it.
-func timeToVerdict(t *testing.T, seed uint64, test deathCase) time.Duration {
-	b := newUploadBench(newCluster(t, 200+seed, 3), 6, 4, test.callers)
+// timeUntilVerdict returns the time from a target's death to the verdict about it.
+func timeUntilVerdict(t *testing.T, seed uint64, test deathCase) time.Duration {
+	b := newUploadSimulation(newCluster(t, 200+seed, 3), 6, 4, test.callers)
 	b.packets = test.packets
 	b.swap = test.swap
 	b.kept = test.kept
--- a/internal/registry/uploads_test.go
+++ b/internal/registry/uploads_test.go
@@ -16,19 +16,19 @@
 
 // What callers, nodes and targets do is as on the users' protocol page ("Flows").
 const (
-	uploadWindow  = 16
-	uploadPacket  = 1200
-	uploadResend  = 200 * time.Millisecond
-	longestResend = 1600 * time.Millisecond
-	uploadAnswer  = 30 * time.Millisecond
-	// uploadTurn is the time from a node to a target and back to the caller.
-	uploadTurn = 6 * time.Millisecond
+	uploadWindow      = 16
+	uploadPacket      = 1200
+	resendDelay       = 200 * time.Millisecond
+	maxResendDelay    = 1600 * time.Millisecond
+	uploadAnswerDelay = 30 * time.Millisecond
+	// uploadRoundTrip is the time from a node to a target and back to the caller.
+	uploadRoundTrip = 6 * time.Millisecond
 	// linkBytesPerSecond is a node's link of 2 Mbit/s, and linkBuffer what it holds.
-	linkBytesPerSecond = 250_000
-	linkBuffer         = 6000
-	uploadBeat         = time.Second
-	// uploadPause is the mean time between two requests of a caller.
-	uploadPause      = 200 * time.Millisecond
+	linkBytesPerSecond      = 250_000
+	linkBuffer              = 6000
+	uploadHeartbeatInterval = time.Second
+	// meanUploadPause is the mean time between two requests of a caller.
+	meanUploadPause  = 200 * time.Millisecond
 	uploadAnswerSize = 500
 )
 
@@ -53,8 +53,8 @@
 	return last
 }
 
-// uploadBench is a group with nodes whose callers send much data over narrow links.
-type uploadBench struct {
+// uploadSimulation is a group with nodes whose callers send much data over narrow links.
+type uploadSimulation struct {
 	*cluster
 	leader, follower *machine
 	random           *rand.Rand
@@ -89,8 +89,8 @@
 	drained kernel.Instant
 }
 
-func newUploadBench(c *cluster, targets, nodes, callers int) *uploadBench {
-	b := &uploadBench{cluster: c, leader: c.waitForLeader(), random: rand.New(rand.NewPCG(c.random.Uint64(), 7)), dead: map[directory.Token]bool{}}
+func newUploadSimulation(c *cluster, targets, nodes, callers int) *uploadSimulation {
+	b := &uploadSimulation{cluster: c, leader: c.waitForLeader(), random: rand.New(rand.NewPCG(c.random.Uint64(), 7)), dead: map[directory.Token]bool{}}
 	b.follower = c.machines[address(2)]
 	if b.follower == b.leader {
 		b.follower = c.machines[address(3)]
@@ -110,12 +110,12 @@
 		b.addNode(number, callers)
 	}
 	for _, target := range b.targets {
-		b.after(time.Duration(b.random.Int64N(int64(uploadBeat))), func() { b.beat(target) })
+		b.after(time.Duration(b.random.Int64N(int64(uploadHeartbeatInterval))), func() { b.beat(target) })
 	}
 	return b
 }
 
-func (b *uploadBench) addNode(number, callers int) {
+func (b *uploadSimulation) addNode(number, callers int) {
 	settings := steer.DefaultSettings()
 	settings.Name = fmt.Sprint("edge-", number)
 	settings.Random = b.random
@@ -129,13 +129,13 @@
 	}
 }
 
-func (b *uploadBench) after(delay time.Duration, act func()) {
+func (b *uploadSimulation) after(delay time.Duration, act func()) {
 	b.order++
 	heap.Push(&b.events, uploadEvent{at: b.moment.Add(delay), order: b.order, act: act})
 }
 
 // pass lets time pass for all.
-func (b *uploadBench) pass(duration time.Duration) {
+func (b *uploadSimulation) pass(duration time.Duration) {
 	for end := b.now.Add(duration); b.now < end; {
 		next := b.now.Add(stepTime)
 		for len(b.events) > 0 && b.events[0].at <= next {
@@ -148,20 +148,20 @@
 }
 
 // pause returns a caller's pause between two requests.
-func (b *uploadBench) pause() time.Duration {
-	return uploadPause/2 + time.Duration(b.random.Int64N(int64(uploadPause)))
+func (b *uploadSimulation) pause() time.Duration {
+	return meanUploadPause/2 + time.Duration(b.random.Int64N(int64(meanUploadPause)))
 }
 
-func (b *uploadBench) beat(target directory.Target) {
+func (b *uploadSimulation) beat(target directory.Target) {
 	if b.dead[target.Token] {
 		return
 	}
 	b.follower.core.RecordHeartbeat(b.now, target.Start())
-	b.after(uploadBeat, func() { b.beat(target) })
+	b.after(uploadHeartbeatInterval, func() { b.beat(target) })
 }
 
 // report passes a node's evidence on, as its process does.
-func (b *uploadBench) report(node *uploadNode) {
+func (b *uploadSimulation) report(node *uploadNode) {
 	evidence := node.core.Report(b.moment, livenessInterval)
 	message := Evidence{Answering: evidence.Answering, Openings: evidence.Openings}
 	for _, silent := range evidence.Silent {
@@ -176,7 +176,7 @@
 }
 
 // admits reports whether a node's link takes a packet.
-func (b *uploadBench) admits(node *uploadNode, size int) bool {
+func (b *uploadSimulation) admits(node *uploadNode, size int) bool {
 	node.queued = max(0, node.queued-b.moment.Sub(node.drained).Seconds()*linkBytesPerSecond)
 	node.drained = b.moment
 	if b.narrow && node.queued+float64(size) > linkBuffer {
@@ -187,20 +187,20 @@
 }
 
 // open opens a flow.
-func (b *uploadBench) open(node *uploadNode) {
+func (b *uploadSimulation) open(node *uploadNode) {
 	b.port++
 	key := steer.FlowKey{Caller: netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), b.port), Virtual: netip.MustParseAddrPort("198.18.0.1:443")}
 	b.sendOpening(node, key, 0)
 }
 
 // sendOpening sends an opening packet or its copy; dead targets answer none.
-func (b *uploadBench) sendOpening(node *uploadNode, key steer.FlowKey, copies uint32) {
+func (b *uploadSimulation) sendOpening(node *uploadNode, key steer.FlowKey, copies uint32) {
 	decision := node.core.Decide(b.moment, steer.Packet{Flow: key, Opening: true, Copy: copies})
 	require.Equal(b, steer.ActionForward, decision.Action)
 	if b.dead[decision.Target.Token] {
-		b.after(uploadResend<<copies, func() { b.sendOpening(node, key, copies+1) })
+		b.after(resendDelay<<copies, func() { b.sendOpening(node, key, copies+1) })
 		return
 	}
 	u := &upload{bench: b, node: node, key: key, token: decision.Target.Token, first: b.random.Uint32(), acknowledged: 1}
-	b.after(uploadTurn, u.begin)
+	b.after(uploadRoundTrip, u.begin)
 }
--- a/internal/registry/versions_test.go
+++ b/internal/registry/versions_test.go
@@ -14,18 +14,18 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// newReleaseBench is a group with one service, half of whose targets are of a new version
+// newTwoVersionFixture is a group with one service, half of whose targets are of a new version
 // in each zone. It returns the targets of that.
-func newReleaseBench(t *testing.T) (*outcomeBench, []directory.Token) {
-	b := &outcomeBench{cluster: newCluster(t, 5, 3), ill: map[directory.Token]bool{}}
+func newTwoVersionFixture(t *testing.T) (*outcomeFixture, []directory.Token) {
+	b := &outcomeFixture{cluster: newCluster(t, 5, 3), ill: map[directory.Token]bool{}}
 	b.leader = b.waitForLeader()
 	var newer []directory.Token
-	for number := range targetsOfBench {
+	for number := range fixtureTargets {
 		command := putTarget(fmt.Sprint("i-", number), fmt.Sprintf("10.1.1.%d:1", number+1), directory.TargetReady)
-		command.Target.Zone = fmt.Sprint("zone-", number%zonesOfTest)
+		command.Target.Zone = fmt.Sprint("zone-", number%testZones)
 		command.Target.Slots = 2
 		command.Target.Version = "v1"
-		if number >= targetsOfBench/2 {
+		if number >= fixtureTargets/2 {
 			command.Target.Version = "v2"
 		}
 		require.NoError(b, b.submit(b.leader, command).Err)
@@ -45,15 +45,15 @@
 	return b, newer
 }
 
-func (b *outcomeBench) sicken(tokens []directory.Token) {
+func (b *outcomeFixture) failTargets(tokens []directory.Token) {
 	for _, token := range tokens {
 		b.ill[token] = true
 	}
 }
 
 func TestABadVersionIsHeldAtAllMembersAndComesBack(t *testing.T) {
-	b, newer := newReleaseBench(t)
-	b.sicken(newer)
+	b, newer := newTwoVersionFixture(t)
+	b.failTargets(newer)
 	b.serve(1500 * time.Millisecond)
 	for _, m := range b.reporters {
 		assert.ElementsMatch(t, newer, b.ejected(m))
@@ -71,12 +71,12 @@
 
 // A new leader has no sums. It keeps the version held and tries it soon.
 func TestANewLeaderKeepsAVersionHeld(t *testing.T) {
-	b, newer := newReleaseBench(t)
-	b.sicken(newer)
+	b, newer := newTwoVersionFixture(t)
+	b.failTargets(newer)
 	b.serve(1500 * time.Millisecond)
 	b.kill(b.leader.address, false)
-	b.runUntil(5*time.Second, "another leader", func() bool { return b.leader2() != nil })
-	b.run(b.leader2().core.settings.LostAfter + 200*time.Millisecond)
+	b.runUntil(5*time.Second, "another leader", func() bool { return b.nextLeader() != nil })
+	b.run(b.nextLeader().core.settings.LostAfter + 200*time.Millisecond)
 	for _, m := range b.reporters {
 		assert.ElementsMatch(t, newer, m.keepalive.Verdicts.Ejected)
 	}
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -38,8 +38,8 @@
 	assert.ErrorContains(t, WarmupConfig{Rate: 1e9}.Validate("time", "rate"), "rate: ")
 }
 
-// withNodes returns a leader that some nodes follow and that states a rate.
-func withNodes(c *cluster, nodes int) *machine {
+// leaderWithNodes returns a leader that some nodes follow and that states a rate.
+func leaderWithNodes(c *cluster, nodes int) *machine {
 	leader := c.waitForLeader()
 	leader.core.settings.WarmupLimits = WarmupLimits{Factor: 1.5, Slack: 5}
 	leader.core.settings.WarmthOf = func(directory.Service) (WarmupConfig, error) {
@@ -56,7 +56,7 @@
 
 func TestAColdTargetHasStewardsUntilItIsWarm(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := withNodes(c, 10)
+	leader := leaderWithNodes(c, 10)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
 	command.Target.Warmup = &directory.Warmup{Left: time.Second}
 	command.Target.Warmup = leader.core.newWarmup(command.Target)
@@ -77,7 +77,7 @@
 // are: to it their targets are as cold as they said.
 func TestAMemberCountsColdTimeFromItsStart(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := withNodes(c, 4)
+	leader := leaderWithNodes(c, 4)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
 	command.Target.Warmup = &directory.Warmup{Left: 2 * time.Second}
 	require.NoError(t, c.submit(leader, command).Err)
@@ -96,7 +96,7 @@
 
 func TestAZoneThatIsTakenBackTellsTheWarmUpOfItsServices(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := withNodes(c, 10)
+	leader := leaderWithNodes(c, 10)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
 	command.Target.Zone = "north"
 	require.NoError(t, c.submit(leader, command).Err)
@@ -147,7 +147,7 @@
 // all nodes sent them flows.
 func TestAMemberThatIsNotCurrentRegistersNoColdTarget(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	withNodes(c, 4)
+	leaderWithNodes(c, 4)
 	name := address(1)
 	c.kill(name, true)
 	c.start(name)
--- a/internal/registry/zones_test.go
+++ b/internal/registry/zones_test.go
@@ -13,8 +13,8 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// zonesOfTest is the number of zones in which members stand by turns.
-const zonesOfTest = 3
+// testZones is the number of zones in which members stand by turns.
+const testZones = 3
 
 // newZonedCluster returns a group of members in three zones that bears the loss of
 // two disks or of one zone.
@@ -25,9 +25,9 @@
 	zones := map[string]string{}
 	c.zoneOf = func(name string) string { return zones[name] }
 	for number := range members {
-		zones[address(number+1)] = fmt.Sprint("zone-", number%zonesOfTest)
+		zones[address(number+1)] = fmt.Sprint("zone-", number%testZones)
 	}
-	for number := range seedsOfPlatform {
+	for number := range testSeeds {
 		c.seeds = append(c.seeds, address(number+1))
 	}
 	for number := range members {
@@ -72,7 +72,7 @@
 	for seed := range uint64(15) {
 		c := newZonedCluster(t, seed, 9)
 		for round := range 4 {
-			victims := c.inZone(fmt.Sprint("zone-", (round+int(seed))%zonesOfTest))
+			victims := c.inZone(fmt.Sprint("zone-", (round+int(seed))%testZones))
 			for _, name := range victims[:2] {
 				c.wipe(name)
 			}
@@ -109,7 +109,7 @@
 	for seed := range uint64(60) {
 		c := newZonedCluster(t, seed, 9)
 		for round := range 5 {
-			zone := fmt.Sprint("zone-", (round+int(seed))%zonesOfTest)
+			zone := fmt.Sprint("zone-", (round+int(seed))%testZones)
 			for _, name := range c.inZone(zone) {
 				c.kill(name, true)
 			}
