--- a/internal/registry/ejectedlost_test.go
+++ b/internal/registry/ejectedlost_test.go
@@ -14,23 +14,24 @@
 
 const (
 	deathTestNodes = 16
-	// maxDetectionTime is when a bench stops to wait for a verdict: callers have given up.
+	// maxDetectionTime is when a trial stops waiting for the verdict.
 	maxDetectionTime = 5 * time.Second
 )
 
-// detection is how long it took to hold a dead target for lost.
+// detection is the result of a trial: how long the verdict took, and whether the target was
+// ejected before it.
 type detection struct {
 	took    time.Duration
 	ejected bool
 }
 
-// timeUntilLost lets a target die whose exchanges are judged, or not.
+// timeUntilLost lets a target die, with or without outlier ejection.
 func timeUntilLost(t *testing.T, seed uint64, test deathCase, judged bool) detection {
 	b := newUploadSimulation(newCluster(t, 300+seed, 3), 6, deathTestNodes, test.callers)
 	b.packets = test.packets
-	b.kept = test.kept
-	b.judged = judged
-	b.pass(8*time.Second + time.Duration(b.random.Int64N(int64(time.Second))))
+	b.reuseFlows = test.reuseFlows
+	b.reportOutcomes = judged
+	b.advance(8*time.Second + time.Duration(b.random.Int64N(int64(time.Second))))
 	require.Zero(t, b.cluster.events[eventlog.TargetHeldLost])
 	require.Zero(t, b.cluster.events[eventlog.TargetEjected])
 	token := b.targets[0].Token
@@ -38,24 +39,24 @@
 	died := b.now
 	var seen detection
 	for !slices.Contains(b.leader.core.liveness.verdicts.Lost, token) && b.now.Sub(died) < maxDetectionTime {
-		b.pass(stepTime)
+		b.advance(stepTime)
 		seen.ejected = seen.ejected || slices.Contains(b.leader.core.liveness.verdicts.Ejected, token)
 	}
 	seen.took = b.now.Sub(died)
 	return seen
 }
 
-// A target that has died is soon ejected too, and then gets no more openings, whose
-// silence is part of the evidence that it is lost. Its open flows must be reset as soon.
-func TestADeadTargetThatIsEjectedIsHeldLostAsSoon(t *testing.T) {
+// A dead target may be ejected before it is held for lost. It then gets no openings, whose
+// silence would be evidence, but its flows must be reset as soon.
+func TestEjectionDoesNotDelayLossDetection(t *testing.T) {
 	const deaths = 10
 	cases := []deathCase{
 		{name: "few requests over new flows", packets: 1, callers: 1},
 		{name: "some requests over new flows", packets: 1, callers: 2},
 		{name: "many requests over new flows", packets: 1, callers: 8},
-		{name: "few requests over kept flows", packets: 1, kept: true, callers: 1},
+		{name: "few requests over kept flows", packets: 1, reuseFlows: true, callers: 1},
 		{name: "few uploads", packets: 34, callers: 1},
-		{name: "some requests over kept flows", packets: 1, kept: true, callers: 3},
+		{name: "some requests over kept flows", packets: 1, reuseFlows: true, callers: 3},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -78,36 +79,36 @@
 	}
 }
 
-// timeUntilLostByRule lets a target die that an operator had kept new flows from, or not.
-// A fourth of the flows is kept open for many requests.
+// timeUntilLostByRule lets a target die that an operator may have ejected before. One flow
+// in four is reused for many requests.
 func timeUntilLostByRule(t *testing.T, seed uint64, callers int, ejectedBefore bool) time.Duration {
 	b := newUploadSimulation(newCluster(t, 500+seed, 3), 6, deathTestNodes, callers)
 	b.packets = 1
-	b.mixed = true
-	b.judged = true
-	b.pass(8*time.Second + time.Duration(b.random.Int64N(int64(time.Second))))
+	b.reuseSomeFlows = true
+	b.reportOutcomes = true
+	b.advance(8*time.Second + time.Duration(b.random.Int64N(int64(time.Second))))
 	target := b.targets[0]
 	if ejectedBefore {
 		order := directory.TargetOrder{ID: target.ID, Rule: directory.RuleEjected}
 		require.NoError(t, b.submit(b.leader, directory.Command{Kind: directory.CommandOrderTarget, TargetOrder: order}).Err)
-		b.pass(500 * time.Millisecond)
+		b.advance(500 * time.Millisecond)
 		require.Contains(t, b.leader.core.liveness.verdicts.Ejected, target.Token)
 		for _, node := range b.nodes {
 			node.core.ApplyVerdicts(b.leader.core.liveness.verdicts.Verdicts)
 		}
-		b.pass(500 * time.Millisecond)
+		b.advance(500 * time.Millisecond)
 	}
 	b.dead[target.Token] = true
 	died := b.now
 	for !slices.Contains(b.leader.core.liveness.verdicts.Lost, target.Token) && b.now.Sub(died) < maxDetectionTime {
-		b.pass(stepTime)
+		b.advance(stepTime)
 	}
 	return b.now.Sub(died)
 }
 
-// The callers of an ejected target open no more flows to it; those that wait on open
-// ones must hear as soon that it is lost.
-func TestATargetThatDiesWhileItIsEjectedIsHeldLostAsSoon(t *testing.T) {
+// An ejected target gets no new flows. The loss of the target must be detected as soon for
+// callers on open ones.
+func TestEjectRuleDoesNotDelayLossDetection(t *testing.T) {
 	const deaths = 15
 	for _, callers := range []int{2, 4, 8} {
 		var sums, longest [2]time.Duration
--- a/internal/registry/evacuation_test.go
+++ b/internal/registry/evacuation_test.go
@@ -10,13 +10,13 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// evacuate gives an order at a member, as the process does.
+// evacuate submits the start or end of an evacuation at a member, as its process does.
 func (c *cluster) evacuate(m *machine, zone string, active bool) Outcome {
 	order := directory.Evacuation{Zone: zone, Active: active, Revision: m.core.State().Evacuation(zone).Revision}
 	return c.submit(m, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
 }
 
-func TestAnAcknowledgedEvacuationSurvivesLostDisksAndPower(t *testing.T) {
+func TestAcknowledgedEvacuationSurvivesDiskAndPowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		require.NoError(t, c.evacuate(c.leader(), "north", true).Err)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestEvacuationsReachMembersThatJoinLater(t *testing.T) {
+func TestEvacuationsReachNewMembers(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 1)
 	require.NoError(t, c.evacuate(c.leader(), "north", true).Err)
 	for version := range uint64(40) {
@@ -49,10 +49,9 @@
 	assert.Equal(t, "north", m.updates[0].Evacuations[0].Zone)
 }
 
-// A member that is cut off takes an order that the operator then gives elsewhere,
-// and later takes back. When the cut heals, the order that waited must not undo
-// what was acknowledged since.
-func TestAnOrderThatWaitedBehindACutUndoesNothing(t *testing.T) {
+// A command delayed at a partitioned member must not undo a later one that was acknowledged
+// elsewhere.
+func TestDelayedEvacuationDoesNotOverwriteNewer(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		leader := c.leader()
--- a/internal/registry/groupsize_test.go
+++ b/internal/registry/groupsize_test.go
@@ -10,11 +10,11 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// testSeeds is the number of seed addresses that a process is given.
+// testSeeds is the number of seed addresses of a member.
 const testSeeds = 3
 
-// newTolerantCluster returns a group of some members that should bear the loss
-// of some disks at once. Members beyond the seeds join by themselves.
+// newTolerantCluster returns a group that tolerates the loss of some disks at once. Members
+// that are not seeds join by themselves.
 func newTolerantCluster(t *testing.T, seed uint64, members, tolerance int) *cluster {
 	c := newCluster(t, seed, 0)
 	c.voterCount = 2*tolerance + 1
@@ -29,8 +29,8 @@
 	return c
 }
 
-// loseDisksAndPower wipes some members' disks while all others lose power, and
-// starts all again.
+// loseDisksAndPower wipes the disks of some members, cuts the power of all others, and
+// restarts all.
 func (c *cluster) loseDisksAndPower(disks int) {
 	names := c.names()
 	for position, index := range c.random.Perm(len(names)) {
@@ -46,9 +46,8 @@
 	}
 }
 
-// Bench run 72437ba8, day trouble-2: three members ran where two disks may be
-// lost at once, and nothing acknowledged was left.
-func TestTwoLostDisksAreBorneByFiveMembers(t *testing.T) {
+// An acknowledged write must survive the loss of two disks together with a power failure.
+func TestFiveMembersSurviveTwoLostDisks(t *testing.T) {
 	for seed := range uint64(30) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		require.NoError(t, c.publish(c.leader(), 5).Err)
@@ -60,7 +59,7 @@
 	}
 }
 
-func TestAGroupTooSmallForItsToleranceSaysSo(t *testing.T) {
+func TestTooFewVotersIsLogged(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 2)
 	assert.True(t, c.leader().core.HasTooFewVoters())
 	assert.Equal(t, 1, c.events[eventlog.GroupSizeChanged])
@@ -72,7 +71,7 @@
 	assert.Equal(t, 2, c.events[eventlog.GroupSizeChanged])
 }
 
-func TestAMemberWithoutAQuorumSaysSo(t *testing.T) {
+func TestMissingQuorumIsLogged(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 2)
 	require.NoError(t, c.publish(c.leader(), 5).Err)
 	c.loseDisksAndPower(2)
@@ -81,9 +80,9 @@
 	assert.GreaterOrEqual(t, c.events[eventlog.QuorumMissing], 2)
 }
 
-// Bench day trouble-1 of patitas-uio-now-grown: a member that had led until half a
-// second before said that it had had no leader for 17 s, its whole life.
-func TestALeadersOwnTimeIsNotTimeWithoutALeader(t *testing.T) {
+// After a leader loses its followers, its time as leader must not count as time without
+// one.
+func TestLeaderlessTimeExcludesOwnLeadership(t *testing.T) {
 	c := newTolerantCluster(t, 1, 5, 2)
 	c.run(10 * time.Second)
 	leader := c.leader()
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -96,7 +96,7 @@
 	m.nodesWithoutStrength.Set(float64(core.strengths.unstated))
 	m.nodesBounded.Set(float64(len(core.strengths.capped)))
 	m.probation.Set(float64(len(core.liveness.verdicts.Probation)))
-	m.versionsHeld.Set(float64(core.outcomes.judge.HeldVersions()))
+	m.versionsHeld.Set(float64(core.outcomes.detector.HeldVersions()))
 }
 
 // gaugeValue returns 1 for true and 0 for false.
--- a/internal/registry/openings_test.go
+++ b/internal/registry/openings_test.go
@@ -13,10 +13,10 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// targetsPerZone is the number of targets in each zone of the tests below.
+// targetsPerZone is the number of targets in each zone.
 const targetsPerZone = 10
 
-// openingFixture is a group with targets in three zones.
+// openingFixture is a group with targets in several zones.
 type openingFixture struct {
 	*cluster
 	leader, follower *machine
@@ -42,7 +42,7 @@
 	return b
 }
 
-// report gives the follower the same evidence of some nodes every 100 ms for a time.
+// report repeats the evidence of some nodes at the follower for a duration.
 func (b *openingFixture) report(duration time.Duration, nodes int, evidence Evidence) {
 	for end := b.now.Add(duration); b.now < end; b.run(livenessInterval) {
 		b.reportEvidence(b.follower, nodes, evidence)
@@ -51,7 +51,7 @@
 
 func (b *openingFixture) verdicts() directory.Verdicts { return b.follower.keepalive.Verdicts }
 
-func TestAZoneThatTakesNoOpeningPacketsIsAvoidedSoon(t *testing.T) {
+func TestRefusingZoneIsAvoided(t *testing.T) {
 	b := newOpeningFixture(t)
 	refusing := Evidence{Openings: []directory.ZoneOpenings{{Zone: "zone-1", Opened: 1, Refused: 6}, {Zone: "zone-2", Opened: 7}}}
 	b.report(300*time.Millisecond, 2, refusing)
@@ -66,9 +66,8 @@
 	assert.Empty(t, b.verdicts().AvoidedZones)
 }
 
-// Links that lose a tenth of all packets, a few targets that are down, an idle
-// deployment.
-func TestAZoneThatTakesMostOpeningPacketsIsNotAvoided(t *testing.T) {
+// Packet loss, a few targets that are down and little traffic must not make a zone avoided.
+func TestMostlyAcceptingZoneIsNotAvoided(t *testing.T) {
 	cases := map[string]directory.ZoneOpenings{
 		"lossy":        {Opened: 20, Refused: 8},
 		"half of them": {Opened: 10, Refused: 10},
@@ -84,14 +83,14 @@
 	}
 }
 
-// Under a burst all targets are full and silent: there is nowhere else to go.
-func TestWhenMostZonesRefuseNoneIsAvoided(t *testing.T) {
+// In overload the targets of all zones refuse; there is nowhere else to send flows.
+func TestNoZoneIsAvoidedWhenMostRefuse(t *testing.T) {
 	b := newOpeningFixture(t)
 	b.report(time.Second, 3, Evidence{Openings: []directory.ZoneOpenings{{Zone: "zone-0", Refused: 9}, {Zone: "zone-1", Refused: 9}}})
 	assert.Empty(t, b.verdicts().AvoidedZones)
 }
 
-func TestATargetThatRefusesIsSuspectedUntilThereIsASign(t *testing.T) {
+func TestRefusingTargetIsSuspectUntilHeartbeat(t *testing.T) {
 	b := newOpeningFixture(t)
 	token := b.tokens["zone-1"][0]
 	b.report(200*time.Millisecond, 2, Evidence{Refused: []SilentTarget{{Token: token, Weight: 1, Nodes: 1}}})
@@ -102,7 +101,7 @@
 	assert.Empty(t, b.verdicts().Suspects)
 }
 
-func TestOneNodesRefusalsAreNotEnough(t *testing.T) {
+func TestRefusalsAtOneNodeAreNotEnough(t *testing.T) {
 	b := newOpeningFixture(t)
 	token := b.tokens["zone-1"][0]
 	b.report(time.Second, 1, Evidence{Refused: []SilentTarget{{Token: token, Weight: 2, Nodes: 1}}})
@@ -110,7 +109,7 @@
 	assert.Empty(t, b.verdicts().Suspects)
 }
 
-func TestAnAnswerEndsTheSuspicionOfATargetThatRefused(t *testing.T) {
+func TestAnswerClearsRefusalSuspicion(t *testing.T) {
 	s := &targetStatus{lastHeartbeat: kernel.Instant(time.Second)}
 	now := kernel.Instant(time.Minute)
 	s.recordRefusal(now, "m1", SilentTarget{Weight: 2, Nodes: 1})
@@ -123,7 +122,7 @@
 	assert.False(t, s.isRefusing(now.Add(2)))
 }
 
-func TestOpeningPacketsOfAllNodesAreSummedUp(t *testing.T) {
+func TestOpeningTableSumsReports(t *testing.T) {
 	evidence := Evidence{
 		Refused:  []SilentTarget{{Token: 1, Weight: 2, Nodes: 1}},
 		Openings: []directory.ZoneOpenings{{Zone: "a", Opened: 1, Refused: 2}},
--- a/internal/registry/order_test.go
+++ b/internal/registry/order_test.go
@@ -14,7 +14,7 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// startMember runs a group of one member and returns its address.
+// startMember runs a group of one member and returns its process and address.
 func startMember(t *testing.T) (*Process, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -38,8 +38,9 @@
 	return process, own
 }
 
-// order gives an order until the member takes it: it needs a moment to lead.
-func order(t *testing.T, address string, wanted OperatorRequest) OperatorResponse {
+// sendRequest repeats a request until the member, which first has to become leader, handles
+// it.
+func sendRequest(t *testing.T, address string, wanted OperatorRequest) OperatorResponse {
 	t.Helper()
 	var reply OperatorResponse
 	require.Eventually(t, func() bool {
@@ -52,27 +53,27 @@
 	return reply
 }
 
-func TestOrdersOverTheMembersOwnProtocol(t *testing.T) {
+func TestEvacuationRequestsOverMemberProtocol(t *testing.T) {
 	process, address := startMember(t)
-	assert.Empty(t, order(t, address, OperatorRequest{}).Zones)
+	assert.Empty(t, sendRequest(t, address, OperatorRequest{}).Zones)
 	for id, zone := range map[string]string{"i-1": "north", "i-2": "south"} {
 		target := directory.Target{ID: id, Service: "booking", Zone: zone, Slots: 2, State: directory.TargetReady}
 		target.Address = netip.MustParseAddrPort("10.0.0." + id[2:] + ":1")
 		_, err := process.HandleHeartbeat(context.Background(), Heartbeat{Target: target})
 		require.NoError(t, err)
 	}
-	shares := order(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones
+	shares := sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones
 	require.Len(t, shares, 2)
 	assert.Equal(t, ZoneStatus{Zone: "north", Service: "booking", Targets: 1, Slots: 2, Evacuated: true}, shares[0])
 	assert.False(t, shares[1].Evacuated)
-	assert.True(t, order(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones[0].Evacuated, "given again")
-	assert.False(t, order(t, address, OperatorRequest{Action: ActionEndEvacuation, Zone: "north"}).Zones[0].Evacuated)
-	refused := order(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "west"})
+	assert.True(t, sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones[0].Evacuated, "given again")
+	assert.False(t, sendRequest(t, address, OperatorRequest{Action: ActionEndEvacuation, Zone: "north"}).Zones[0].Evacuated)
+	refused := sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "west"})
 	assert.True(t, refused.Rejected)
 	assert.Equal(t, `zone: "west" is not known`, refused.Error)
 }
 
-func TestADryRunTellsWhatTheOtherZonesBear(t *testing.T) {
+func TestDryRunEvacuationPredictsLoad(t *testing.T) {
 	shares := []ZoneStatus{
 		{Zone: "a", Service: "one", Slots: 10}, {Zone: "b", Service: "one", Slots: 10}, {Zone: "c", Service: "one", Slots: 10, Evacuated: true},
 		{Zone: "a", Service: "two", Slots: 4},
@@ -88,7 +89,7 @@
 	}, warnings)
 }
 
-func FuzzDecodeOrder(f *testing.F) {
+func FuzzDecodeOperatorRequest(f *testing.F) {
 	f.Add(OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}.frame().Payload)
 	f.Add(OperatorResponse{Error: "p", Zones: []ZoneStatus{{Zone: "a", Service: "b", Targets: 1, Slots: 2}}}.frame().Payload)
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/registry/outliers.go
+++ b/internal/registry/outliers.go
@@ -53,7 +53,7 @@
 	// spread covers the time since the last rotation, and previous the period before it.
 	spread, previous failureSpread
 	nextRotation     kernel.Instant
-	judge            *outlier.Detector
+	detector         *outlier.Detector
 	// nextJudgement is when the targets are evaluated next.
 	nextJudgement kernel.Instant
 }
@@ -66,9 +66,9 @@
 		spread:       newFailureSpread(),
 		previous:     newFailureSpread(),
 		nextRotation: now.Add(failureWindow),
-		judge:        outlier.NewDetector(),
+		detector:     outlier.NewDetector(),
 	}
-	table.judge.Restore(now, revision, verdicts.Ejected, verdicts.Probation)
+	table.detector.Restore(now, revision, verdicts.Ejected, verdicts.Probation)
 	return table
 }
 
@@ -166,7 +166,7 @@
 // recordOutcomes adds a member's sums to the leader's.
 func (c *Core) recordOutcomes(now kernel.Instant, seen observations) {
 	for _, report := range seen.Outcomes {
-		c.outcomes.judge.AddReport(now, seen.From, report)
+		c.outcomes.detector.AddReport(now, seen.From, report)
 	}
 }
 
@@ -186,7 +186,7 @@
 		}
 	})
 	c.outcomes.nextJudgement = now.Add(time.Duration(len(targets)) * judgeTimePerTarget)
-	decision := c.outcomes.judge.Decide(now, targets)
+	decision := c.outcomes.detector.Decide(now, targets)
 	next.Ejected = decision.Ejected
 	next.Probation = decision.Probation
 	for _, change := range decision.Changes {
--- a/internal/registry/room_test.go
+++ b/internal/registry/room_test.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/room"
 )
 
-// linkUsageFixture is a group whose nodes tell how their links are used.
+// linkUsageFixture is a group whose nodes report the usage of their links.
 type linkUsageFixture struct {
 	*cluster
 	leader, follower *machine
@@ -32,8 +32,8 @@
 	return b
 }
 
-// tell lets the nodes of all members that are up say the same for a time.
-func (b *linkUsageFixture) tell(duration time.Duration, word room.LinkReport) {
+// report lets the nodes of all running members repeat a report for a duration.
+func (b *linkUsageFixture) report(duration time.Duration, word room.LinkReport) {
 	for end := b.now.Add(duration); b.now < end; b.run(room.ReportInterval) {
 		for _, name := range b.names() {
 			if m := b.machines[name]; m.up {
@@ -44,7 +44,7 @@
 	}
 }
 
-func (b *linkUsageFixture) nodes(m *machine) int {
+func (b *linkUsageFixture) nodeCount(m *machine) int {
 	zones, age := m.core.LinkUsage(b.now)
 	if len(zones) == 0 || age >= room.ReportLifetime {
 		return 0
@@ -52,9 +52,9 @@
 	return zones[0].Nodes()
 }
 
-func TestEachMemberLearnsTheRoomOfAllNodes(t *testing.T) {
+func TestEveryMemberLearnsFleetLinkUsage(t *testing.T) {
 	b := newLinkUsageFixture(t)
-	b.tell(4*time.Second, room.LinkReport{Rate: 100, InPercent: 50})
+	b.report(4*time.Second, room.LinkReport{Rate: 100, InPercent: 50})
 	for _, name := range b.names() {
 		zones, _ := b.machines[name].core.LinkUsage(b.now)
 		require.Len(t, zones, 1)
@@ -63,48 +63,49 @@
 	}
 }
 
-func TestAMemberThatIsCutOffAgesOutOnBothSides(t *testing.T) {
+func TestLinkUsageExpiresOnBothSidesOfPartition(t *testing.T) {
 	b := newLinkUsageFixture(t)
-	b.tell(4*time.Second, room.LinkReport{Rate: 100})
+	b.report(4*time.Second, room.LinkReport{Rate: 100})
 	b.cut = func(from, to string) bool { return from == b.follower.address || to == b.follower.address }
-	b.tell(2*room.ReportLifetime, room.LinkReport{Rate: 100, InPercent: 10})
-	assert.Equal(t, 4, b.nodes(b.leader))
-	assert.Zero(t, b.nodes(b.follower), "its view is old")
+	b.report(2*room.ReportLifetime, room.LinkReport{Rate: 100, InPercent: 10})
+	assert.Equal(t, 4, b.nodeCount(b.leader))
+	assert.Zero(t, b.nodeCount(b.follower), "its view is old")
 	b.cut = func(string, string) bool { return false }
-	b.tell(6*time.Second, room.LinkReport{Rate: 100, InPercent: 20})
-	assert.Equal(t, 6, b.nodes(b.follower))
+	b.report(6*time.Second, room.LinkReport{Rate: 100, InPercent: 20})
+	assert.Equal(t, 6, b.nodeCount(b.follower))
 }
 
-func TestANewLeaderSumsUpAnew(t *testing.T) {
+func TestNewLeaderRebuildsLinkUsage(t *testing.T) {
 	b := newLinkUsageFixture(t)
-	b.tell(4*time.Second, room.LinkReport{Rate: 100})
+	b.report(4*time.Second, room.LinkReport{Rate: 100})
 	b.kill(b.leader.address, false)
 	b.run(2 * time.Second)
 	b.leader = b.waitForLeader()
-	b.tell(2*room.ReportLifetime, room.LinkReport{Rate: 100, InPercent: 30})
-	assert.Equal(t, 4, b.nodes(b.leader))
-	assert.Equal(t, 4, b.nodes(b.follower))
+	b.report(2*room.ReportLifetime, room.LinkReport{Rate: 100, InPercent: 30})
+	assert.Equal(t, 4, b.nodeCount(b.leader))
+	assert.Equal(t, 4, b.nodeCount(b.follower))
 }
 
-// Sums that come late or twice replace each other; one of an earlier leader is left out.
-func TestSumsThatComeLateOrTwice(t *testing.T) {
+// Late or duplicate summaries must replace earlier ones, and those of an earlier term must
+// be ignored.
+func TestLateAndDuplicateLinkUsageMessages(t *testing.T) {
 	b := newLinkUsageFixture(t)
-	b.tell(4*time.Second, room.LinkReport{Rate: 100})
+	b.report(4*time.Second, room.LinkReport{Rate: 100})
 	old := room.Message{Term: 0, Zones: []room.ZoneSummary{{Zone: "south"}}}
 	b.apply(b.follower, b.follower.core.HandleFrame(b.now, old.Frame()))
-	assert.Equal(t, 6, b.nodes(b.follower))
+	assert.Equal(t, 6, b.nodeCount(b.follower))
 	own := room.Message{Member: b.follower.address, Zones: b.follower.core.room.nodes.Summaries(b.now)}
 	for range 3 {
 		b.apply(b.leader, b.leader.core.HandleFrame(b.now, own.Frame()))
 	}
-	b.tell(3*time.Second, room.LinkReport{Rate: 100, InPercent: 1})
-	assert.Equal(t, 6, b.nodes(b.leader))
+	b.report(3*time.Second, room.LinkReport{Rate: 100, InPercent: 1})
+	assert.Equal(t, 6, b.nodeCount(b.leader))
 }
 
-func TestAZoneWhoseNodesRefuseIsAnEvent(t *testing.T) {
+func TestZoneWithRefusingNodesIsLogged(t *testing.T) {
 	b := newLinkUsageFixture(t)
-	b.tell(4*time.Second, room.LinkReport{Rate: 100, Refusing: true})
+	b.report(4*time.Second, room.LinkReport{Rate: 100, Refusing: true})
 	assert.Equal(t, 3, b.events[eventlog.ZoneShortOfRoom], "once a member")
-	b.tell(4*time.Second, room.LinkReport{Rate: 100})
+	b.report(4*time.Second, room.LinkReport{Rate: 100})
 	assert.Equal(t, 3, b.events[eventlog.ZonesHaveRoom])
 }
--- a/internal/registry/sightings.go
+++ b/internal/registry/sightings.go
@@ -4,14 +4,14 @@
 
 // statusSweepSlack is how far the number of statuses must exceed twice the number of
 // targets before those of ended targets are removed. It limits how often all are scanned.
-const sightingSlack = 64
+const statusSweepSlack = 64
 
 // removeEndedTargets removes the statuses of ended targets once enough have accumulated.
 func (c *Core) removeEndedTargets() {
-	if len(c.liveness.statuses) <= sightingSlack {
+	if len(c.liveness.statuses) <= statusSweepSlack {
 		return
 	}
-	if len(c.liveness.statuses) <= 2*c.state.TargetCount()+sightingSlack {
+	if len(c.liveness.statuses) <= 2*c.state.TargetCount()+statusSweepSlack {
 		return
 	}
 	for token := range c.liveness.statuses {
--- a/internal/registry/sightings_test.go
+++ b/internal/registry/sightings_test.go
@@ -11,9 +11,9 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// Each start of a target is a new one. What is known of those that are gone is forgotten
-// at all members, or it grows by each release until the leader changes.
-func TestSightingsOfEndedTargetsAreForgotten(t *testing.T) {
+// Every start of a target gets a new token, so that statuses of ended targets would
+// accumulate with each release.
+func TestStatusesOfEndedTargetsAreRemoved(t *testing.T) {
 	c := newCluster(t, 5, 3)
 	leader := c.waitForLeader()
 	for number := range 300 {
@@ -34,14 +34,13 @@
 		m := c.machines[name]
 		m.core.RecordHeartbeat(c.now, directory.Start{ID: "i-299"})
 		c.run(livenessInterval)
-		assert.LessOrEqual(t, len(m.core.liveness.statuses), 2+sightingSlack, name)
+		assert.LessOrEqual(t, len(m.core.liveness.statuses), 2+statusSweepSlack, name)
 		assert.Contains(t, m.core.liveness.statuses, last.Token)
 	}
 }
 
-// More than half of the living targets are never held for lost at once, however many
-// have ended before.
-func TestEndedTargetsDoNotWidenTheShareHeldForLost(t *testing.T) {
+// At most half of the living targets may be held for lost, however many have ended.
+func TestEndedTargetsDoNotRaiseLossLimit(t *testing.T) {
 	c := newCluster(t, 6, 3)
 	leader := c.waitForLeader()
 	var living []directory.Target
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -6,10 +6,10 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// doubtfulSilenceTime is the silence after which doubtful evidence counts. It exceeds the
+// unreliableSilenceTime is the silence after which doubtful evidence counts. It exceeds the
 // longest gap between two signs of life of a healthy target over congested links, plus the
 // time until the leader learns of an answer.
-const doubtfulSilenceTime = 1300 * time.Millisecond
+const unreliableSilenceTime = 1300 * time.Millisecond
 
 // silenceReport is a member's newest report that a target leaves flows unanswered.
 type silenceReport struct {
@@ -44,7 +44,7 @@
 	if meetsThreshold(sum.Weight, sum.Nodes) {
 		return true
 	}
-	return now.Sub(s.lastSeen()) >= doubtfulSilenceTime && meetsThreshold(sum.totalWeight(), sum.Reporters)
+	return now.Sub(s.lastSeen()) >= unreliableSilenceTime && meetsThreshold(sum.totalWeight(), sum.Reporters)
 }
 
 // recordSilence stores a member's newest report of silence.
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -9,9 +9,8 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// A node whose callers' data gets lost sees living targets as silent (bursts over links
-// of 2 Mbit/s, where heartbeats are late as well and answers up to a second apart).
-func TestDoubtfulEvidenceNeedsALongerSilence(t *testing.T) {
+// Nodes that lose packets of their callers see healthy targets as silent.
+func TestUnreliableEvidenceNeedsLongerSilence(t *testing.T) {
 	cases := []struct {
 		name   string
 		seen   SilentTarget
@@ -21,10 +20,10 @@
 	}{
 		{"certain", SilentTarget{Weight: 2}, 2, time.Millisecond, true},
 		{"certain, of one node", SilentTarget{Weight: 9}, 1, time.Minute, false},
-		{"doubtful, lately seen", SilentTarget{UnreliableWeight: 9}, 2, doubtfulSilenceTime - time.Millisecond, false},
-		{"doubtful", SilentTarget{UnreliableWeight: 2}, 2, doubtfulSilenceTime, true},
+		{"doubtful, lately seen", SilentTarget{UnreliableWeight: 9}, 2, unreliableSilenceTime - time.Millisecond, false},
+		{"doubtful", SilentTarget{UnreliableWeight: 2}, 2, unreliableSilenceTime, true},
 		{"doubtful, of one node", SilentTarget{UnreliableWeight: 9}, 1, time.Minute, false},
-		{"both", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, doubtfulSilenceTime, true},
+		{"both", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, unreliableSilenceTime, true},
 		{"both, lately seen", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, time.Millisecond, false},
 		{"too little", SilentTarget{UnreliableWeight: 1}, 3, time.Minute, false},
 	}
--- a/internal/registry/speeds_test.go
+++ b/internal/registry/speeds_test.go
@@ -15,24 +15,24 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// responseTimeFixture is a group whose nodes see some targets take longer than others.
+// responseTimeFixture is a group whose nodes see different response times of targets.
 type responseTimeFixture struct {
 	*outcomeFixture
-	// times are the relative times of targets, 1 where there is none.
-	times map[directory.Token]float64
-	sums  map[int]map[directory.Token]*speed.Sums
+	// timeRatios are the response times of targets relative to each other.
+	timeRatios map[directory.Token]float64
+	sums       map[int]map[directory.Token]*speed.Sums
 }
 
 func newResponseTimeFixture(t *testing.T) *responseTimeFixture {
-	b := &responseTimeFixture{outcomeFixture: newOutcomeFixture(t), times: map[directory.Token]float64{}, sums: map[int]map[directory.Token]*speed.Sums{}}
+	b := &responseTimeFixture{outcomeFixture: newOutcomeFixture(t), timeRatios: map[directory.Token]float64{}, sums: map[int]map[directory.Token]*speed.Sums{}}
 	for number, target := range b.targets {
-		b.times[target.Token] = []float64{0.6, 1, 1.7}[number%3]
+		b.timeRatios[target.Token] = []float64{0.6, 1, 1.7}[number%3]
 	}
 	return b
 }
 
-// learn lets nodes time requests and tell of them.
-func (b *responseTimeFixture) learn(duration time.Duration) {
+// reportTimes lets nodes sample response times and report them.
+func (b *responseTimeFixture) reportTimes(duration time.Duration) {
 	const spread = 0.4
 	for end := b.now.Add(duration); b.now < end; b.run(responseTimeInterval) {
 		fade := math.Exp2(-float64(responseTimeInterval) / float64(speed.HalfLife))
@@ -48,77 +48,78 @@
 					b.sums[node][target.Token] = sums
 				}
 				*sums = sums.Scaled(fade)
-				sums.Add(math.Log(b.times[target.Token]) + spread*b.random.NormFloat64())
+				sums.Add(math.Log(b.timeRatios[target.Token]) + spread*b.random.NormFloat64())
 				words = append(words, speed.Report{Token: target.Token, Sums: *sums})
 			}
 			m := b.reporters[node%len(b.reporters)]
 			if m.up {
-				m.core.RecordResponseTimes(b.now, b.open(m, node), words)
+				m.core.RecordResponseTimes(b.now, b.subscribe(m, node), words)
 			}
 		}
 	}
 }
 
-// assertTold compares what a member tells with what is true, relative to one target.
-func (b *responseTimeFixture) assertTold(m *machine, reference directory.Token) {
+// assertSteps compares the steps at a member with the true ratios, scaled by a reference
+// target.
+func (b *responseTimeFixture) assertSteps(m *machine, reference directory.Token) {
 	b.Helper()
-	usual := m.core.speeds.steps[reference].TimeRatio() / b.times[reference]
+	usual := m.core.speeds.steps[reference].TimeRatio() / b.timeRatios[reference]
 	for _, target := range b.targets {
-		assert.InEpsilon(b, b.times[target.Token]*usual, m.core.speeds.steps[target.Token].TimeRatio(), 0.25, target.ID)
+		assert.InEpsilon(b, b.timeRatios[target.Token]*usual, m.core.speeds.steps[target.Token].TimeRatio(), 0.25, target.ID)
 	}
 }
 
-func TestAllMembersKnowHowLongTargetsTake(t *testing.T) {
+func TestEveryMemberLearnsResponseTimes(t *testing.T) {
 	b := newResponseTimeFixture(t)
-	b.learn(10 * time.Second)
+	b.reportTimes(10 * time.Second)
 	for _, m := range b.machines {
-		b.assertTold(m, b.targets[1].Token)
+		b.assertSteps(m, b.targets[1].Token)
 	}
 	assert.Equal(t, 1, b.events[eventlog.SpeedsDiffer])
 }
 
-func TestEqualTargetsCostNothing(t *testing.T) {
+func TestEqualTargetsNeedNoSteps(t *testing.T) {
 	b := newResponseTimeFixture(t)
 	for _, target := range b.targets {
-		b.times[target.Token] = 1
+		b.timeRatios[target.Token] = 1
 	}
-	b.learn(20 * time.Second)
+	b.reportTimes(20 * time.Second)
 	for _, m := range b.machines {
 		assert.LessOrEqual(t, len(m.core.speeds.steps), 2)
 	}
 	assert.Zero(t, b.events[eventlog.SpeedsDiffer])
 }
 
-// A new leader has no sums; until it has heard of all members, what was told before holds.
-func TestALeaderChangeKeepsWhatIsKnown(t *testing.T) {
+// A new leader has no sums. The previous steps must hold until all members have reported.
+func TestLeaderChangeKeepsSteps(t *testing.T) {
 	b := newResponseTimeFixture(t)
-	b.learn(10 * time.Second)
+	b.reportTimes(10 * time.Second)
 	b.kill(b.leader.address, false)
 	next := b.waitForLeader()
 	for range 20 {
-		b.learn(responseTimeInterval)
+		b.reportTimes(responseTimeInterval)
 		for _, m := range b.reporters {
-			b.assertTold(m, b.targets[1].Token)
+			b.assertSteps(m, b.targets[1].Token)
 		}
 	}
 	assert.Greater(t, next.core.speeds.term, b.leader.core.speeds.term)
-	b.times[b.targets[0].Token] = 3
-	b.learn(40 * time.Second)
-	b.assertTold(b.reporters[0], b.targets[1].Token)
+	b.timeRatios[b.targets[0].Token] = 3
+	b.reportTimes(40 * time.Second)
+	b.assertSteps(b.reporters[0], b.targets[1].Token)
 }
 
-func TestATargetThatChangesItsSpeedIsToldAnew(t *testing.T) {
+func TestChangedResponseTimeUpdatesStep(t *testing.T) {
 	b := newResponseTimeFixture(t)
-	b.learn(10 * time.Second)
-	b.times[b.targets[0].Token] = 2
-	b.learn(40 * time.Second)
-	b.assertTold(b.reporters[0], b.targets[1].Token)
+	b.reportTimes(10 * time.Second)
+	b.timeRatios[b.targets[0].Token] = 2
+	b.reportTimes(40 * time.Second)
+	b.assertSteps(b.reporters[0], b.targets[1].Token)
 }
 
-// A target that starts again under its ID may be another machine.
-func TestANewStartIsNotMeasuredByTheOldOne(t *testing.T) {
+// A target that restarts under the same ID may run on another machine.
+func TestRestartedTargetStartsWithoutStep(t *testing.T) {
 	b := newResponseTimeFixture(t)
-	b.learn(10 * time.Second)
+	b.reportTimes(10 * time.Second)
 	old := b.targets[2]
 	command := putTarget(old.ID, old.Address.String(), directory.TargetReady)
 	command.Target.Zone = old.Zone
@@ -130,20 +131,20 @@
 	for _, m := range b.reporters {
 		assert.Zero(t, m.core.speeds.steps[started.Token])
 	}
-	b.learn(2 * speed.SweepInterval)
+	b.reportTimes(2 * speed.SweepInterval)
 	for _, m := range b.reporters {
 		assert.Zero(t, m.core.speeds.steps[old.Token], "it has ended")
 	}
 }
 
-// A member that missed the leader's word that a target takes the usual time does not keep
-// the old one for good, nor do its nodes; what the leader tells again stays.
-func TestALostWordOfAUsualTimeIsMadeUpFor(t *testing.T) {
+// A member that missed a reset to the usual time must not keep the old step forever. Steps
+// that the leader refreshes stay.
+func TestStepExpiresAfterLostReset(t *testing.T) {
 	b := newResponseTimeFixture(t)
 	for number, target := range b.targets {
-		b.times[target.Token] = []float64{0.6, 1.7}[number%2]
+		b.timeRatios[target.Token] = []float64{0.6, 1.7}[number%2]
 	}
-	b.learn(10 * time.Second)
+	b.reportTimes(10 * time.Second)
 	m := b.reporters[0].core
 	told := b.targets[1].Token
 	missed := b.targets[2].Token
@@ -161,12 +162,12 @@
 	assert.Contains(t, m.speeds.unsentSteps.tokens, missed, "nodes are told")
 }
 
-// All that is told is told again before members would forget it.
-func TestWhatIsToldIsHeardAgain(t *testing.T) {
+// All steps must be repeated before members drop them.
+func TestStepsAreRefreshed(t *testing.T) {
 	b := newResponseTimeFixture(t)
-	b.learn(10 * time.Second)
+	b.reportTimes(10 * time.Second)
 	from := b.now
-	b.learn(stepRefreshInterval + 2*responseTimeInterval)
+	b.reportTimes(stepRefreshInterval + 2*responseTimeInterval)
 	for _, m := range b.machines {
 		require.NotEmpty(t, m.core.speeds.steps)
 		for token := range m.core.speeds.steps {
@@ -175,65 +176,64 @@
 	}
 }
 
-// The sums of a member that has left the group do not count beside those of the members
-// that its nodes went to.
-func TestAMemberThatLeftIsNotSummedUp(t *testing.T) {
+// Sums of a departed member would count twice once its nodes report to other members.
+func TestSumsOfDepartedMemberAreRemoved(t *testing.T) {
 	b := newResponseTimeFixture(t)
-	b.learn(5 * time.Second)
+	b.reportTimes(5 * time.Second)
 	token := b.targets[0].Token
 	core := b.leader.core
 	core.recordSums(b.now, "gone", []speed.Report{{Token: token, Sums: speed.Sums{Count: 1000, Total: 1000, Squares: 1000}}})
 	require.Greater(t, core.speeds.memberSums.Total(b.now, token).Count, 1000.0)
-	b.learn(speed.SweepInterval)
+	b.reportTimes(speed.SweepInterval)
 	assert.Less(t, core.speeds.memberSums.Total(b.now, token).Count, 500.0)
 }
 
-// Nodes that leave a member take their samples along: the leader is told what is left.
-func TestNodesThatLeftAMemberAreNotSummedUpThere(t *testing.T) {
+// Samples of nodes that left a member must leave the leader's sums too.
+func TestSumsOfDepartedNodesAreRemoved(t *testing.T) {
 	b := newResponseTimeFixture(t)
-	b.learn(10 * time.Second)
+	b.reportTimes(10 * time.Second)
 	token, m := b.targets[0].Token, b.reporters[0]
 	before := b.leader.core.speeds.memberSums.Total(b.now, token).Count
 	for node := 0; node < fixtureNodes; node += len(b.reporters) {
-		m.core.Unsubscribe(b.open(m, node))
+		m.core.Unsubscribe(b.subscribe(m, node))
 	}
 	b.run(speed.SweepInterval + 2*responseTimeInterval)
 	most := 1 - 1/float64(len(b.reporters))
 	assert.Less(t, b.leader.core.speeds.memberSums.Total(b.now, token).Count, most*before)
 }
 
-// One node of twenty may say what it likes: it moves a target by no more than a step or two.
-func TestANodeThatLiesIsOneOfMany(t *testing.T) {
+// A single node with false reports must move a step only slightly.
+func TestFaultyNodeBarelyMovesSteps(t *testing.T) {
 	b := newResponseTimeFixture(t)
-	b.learn(10 * time.Second)
+	b.reportTimes(10 * time.Second)
 	m := b.reporters[0]
 	for range 40 {
 		var words []speed.Report
 		for _, target := range b.targets[:6] {
 			words = append(words, speed.Report{Token: target.Token, Sums: speed.Sums{Count: 8000, Total: 16000, Squares: 32000}})
 		}
-		m.core.RecordResponseTimes(b.now, b.open(m, fixtureNodes), words)
-		b.learn(responseTimeInterval)
+		m.core.RecordResponseTimes(b.now, b.subscribe(m, fixtureNodes), words)
+		b.reportTimes(responseTimeInterval)
 	}
 	for _, target := range b.targets[:6] {
 		told := m.core.speeds.steps[target.Token].TimeRatio() / m.core.speeds.steps[b.targets[7].Token].TimeRatio()
-		assert.InEpsilon(t, b.times[target.Token]/b.times[b.targets[7].Token], told, 0.3)
+		assert.InEpsilon(t, b.timeRatios[target.Token]/b.timeRatios[b.targets[7].Token], told, 0.3)
 	}
 }
 
-// A word of a target that is not known costs no memory.
-func TestWordsOfUnknownTargetsAreNotKept(t *testing.T) {
+// Reports of unknown targets must not take memory.
+func TestReportsOfUnknownTargetsAreIgnored(t *testing.T) {
 	b := newResponseTimeFixture(t)
 	m := b.reporters[0]
 	for token := range directory.Token(10_000) {
-		m.core.RecordResponseTimes(b.now, b.open(m, 1), []speed.Report{{Token: token, Sums: speed.Sums{Count: 1}}})
+		m.core.RecordResponseTimes(b.now, b.subscribe(m, 1), []speed.Report{{Token: token, Sums: speed.Sums{Count: 1}}})
 	}
 	assert.Empty(t, m.core.speeds.nodeSums.Tokens())
 }
 
-// The load: 36,000 targets that all change all the time. What a node is told stays under
-// 3 kB/s, also while it is new, and it knows all of them within ten minutes.
-func TestANodeIsToldOfManyTargetsInFewBytes(t *testing.T) {
+// Even if all of 36,000 targets change constantly, a node must get at most 3 kB/s and still
+// learn all of them within ten minutes.
+func TestStepMessagesToNodesAreLimited(t *testing.T) {
 	const (
 		targets, limit = 36_000, 3000
 		first, late    = 7, 8
@@ -275,9 +275,8 @@
 	assert.Len(t, known[late], targets)
 }
 
-// A third of the targets is slow and its answers look slow to nodes; another one is quick
-// and fails. The judge finds the one that fails.
-func TestSlowTargetsAreNotIll(t *testing.T) {
+// Only the failing target must be ejected, not the slow ones.
+func TestSlowTargetsAreNotEjected(t *testing.T) {
 	b := newResponseTimeFixture(t)
 	sick := b.targets[0].Token
 	for range 40 {
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -113,18 +113,18 @@
 		p.logger.Event(eventlog.BadFrame, "connection", connection, "err", err)
 		return
 	}
-	p.inputs.Push(strengthInput{connection: connection, stated: subscribe.Strength})
+	p.inputs.Push(strengthInput{connection: connection, resources: subscribe.Strength})
 }
 
 type strengthInput struct {
 	connection ConnectionID
-	stated     strength.Resources
+	resources  strength.Resources
 }
 
 func (i strengthInput) handle(p *Process, _ kernel.Instant) Output {
-	p.heartbeatDistributor.SetStrength(uint64(i.connection), i.stated)
+	p.heartbeatDistributor.SetStrength(uint64(i.connection), i.resources)
 	if p.core == nil {
 		return Output{}
 	}
-	return p.core.UpdateStrength(i.connection, i.stated)
+	return p.core.UpdateStrength(i.connection, i.resources)
 }
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -17,12 +17,11 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// resourcesSize are what a subscription says of the machine.
+// resourcesSize is the encoded size of the strength at the end of a subscription.
 const resourcesSize = 32
 
-// A node of before ends its word where the strength begins, and a member of before reads
-// no further.
-func TestASubscriptionOfBeforeStatesNoStrength(t *testing.T) {
+// Subscriptions of older nodes end before the strength.
+func TestSubscriptionWithoutStrength(t *testing.T) {
 	subscribe := Subscribe{Node: "edge-1", Zone: "north", HeartbeatAddress: "10.0.0.1:1", CachesVerdicts: true, Strength: strength.Resources{CPUShare: 0.25, CPUCores: 2}}
 	payload := subscribe.Frame().Payload
 	known, err := DecodeSubscribe(payload)
@@ -36,7 +35,7 @@
 	assert.Error(t, err, "half a strength")
 }
 
-// leaderWithShares returns a leader that nodes with strengths follow.
+// leaderWithShares returns a leader with subscribed nodes that state these CPU shares.
 func leaderWithShares(c *cluster, shares ...float64) *machine {
 	leader := leaderWithNodes(c, 0)
 	for number, share := range shares {
@@ -46,7 +45,7 @@
 	return leader
 }
 
-// countStewards counts of how many targets each node is a steward.
+// countStewards counts for how many targets each node is a steward.
 func countStewards(core *Core, targets int) map[uint32]int {
 	counts := map[uint32]int{}
 	for number := range targets {
@@ -57,7 +56,7 @@
 	return counts
 }
 
-func TestStrongNodesAreStewardsMoreOften(t *testing.T) {
+func TestStrongNodesAreChosenMoreOften(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := leaderWithShares(c, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.153, 0)
 	const targets = 2000
@@ -68,8 +67,8 @@
 	assert.InDelta(t, weak, counts[directory.NodeKey("edge-8")], targets/15, "one that states none counts as the middle one")
 }
 
-// The word of one node moves only targets of its own.
-func TestAChangedStrengthMovesOnlyTheStewardsOfItsNode(t *testing.T) {
+// A node with a lower strength must not take targets from other nodes.
+func TestStrengthChangeKeepsOtherStewards(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := leaderWithShares(c, 0.1, 0.1, 0.1, 0.1, 0.1, 0.2)
 	own := directory.NodeKey("edge-5")
@@ -92,7 +91,7 @@
 	assert.Equal(t, 1, c.events[eventlog.StrengthChanged], "the same word, and one of no node")
 }
 
-func TestAFalseStrengthIsBoundedAndToldOnce(t *testing.T) {
+func TestImplausibleStrengthIsCappedAndLoggedOnce(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := leaderWithShares(c, 0.1, 0.1, 0.1, 0.1, 0.1, 4000)
 	c.run(2 * weightInterval)
@@ -109,8 +108,8 @@
 	assert.Empty(t, leader.core.strengths.capped)
 }
 
-// Nodes come, go, come again over another connection and state other strengths.
-func TestWeightsFollowTheNodes(t *testing.T) {
+// Nodes subscribe, leave, reconnect and change their strength in random order.
+func TestWeightsMatchSubscribedNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core := &Core{nodes: map[ConnectionID]*subscription{}, state: directory.New()}
 		for range 60 {
@@ -141,7 +140,7 @@
 	})
 }
 
-func TestADiskThatFillsIsToldBeforeItIsFull(t *testing.T) {
+func TestFillingDiskIsDetected(t *testing.T) {
 	process := NewProcess(Settings{Name: "core-1", DataFolder: t.TempDir()}, eventlog.Discard())
 	core, disk, err := process.openCore()
 	require.NoError(t, err)
@@ -159,8 +158,8 @@
 	assert.NoError(t, disk.Close())
 }
 
-// A node says that its machine has changed over the connection that it has.
-func TestAChangedStrengthComesOverTheConnection(t *testing.T) {
+// A node states a changed strength over its open connection.
+func TestStrengthChangeOverOpenConnection(t *testing.T) {
 	process := NewProcess(Settings{Name: "core-1", HeartbeatOptions: []heartbeat.DistributorOption{heartbeat.WithLocalRate(0)}}, eventlog.Discard())
 	for connection, address := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
 		process.heartbeatDistributor.AddNode(uint64(connection), "north", address)
--- a/internal/registry/targetorder_test.go
+++ b/internal/registry/targetorder_test.go
@@ -13,13 +13,13 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// orderTarget gives an order at a member, as the process does.
-func (c *cluster) orderTarget(m *machine, id string, rule directory.TargetRule) Outcome {
+// setTargetRule submits a rule at a member, as its process does.
+func (c *cluster) setTargetRule(m *machine, id string, rule directory.TargetRule) Outcome {
 	order := directory.TargetOrder{ID: id, Rule: rule, Revision: m.core.State().TargetOrder(id).Revision}
 	return c.submit(m, directory.Command{Kind: directory.CommandOrderTarget, TargetOrder: order})
 }
 
-func TestOrdersAboutTargetsOverTheMembersOwnProtocol(t *testing.T) {
+func TestTargetRequestsOverMemberProtocol(t *testing.T) {
 	process, address := startMember(t)
 	for id, zone := range map[string]string{"i-1": "north", "i-2": "south", "i-3": "south"} {
 		target := directory.Target{ID: id, Service: "booking", Zone: zone, Slots: 2, State: directory.TargetReady}
@@ -29,23 +29,23 @@
 			return err == nil
 		}, 10*time.Second, 20*time.Millisecond)
 	}
-	ejected := order(t, address, OperatorRequest{Action: ActionEjectTarget, Target: "i-1"}).Targets
+	ejected := sendRequest(t, address, OperatorRequest{Action: ActionEjectTarget, Target: "i-1"}).Targets
 	expected := TargetStatus{ID: "i-1", Service: "booking", Zone: "north", Slots: 2, Rule: directory.RuleEjected, Ejected: true}
 	assert.Equal(t, []TargetStatus{expected}, ejected)
-	assert.Equal(t, ejected, order(t, address, OperatorRequest{}).Targets, "listed")
-	exempt := order(t, address, OperatorRequest{Action: ActionExemptTarget, Target: "i-1"}).Targets
+	assert.Equal(t, ejected, sendRequest(t, address, OperatorRequest{}).Targets, "listed")
+	exempt := sendRequest(t, address, OperatorRequest{Action: ActionExemptTarget, Target: "i-1"}).Targets
 	require.Len(t, exempt, 1)
 	assert.Equal(t, directory.RuleExempt, exempt[0].Rule)
-	order(t, address, OperatorRequest{Action: ActionReadmitTarget, Target: "i-1"})
-	readmitted := func() bool { return len(order(t, address, OperatorRequest{}).Targets) == 0 }
+	sendRequest(t, address, OperatorRequest{Action: ActionReadmitTarget, Target: "i-1"})
+	readmitted := func() bool { return len(sendRequest(t, address, OperatorRequest{}).Targets) == 0 }
 	assert.Eventually(t, readmitted, 5*time.Second, 20*time.Millisecond, "with the next verdicts")
-	assert.Len(t, order(t, address, OperatorRequest{Target: "i-2"}).Targets, 1, "named, though as usual")
-	refused := order(t, address, OperatorRequest{Action: ActionEjectTarget, Target: "i-9"})
+	assert.Len(t, sendRequest(t, address, OperatorRequest{Target: "i-2"}).Targets, 1, "named, though as usual")
+	refused := sendRequest(t, address, OperatorRequest{Action: ActionEjectTarget, Target: "i-9"})
 	assert.True(t, refused.Rejected)
 	assert.Equal(t, `target: "i-9" is not known or has ended`, refused.Error)
 }
 
-func TestADryRunTellsWhatTheOtherTargetsBear(t *testing.T) {
+func TestDryRunTargetPredictsLoad(t *testing.T) {
 	reply := OperatorResponse{
 		Zones: []ZoneStatus{{Zone: "a", Service: "one", Slots: 6}, {Zone: "b", Service: "one", Slots: 6}, {Zone: "c", Service: "one", Slots: 9, Evacuated: true}},
 		Targets: []TargetStatus{
@@ -68,15 +68,15 @@
 	assert.Equal(t, []string{"service one: load on the other targets rises by a factor of 1.6"}, warnings)
 }
 
-func TestAnAcknowledgedOrderAboutATargetSurvivesLostDisksAndPower(t *testing.T) {
+func TestAcknowledgedTargetRuleSurvivesDiskAndPowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		leader := c.leader()
 		require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 		require.NoError(t, c.submit(leader, putTarget("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
-		require.NoError(t, c.orderTarget(leader, "i-1", directory.RuleEjected).Err)
-		require.NoError(t, c.orderTarget(leader, "i-2", directory.RuleEjected).Err)
-		require.NoError(t, c.orderTarget(leader, "i-2", directory.RuleJudged).Err)
+		require.NoError(t, c.setTargetRule(leader, "i-1", directory.RuleEjected).Err)
+		require.NoError(t, c.setTargetRule(leader, "i-2", directory.RuleEjected).Err)
+		require.NoError(t, c.setTargetRule(leader, "i-2", directory.RuleJudged).Err)
 		c.loseDisksAndPower(2)
 		leader = c.waitForLeader()
 		_, err := c.read(leader)
@@ -89,29 +89,29 @@
 	}
 }
 
-func TestWhatIsOrderedReachesTheNodes(t *testing.T) {
+func TestTargetRulesReachNodes(t *testing.T) {
 	b := newOutcomeFixture(t)
 	m := b.reporters[0]
-	b.open(m, 1)
+	b.subscribe(m, 1)
 	target := b.targets[4]
-	require.NoError(t, b.orderTarget(m, target.ID, directory.RuleEjected).Err)
+	require.NoError(t, b.setTargetRule(m, target.ID, directory.RuleEjected).Err)
 	b.run(200 * time.Millisecond)
 	assert.Equal(t, []directory.Token{target.Token}, b.ejected(m))
 	assert.Zero(t, b.events[eventlog.TargetEjected])
 	assert.Equal(t, 3, b.events[eventlog.TargetOrderInForce])
-	require.NoError(t, b.orderTarget(m, target.ID, directory.RuleJudged).Err)
+	require.NoError(t, b.setTargetRule(m, target.ID, directory.RuleJudged).Err)
 	b.run(200 * time.Millisecond)
 	assert.Empty(t, b.ejected(m))
-	b.serve(3 * time.Second)
-	require.NoError(t, b.orderTarget(m, target.ID, directory.RuleExempt).Err)
-	b.ill[target.Token] = true
-	b.serve(3 * time.Second)
+	b.reportExchanges(3 * time.Second)
+	require.NoError(t, b.setTargetRule(m, target.ID, directory.RuleExempt).Err)
+	b.failing[target.Token] = true
+	b.reportExchanges(3 * time.Second)
 	assert.Empty(t, b.ejected(m))
 }
 
-// A member that is cut off takes an order that the operator then gives elsewhere, and
-// later ends.
-func TestAnOrderAboutATargetThatWaitedBehindACutUndoesNothing(t *testing.T) {
+// A rule delayed at a partitioned member must not undo a later one that was acknowledged
+// elsewhere.
+func TestDelayedTargetRuleDoesNotOverwriteNewer(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		leader := c.leader()
@@ -128,8 +128,8 @@
 		ticket, output := behind.core.Submit(c.now, directory.Command{Kind: directory.CommandOrderTarget, TargetOrder: order})
 		c.apply(behind, output)
 		c.run(100 * time.Millisecond)
-		require.NoError(t, c.orderTarget(leader, "i-1", directory.RuleEjected).Err)
-		require.NoError(t, c.orderTarget(leader, "i-1", directory.RuleJudged).Err)
+		require.NoError(t, c.setTargetRule(leader, "i-1", directory.RuleEjected).Err)
+		require.NoError(t, c.setTargetRule(leader, "i-1", directory.RuleJudged).Err)
 		c.cut = func(string, string) bool { return false }
 		c.runUntil(3*time.Second, "an outcome", func() bool { _, done := behind.outcomes[ticket]; return done })
 		c.run(time.Second)
@@ -139,8 +139,8 @@
 	}
 }
 
-// Orders and answers of versions that knew none about targets are read.
-func TestOrdersWithoutTargetsAreRead(t *testing.T) {
+// Requests and responses of older versions lack the fields about targets.
+func TestDecodeRequestsOfOlderClients(t *testing.T) {
 	const emptyField = 4
 	payload := OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}.frame().Payload
 	decoded, err := decodeOperatorRequest(payload[:len(payload)-emptyField])
--- a/internal/registry/upload_test.go
+++ b/internal/registry/upload_test.go
@@ -13,7 +13,7 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// upload is a request of many packets over a flow of its own.
+// upload is a request of many packets, on a flow of its own unless flows are reused.
 type upload struct {
 	bench *uploadSimulation
 	node  *uploadNode
@@ -21,39 +21,40 @@
 	token directory.Token
 	// acknowledged is the caller's last acknowledgement.
 	acknowledged uint32
-	// first is the position of the first packet; positions wrap.
+	// first is the sequence number of the first packet; it may wrap.
 	first uint32
-	// got tells which packets the target has, and known which the caller knows of.
-	got, known []bool
-	sent       int
-	rest       time.Duration
-	rests      int
-	// probed is set after a packet that was sent again until the next acknowledgement.
-	probed bool
-	ended  bool
+	// received are the packets that the target has, and confirmed those that the caller
+	// knows it has.
+	received, confirmed []bool
+	sent                int
+	resendAfter         time.Duration
+	timer               int
+	// retransmitted is set from a retransmission until the next acknowledgement.
+	retransmitted bool
+	ended         bool
 }
 
 func (u *upload) begin() {
-	u.got = make([]bool, u.bench.packets)
-	u.known = make([]bool, u.bench.packets)
+	u.received = make([]bool, u.bench.packets)
+	u.confirmed = make([]bool, u.bench.packets)
 	u.sent = 0
 	u.ended = false
-	u.rest = resendDelay
+	u.resendAfter = resendDelay
 	u.fill()
 	u.await()
 }
 
-// missing returns the first packet without an acknowledgement.
+// missing returns the first unconfirmed packet.
 func (u *upload) missing() int {
-	if at := slices.Index(u.known, false); at >= 0 {
+	if at := slices.Index(u.confirmed, false); at >= 0 {
 		return at
 	}
-	return len(u.known)
+	return len(u.confirmed)
 }
 
-// fill sends what the window takes.
+// fill sends as many packets as the window allows.
 func (u *upload) fill() {
-	limit := min(u.missing()+uploadWindow, len(u.known))
+	limit := min(u.missing()+uploadWindow, len(u.confirmed))
 	for ; u.sent < limit; u.sent++ {
 		u.send(u.sent)
 	}
@@ -62,26 +63,26 @@
 func (u *upload) send(number int) {
 	b := u.bench
 	late := time.Duration(0)
-	if b.swap > 0 {
-		late = time.Duration(b.random.Int64N(int64(b.swap)))
+	if b.reorderDelay > 0 {
+		late = time.Duration(b.random.Int64N(int64(b.reorderDelay)))
 	}
-	b.after(late, func() { u.pass(number) })
+	b.schedule(late, func() { u.deliver(number) })
 }
 
-// pass lets a packet come to the node, and over its link to the target.
-func (u *upload) pass(number int) {
+// deliver passes a packet to the node and over its link to the target.
+func (u *upload) deliver(number int) {
 	b := u.bench
 	packet := steer.Packet{Flow: u.key, Token: u.token, Acknowledged: u.acknowledged, Size: uploadPacket, Sequence: u.first + uint32(number*uploadPacket)}
-	if u.decide(packet) != steer.ActionForward || !b.admits(u.node, uploadPacket) || b.dead[u.token] {
+	if u.decide(packet) != steer.ActionForward || !b.linkAccepts(u.node, uploadPacket) || b.dead[u.token] {
 		return
 	}
-	u.got[number] = true
-	b.after(uploadRoundTrip, func() { u.acknowledge() })
+	u.received[number] = true
+	b.schedule(uploadRoundTrip, func() { u.acknowledge() })
 }
 
-// decide gives the node a packet; a reset ends the request.
+// decide passes a packet to the node's core; a reset ends the request.
 func (u *upload) decide(packet steer.Packet) steer.Action {
-	decision := u.node.core.Decide(u.bench.moment, packet)
+	decision := u.node.core.Decide(u.bench.eventTime, packet)
 	if decision.Action == steer.ActionReset && !u.ended {
 		u.bench.resets++
 		u.end()
@@ -89,20 +90,20 @@
 	return decision.Action
 }
 
-// acknowledge tells the caller what the target has.
+// acknowledge updates what the caller knows and sends more packets.
 func (u *upload) acknowledge() {
-	if u.ended || slices.Equal(u.got, u.known) {
+	if u.ended || slices.Equal(u.received, u.confirmed) {
 		return
 	}
-	copy(u.known, u.got)
-	u.rest = resendDelay
-	if u.missing() == len(u.known) {
+	copy(u.confirmed, u.received)
+	u.resendAfter = resendDelay
+	if u.missing() == len(u.confirmed) {
 		u.ended = true
-		u.bench.after(uploadAnswerDelay, u.answered)
+		u.bench.schedule(uploadAnswerDelay, u.answered)
 		return
 	}
-	if u.probed {
-		u.probed = false
+	if u.retransmitted {
+		u.retransmitted = false
 		u.sendMissing()
 	}
 	u.fill()
@@ -111,28 +112,29 @@
 
 func (u *upload) sendMissing() {
 	for number := range u.sent {
-		if !u.known[number] {
+		if !u.confirmed[number] {
 			u.send(number)
 		}
 	}
 }
 
-// await waits for the next acknowledgement, and sends the first missing packet again.
+// await starts the retransmission timer for the first missing packet.
 func (u *upload) await() {
-	u.rests++
-	rests := u.rests
-	u.bench.after(u.rest, func() {
-		if u.ended || u.rests != rests {
+	u.timer++
+	rests := u.timer
+	u.bench.schedule(u.resendAfter, func() {
+		if u.ended || u.timer != rests {
 			return
 		}
-		u.probed = true
+		u.retransmitted = true
 		u.send(u.missing())
-		u.rest = min(2*u.rest, maxResendDelay)
+		u.resendAfter = min(2*u.resendAfter, maxResendDelay)
 		u.await()
 	})
 }
 
-// answered lets the caller acknowledge the target's answer.
+// answered lets the caller acknowledge the target's answer, and then reuse or close the
+// flow.
 func (u *upload) answered() {
 	b := u.bench
 	if b.dead[u.token] {
@@ -143,9 +145,9 @@
 	u.acknowledged += uploadAnswerSize
 	packet := steer.Packet{Flow: u.key, Token: u.token, Acknowledged: u.acknowledged}
 	u.decide(packet)
-	if b.kept || b.mixed && u.key.Caller.Port()%4 == 0 {
+	if b.reuseFlows || b.reuseSomeFlows && u.key.Caller.Port()%4 == 0 {
 		u.first += uint32(b.packets * uploadPacket)
-		b.after(b.pause(), u.begin)
+		b.schedule(b.pause(), u.begin)
 		return
 	}
 	packet.Closing = true
@@ -153,39 +155,39 @@
 	u.end()
 }
 
-// end lets the caller begin its next request after a pause.
+// end ends the request and schedules the caller's next one.
 func (u *upload) end() {
 	u.ended = true
-	u.bench.after(u.bench.pause(), func() { u.bench.open(u.node) })
+	u.bench.schedule(u.bench.pause(), func() { u.bench.openFlow(u.node) })
 }
 
-// Callers that send much data acknowledge nothing meanwhile, and narrow links drop
-// part of what they send. Living targets were held for lost hundreds of times a day.
-func TestUploadsOverNarrowLinksDoNotMakeLivingTargetsLost(t *testing.T) {
+// During uploads callers acknowledge nothing and congested links drop packets, which must
+// not make healthy targets look silent.
+func TestUploadsOverCongestedLinksCauseNoFalseLoss(t *testing.T) {
 	for seed := range uint64(5) {
 		b := newUploadSimulation(newCluster(t, 100+seed, 3), 6, 4, 4)
 		b.packets = 34
-		b.swap = 3 * time.Millisecond
-		b.narrow = true
-		b.pass(20 * time.Second)
+		b.reorderDelay = 3 * time.Millisecond
+		b.limitLinks = true
+		b.advance(20 * time.Second)
 		assert.Zero(t, b.cluster.events[eventlog.TargetHeldLost], "seed %d", seed)
 		assert.Greater(t, b.finished, 100, "seed %d", seed)
 	}
 }
 
-// deathCase is a way in which callers use a target that dies.
+// deathCase is a traffic pattern under which a target dies.
 type deathCase struct {
-	name    string
-	packets int
-	kept    bool
-	swap    time.Duration
-	callers int
-	narrow  bool
-	// within is the longest mean time from a death to the verdict.
-	within time.Duration
+	name         string
+	packets      int
+	reuseFlows   bool
+	reorderDelay time.Duration
+	callers      int
+	limitLinks   bool
+	// maxMean is the upper bound on the mean time from a death to the verdict.
+	maxMean time.Duration
 }
 
-func TestADeadTargetIsFoundAsFastUnderUploads(t *testing.T) {
+func TestLossDetectionTimeUnderUploads(t *testing.T) {
 	const deaths = 20
 	cases := []deathCase{
 		{"requests over kept flows", 1, true, 0, 24, false, 800 * time.Millisecond},
@@ -203,26 +205,26 @@
 			}
 			mean := sum / deaths
 			t.Logf("%s: %v on average", test.name, mean)
-			assert.Less(t, mean, test.within)
+			assert.Less(t, mean, test.maxMean)
 		})
 	}
 }
 
-// timeUntilVerdict returns the time from a target's death to the verdict about it.
+// timeUntilVerdict returns the time from a target's death to the verdict.
 func timeUntilVerdict(t *testing.T, seed uint64, test deathCase) time.Duration {
 	b := newUploadSimulation(newCluster(t, 200+seed, 3), 6, 4, test.callers)
 	b.packets = test.packets
-	b.swap = test.swap
-	b.kept = test.kept
-	b.narrow = test.narrow
-	b.pass(3*time.Second + time.Duration(b.random.Int64N(int64(time.Second))))
+	b.reorderDelay = test.reorderDelay
+	b.reuseFlows = test.reuseFlows
+	b.limitLinks = test.limitLinks
+	b.advance(3*time.Second + time.Duration(b.random.Int64N(int64(time.Second))))
 	require.Zero(t, b.cluster.events[eventlog.TargetHeldLost])
 	token := b.targets[0].Token
 	b.dead[token] = true
 	died := b.now
 	for !slices.Contains(b.leader.core.liveness.verdicts.Lost, token) {
 		require.Less(t, b.now.Sub(died), 10*time.Second, "seed %d", seed)
-		b.pass(stepTime)
+		b.advance(stepTime)
 	}
 	return b.now.Sub(died)
 }
--- a/internal/registry/uploads_test.go
+++ b/internal/registry/uploads_test.go
@@ -14,7 +14,7 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// What callers, nodes and targets do is as on the users' protocol page ("Flows").
+// Parameters of the simulated callers, nodes and targets.
 const (
 	uploadWindow      = 16
 	uploadPacket      = 1200
@@ -23,7 +23,8 @@
 	uploadAnswerDelay = 30 * time.Millisecond
 	// uploadRoundTrip is the time from a node to a target and back to the caller.
 	uploadRoundTrip = 6 * time.Millisecond
-	// linkBytesPerSecond is a node's link of 2 Mbit/s, and linkBuffer what it holds.
+	// linkBytesPerSecond is the capacity of a node's link, and linkBuffer the size of its
+	// queue.
 	linkBytesPerSecond      = 250_000
 	linkBuffer              = 6000
 	uploadHeartbeatInterval = time.Second
@@ -32,7 +33,7 @@
 	uploadAnswerSize = 500
 )
 
-// uploadEvent is something that happens at an instant.
+// uploadEvent is an event in the simulation; order breaks ties.
 type uploadEvent struct {
 	at    kernel.Instant
 	order int
@@ -53,13 +54,13 @@
 	return last
 }
 
-// uploadSimulation is a group with nodes whose callers send much data over narrow links.
+// uploadSimulation is a group with nodes whose callers send uploads.
 type uploadSimulation struct {
 	*cluster
 	leader, follower *machine
 	random           *rand.Rand
 	events           uploadEvents
-	moment           kernel.Instant
+	eventTime        kernel.Instant
 	order            int
 	nodes            []*uploadNode
 	targets          []directory.Target
@@ -67,24 +68,24 @@
 	port             uint16
 	// packets is the number of packets of a request.
 	packets int
-	// swap is how much later than others packets of a window may come.
-	swap time.Duration
-	// kept flows carry many requests.
-	kept bool
-	// narrow links drop what they cannot take.
-	narrow bool
-	// mixed keeps every fourth flow.
-	mixed bool
-	// judged is set when nodes report how exchanges end.
-	judged   bool
-	finished int
-	resets   int
+	// reorderDelay is the maximum random delay of a packet.
+	reorderDelay time.Duration
+	// reuseFlows is set when flows carry many requests.
+	reuseFlows bool
+	// limitLinks is set when links drop packets that exceed their capacity.
+	limitLinks bool
+	// reuseSomeFlows is set when one flow in four carries many requests.
+	reuseSomeFlows bool
+	// reportOutcomes is set when nodes report the outcomes of exchanges.
+	reportOutcomes bool
+	finished       int
+	resets         int
 }
 
 type uploadNode struct {
 	core       *steer.Core
 	connection ConnectionID
-	// queued is what waits for the link, in bytes, at the moment drained.
+	// queued is the number of bytes in the link's queue at the instant drained.
 	queued  float64
 	drained kernel.Instant
 }
@@ -105,12 +106,12 @@
 		b.targets = append(b.targets, target)
 	}
 	c.run(time.Second)
-	b.moment = c.now
+	b.eventTime = c.now
 	for number := range nodes {
 		b.addNode(number, callers)
 	}
 	for _, target := range b.targets {
-		b.after(time.Duration(b.random.Int64N(int64(uploadHeartbeatInterval))), func() { b.beat(target) })
+		b.schedule(time.Duration(b.random.Int64N(int64(uploadHeartbeatInterval))), func() { b.sendHeartbeat(target) })
 	}
 	return b
 }
@@ -119,88 +120,88 @@
 	settings := steer.DefaultSettings()
 	settings.Name = fmt.Sprint("edge-", number)
 	settings.Random = b.random
-	node := &uploadNode{core: steer.New(settings), connection: ConnectionID(100 + number), drained: b.moment}
-	require.True(b, node.core.Update(b.moment, b.leader.core.State().Since(0)))
+	node := &uploadNode{core: steer.New(settings), connection: ConnectionID(100 + number), drained: b.eventTime}
+	require.True(b, node.core.Update(b.eventTime, b.leader.core.State().Since(0)))
 	b.apply(b.follower, b.follower.core.Subscribe(b.now, node.connection, Subscribe{Node: settings.Name}))
 	b.nodes = append(b.nodes, node)
-	b.after(time.Duration(b.random.Int64N(int64(livenessInterval))), func() { b.report(node) })
+	b.schedule(time.Duration(b.random.Int64N(int64(livenessInterval))), func() { b.report(node) })
 	for range callers {
-		b.after(time.Duration(b.random.Int64N(int64(time.Second))), func() { b.open(node) })
+		b.schedule(time.Duration(b.random.Int64N(int64(time.Second))), func() { b.openFlow(node) })
 	}
 }
 
-func (b *uploadSimulation) after(delay time.Duration, act func()) {
+func (b *uploadSimulation) schedule(delay time.Duration, act func()) {
 	b.order++
-	heap.Push(&b.events, uploadEvent{at: b.moment.Add(delay), order: b.order, act: act})
+	heap.Push(&b.events, uploadEvent{at: b.eventTime.Add(delay), order: b.order, act: act})
 }
 
-// pass lets time pass for all.
-func (b *uploadSimulation) pass(duration time.Duration) {
+// advance runs the simulation and the group for a duration.
+func (b *uploadSimulation) advance(duration time.Duration) {
 	for end := b.now.Add(duration); b.now < end; {
 		next := b.now.Add(stepTime)
 		for len(b.events) > 0 && b.events[0].at <= next {
 			event := heap.Pop(&b.events).(uploadEvent)
-			b.moment = event.at
+			b.eventTime = event.at
 			event.act()
 		}
 		b.run(stepTime)
 	}
 }
 
-// pause returns a caller's pause between two requests.
+// pause returns a random pause between two requests of a caller.
 func (b *uploadSimulation) pause() time.Duration {
 	return meanUploadPause/2 + time.Duration(b.random.Int64N(int64(meanUploadPause)))
 }
 
-func (b *uploadSimulation) beat(target directory.Target) {
+func (b *uploadSimulation) sendHeartbeat(target directory.Target) {
 	if b.dead[target.Token] {
 		return
 	}
 	b.follower.core.RecordHeartbeat(b.now, target.Start())
-	b.after(uploadHeartbeatInterval, func() { b.beat(target) })
+	b.schedule(uploadHeartbeatInterval, func() { b.sendHeartbeat(target) })
 }
 
-// report passes a node's evidence on, as its process does.
+// report sends a node's evidence to its member, as the node's process does.
 func (b *uploadSimulation) report(node *uploadNode) {
-	evidence := node.core.Report(b.moment, livenessInterval)
+	evidence := node.core.Report(b.eventTime, livenessInterval)
 	message := Evidence{Answering: evidence.Answering, Openings: evidence.Openings}
 	for _, silent := range evidence.Silent {
 		seen := SilentTarget{Token: silent.Token, Weight: silent.Weight, UnreliableWeight: silent.Doubtful}
 		message.Silent = append(message.Silent, seen.FromSingleNode())
 	}
-	if b.judged {
+	if b.reportOutcomes {
 		message.Outcomes = evidence.Outcomes
 	}
 	b.follower.core.RecordEvidence(b.now, node.connection, message)
-	b.after(livenessInterval, func() { b.report(node) })
+	b.schedule(livenessInterval, func() { b.report(node) })
 }
 
-// admits reports whether a node's link takes a packet.
-func (b *uploadSimulation) admits(node *uploadNode, size int) bool {
-	node.queued = max(0, node.queued-b.moment.Sub(node.drained).Seconds()*linkBytesPerSecond)
-	node.drained = b.moment
-	if b.narrow && node.queued+float64(size) > linkBuffer {
+// linkAccepts reports whether a node's link accepts a packet, and queues it.
+func (b *uploadSimulation) linkAccepts(node *uploadNode, size int) bool {
+	node.queued = max(0, node.queued-b.eventTime.Sub(node.drained).Seconds()*linkBytesPerSecond)
+	node.drained = b.eventTime
+	if b.limitLinks && node.queued+float64(size) > linkBuffer {
 		return false
 	}
 	node.queued += float64(size)
 	return true
 }
 
-// open opens a flow.
-func (b *uploadSimulation) open(node *uploadNode) {
+// openFlow starts a request on a new flow.
+func (b *uploadSimulation) openFlow(node *uploadNode) {
 	b.port++
 	key := steer.FlowKey{Caller: netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), b.port), Virtual: netip.MustParseAddrPort("198.18.0.1:443")}
 	b.sendOpening(node, key, 0)
 }
 
-// sendOpening sends an opening packet or its copy; dead targets answer none.
+// sendOpening sends an opening packet, and repeats it while the target is dead.
 func (b *uploadSimulation) sendOpening(node *uploadNode, key steer.FlowKey, copies uint32) {
-	decision := node.core.Decide(b.moment, steer.Packet{Flow: key, Opening: true, Copy: copies})
+	decision := node.core.Decide(b.eventTime, steer.Packet{Flow: key, Opening: true, Copy: copies})
 	require.Equal(b, steer.ActionForward, decision.Action)
 	if b.dead[decision.Target.Token] {
-		b.after(resendDelay<<copies, func() { b.sendOpening(node, key, copies+1) })
+		b.schedule(resendDelay<<copies, func() { b.sendOpening(node, key, copies+1) })
 		return
 	}
 	u := &upload{bench: b, node: node, key: key, token: decision.Target.Token, first: b.random.Uint32(), acknowledged: 1}
-	b.after(uploadRoundTrip, u.begin)
+	b.schedule(uploadRoundTrip, u.begin)
 }
--- a/internal/registry/versions_test.go
+++ b/internal/registry/versions_test.go
@@ -14,10 +14,10 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// newTwoVersionFixture is a group with one service, half of whose targets are of a new version
-// in each zone. It returns the targets of that.
+// newTwoVersionFixture returns a group with one service, half of whose targets in each zone
+// have a new version, and the tokens of these targets.
 func newTwoVersionFixture(t *testing.T) (*outcomeFixture, []directory.Token) {
-	b := &outcomeFixture{cluster: newCluster(t, 5, 3), ill: map[directory.Token]bool{}}
+	b := &outcomeFixture{cluster: newCluster(t, 5, 3), failing: map[directory.Token]bool{}}
 	b.leader = b.waitForLeader()
 	var newer []directory.Token
 	for number := range fixtureTargets {
@@ -41,39 +41,39 @@
 		}
 	}
 	b.run(time.Second)
-	b.serve(3 * time.Second)
+	b.reportExchanges(3 * time.Second)
 	return b, newer
 }
 
 func (b *outcomeFixture) failTargets(tokens []directory.Token) {
 	for _, token := range tokens {
-		b.ill[token] = true
+		b.failing[token] = true
 	}
 }
 
-func TestABadVersionIsHeldAtAllMembersAndComesBack(t *testing.T) {
+func TestBadVersionIsHeldAndReadmitted(t *testing.T) {
 	b, newer := newTwoVersionFixture(t)
 	b.failTargets(newer)
-	b.serve(1500 * time.Millisecond)
+	b.reportExchanges(1500 * time.Millisecond)
 	for _, m := range b.reporters {
 		assert.ElementsMatch(t, newer, b.ejected(m))
 	}
 	assert.Equal(t, 1, b.events[eventlog.VersionHeld])
-	assert.Equal(t, 1, b.leader.core.outcomes.judge.HeldVersions())
-	b.ill = nil
-	b.serve(12 * time.Second)
+	assert.Equal(t, 1, b.leader.core.outcomes.detector.HeldVersions())
+	b.failing = nil
+	b.reportExchanges(12 * time.Second)
 	assert.Empty(t, b.ejected(b.reporters[0]))
 	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Probation)
 	assert.Equal(t, 1, b.events[eventlog.VersionOnTrial])
 	assert.Equal(t, 1, b.events[eventlog.VersionReadmitted])
-	assert.Zero(t, b.leader.core.outcomes.judge.HeldVersions())
+	assert.Zero(t, b.leader.core.outcomes.detector.HeldVersions())
 }
 
-// A new leader has no sums. It keeps the version held and tries it soon.
-func TestANewLeaderKeepsAVersionHeld(t *testing.T) {
+// A new leader has no counts. It keeps the version held and soon puts it on trial.
+func TestNewLeaderKeepsVersionHeld(t *testing.T) {
 	b, newer := newTwoVersionFixture(t)
 	b.failTargets(newer)
-	b.serve(1500 * time.Millisecond)
+	b.reportExchanges(1500 * time.Millisecond)
 	b.kill(b.leader.address, false)
 	b.runUntil(5*time.Second, "another leader", func() bool { return b.nextLeader() != nil })
 	b.run(b.nextLeader().core.settings.LostAfter + 200*time.Millisecond)
@@ -81,14 +81,14 @@
 		assert.ElementsMatch(t, newer, m.keepalive.Verdicts.Ejected)
 	}
 	assert.Equal(t, 2, b.events[eventlog.VersionHeld])
-	b.serve(4 * time.Second)
+	b.reportExchanges(4 * time.Second)
 	assert.Equal(t, 3, b.events[eventlog.VersionHeld], "it was tried and fails")
-	b.ill = nil
-	b.serve(20 * time.Second)
+	b.failing = nil
+	b.reportExchanges(20 * time.Second)
 	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Ejected)
 }
 
-func TestAnOrderAboutAVersionOutlivesLeadersAndDisks(t *testing.T) {
+func TestVersionRuleSurvivesLeaderAndDiskLoss(t *testing.T) {
 	for seed := range uint64(10) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		leader := c.leader()
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestOrdersAboutVersionsOverTheMembersOwnProtocol(t *testing.T) {
+func TestVersionRequestsOverMemberProtocol(t *testing.T) {
 	process, address := startMember(t)
 	for id, version := range map[string]string{"i-1": "v1", "i-2": "v1", "i-3": "v2", "i-4": ""} {
 		target := directory.Target{ID: id, Service: "booking", Zone: "north", Slots: 2, State: directory.TargetReady, Version: version}
@@ -120,20 +120,20 @@
 		}, 10*time.Second, 20*time.Millisecond)
 	}
 	v1, v2 := directory.ServiceVersion{Service: "booking", Version: "v1"}, directory.ServiceVersion{Service: "booking", Version: "v2"}
-	listed := order(t, address, OperatorRequest{})
+	listed := sendRequest(t, address, OperatorRequest{})
 	assert.Equal(t, []VersionStatus{{ServiceVersion: v1, Targets: 2, Slots: 4}, {ServiceVersion: v2, Targets: 1, Slots: 2}}, listed.Versions)
 	effect, warnings, known := DryRunVersion(listed, v1)
 	assert.True(t, known)
 	assert.Equal(t, ShareChange{Service: "booking", Before: 1, After: 0.5}, effect)
 	assert.Equal(t, []string{"service booking: load on the other targets rises by a factor of 2.0"}, warnings)
-	held := order(t, address, OperatorRequest{Action: ActionHoldVersion, Version: v2})
+	held := sendRequest(t, address, OperatorRequest{Action: ActionHoldVersion, Version: v2})
 	require.Len(t, held.Versions, 2)
 	assert.Equal(t, directory.VersionHeld, held.Versions[1].Rule)
-	out := func() uint32 { return order(t, address, OperatorRequest{}).Versions[1].Ejected }
+	out := func() uint32 { return sendRequest(t, address, OperatorRequest{}).Versions[1].Ejected }
 	assert.Eventually(t, func() bool { return out() == 1 }, 5*time.Second, 20*time.Millisecond, "with the next verdicts")
-	order(t, address, OperatorRequest{Action: ActionJudgeVersion, Version: v2})
+	sendRequest(t, address, OperatorRequest{Action: ActionJudgeVersion, Version: v2})
 	assert.Eventually(t, func() bool { return out() == 0 }, 5*time.Second, 20*time.Millisecond)
-	refused := order(t, address, OperatorRequest{Action: ActionHoldVersion, Version: directory.ServiceVersion{Service: "booking", Version: "v9"}})
+	refused := sendRequest(t, address, OperatorRequest{Action: ActionHoldVersion, Version: directory.ServiceVersion{Service: "booking", Version: "v9"}})
 	assert.True(t, refused.Rejected)
 	assert.Equal(t, `version: "v9" of service "booking" has no targets`, refused.Error)
 	_, _, known = DryRunVersion(listed, directory.ServiceVersion{Service: "booking", Version: "v9"})
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-func TestBudgetsOfColdTargets(t *testing.T) {
+func TestWarmupBudget(t *testing.T) {
 	cases := []struct {
 		rate   float64
 		limits WarmupLimits
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestAWarmUpThatCannotBeMeantIsRefused(t *testing.T) {
+func TestInvalidWarmupConfigIsRejected(t *testing.T) {
 	assert.NoError(t, WarmupConfig{Time: time.Second, Rate: 100}.Validate("time", "rate"))
 	assert.ErrorContains(t, WarmupConfig{Time: -1}.Validate("time", "rate"), "time: ")
 	assert.ErrorContains(t, WarmupConfig{Time: 2 * time.Hour}.Validate("time", "rate"), "time: ")
@@ -38,7 +38,7 @@
 	assert.ErrorContains(t, WarmupConfig{Rate: 1e9}.Validate("time", "rate"), "rate: ")
 }
 
-// leaderWithNodes returns a leader that some nodes follow and that states a rate.
+// leaderWithNodes returns a leader with subscribed nodes and a configured warm-up.
 func leaderWithNodes(c *cluster, nodes int) *machine {
 	leader := c.waitForLeader()
 	leader.core.settings.WarmupLimits = WarmupLimits{Factor: 1.5, Slack: 5}
@@ -54,7 +54,7 @@
 	return leader
 }
 
-func TestAColdTargetHasStewardsUntilItIsWarm(t *testing.T) {
+func TestColdTargetHasStewardsUntilWarm(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := leaderWithNodes(c, 10)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
@@ -73,9 +73,9 @@
 	assert.Nil(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Targets[0].Warmup, "it is warm")
 }
 
-// A member that has just started does not know how old the registrations on its disk
-// are: to it their targets are as cold as they said.
-func TestAMemberCountsColdTimeFromItsStart(t *testing.T) {
+// A restarted member does not know the age of the registrations on its disk, so it counts
+// their whole warm-up again.
+func TestWarmupRestartsWithMember(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := leaderWithNodes(c, 4)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
@@ -94,7 +94,7 @@
 	assert.Nil(t, core.adjustWarmups(c.now, core.State().Since(0)).Targets[0].Warmup)
 }
 
-func TestAZoneThatIsTakenBackTellsTheWarmUpOfItsServices(t *testing.T) {
+func TestEndOfEvacuationStartsWarmups(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := leaderWithNodes(c, 10)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
@@ -114,7 +114,7 @@
 	assert.Empty(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Evacuations[0].Warmups)
 }
 
-func TestTheTableOfColdTargetsForgetsWarmOnes(t *testing.T) {
+func TestWarmupTableRemovesWarmTargets(t *testing.T) {
 	now := kernel.Instant(time.Minute)
 	table := newWarmupTable(now)
 	for token := range directory.Token(10 * minWarmupSweep) {
@@ -124,9 +124,8 @@
 	}
 }
 
-// All targets of a fleet start cold at once: the table is looked through a few times, not
-// once for each of them.
-func TestAFleetOfColdTargetsIsNotedInLinearTime(t *testing.T) {
+// When a whole fleet starts cold, a sweep for each target would make the cost quadratic.
+func TestWarmupTableSweepsRarely(t *testing.T) {
 	const targets = 20_000
 	now := kernel.Instant(time.Minute)
 	table := newWarmupTable(now)
@@ -142,10 +141,9 @@
 	assert.LessOrEqual(t, sweeps, 7, "each at twice the number of the one before")
 }
 
-// Simulated fleets, seeds 136 and 153: a member that had just started with an empty
-// state registered cold targets without the budget that it did not know of yet, and
-// all nodes sent them flows.
-func TestAMemberThatIsNotCurrentRegistersNoColdTarget(t *testing.T) {
+// A restarted member without state does not know the budget, so that all nodes would send
+// flows to a cold target that it registers.
+func TestStaleMemberRegistersNoColdTarget(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leaderWithNodes(c, 4)
 	name := address(1)
--- a/internal/registry/zones_test.go
+++ b/internal/registry/zones_test.go
@@ -13,11 +13,11 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// testZones is the number of zones in which members stand by turns.
+// testZones is the number of zones that members are assigned to in turn.
 const testZones = 3
 
-// newZonedCluster returns a group of members in three zones that bears the loss of
-// two disks or of one zone.
+// newZonedCluster returns a group in three zones that tolerates the loss of two disks or of
+// one zone.
 func newZonedCluster(t *testing.T, seed uint64, members int) *cluster {
 	c := newCluster(t, seed, 0)
 	c.voterCount = 5
@@ -37,8 +37,8 @@
 	return c
 }
 
-// votersIn counts the voters of each zone, as the leader knows them.
-func (c *cluster) votersIn() map[string]int {
+// votersByZone returns the number of voters in each zone that the leader knows.
+func (c *cluster) votersByZone() map[string]int {
 	leader := c.leader()
 	if leader == nil {
 		return nil
@@ -46,8 +46,7 @@
 	return leader.core.votersByZone(leader.core.Raft().Membership())
 }
 
-// waitForSpread waits until the voters are as many as wanted and no zone has more
-// than two of five.
+// waitForSpread waits until the group has enough voters and tolerates the loss of a zone.
 func (c *cluster) waitForSpread() {
 	c.runUntil(15*time.Second, "the voters are spread", func() bool {
 		leader := c.leader()
@@ -55,8 +54,8 @@
 	})
 }
 
-// inZone returns the members of a zone.
-func (c *cluster) inZone(zone string) []string {
+// membersInZone returns the members of a zone.
+func (c *cluster) membersInZone(zone string) []string {
 	var names []string
 	for _, name := range c.names() {
 		if c.zoneOf(name) == zone {
@@ -66,13 +65,13 @@
 	return names
 }
 
-// A learner was made a voter by its number alone, so that after some replacements
-// three of five voters stood in one zone, and its loss stopped the group.
-func TestVotersAreSpreadOverZonesAfterReplacements(t *testing.T) {
+// Promoting learners regardless of their zone could place a majority of the voters in one
+// zone.
+func TestVotersStaySpreadOverZones(t *testing.T) {
 	for seed := range uint64(15) {
 		c := newZonedCluster(t, seed, 9)
 		for round := range 4 {
-			victims := c.inZone(fmt.Sprint("zone-", (round+int(seed))%testZones))
+			victims := c.membersInZone(fmt.Sprint("zone-", (round+int(seed))%testZones))
 			for _, name := range victims[:2] {
 				c.wipe(name)
 			}
@@ -81,13 +80,13 @@
 				c.start(name)
 			}
 			c.waitForSpread()
-			require.LessOrEqual(t, slices.Max(slices.Collect(maps.Values(c.votersIn()))), 2, "seed %d, round %d", seed, round)
+			require.LessOrEqual(t, slices.Max(slices.Collect(maps.Values(c.votersByZone()))), 2, "seed %d, round %d", seed, round)
 		}
 	}
 }
 
-// waitForVoters waits until every voter is up and has what is committed: until then
-// the last zone is not back, and the loss of another one is that of two.
+// waitForVoters waits until every voter is live and up to date. Before that the previous
+// zone has not recovered, and losing another means losing two.
 func (c *cluster) waitForVoters() {
 	c.runUntil(15*time.Second, "all voters are back", func() bool {
 		leader := c.leader()
@@ -104,19 +103,19 @@
 	})
 }
 
-// One zone after the other is lost, each once the one before is back.
-func TestTheLossOfAnyZoneLeavesAQuorum(t *testing.T) {
+// Zones are lost one after the other, each after the previous one has recovered.
+func TestQuorumSurvivesLossOfAnyZone(t *testing.T) {
 	for seed := range uint64(60) {
 		c := newZonedCluster(t, seed, 9)
 		for round := range 5 {
 			zone := fmt.Sprint("zone-", (round+int(seed))%testZones)
-			for _, name := range c.inZone(zone) {
+			for _, name := range c.membersInZone(zone) {
 				c.kill(name, true)
 			}
 			leader := c.waitForLeader()
 			require.NoError(t, c.publish(leader, leader.core.State().Configuration().Version+1).Err, "seed %d, %s", seed, zone)
 			c.run(time.Duration(c.random.Int64N(int64(6 * time.Second))))
-			for _, name := range c.inZone(zone) {
+			for _, name := range c.membersInZone(zone) {
 				c.start(name)
 			}
 			c.waitForVoters()
@@ -125,16 +124,16 @@
 	}
 }
 
-// Moving a voter never leaves the group with fewer than it needs.
-func TestAVoterIsMovedWhileTheGroupIsWhole(t *testing.T) {
+// Moving a voter must never reduce the number of voters.
+func TestMovingVoterKeepsVoterCount(t *testing.T) {
 	c := newZonedCluster(t, 1, 9)
 	least := c.voterCount
-	c.kill(c.inZone("zone-0")[0], true)
-	c.kill(c.inZone("zone-0")[1], true)
-	c.kill(c.inZone("zone-0")[2], true)
+	c.kill(c.membersInZone("zone-0")[0], true)
+	c.kill(c.membersInZone("zone-0")[1], true)
+	c.kill(c.membersInZone("zone-0")[2], true)
 	c.run(12 * time.Second)
 	require.Len(t, c.voters(), 5, "learners of the other zones vote instead")
-	for _, name := range c.inZone("zone-0") {
+	for _, name := range c.membersInZone("zone-0") {
 		c.start(name)
 	}
 	c.runUntil(15*time.Second, "the voters are spread", func() bool {
@@ -146,7 +145,7 @@
 	assert.Positive(t, c.events[eventlog.ZoneToleranceChanged])
 }
 
-func TestAGroupInTooFewZonesSaysSo(t *testing.T) {
+func TestMissingZoneToleranceIsLogged(t *testing.T) {
 	c := newCluster(t, 1, 0)
 	c.lostZones = 1
 	c.seeds = []string{address(1), address(2), address(3)}
