--- a/internal/registry/ejectedlost_test.go
+++ b/internal/registry/ejectedlost_test.go
@@ -26,24 +26,24 @@
 }
 
 // timeUntilLost lets a target die, with or without outlier ejection.
-func timeUntilLost(t *testing.T, seed uint64, test deathCase, judged bool) detection {
+func timeUntilLost(t *testing.T, seed uint64, test deathCase, withEjection bool) detection {
 	b := newUploadSimulation(newCluster(t, 300+seed, 3), 6, deathTestNodes, test.callers)
 	b.packets = test.packets
 	b.reuseFlows = test.reuseFlows
-	b.reportOutcomes = judged
+	b.reportOutcomes = withEjection
 	b.advance(8*time.Second + time.Duration(b.random.Int64N(int64(time.Second))))
 	require.Zero(t, b.cluster.events[eventlog.TargetHeldLost])
 	require.Zero(t, b.cluster.events[eventlog.TargetEjected])
 	token := b.targets[0].Token
 	b.dead[token] = true
 	died := b.now
-	var seen detection
+	var result detection
 	for !slices.Contains(b.leader.core.liveness.verdicts.Lost, token) && b.now.Sub(died) < maxDetectionTime {
 		b.advance(stepTime)
-		seen.ejected = seen.ejected || slices.Contains(b.leader.core.liveness.verdicts.Ejected, token)
+		result.ejected = result.ejected || slices.Contains(b.leader.core.liveness.verdicts.Ejected, token)
 	}
-	seen.took = b.now.Sub(died)
-	return seen
+	result.took = b.now.Sub(died)
+	return result
 }
 
 // A dead target may be ejected before it is held for lost. It then gets no openings, whose
@@ -54,9 +54,9 @@
 		{name: "few requests over new flows", packets: 1, callers: 1},
 		{name: "some requests over new flows", packets: 1, callers: 2},
 		{name: "many requests over new flows", packets: 1, callers: 8},
-		{name: "few requests over kept flows", packets: 1, reuseFlows: true, callers: 1},
+		{name: "few requests over reused flows", packets: 1, reuseFlows: true, callers: 1},
 		{name: "few uploads", packets: 34, callers: 1},
-		{name: "some requests over kept flows", packets: 1, reuseFlows: true, callers: 3},
+		{name: "some requests over reused flows", packets: 1, reuseFlows: true, callers: 3},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -64,16 +64,16 @@
 			var longest [2]time.Duration
 			ejected := 0
 			for seed := range uint64(deaths) {
-				for position, judged := range []bool{false, true} {
-					seen := timeUntilLost(t, seed, test, judged)
-					sums[position] += seen.took
-					longest[position] = max(longest[position], seen.took)
-					if seen.ejected {
+				for position, withEjection := range []bool{false, true} {
+					result := timeUntilLost(t, seed, test, withEjection)
+					sums[position] += result.took
+					longest[position] = max(longest[position], result.took)
+					if result.ejected {
 						ejected++
 					}
 				}
 			}
-			t.Logf("unjudged %v (longest %v), judged %v (longest %v), %d ejected before", sums[0]/deaths, longest[0], sums[1]/deaths, longest[1], ejected)
+			t.Logf("without ejection: mean %v, max %v; with ejection: mean %v, max %v; %d ejected before the verdict", sums[0]/deaths, longest[0], sums[1]/deaths, longest[1], ejected)
 			assert.Less(t, sums[1]/deaths, sums[0]/deaths+100*time.Millisecond)
 		})
 	}
@@ -119,7 +119,7 @@
 				longest[position] = max(longest[position], took)
 			}
 		}
-		t.Logf("%d callers: %v, longest %v; ejected before: %v, longest %v", callers, sums[0]/deaths, longest[0], sums[1]/deaths, longest[1])
+		t.Logf("%d callers: mean %v, max %v; ejected before: mean %v, max %v", callers, sums[0]/deaths, longest[0], sums[1]/deaths, longest[1])
 		assert.Less(t, sums[1]/deaths, sums[0]/deaths+100*time.Millisecond)
 		assert.LessOrEqual(t, longest[1], longest[0]+100*time.Millisecond)
 	}
--- a/internal/registry/evacuation_test.go
+++ b/internal/registry/evacuation_test.go
@@ -41,7 +41,7 @@
 	c.run(time.Second)
 	c.start(c.names()[0])
 	m := c.machines[c.names()[0]]
-	c.runUntil(10*time.Second, "it is current", func() bool { return m.core.IsCurrent(c.now) })
+	c.runUntil(10*time.Second, "the member is current", func() bool { return m.core.IsCurrent(c.now) })
 	assert.True(t, m.core.State().Evacuation("north").Active)
 	m.updates = nil
 	c.apply(m, m.core.Subscribe(c.now, 7, Subscribe{Node: "edge"}))
@@ -55,23 +55,23 @@
 	for seed := range uint64(20) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		leader := c.leader()
-		var behind *machine
+		var partitioned *machine
 		for _, name := range c.names() {
 			if m := c.machines[name]; m != leader {
-				behind = m
+				partitioned = m
 			}
 		}
-		c.cut = func(from, to string) bool { return to == leader.address && from == behind.address }
+		c.cut = func(from, to string) bool { return to == leader.address && from == partitioned.address }
 		order := directory.Evacuation{Zone: "north", Active: true}
-		ticket, output := behind.core.Submit(c.now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
-		c.apply(behind, output)
+		ticket, output := partitioned.core.Submit(c.now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
+		c.apply(partitioned, output)
 		c.run(100 * time.Millisecond)
 		require.NoError(t, c.evacuate(leader, "north", true).Err)
 		require.NoError(t, c.evacuate(leader, "north", false).Err)
 		c.cut = func(string, string) bool { return false }
-		c.runUntil(3*time.Second, "an outcome", func() bool { _, done := behind.outcomes[ticket]; return done })
+		c.runUntil(3*time.Second, "an outcome", func() bool { _, done := partitioned.outcomes[ticket]; return done })
 		c.run(time.Second)
-		outcome := behind.outcomes[ticket]
+		outcome := partitioned.outcomes[ticket]
 		assert.True(t, outcome.Err != nil || outcome.Result.Code == directory.CodeConflict, "seed %d: %+v", seed, outcome)
 		assert.False(t, c.waitForLeader().core.State().Evacuation("north").Active, "seed %d", seed)
 	}
--- a/internal/registry/groupsize_test.go
+++ b/internal/registry/groupsize_test.go
@@ -76,7 +76,7 @@
 	require.NoError(t, c.publish(c.leader(), 5).Err)
 	c.loseDisksAndPower(2)
 	c.run(12 * time.Second)
-	assert.Nil(t, c.leader(), "one disk of three is no quorum")
+	assert.Nil(t, c.leader(), "one of three members is no quorum")
 	assert.GreaterOrEqual(t, c.events[eventlog.QuorumMissing], 2)
 }
 
@@ -88,7 +88,7 @@
 	leader := c.leader()
 	since := c.now
 	c.cut = func(from, to string) bool { return from == leader.address || to == leader.address }
-	c.runUntil(5*time.Second, "it gives up", func() bool { return !leader.core.IsLeader() })
+	c.runUntil(5*time.Second, "the leader steps down", func() bool { return !leader.core.IsLeader() })
 	for range 100 {
 		c.run(stepTime)
 		without := leader.core.LeaderlessFor(c.now)
--- a/internal/registry/openings_test.go
+++ b/internal/registry/openings_test.go
@@ -58,10 +58,10 @@
 	assert.Equal(t, []string{"zone-1"}, b.verdicts().AvoidedZones)
 	assert.Equal(t, 1, b.events[eventlog.ZoneAvoided])
 	b.run(zoneAvoidTime)
-	assert.Empty(t, b.verdicts().AvoidedZones, "it is tried again")
+	assert.Empty(t, b.verdicts().AvoidedZones, "the avoidance has ended")
 	b.report(300*time.Millisecond, 2, refusing)
 	b.run(zoneAvoidTime + zoneAvoidTime/2)
-	assert.Equal(t, []string{"zone-1"}, b.verdicts().AvoidedZones, "for longer when it refuses again")
+	assert.Equal(t, []string{"zone-1"}, b.verdicts().AvoidedZones, "longer after repeated refusals")
 	b.run(zoneAvoidTime)
 	assert.Empty(t, b.verdicts().AvoidedZones)
 }
@@ -113,7 +113,7 @@
 	s := &targetStatus{lastHeartbeat: kernel.Instant(time.Second)}
 	now := kernel.Instant(time.Minute)
 	s.recordRefusal(now, "m1", SilentTarget{Weight: 2, Nodes: 1})
-	assert.False(t, s.isRefusing(now), "too few")
+	assert.False(t, s.isRefusing(now), "too few refusals")
 	s.recordRefusal(now, "m2", SilentTarget{Weight: 1, Nodes: 1})
 	assert.True(t, s.isRefusing(now))
 	assert.True(t, s.isRefusing(now.Add(refusalSuspicionTime-1)))
--- a/internal/registry/order_test.go
+++ b/internal/registry/order_test.go
@@ -40,17 +40,17 @@
 
 // sendRequest repeats a request until the member, which first has to become leader, handles
 // it.
-func sendRequest(t *testing.T, address string, wanted OperatorRequest) OperatorResponse {
+func sendRequest(t *testing.T, address string, request OperatorRequest) OperatorResponse {
 	t.Helper()
-	var reply OperatorResponse
+	var response OperatorResponse
 	require.Eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		var err error
-		reply, err = SendOperatorRequest(ctx, []string{address}, wanted)
-		return err == nil && (reply.Error == "" || reply.Rejected)
+		response, err = SendOperatorRequest(ctx, []string{address}, request)
+		return err == nil && (response.Error == "" || response.Rejected)
 	}, 10*time.Second, 20*time.Millisecond)
-	return reply
+	return response
 }
 
 func TestEvacuationRequestsOverMemberProtocol(t *testing.T) {
@@ -62,24 +62,24 @@
 		_, err := process.HandleHeartbeat(context.Background(), Heartbeat{Target: target})
 		require.NoError(t, err)
 	}
-	shares := sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones
-	require.Len(t, shares, 2)
-	assert.Equal(t, ZoneStatus{Zone: "north", Service: "booking", Targets: 1, Slots: 2, Evacuated: true}, shares[0])
-	assert.False(t, shares[1].Evacuated)
-	assert.True(t, sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones[0].Evacuated, "given again")
+	zones := sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones
+	require.Len(t, zones, 2)
+	assert.Equal(t, ZoneStatus{Zone: "north", Service: "booking", Targets: 1, Slots: 2, Evacuated: true}, zones[0])
+	assert.False(t, zones[1].Evacuated)
+	assert.True(t, sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones[0].Evacuated, "repeated request")
 	assert.False(t, sendRequest(t, address, OperatorRequest{Action: ActionEndEvacuation, Zone: "north"}).Zones[0].Evacuated)
-	refused := sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "west"})
-	assert.True(t, refused.Rejected)
-	assert.Equal(t, `zone: "west" is not known`, refused.Error)
+	rejected := sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "west"})
+	assert.True(t, rejected.Rejected)
+	assert.Equal(t, `zone: "west" is not known`, rejected.Error)
 }
 
 func TestDryRunEvacuationPredictsLoad(t *testing.T) {
-	shares := []ZoneStatus{
+	zones := []ZoneStatus{
 		{Zone: "a", Service: "one", Slots: 10}, {Zone: "b", Service: "one", Slots: 10}, {Zone: "c", Service: "one", Slots: 10, Evacuated: true},
 		{Zone: "a", Service: "two", Slots: 4},
 		{Zone: "a", Service: "three", Slots: 2}, {Zone: "b", Service: "three", Slots: 8},
 	}
-	effects, warnings := DryRunEvacuation(shares, "a")
+	effects, warnings := DryRunEvacuation(zones, "a")
 	require.Len(t, effects, 2)
 	assert.Equal(t, ShareChange{Service: "one", Zone: "b", Before: 0.5, After: 1}, effects[0])
 	assert.Equal(t, ShareChange{Service: "three", Zone: "b", Before: 0.8, After: 1}, effects[1])
--- a/internal/registry/outliers_test.go
+++ b/internal/registry/outliers_test.go
@@ -97,16 +97,16 @@
 	b := newOutcomeFixture(t)
 	b.reportExchanges(3 * time.Second)
 	assert.Empty(t, b.ejected(b.reporters[0]))
-	sick := b.targets[4].Token
-	b.failing[sick] = true
+	faulty := b.targets[4].Token
+	b.failing[faulty] = true
 	b.reportExchanges(700 * time.Millisecond)
 	for _, m := range b.reporters {
-		assert.Equal(t, []directory.Token{sick}, b.ejected(m))
+		assert.Equal(t, []directory.Token{faulty}, b.ejected(m))
 	}
 	assert.Equal(t, 1, b.events[eventlog.TargetEjected])
 	b.failing = nil
 	b.reportExchanges(2 * time.Second)
-	assert.Equal(t, []directory.Token{sick}, b.reporters[0].keepalive.Verdicts.Probation)
+	assert.Equal(t, []directory.Token{faulty}, b.reporters[0].keepalive.Verdicts.Probation)
 	b.reportExchanges(3 * time.Second)
 	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Probation)
 	assert.Equal(t, 1, b.events[eventlog.TargetOnProbation])
@@ -169,16 +169,16 @@
 func TestNewLeaderKeepsEjectionThenProbes(t *testing.T) {
 	b := newOutcomeFixture(t)
 	b.reportExchanges(3 * time.Second)
-	sick := b.targets[4].Token
-	b.failing[sick] = true
+	faulty := b.targets[4].Token
+	b.failing[faulty] = true
 	b.reportExchanges(700 * time.Millisecond)
-	require.Equal(t, []directory.Token{sick}, b.ejected(b.reporters[0]))
+	require.Equal(t, []directory.Token{faulty}, b.ejected(b.reporters[0]))
 	b.kill(b.leader.address, false)
-	b.runUntil(5*time.Second, "another leader", func() bool { l := b.nextLeader(); return l != nil })
+	b.runUntil(5*time.Second, "a new leader", func() bool { l := b.nextLeader(); return l != nil })
 	b.failing = nil
 	b.run(b.nextLeader().core.settings.LostAfter + 200*time.Millisecond)
 	for _, m := range b.reporters {
-		assert.Equal(t, []directory.Token{sick}, m.keepalive.Verdicts.Ejected)
+		assert.Equal(t, []directory.Token{faulty}, m.keepalive.Verdicts.Ejected)
 	}
 	b.reportExchanges(6 * time.Second)
 	for _, m := range b.reporters {
@@ -200,33 +200,33 @@
 func TestPartitionedMemberGetsVerdictsAfterHealing(t *testing.T) {
 	b := newOutcomeFixture(t)
 	b.reportExchanges(3 * time.Second)
-	sick := b.targets[4].Token
-	b.failing[sick] = true
+	faulty := b.targets[4].Token
+	b.failing[faulty] = true
 	b.reportExchanges(700 * time.Millisecond)
-	behind := b.reporters[1]
-	require.Equal(t, []directory.Token{sick}, b.ejected(behind))
+	partitioned := b.reporters[1]
+	require.Equal(t, []directory.Token{faulty}, b.ejected(partitioned))
 	b.failing = nil
-	b.cut = func(from, to string) bool { return from == behind.address || to == behind.address }
+	b.cut = func(from, to string) bool { return from == partitioned.address || to == partitioned.address }
 	b.reporters = b.reporters[:1]
 	b.reportExchanges(6 * time.Second)
 	require.Empty(t, b.ejected(b.reporters[0]))
-	require.Equal(t, []directory.Token{sick}, b.ejected(behind))
+	require.Equal(t, []directory.Token{faulty}, b.ejected(partitioned))
 	b.cut = func(string, string) bool { return false }
 	b.run(3 * time.Second)
-	assert.Empty(t, behind.keepalive.Verdicts.Ejected)
-	assert.Empty(t, behind.keepalive.Verdicts.Probation)
+	assert.Empty(t, partitioned.keepalive.Verdicts.Ejected)
+	assert.Empty(t, partitioned.keepalive.Verdicts.Probation)
 }
 
 // The reports of the other members must be enough for an ejection.
 func TestEjectionWorksWithoutPartitionedMember(t *testing.T) {
 	b := newOutcomeFixture(t)
 	b.reportExchanges(3 * time.Second)
-	behind := b.reporters[1].address
-	b.cut = func(from, to string) bool { return from == behind || to == behind }
-	sick := b.targets[4].Token
-	b.failing[sick] = true
+	partitioned := b.reporters[1].address
+	b.cut = func(from, to string) bool { return from == partitioned || to == partitioned }
+	faulty := b.targets[4].Token
+	b.failing[faulty] = true
 	b.reportExchanges(1500 * time.Millisecond)
-	assert.Equal(t, []directory.Token{sick}, b.ejected(b.reporters[0]))
+	assert.Equal(t, []directory.Token{faulty}, b.ejected(b.reporters[0]))
 	assert.Equal(t, 1, b.events[eventlog.TargetEjected])
 }
 
@@ -253,11 +253,11 @@
 func TestEndedTargetLeavesVerdicts(t *testing.T) {
 	b := newOutcomeFixture(t)
 	b.reportExchanges(3 * time.Second)
-	sick := b.targets[4]
-	b.failing[sick.Token] = true
+	faulty := b.targets[4]
+	b.failing[faulty.Token] = true
 	b.reportExchanges(700 * time.Millisecond)
 	require.NotEmpty(t, b.ejected(b.reporters[0]))
-	require.NoError(t, b.submit(b.leader, directory.Command{Kind: directory.CommandEndTarget, Target: sick}).Err)
+	require.NoError(t, b.submit(b.leader, directory.Command{Kind: directory.CommandEndTarget, Target: faulty}).Err)
 	b.run(300 * time.Millisecond)
 	assert.Empty(t, b.ejected(b.reporters[0]))
 }
@@ -302,10 +302,10 @@
 	b := newOutcomeFixture(t)
 	b.congestedNodes = 3
 	b.reportExchanges(4 * time.Second)
-	sick := b.targets[4].Token
-	b.failing[sick] = true
+	faulty := b.targets[4].Token
+	b.failing[faulty] = true
 	b.reportExchanges(1500 * time.Millisecond)
-	assert.Equal(t, []directory.Token{sick}, b.ejected(b.reporters[0]))
+	assert.Equal(t, []directory.Token{faulty}, b.ejected(b.reporters[0]))
 	assert.Equal(t, 1, b.events[eventlog.TargetEjected])
 }
 
@@ -314,18 +314,18 @@
 func TestLostTargetIsNoLongerEjected(t *testing.T) {
 	b := newOutcomeFixture(t)
 	b.reportExchanges(3 * time.Second)
-	sick := b.targets[4].Token
-	b.failing[sick] = true
+	faulty := b.targets[4].Token
+	b.failing[faulty] = true
 	b.reportExchanges(700 * time.Millisecond)
-	require.Equal(t, []directory.Token{sick}, b.ejected(b.reporters[0]))
+	require.Equal(t, []directory.Token{faulty}, b.ejected(b.reporters[0]))
 	b.targets = nil
 	for range 8 {
-		b.reportEvidence(b.reporters[0], 3, Evidence{Silent: []SilentTarget{{Token: sick, Weight: 4, Nodes: 1}}})
+		b.reportEvidence(b.reporters[0], 3, Evidence{Silent: []SilentTarget{{Token: faulty, Weight: 4, Nodes: 1}}})
 		b.run(livenessInterval)
 	}
-	require.Equal(t, []directory.Token{sick}, b.reporters[0].keepalive.Verdicts.Lost)
+	require.Equal(t, []directory.Token{faulty}, b.reporters[0].keepalive.Verdicts.Lost)
 	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Ejected)
-	b.reporters[0].core.RecordHeartbeats(b.now, []directory.Token{sick})
+	b.reporters[0].core.RecordHeartbeats(b.now, []directory.Token{faulty})
 	b.run(4 * livenessInterval)
 	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Lost)
 	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Ejected)
@@ -379,8 +379,8 @@
 	core.outcomes.nextJudgement = b.now.Add(time.Second)
 	b.failing[b.targets[1].Token] = true
 	b.reportExchanges(900 * time.Millisecond)
-	assert.Equal(t, ejected, core.liveness.verdicts.Ejected, "verdicts hold until the next judgement")
+	assert.Equal(t, ejected, core.liveness.verdicts.Ejected, "verdicts stay until the next evaluation")
 	b.reportExchanges(time.Second)
 	assert.Contains(t, core.liveness.verdicts.Ejected, b.targets[1].Token)
-	assert.LessOrEqual(t, 3333*judgeTimePerTarget, livenessInterval, "usual fleets are judged with each message")
+	assert.LessOrEqual(t, 3333*judgeTimePerTarget, livenessInterval, "fleets of usual size are evaluated at every interval")
 }
--- a/internal/registry/room_test.go
+++ b/internal/registry/room_test.go
@@ -33,12 +33,12 @@
 }
 
 // report lets the nodes of all running members repeat a report for a duration.
-func (b *linkUsageFixture) report(duration time.Duration, word room.LinkReport) {
+func (b *linkUsageFixture) report(duration time.Duration, report room.LinkReport) {
 	for end := b.now.Add(duration); b.now < end; b.run(room.ReportInterval) {
 		for _, name := range b.names() {
 			if m := b.machines[name]; m.up {
-				m.core.RecordLinkUsage(b.now, 1, word)
-				m.core.RecordLinkUsage(b.now, 2, word)
+				m.core.RecordLinkUsage(b.now, 1, report)
+				m.core.RecordLinkUsage(b.now, 2, report)
 			}
 		}
 	}
@@ -69,7 +69,7 @@
 	b.cut = func(from, to string) bool { return from == b.follower.address || to == b.follower.address }
 	b.report(2*room.ReportLifetime, room.LinkReport{Rate: 100, InPercent: 10})
 	assert.Equal(t, 4, b.nodeCount(b.leader))
-	assert.Zero(t, b.nodeCount(b.follower), "its view is old")
+	assert.Zero(t, b.nodeCount(b.follower), "its view has expired")
 	b.cut = func(string, string) bool { return false }
 	b.report(6*time.Second, room.LinkReport{Rate: 100, InPercent: 20})
 	assert.Equal(t, 6, b.nodeCount(b.follower))
@@ -105,7 +105,7 @@
 func TestZoneWithRefusingNodesIsLogged(t *testing.T) {
 	b := newLinkUsageFixture(t)
 	b.report(4*time.Second, room.LinkReport{Rate: 100, Refusing: true})
-	assert.Equal(t, 3, b.events[eventlog.ZoneShortOfRoom], "once a member")
+	assert.Equal(t, 3, b.events[eventlog.ZoneShortOfRoom], "once at each member")
 	b.report(4*time.Second, room.LinkReport{Rate: 100})
 	assert.Equal(t, 3, b.events[eventlog.ZonesHaveRoom])
 }
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -6,7 +6,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// unreliableSilenceTime is the silence after which doubtful evidence counts. It exceeds the
+// unreliableSilenceTime is the silence after which unreliable evidence counts. It exceeds the
 // longest gap between two signs of life of a healthy target over congested links, plus the
 // time until the leader learns of an answer.
 const unreliableSilenceTime = 1300 * time.Millisecond
@@ -17,7 +17,7 @@
 	at kernel.Instant
 }
 
-// totalWeight returns the weight of all evidence, including doubtful evidence.
+// totalWeight returns the weight of all evidence, including unreliable evidence.
 func (s silenceReport) totalWeight() uint32 { return s.Weight + s.UnreliableWeight }
 
 // meetsThreshold reports whether evidence of this weight, from this many nodes, is enough
@@ -37,7 +37,7 @@
 	return sum
 }
 
-// isSilent reports whether there is enough evidence that a target is silent. Doubtful
+// isSilent reports whether there is enough evidence that a target is silent. Unreliable
 // evidence counts only after a longer silence.
 func (s *targetStatus) isSilent(now kernel.Instant) bool {
 	sum := s.currentSilence(now)
--- a/internal/registry/speeds_test.go
+++ b/internal/registry/speeds_test.go
@@ -35,25 +35,25 @@
 func (b *responseTimeFixture) reportTimes(duration time.Duration) {
 	const spread = 0.4
 	for end := b.now.Add(duration); b.now < end; b.run(responseTimeInterval) {
-		fade := math.Exp2(-float64(responseTimeInterval) / float64(speed.HalfLife))
+		decay := math.Exp2(-float64(responseTimeInterval) / float64(speed.HalfLife))
 		for node := range fixtureNodes {
 			if b.sums[node] == nil {
 				b.sums[node] = map[directory.Token]*speed.Sums{}
 			}
-			var words []speed.Report
+			var reports []speed.Report
 			for _, target := range b.targets {
 				sums := b.sums[node][target.Token]
 				if sums == nil {
 					sums = &speed.Sums{}
 					b.sums[node][target.Token] = sums
 				}
-				*sums = sums.Scaled(fade)
+				*sums = sums.Scaled(decay)
 				sums.Add(math.Log(b.timeRatios[target.Token]) + spread*b.random.NormFloat64())
-				words = append(words, speed.Report{Token: target.Token, Sums: *sums})
+				reports = append(reports, speed.Report{Token: target.Token, Sums: *sums})
 			}
 			m := b.reporters[node%len(b.reporters)]
 			if m.up {
-				m.core.RecordResponseTimes(b.now, b.subscribe(m, node), words)
+				m.core.RecordResponseTimes(b.now, b.subscribe(m, node), reports)
 			}
 		}
 	}
@@ -63,9 +63,9 @@
 // target.
 func (b *responseTimeFixture) assertSteps(m *machine, reference directory.Token) {
 	b.Helper()
-	usual := m.core.speeds.steps[reference].TimeRatio() / b.timeRatios[reference]
+	scale := m.core.speeds.steps[reference].TimeRatio() / b.timeRatios[reference]
 	for _, target := range b.targets {
-		assert.InEpsilon(b, b.timeRatios[target.Token]*usual, m.core.speeds.steps[target.Token].TimeRatio(), 0.25, target.ID)
+		assert.InEpsilon(b, b.timeRatios[target.Token]*scale, m.core.speeds.steps[target.Token].TimeRatio(), 0.25, target.ID)
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 	b.reportTimes(2 * speed.SweepInterval)
 	for _, m := range b.reporters {
-		assert.Zero(t, m.core.speeds.steps[old.Token], "it has ended")
+		assert.Zero(t, m.core.speeds.steps[old.Token], "the target has ended")
 	}
 }
 
@@ -146,20 +146,20 @@
 	}
 	b.reportTimes(10 * time.Second)
 	m := b.reporters[0].core
-	told := b.targets[1].Token
+	refreshed := b.targets[1].Token
 	missed := b.targets[2].Token
 	b.leader.core.applySteps(b.now, []speed.TargetStep{{Token: missed}})
 	require.NotZero(t, m.speeds.steps[missed])
 	later := b.now.Add(stepLifetime + time.Second)
 	b.leader.core.sweepSteps(later)
-	assert.NotZero(t, b.leader.core.speeds.steps[told], "the leader knows by itself")
-	m.applySteps(later, []speed.TargetStep{{Token: told, Step: m.speeds.steps[told]}})
+	assert.NotZero(t, b.leader.core.speeds.steps[refreshed], "the leader keeps its own steps")
+	m.applySteps(later, []speed.TargetStep{{Token: refreshed, Step: m.speeds.steps[refreshed]}})
 	m.speeds.unsentSteps = newTokenQueue()
 	m.sweepSteps(later)
-	assert.NotZero(t, m.speeds.steps[told])
+	assert.NotZero(t, m.speeds.steps[refreshed])
 	assert.NotContains(t, m.speeds.steps, missed)
 	assert.NotContains(t, m.speeds.receivedAt, missed)
-	assert.Contains(t, m.speeds.unsentSteps.tokens, missed, "nodes are told")
+	assert.Contains(t, m.speeds.unsentSteps.tokens, missed, "the reset is queued for the nodes")
 }
 
 // All steps must be repeated before members drop them.
@@ -198,8 +198,8 @@
 		m.core.Unsubscribe(b.subscribe(m, node))
 	}
 	b.run(speed.SweepInterval + 2*responseTimeInterval)
-	most := 1 - 1/float64(len(b.reporters))
-	assert.Less(t, b.leader.core.speeds.memberSums.Total(b.now, token).Count, most*before)
+	maxShare := 1 - 1/float64(len(b.reporters))
+	assert.Less(t, b.leader.core.speeds.memberSums.Total(b.now, token).Count, maxShare*before)
 }
 
 // A single node with false reports must move a step only slightly.
@@ -208,16 +208,16 @@
 	b.reportTimes(10 * time.Second)
 	m := b.reporters[0]
 	for range 40 {
-		var words []speed.Report
+		var reports []speed.Report
 		for _, target := range b.targets[:6] {
-			words = append(words, speed.Report{Token: target.Token, Sums: speed.Sums{Count: 8000, Total: 16000, Squares: 32000}})
+			reports = append(reports, speed.Report{Token: target.Token, Sums: speed.Sums{Count: 8000, Total: 16000, Squares: 32000}})
 		}
-		m.core.RecordResponseTimes(b.now, b.subscribe(m, fixtureNodes), words)
+		m.core.RecordResponseTimes(b.now, b.subscribe(m, fixtureNodes), reports)
 		b.reportTimes(responseTimeInterval)
 	}
 	for _, target := range b.targets[:6] {
-		told := m.core.speeds.steps[target.Token].TimeRatio() / m.core.speeds.steps[b.targets[7].Token].TimeRatio()
-		assert.InEpsilon(t, b.timeRatios[target.Token]/b.timeRatios[b.targets[7].Token], told, 0.3)
+		ratio := m.core.speeds.steps[target.Token].TimeRatio() / m.core.speeds.steps[b.targets[7].Token].TimeRatio()
+		assert.InEpsilon(t, b.timeRatios[target.Token]/b.timeRatios[b.targets[7].Token], ratio, 0.3)
 	}
 }
 
@@ -251,19 +251,19 @@
 		}
 		bytes := map[ConnectionID]int{}
 		for half := range 2 {
-			var list []speed.TargetStep
+			var steps []speed.TargetStep
 			for number := range maxChangesPerMessage {
 				token := directory.Token((second*2+half)*maxChangesPerMessage + number)
-				list = append(list, speed.TargetStep{Token: 1 + token%targets, Step: speed.Step(1 + second%20)})
+				steps = append(steps, speed.TargetStep{Token: 1 + token%targets, Step: speed.Step(1 + second%20)})
 			}
-			core.applySteps(c.now, list)
+			core.applySteps(c.now, steps)
 			core.sendStepsToNodes()
 			for _, sent := range core.takeOutput().Nodes {
 				bytes[sent.Connection] += wire.FrameSize(sent.Frame)
 				message, err := speed.Decode(sent.Frame.Payload)
 				require.NoError(t, err)
-				for _, told := range message.Steps {
-					known[sent.Connection][told.Token] = true
+				for _, entry := range message.Steps {
+					known[sent.Connection][entry.Token] = true
 				}
 			}
 		}
@@ -278,7 +278,7 @@
 // Only the failing target must be ejected, not the slow ones.
 func TestSlowTargetsAreNotEjected(t *testing.T) {
 	b := newResponseTimeFixture(t)
-	sick := b.targets[0].Token
+	faulty := b.targets[0].Token
 	for range 40 {
 		for node := range 4 {
 			var counted []directory.Outcomes
@@ -287,7 +287,7 @@
 				if number%3 == 2 {
 					outcome = directory.Outcomes{Token: target.Token, Slow: 1}
 				}
-				if target.Token == sick && node%2 == 0 {
+				if target.Token == faulty && node%2 == 0 {
 					outcome = directory.Outcomes{Token: target.Token, Short: 1}
 				}
 				counted = append(counted, outcome)
@@ -296,7 +296,7 @@
 		}
 		b.run(livenessInterval)
 		for _, token := range b.ejected(b.reporters[0]) {
-			assert.Equal(t, sick, token, fmt.Sprint(b.now))
+			assert.Equal(t, faulty, token, fmt.Sprint(b.now))
 		}
 	}
 	assert.Positive(t, b.events[eventlog.TargetEjected])
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -32,7 +32,7 @@
 	subscribe.Strength = strength.Resources{}
 	assert.Equal(t, subscribe, before)
 	_, err = DecodeSubscribe(payload[:len(payload)-1])
-	assert.Error(t, err, "half a strength")
+	assert.Error(t, err, "truncated strength")
 }
 
 // leaderWithShares returns a leader with subscribed nodes that state these CPU shares.
@@ -63,8 +63,8 @@
 	counts := countStewards(leader.core, targets)
 	strong := counts[directory.NodeKey("edge-7")]
 	weak := counts[directory.NodeKey("edge-0")]
-	assert.Greater(t, strong, 2*weak, "three are drawn without putting back, so less than 3.4 times")
-	assert.InDelta(t, weak, counts[directory.NodeKey("edge-8")], targets/15, "one that states none counts as the middle one")
+	assert.Greater(t, strong, 2*weak, "three are drawn without replacement, so the ratio is below that of the weights")
+	assert.InDelta(t, weak, counts[directory.NodeKey("edge-8")], targets/15, "a node without a strength counts as the median")
 }
 
 // A node with a lower strength must not take targets from other nodes.
@@ -81,14 +81,14 @@
 		after := leader.core.stewards(fmt.Sprint("i-", number), 2, 2)
 		for _, steward := range before[number] {
 			if steward != own {
-				assert.Contains(t, after, steward, "a node that weighs less takes nothing from others")
+				assert.Contains(t, after, steward, "a lower weight takes nothing from others")
 			}
 		}
 	}
 	assert.Equal(t, 1, c.events[eventlog.StrengthChanged])
 	c.apply(leader, leader.core.UpdateStrength(6, strength.Resources{CPUShare: 0.15}))
 	c.apply(leader, leader.core.UpdateStrength(99, strength.Resources{CPUShare: 0.15}))
-	assert.Equal(t, 1, c.events[eventlog.StrengthChanged], "the same word, and one of no node")
+	assert.Equal(t, 1, c.events[eventlog.StrengthChanged], "neither an unchanged strength nor an unknown node")
 }
 
 func TestImplausibleStrengthIsCappedAndLoggedOnce(t *testing.T) {
@@ -101,7 +101,7 @@
 	}
 	c.apply(leader, leader.core.Subscribe(c.now, 50, Subscribe{Node: "edge-old"}))
 	c.run(2 * weightInterval)
-	assert.Equal(t, 1, c.events[eventlog.StrengthBounded], "no second time")
+	assert.Equal(t, 1, c.events[eventlog.StrengthBounded], "logged only once")
 	assert.Equal(t, 1, leader.core.strengths.unstated)
 	leader.core.Unsubscribe(6)
 	c.run(2 * weightInterval)
@@ -129,9 +129,9 @@
 			for _, node := range core.nodes {
 				names[directory.NodeKey(node.name)] = true
 			}
-			draws := core.weightedNodes()
-			assert.Len(t, draws, len(names), "each node once")
-			for _, node := range draws {
+			weighted := core.weightedNodes()
+			assert.Len(t, weighted, len(names), "each node once")
+			for _, node := range weighted {
 				assert.True(t, names[uint32(node.Seed)])
 				assert.Positive(t, node.Weight)
 			}
@@ -179,7 +179,7 @@
 	process.receiveStrength(1, wire.Frame{Kind: wire.FrameSubscribe, Payload: []byte{0}})
 	process.receiveStrength(1, frame)
 	batch, _ := process.inputs.PopBatch(nil, 10)
-	require.Len(t, batch, 1, "what cannot be read, and other frames, change nothing")
+	require.Len(t, batch, 1, "malformed and other frames are ignored")
 	process.handleBatch(batch)
 	assert.InDelta(t, 350, second(2), 40)
 }
--- a/internal/registry/targetorder_test.go
+++ b/internal/registry/targetorder_test.go
@@ -38,33 +38,33 @@
 	assert.Equal(t, directory.RuleExempt, exempt[0].Rule)
 	sendRequest(t, address, OperatorRequest{Action: ActionReadmitTarget, Target: "i-1"})
 	readmitted := func() bool { return len(sendRequest(t, address, OperatorRequest{}).Targets) == 0 }
-	assert.Eventually(t, readmitted, 5*time.Second, 20*time.Millisecond, "with the next verdicts")
-	assert.Len(t, sendRequest(t, address, OperatorRequest{Target: "i-2"}).Targets, 1, "named, though as usual")
-	refused := sendRequest(t, address, OperatorRequest{Action: ActionEjectTarget, Target: "i-9"})
-	assert.True(t, refused.Rejected)
-	assert.Equal(t, `target: "i-9" is not known or has ended`, refused.Error)
+	assert.Eventually(t, readmitted, 5*time.Second, 20*time.Millisecond, "the next verdicts apply the rule")
+	assert.Len(t, sendRequest(t, address, OperatorRequest{Target: "i-2"}).Targets, 1, "a named target is always included")
+	rejected := sendRequest(t, address, OperatorRequest{Action: ActionEjectTarget, Target: "i-9"})
+	assert.True(t, rejected.Rejected)
+	assert.Equal(t, `target: "i-9" is not known or has ended`, rejected.Error)
 }
 
 func TestDryRunTargetPredictsLoad(t *testing.T) {
-	reply := OperatorResponse{
+	response := OperatorResponse{
 		Zones: []ZoneStatus{{Zone: "a", Service: "one", Slots: 6}, {Zone: "b", Service: "one", Slots: 6}, {Zone: "c", Service: "one", Slots: 9, Evacuated: true}},
 		Targets: []TargetStatus{
 			{ID: "i-1", Service: "one", Slots: 2}, {ID: "i-2", Service: "one", Slots: 4, Ejected: true}, {ID: "i-3", Service: "one", Slots: 8},
 			{ID: "i-4", Service: "two", Slots: 9, Ejected: true},
 		},
 	}
-	effect, warnings, known := DryRunTarget(reply, "i-1")
+	effect, warnings, known := DryRunTarget(response, "i-1")
 	require.True(t, known)
 	assert.Equal(t, ShareChange{Service: "one", Before: 8.0 / 12, After: 6.0 / 12}, effect)
 	assert.Empty(t, warnings)
-	_, warnings, _ = DryRunTarget(reply, "i-3")
+	_, warnings, _ = DryRunTarget(response, "i-3")
 	assert.Equal(t, []string{"service one has no other targets: new flows still go to ejected ones"}, warnings)
-	_, warnings, _ = DryRunTarget(reply, "i-2")
+	_, warnings, _ = DryRunTarget(response, "i-2")
 	assert.Equal(t, []string{"target i-2 is already ejected"}, warnings)
-	_, _, known = DryRunTarget(reply, "i-9")
+	_, _, known = DryRunTarget(response, "i-9")
 	assert.False(t, known)
-	reply.Targets[0].Slots = 3
-	_, warnings, _ = DryRunTarget(reply, "i-1")
+	response.Targets[0].Slots = 3
+	_, warnings, _ = DryRunTarget(response, "i-1")
 	assert.Equal(t, []string{"service one: load on the other targets rises by a factor of 1.6"}, warnings)
 }
 
@@ -117,23 +117,23 @@
 		leader := c.leader()
 		require.NoError(t, c.submit(leader, putTarget("i-1", "10.1.1.1:1", directory.TargetReady)).Err)
 		c.run(200 * time.Millisecond)
-		var behind *machine
+		var partitioned *machine
 		for _, name := range c.names() {
 			if m := c.machines[name]; m != leader {
-				behind = m
+				partitioned = m
 			}
 		}
-		c.cut = func(from, to string) bool { return to == leader.address && from == behind.address }
+		c.cut = func(from, to string) bool { return to == leader.address && from == partitioned.address }
 		order := directory.TargetOrder{ID: "i-1", Rule: directory.RuleEjected}
-		ticket, output := behind.core.Submit(c.now, directory.Command{Kind: directory.CommandOrderTarget, TargetOrder: order})
-		c.apply(behind, output)
+		ticket, output := partitioned.core.Submit(c.now, directory.Command{Kind: directory.CommandOrderTarget, TargetOrder: order})
+		c.apply(partitioned, output)
 		c.run(100 * time.Millisecond)
 		require.NoError(t, c.setTargetRule(leader, "i-1", directory.RuleEjected).Err)
 		require.NoError(t, c.setTargetRule(leader, "i-1", directory.RuleJudged).Err)
 		c.cut = func(string, string) bool { return false }
-		c.runUntil(3*time.Second, "an outcome", func() bool { _, done := behind.outcomes[ticket]; return done })
+		c.runUntil(3*time.Second, "an outcome", func() bool { _, done := partitioned.outcomes[ticket]; return done })
 		c.run(time.Second)
-		outcome := behind.outcomes[ticket]
+		outcome := partitioned.outcomes[ticket]
 		assert.True(t, outcome.Err != nil || outcome.Result.Code == directory.CodeConflict, "seed %d: %+v", seed, outcome)
 		assert.Equal(t, directory.RuleJudged, c.waitForLeader().core.State().TargetOrder("i-1").Rule, "seed %d", seed)
 	}
@@ -146,9 +146,9 @@
 	decoded, err := decodeOperatorRequest(payload[:len(payload)-emptyField])
 	require.NoError(t, err)
 	assert.Equal(t, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}, decoded)
-	reply := OperatorResponse{Zones: []ZoneStatus{{Zone: "a", Service: "b"}}}
-	payload = reply.frame().Payload
+	response := OperatorResponse{Zones: []ZoneStatus{{Zone: "a", Service: "b"}}}
+	payload = response.frame().Payload
 	read, err := decodeOperatorResponse(payload[:len(payload)-emptyField])
 	require.NoError(t, err)
-	assert.Equal(t, reply, read)
+	assert.Equal(t, response, read)
 }
--- a/internal/registry/upload_test.go
+++ b/internal/registry/upload_test.go
@@ -15,10 +15,10 @@
 
 // upload is a request of many packets, on a flow of its own unless flows are reused.
 type upload struct {
-	bench *uploadSimulation
-	node  *uploadNode
-	key   steer.FlowKey
-	token directory.Token
+	simulation *uploadSimulation
+	node       *uploadNode
+	key        steer.FlowKey
+	token      directory.Token
 	// acknowledged is the caller's last acknowledgement.
 	acknowledged uint32
 	// first is the sequence number of the first packet; it may wrap.
@@ -35,8 +35,8 @@
 }
 
 func (u *upload) begin() {
-	u.received = make([]bool, u.bench.packets)
-	u.confirmed = make([]bool, u.bench.packets)
+	u.received = make([]bool, u.simulation.packets)
+	u.confirmed = make([]bool, u.simulation.packets)
 	u.sent = 0
 	u.ended = false
 	u.resendAfter = resendDelay
@@ -61,7 +61,7 @@
 }
 
 func (u *upload) send(number int) {
-	b := u.bench
+	b := u.simulation
 	late := time.Duration(0)
 	if b.reorderDelay > 0 {
 		late = time.Duration(b.random.Int64N(int64(b.reorderDelay)))
@@ -71,7 +71,7 @@
 
 // deliver passes a packet to the node and over its link to the target.
 func (u *upload) deliver(number int) {
-	b := u.bench
+	b := u.simulation
 	packet := steer.Packet{Flow: u.key, Token: u.token, Acknowledged: u.acknowledged, Size: uploadPacket, Sequence: u.first + uint32(number*uploadPacket)}
 	if u.decide(packet) != steer.ActionForward || !b.linkAccepts(u.node, uploadPacket) || b.dead[u.token] {
 		return
@@ -82,9 +82,9 @@
 
 // decide passes a packet to the node's core; a reset ends the request.
 func (u *upload) decide(packet steer.Packet) steer.Action {
-	decision := u.node.core.Decide(u.bench.eventTime, packet)
+	decision := u.node.core.Decide(u.simulation.eventTime, packet)
 	if decision.Action == steer.ActionReset && !u.ended {
-		u.bench.resets++
+		u.simulation.resets++
 		u.end()
 	}
 	return decision.Action
@@ -99,7 +99,7 @@
 	u.resendAfter = resendDelay
 	if u.missing() == len(u.confirmed) {
 		u.ended = true
-		u.bench.schedule(uploadAnswerDelay, u.answered)
+		u.simulation.schedule(uploadAnswerDelay, u.answered)
 		return
 	}
 	if u.retransmitted {
@@ -122,7 +122,7 @@
 func (u *upload) await() {
 	u.timer++
 	rests := u.timer
-	u.bench.schedule(u.resendAfter, func() {
+	u.simulation.schedule(u.resendAfter, func() {
 		if u.ended || u.timer != rests {
 			return
 		}
@@ -136,7 +136,7 @@
 // answered lets the caller acknowledge the target's answer, and then reuse or close the
 // flow.
 func (u *upload) answered() {
-	b := u.bench
+	b := u.simulation
 	if b.dead[u.token] {
 		u.ended = false
 		return
@@ -158,7 +158,7 @@
 // end ends the request and schedules the caller's next one.
 func (u *upload) end() {
 	u.ended = true
-	u.bench.schedule(u.bench.pause(), func() { u.bench.openFlow(u.node) })
+	u.simulation.schedule(u.simulation.pause(), func() { u.simulation.openFlow(u.node) })
 }
 
 // During uploads callers acknowledge nothing and congested links drop packets, which must
@@ -190,12 +190,12 @@
 func TestLossDetectionTimeUnderUploads(t *testing.T) {
 	const deaths = 20
 	cases := []deathCase{
-		{"requests over kept flows", 1, true, 0, 24, false, 800 * time.Millisecond},
+		{"requests over reused flows", 1, true, 0, 24, false, 800 * time.Millisecond},
 		{"requests over new flows", 1, false, 0, 24, false, 800 * time.Millisecond},
 		{"uploads in order", 34, false, 0, 24, false, 800 * time.Millisecond},
 		{"uploads out of order", 34, false, 3 * time.Millisecond, 24, false, 800 * time.Millisecond},
 		{"few uploads out of order", 34, false, 3 * time.Millisecond, 6, false, 900 * time.Millisecond},
-		{"uploads over narrow links", 34, false, 3 * time.Millisecond, 16, true, 1500 * time.Millisecond},
+		{"uploads over congested links", 34, false, 3 * time.Millisecond, 16, true, 1500 * time.Millisecond},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/registry/uploads_test.go
+++ b/internal/registry/uploads_test.go
@@ -202,6 +202,6 @@
 		b.schedule(resendDelay<<copies, func() { b.sendOpening(node, key, copies+1) })
 		return
 	}
-	u := &upload{bench: b, node: node, key: key, token: decision.Target.Token, first: b.random.Uint32(), acknowledged: 1}
+	u := &upload{simulation: b, node: node, key: key, token: decision.Target.Token, first: b.random.Uint32(), acknowledged: 1}
 	b.schedule(uploadRoundTrip, u.begin)
 }
--- a/internal/registry/versions_test.go
+++ b/internal/registry/versions_test.go
@@ -75,14 +75,14 @@
 	b.failTargets(newer)
 	b.reportExchanges(1500 * time.Millisecond)
 	b.kill(b.leader.address, false)
-	b.runUntil(5*time.Second, "another leader", func() bool { return b.nextLeader() != nil })
+	b.runUntil(5*time.Second, "a new leader", func() bool { return b.nextLeader() != nil })
 	b.run(b.nextLeader().core.settings.LostAfter + 200*time.Millisecond)
 	for _, m := range b.reporters {
 		assert.ElementsMatch(t, newer, m.keepalive.Verdicts.Ejected)
 	}
 	assert.Equal(t, 2, b.events[eventlog.VersionHeld])
 	b.reportExchanges(4 * time.Second)
-	assert.Equal(t, 3, b.events[eventlog.VersionHeld], "it was tried and fails")
+	assert.Equal(t, 3, b.events[eventlog.VersionHeld], "the trial failed")
 	b.failing = nil
 	b.reportExchanges(20 * time.Second)
 	assert.Empty(t, b.reporters[0].keepalive.Verdicts.Ejected)
@@ -129,13 +129,13 @@
 	held := sendRequest(t, address, OperatorRequest{Action: ActionHoldVersion, Version: v2})
 	require.Len(t, held.Versions, 2)
 	assert.Equal(t, directory.VersionHeld, held.Versions[1].Rule)
-	out := func() uint32 { return sendRequest(t, address, OperatorRequest{}).Versions[1].Ejected }
-	assert.Eventually(t, func() bool { return out() == 1 }, 5*time.Second, 20*time.Millisecond, "with the next verdicts")
+	ejected := func() uint32 { return sendRequest(t, address, OperatorRequest{}).Versions[1].Ejected }
+	assert.Eventually(t, func() bool { return ejected() == 1 }, 5*time.Second, 20*time.Millisecond, "the next verdicts apply the rule")
 	sendRequest(t, address, OperatorRequest{Action: ActionJudgeVersion, Version: v2})
-	assert.Eventually(t, func() bool { return out() == 0 }, 5*time.Second, 20*time.Millisecond)
-	refused := sendRequest(t, address, OperatorRequest{Action: ActionHoldVersion, Version: directory.ServiceVersion{Service: "booking", Version: "v9"}})
-	assert.True(t, refused.Rejected)
-	assert.Equal(t, `version: "v9" of service "booking" has no targets`, refused.Error)
+	assert.Eventually(t, func() bool { return ejected() == 0 }, 5*time.Second, 20*time.Millisecond)
+	rejected := sendRequest(t, address, OperatorRequest{Action: ActionHoldVersion, Version: directory.ServiceVersion{Service: "booking", Version: "v9"}})
+	assert.True(t, rejected.Rejected)
+	assert.Equal(t, `version: "v9" of service "booking" has no targets`, rejected.Error)
 	_, _, known = DryRunVersion(listed, directory.ServiceVersion{Service: "booking", Version: "v9"})
 	assert.False(t, known)
 }
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -68,9 +68,9 @@
 	assert.LessOrEqual(t, first.Targets[0].Warmup.Left, time.Second)
 	c.run(500 * time.Millisecond)
 	later := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
-	assert.Less(t, later.Targets[0].Warmup.Left, 600*time.Millisecond, "a node counts from when it is told")
+	assert.Less(t, later.Targets[0].Warmup.Left, 600*time.Millisecond, "the time that is left")
 	c.run(time.Second)
-	assert.Nil(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Targets[0].Warmup, "it is warm")
+	assert.Nil(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Targets[0].Warmup, "the warm-up is over")
 }
 
 // A restarted member does not know the age of the registrations on its disk, so it counts
@@ -138,7 +138,7 @@
 		}
 	}
 	assert.Len(t, table.startedAt, targets)
-	assert.LessOrEqual(t, sweeps, 7, "each at twice the number of the one before")
+	assert.LessOrEqual(t, sweeps, 7, "each at twice the size of the previous one")
 }
 
 // A restarted member without state does not know the budget, so that all nodes would send
@@ -157,10 +157,10 @@
 	assert.ErrorIs(t, err, errNotCurrent)
 	warm := putTarget("i-2", "10.1.1.2:1", directory.TargetReady).Target
 	ticket, output, err := m.core.Register(c.now, warm)
-	require.NoError(t, err, "a warm one waits for the group")
+	require.NoError(t, err, "a warm target waits for the group")
 	c.apply(m, output)
 	c.runUntil(5*time.Second, "an outcome", func() bool { _, done := m.outcomes[ticket]; return done })
-	c.runUntil(5*time.Second, "it is current", func() bool { return m.core.IsCurrent(c.now) })
+	c.runUntil(5*time.Second, "the member is current", func() bool { return m.core.IsCurrent(c.now) })
 	_, output, err = m.core.Register(c.now, cold)
 	require.NoError(t, err)
 	c.apply(m, output)
--- a/internal/registry/zones_test.go
+++ b/internal/registry/zones_test.go
@@ -88,7 +88,7 @@
 // waitForVoters waits until every voter is live and up to date. Before that the previous
 // zone has not recovered, and losing another means losing two.
 func (c *cluster) waitForVoters() {
-	c.runUntil(15*time.Second, "all voters are back", func() bool {
+	c.runUntil(15*time.Second, "all voters have recovered", func() bool {
 		leader := c.leader()
 		if leader == nil {
 			return false
@@ -127,21 +127,21 @@
 // Moving a voter must never reduce the number of voters.
 func TestMovingVoterKeepsVoterCount(t *testing.T) {
 	c := newZonedCluster(t, 1, 9)
-	least := c.voterCount
+	fewest := c.voterCount
 	c.kill(c.membersInZone("zone-0")[0], true)
 	c.kill(c.membersInZone("zone-0")[1], true)
 	c.kill(c.membersInZone("zone-0")[2], true)
 	c.run(12 * time.Second)
-	require.Len(t, c.voters(), 5, "learners of the other zones vote instead")
+	require.Len(t, c.voters(), 5, "learners of the other zones were promoted")
 	for _, name := range c.membersInZone("zone-0") {
 		c.start(name)
 	}
 	c.runUntil(15*time.Second, "the voters are spread", func() bool {
-		least = min(least, len(c.voters()))
+		fewest = min(fewest, len(c.voters()))
 		leader := c.leader()
 		return leader != nil && len(c.voters()) == 5 && leader.core.ToleratesZoneLoss()
 	})
-	assert.Equal(t, 5, least)
+	assert.Equal(t, 5, fewest)
 	assert.Positive(t, c.events[eventlog.ZoneToleranceChanged])
 }
 
@@ -154,6 +154,6 @@
 	}
 	leader := c.waitForLeader()
 	c.run(time.Second)
-	assert.False(t, leader.core.ToleratesZoneLoss(), "all stand in one zone")
+	assert.False(t, leader.core.ToleratesZoneLoss(), "all members are in one zone")
 	assert.Positive(t, c.events[eventlog.ZoneToleranceChanged])
 }
