--- a/internal/registry/outliers.go
+++ b/internal/registry/outliers.go
@@ -28,9 +28,9 @@
 	// failed, and these are more than the share 1/failingShareDivisor of all.
 	minFailingTargets   = 4
 	failingShareDivisor = 2
-	// judgeTimePerTarget, times the number of targets, is the time between two evaluations.
-	// It limits the CPU time that the leader of a large fleet spends on them.
-	judgeTimePerTarget = 30 * time.Microsecond
+	// evaluationTimePerTarget, times the number of targets, is the time between two
+	// evaluations. It limits the CPU time that the leader of a large fleet spends on them.
+	evaluationTimePerTarget = 30 * time.Microsecond
 )
 
 // nodeReports counts the targets that a node reported in a period, and those among them
@@ -54,8 +54,8 @@
 	spread, previous failureSpread
 	nextRotation     kernel.Instant
 	detector         *outlier.Detector
-	// nextJudgement is when the targets are evaluated next.
-	nextJudgement kernel.Instant
+	// nextEvaluation is when the targets are evaluated next.
+	nextEvaluation kernel.Instant
 }
 
 // newOutcomeTable returns an empty table that keeps the ejections and probations of the
@@ -174,7 +174,7 @@
 // without new flows are left out: those not ready, held for lost or in evacuated zones.
 // They do not count towards the limit on the share of ejected targets either.
 func (c *Core) ejectOutliers(now kernel.Instant, next *leaderVerdicts) {
-	if now.Before(c.outcomes.nextJudgement) {
+	if now.Before(c.outcomes.nextEvaluation) {
 		next.Ejected = c.liveness.verdicts.Ejected
 		next.Probation = c.liveness.verdicts.Probation
 		return
@@ -185,7 +185,7 @@
 			targets = append(targets, c.outlierTarget(now, target))
 		}
 	})
-	c.outcomes.nextJudgement = now.Add(time.Duration(len(targets)) * judgeTimePerTarget)
+	c.outcomes.nextEvaluation = now.Add(time.Duration(len(targets)) * evaluationTimePerTarget)
 	decision := c.outcomes.detector.Decide(now, targets)
 	next.Ejected = decision.Ejected
 	next.Probation = decision.Probation
--- a/internal/registry/outliers_test.go
+++ b/internal/registry/outliers_test.go
@@ -376,11 +376,11 @@
 	core := b.leader.core
 	ejected := core.liveness.verdicts.Ejected
 	require.Equal(t, []directory.Token{b.targets[0].Token}, ejected)
-	core.outcomes.nextJudgement = b.now.Add(time.Second)
+	core.outcomes.nextEvaluation = b.now.Add(time.Second)
 	b.failing[b.targets[1].Token] = true
 	b.reportExchanges(900 * time.Millisecond)
 	assert.Equal(t, ejected, core.liveness.verdicts.Ejected, "verdicts stay until the next evaluation")
 	b.reportExchanges(time.Second)
 	assert.Contains(t, core.liveness.verdicts.Ejected, b.targets[1].Token)
-	assert.LessOrEqual(t, 3333*judgeTimePerTarget, livenessInterval, "fleets of usual size are evaluated at every interval")
+	assert.LessOrEqual(t, 3333*evaluationTimePerTarget, livenessInterval, "fleets of usual size are evaluated at every interval")
 }
--- a/internal/registry/upload_test.go
+++ b/internal/registry/upload_test.go
@@ -62,18 +62,18 @@
 
 func (u *upload) send(number int) {
 	b := u.simulation
-	late := time.Duration(0)
+	delay := time.Duration(0)
 	if b.reorderDelay > 0 {
-		late = time.Duration(b.random.Int64N(int64(b.reorderDelay)))
+		delay = time.Duration(b.random.Int64N(int64(b.reorderDelay)))
 	}
-	b.schedule(late, func() { u.deliver(number) })
+	b.schedule(delay, func() { u.deliver(number) })
 }
 
 // deliver passes a packet to the node and over its link to the target.
 func (u *upload) deliver(number int) {
 	b := u.simulation
-	packet := steer.Packet{Flow: u.key, Token: u.token, Acknowledged: u.acknowledged, Size: uploadPacket, Sequence: u.first + uint32(number*uploadPacket)}
-	if u.decide(packet) != steer.ActionForward || !b.linkAccepts(u.node, uploadPacket) || b.dead[u.token] {
+	packet := steer.Packet{Flow: u.key, Token: u.token, Acknowledged: u.acknowledged, Size: uploadPacketSize, Sequence: u.first + uint32(number*uploadPacketSize)}
+	if u.decide(packet) != steer.ActionForward || !b.linkAccepts(u.node, uploadPacketSize) || b.dead[u.token] {
 		return
 	}
 	u.received[number] = true
@@ -121,9 +121,9 @@
 // await starts the retransmission timer for the first missing packet.
 func (u *upload) await() {
 	u.timer++
-	rests := u.timer
+	timer := u.timer
 	u.simulation.schedule(u.resendAfter, func() {
-		if u.ended || u.timer != rests {
+		if u.ended || u.timer != timer {
 			return
 		}
 		u.retransmitted = true
@@ -146,7 +146,7 @@
 	packet := steer.Packet{Flow: u.key, Token: u.token, Acknowledged: u.acknowledged}
 	u.decide(packet)
 	if b.reuseFlows || b.reuseSomeFlows && u.key.Caller.Port()%4 == 0 {
-		u.first += uint32(b.packets * uploadPacket)
+		u.first += uint32(b.packets * uploadPacketSize)
 		b.schedule(b.pause(), u.begin)
 		return
 	}
--- a/internal/registry/uploadsimulation_test.go
+++ b/internal/registry/uploadsimulation_test.go
@@ -17,7 +17,7 @@
 // Parameters of the simulated callers, nodes and targets.
 const (
 	uploadWindow      = 16
-	uploadPacket      = 1200
+	uploadPacketSize  = 1200
 	resendDelay       = 200 * time.Millisecond
 	maxResendDelay    = 1600 * time.Millisecond
 	uploadAnswerDelay = 30 * time.Millisecond
@@ -166,8 +166,8 @@
 	evidence := node.core.Report(b.eventTime, livenessInterval)
 	message := Evidence{Answering: evidence.Answering, Openings: evidence.Openings}
 	for _, silent := range evidence.Silent {
-		seen := SilentTarget{Token: silent.Token, Weight: silent.Weight, UnreliableWeight: silent.Doubtful}
-		message.Silent = append(message.Silent, seen.FromSingleNode())
+		target := SilentTarget{Token: silent.Token, Weight: silent.Weight, UnreliableWeight: silent.Doubtful}
+		message.Silent = append(message.Silent, target.FromSingleNode())
 	}
 	if b.reportOutcomes {
 		message.Outcomes = evidence.Outcomes
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -157,19 +157,19 @@
 // PrepareEvacuation returns the command that starts or ends the evacuation of a zone, based
 // on this member's state.
 func (c *Core) PrepareEvacuation(zone string, active bool) directory.Evacuation {
-	order := directory.Evacuation{Zone: zone, Active: active, Revision: c.state.Evacuation(zone).Revision}
+	evacuation := directory.Evacuation{Zone: zone, Active: active, Revision: c.state.Evacuation(zone).Revision}
 	if active {
-		return order
+		return evacuation
 	}
-	return c.endEvacuation(order)
+	return c.endEvacuation(evacuation)
 }
 
 // endEvacuation adds the warm-ups of the zone's services: after an evacuation its targets
 // may be cold.
-func (c *Core) endEvacuation(order directory.Evacuation) directory.Evacuation {
+func (c *Core) endEvacuation(evacuation directory.Evacuation) directory.Evacuation {
 	services := map[string]bool{}
 	c.state.EachTarget(func(target *directory.Target) {
-		if target.Zone == order.Zone && target.State == directory.TargetReady {
+		if target.Zone == evacuation.Zone && target.State == directory.TargetReady {
 			services[target.Service] = true
 		}
 	})
@@ -179,10 +179,10 @@
 			continue
 		}
 		warmup := directory.Warmup{Left: config.Time, Budget: c.budget(config)}
-		warmup.Stewards = c.stewards(order.Zone, warmup.Budget, maxZoneStewards)
-		order.Warmups = append(order.Warmups, directory.ServiceWarmup{Service: service, Warmup: warmup})
+		warmup.Stewards = c.stewards(evacuation.Zone, warmup.Budget, maxZoneStewards)
+		evacuation.Warmups = append(evacuation.Warmups, directory.ServiceWarmup{Service: service, Warmup: warmup})
 	}
-	return order
+	return evacuation
 }
 
 // warmupConfig returns the warm-up configuration of a service.
