--- a/internal/registry/evacuation_test.go
+++ b/internal/registry/evacuation_test.go
@@ -12,8 +12,8 @@
 
 // evacuate submits the start or end of an evacuation at a member, as its process does.
 func (c *cluster) evacuate(m *machine, zone string, active bool) Outcome {
-	order := directory.Evacuation{Zone: zone, Active: active, Revision: m.core.State().Evacuation(zone).Revision}
-	return c.submit(m, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
+	evacuation := directory.Evacuation{Zone: zone, Active: active, Revision: m.core.State().Evacuation(zone).Revision}
+	return c.submit(m, directory.Command{Kind: directory.CommandEvacuate, Evacuation: evacuation})
 }
 
 func TestAcknowledgedEvacuationSurvivesDiskAndPowerLoss(t *testing.T) {
@@ -62,8 +62,8 @@
 			}
 		}
 		c.cut = func(from, to string) bool { return to == leader.address && from == partitioned.address }
-		order := directory.Evacuation{Zone: "north", Active: true}
-		ticket, output := partitioned.core.Submit(c.now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
+		evacuation := directory.Evacuation{Zone: "north", Active: true}
+		ticket, output := partitioned.core.Submit(c.now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: evacuation})
 		c.apply(partitioned, output)
 		c.run(100 * time.Millisecond)
 		require.NoError(t, c.evacuate(leader, "north", true).Err)
--- a/internal/registry/outliers_test.go
+++ b/internal/registry/outliers_test.go
@@ -290,11 +290,11 @@
 	for now := range 6 {
 		table.drain(kernel.Instant(now) * kernel.Instant(time.Second))
 	}
-	nodes, seen, most, witness := table.spreadOf(7)
+	nodes, total, top, topNode := table.spreadOf(7)
 	assert.Zero(t, nodes)
-	assert.Zero(t, seen)
-	assert.Zero(t, most)
-	assert.Zero(t, witness)
+	assert.Zero(t, total)
+	assert.Zero(t, top)
+	assert.Zero(t, topNode)
 }
 
 // Nodes with failures everywhere are ignored; the others must find the failing target.
@@ -354,8 +354,8 @@
 func TestEjectionLimitIgnoresEvacuatedTargets(t *testing.T) {
 	b := newOutcomeFixture(t)
 	away := b.targets[0].Zone
-	order := directory.Evacuation{Zone: away, Active: true}
-	require.NoError(t, b.submit(b.leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order}).Err)
+	evacuation := directory.Evacuation{Zone: away, Active: true}
+	require.NoError(t, b.submit(b.leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: evacuation}).Err)
 	all := b.targets
 	b.targets = slices.DeleteFunc(slices.Clone(all), func(target directory.Target) bool { return target.Zone == away })
 	b.reportExchanges(3 * time.Second)
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -102,8 +102,8 @@
 	require.NoError(t, c.submit(leader, command).Err)
 	require.NoError(t, c.evacuate(leader, "north", true).Err)
 	base := leader.core.State().Evacuation("north").Revision
-	order := leader.core.endEvacuation(directory.Evacuation{Zone: "north", Revision: base})
-	require.NoError(t, c.submit(leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order}).Err)
+	evacuation := leader.core.endEvacuation(directory.Evacuation{Zone: "north", Revision: base})
+	require.NoError(t, c.submit(leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: evacuation}).Err)
 	update := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
 	require.Len(t, update.Evacuations, 1)
 	warmup, known := update.Evacuations[0].Warmup("booking")
--- a/internal/registry/zones.go
+++ b/internal/registry/zones.go
@@ -88,9 +88,9 @@
 }
 
 func formatZones(voters map[string]int) string {
-	var words []string
+	var parts []string
 	for _, zone := range slices.Sorted(maps.Keys(voters)) {
-		words = append(words, fmt.Sprintf("%s:%d", zone, voters[zone]))
+		parts = append(parts, fmt.Sprintf("%s:%d", zone, voters[zone]))
 	}
-	return strings.Join(words, ",")
+	return strings.Join(parts, ",")
 }
