--- a/internal/registry/evacuation_test.go
+++ b/internal/registry/evacuation_test.go
@@ -10,13 +10,13 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// evacuate gives an order at a member, as the process does.
+// evacuate submits the start or end of an evacuation at a member, as its process does.
 func (c *cluster) evacuate(m *machine, zone string, active bool) Outcome {
-	order := directory.Evacuation{Zone: zone, Active: active, Revision: m.core.State().Evacuation(zone).Revision}
-	return c.submit(m, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
+	evacuation := directory.Evacuation{Zone: zone, Active: active, Revision: m.core.State().Evacuation(zone).Revision}
+	return c.submit(m, directory.Command{Kind: directory.CommandEvacuate, Evacuation: evacuation})
 }
 
-func TestAnAcknowledgedEvacuationSurvivesLostDisksAndPower(t *testing.T) {
+func TestAcknowledgedEvacuationSurvivesDiskAndPowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		require.NoError(t, c.evacuate(c.leader(), "north", true).Err)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestEvacuationsReachMembersThatJoinLater(t *testing.T) {
+func TestEvacuationsReachNewMembers(t *testing.T) {
 	c := newTolerantCluster(t, 1, 3, 1)
 	require.NoError(t, c.evacuate(c.leader(), "north", true).Err)
 	for version := range uint64(40) {
@@ -41,7 +41,7 @@
 	c.run(time.Second)
 	c.start(c.names()[0])
 	m := c.machines[c.names()[0]]
-	c.runUntil(10*time.Second, "it is current", func() bool { return m.core.IsCurrent(c.now) })
+	c.runUntil(10*time.Second, "the member is current", func() bool { return m.core.IsCurrent(c.now) })
 	assert.True(t, m.core.State().Evacuation("north").Active)
 	m.updates = nil
 	c.apply(m, m.core.Subscribe(c.now, 7, Subscribe{Node: "edge"}))
@@ -49,30 +49,29 @@
 	assert.Equal(t, "north", m.updates[0].Evacuations[0].Zone)
 }
 
-// A member that is cut off takes an order that the operator then gives elsewhere,
-// and later takes back. When the cut heals, the order that waited must not undo
-// what was acknowledged since.
-func TestAnOrderThatWaitedBehindACutUndoesNothing(t *testing.T) {
+// A command delayed at a partitioned member must not undo a later one that was acknowledged
+// elsewhere.
+func TestDelayedEvacuationDoesNotOverwriteNewer(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newTolerantCluster(t, seed, 5, 2)
 		leader := c.leader()
-		var behind *machine
+		var partitioned *machine
 		for _, name := range c.names() {
 			if m := c.machines[name]; m != leader {
-				behind = m
+				partitioned = m
 			}
 		}
-		c.cut = func(from, to string) bool { return to == leader.address && from == behind.address }
-		order := directory.Evacuation{Zone: "north", Active: true}
-		ticket, output := behind.core.Submit(c.now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
-		c.apply(behind, output)
+		c.cut = func(from, to string) bool { return to == leader.address && from == partitioned.address }
+		evacuation := directory.Evacuation{Zone: "north", Active: true}
+		ticket, output := partitioned.core.Submit(c.now, directory.Command{Kind: directory.CommandEvacuate, Evacuation: evacuation})
+		c.apply(partitioned, output)
 		c.run(100 * time.Millisecond)
 		require.NoError(t, c.evacuate(leader, "north", true).Err)
 		require.NoError(t, c.evacuate(leader, "north", false).Err)
 		c.cut = func(string, string) bool { return false }
-		c.runUntil(3*time.Second, "an outcome", func() bool { _, done := behind.outcomes[ticket]; return done })
+		c.runUntil(3*time.Second, "an outcome", func() bool { _, done := partitioned.outcomes[ticket]; return done })
 		c.run(time.Second)
-		outcome := behind.outcomes[ticket]
+		outcome := partitioned.outcomes[ticket]
 		assert.True(t, outcome.Err != nil || outcome.Result.Code == directory.CodeConflict, "seed %d: %+v", seed, outcome)
 		assert.False(t, c.waitForLeader().core.State().Evacuation("north").Active, "seed %d", seed)
 	}
--- a/internal/registry/order_test.go
+++ b/internal/registry/operator_test.go
@@ -14,7 +14,7 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// startMember runs a group of one member and returns its address.
+// startMember runs a group of one member and returns its process and address.
 func startMember(t *testing.T) (*Process, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -38,65 +38,66 @@
 	return process, own
 }
 
-// order gives an order until the member takes it: it needs a moment to lead.
-func order(t *testing.T, address string, wanted OperatorRequest) OperatorResponse {
+// sendRequest repeats a request until the member, which first has to become leader, handles
+// it.
+func sendRequest(t *testing.T, address string, request OperatorRequest) OperatorResponse {
 	t.Helper()
-	var reply OperatorResponse
+	var response OperatorResponse
 	require.Eventually(t, func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		var err error
-		reply, err = SendOperatorRequest(ctx, []string{address}, wanted)
-		return err == nil && (reply.Error == "" || reply.Rejected)
+		response, err = SendOperatorRequest(ctx, []string{address}, request)
+		return err == nil && (response.Error == "" || response.Rejected)
 	}, 10*time.Second, 20*time.Millisecond)
-	return reply
+	return response
 }
 
-func TestOrdersOverTheMembersOwnProtocol(t *testing.T) {
+func TestEvacuationRequestsOverMemberProtocol(t *testing.T) {
 	process, address := startMember(t)
-	assert.Empty(t, order(t, address, OperatorRequest{}).Zones)
+	assert.Empty(t, sendRequest(t, address, OperatorRequest{}).Zones)
 	for id, zone := range map[string]string{"i-1": "north", "i-2": "south"} {
 		target := directory.Target{ID: id, Service: "booking", Zone: zone, Slots: 2, State: directory.TargetReady}
 		target.Address = netip.MustParseAddrPort("10.0.0." + id[2:] + ":1")
 		_, err := process.HandleHeartbeat(context.Background(), Heartbeat{Target: target})
 		require.NoError(t, err)
 	}
-	shares := order(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones
-	require.Len(t, shares, 2)
-	assert.Equal(t, ZoneStatus{Zone: "north", Service: "booking", Targets: 1, Slots: 2, Evacuated: true}, shares[0])
-	assert.False(t, shares[1].Evacuated)
-	assert.True(t, order(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones[0].Evacuated, "given again")
-	assert.False(t, order(t, address, OperatorRequest{Action: ActionEndEvacuation, Zone: "north"}).Zones[0].Evacuated)
-	refused := order(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "west"})
-	assert.True(t, refused.Rejected)
-	assert.Equal(t, `zone: "west" is not known`, refused.Error)
+	zones := sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones
+	require.Len(t, zones, 2)
+	assert.Equal(t, ZoneStatus{Zone: "north", Service: "booking", Targets: 1, Slots: 2, Evacuated: true}, zones[0])
+	assert.False(t, zones[1].Evacuated)
+	assert.True(t, sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}).Zones[0].Evacuated, "repeated request")
+	assert.False(t, sendRequest(t, address, OperatorRequest{Action: ActionEndEvacuation, Zone: "north"}).Zones[0].Evacuated)
+	rejected := sendRequest(t, address, OperatorRequest{Action: ActionEvacuateZone, Zone: "west"})
+	assert.True(t, rejected.Rejected)
+	assert.Equal(t, `zone: "west" is not known`, rejected.Error)
 }
 
-func TestADryRunTellsWhatTheOtherZonesBear(t *testing.T) {
-	shares := []ZoneStatus{
+func TestDryRunEvacuationPredictsLoad(t *testing.T) {
+	zones := []ZoneStatus{
 		{Zone: "a", Service: "one", Slots: 10}, {Zone: "b", Service: "one", Slots: 10}, {Zone: "c", Service: "one", Slots: 10, Evacuated: true},
 		{Zone: "a", Service: "two", Slots: 4},
 		{Zone: "a", Service: "three", Slots: 2}, {Zone: "b", Service: "three", Slots: 8},
 	}
-	effects, warnings := DryRunEvacuation(shares, "a")
+	effects, warnings := DryRunEvacuation(zones, "a")
 	require.Len(t, effects, 2)
 	assert.Equal(t, ShareChange{Service: "one", Zone: "b", Before: 0.5, After: 1}, effects[0])
 	assert.Equal(t, ShareChange{Service: "three", Zone: "b", Before: 0.8, After: 1}, effects[1])
 	assert.Equal(t, []string{
-		"service one: the other zones bear 2.0 times as much",
-		"service two has no targets elsewhere: its callers are refused meanwhile",
+		"service one: load on the other zones rises by a factor of 2.0",
+		"service two has no targets in other zones: new flows are refused during the evacuation",
 	}, warnings)
 }
 
-func FuzzDecodeOrder(f *testing.F) {
+func FuzzDecodeOperatorRequest(f *testing.F) {
 	f.Add(OperatorRequest{Action: ActionEvacuateZone, Zone: "north"}.frame().Payload)
 	f.Add(OperatorResponse{Error: "p", Zones: []ZoneStatus{{Zone: "a", Service: "b", Targets: 1, Slots: 2}}}.frame().Payload)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if decoded, err := decodeOrder(data); err == nil {
-			again, err := decodeOrder(decoded.frame().Payload)
+		if decoded, err := decodeOperatorRequest(data); err == nil {
+			again, err := decodeOperatorRequest(decoded.frame().Payload)
 			require.NoError(t, err)
 			assert.Equal(t, decoded, again)
 		}
-		_, _ = decodeOrderReply(data)
+		_, _ = decodeOperatorResponse(data)
 	})
 }
--- a/internal/registry/outliers.go
+++ b/internal/registry/outliers.go
@@ -14,32 +14,30 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Nodes count how exchanges with targets end. One node sees few of a target; a member
-// sums up what its nodes report, the leader what all members report, and judges each
-// target against the others of its service (package outlier). The sums are not
-// replicated: a new leader begins with none, keeps for a while what the old one left
-// out, and tries that again.
+// Nodes count the outcomes of exchanges with targets. Members add up the counts of their
+// nodes and the leader those of all members; it compares each target with the others of its
+// service (package outlier). The counts are not replicated: a new leader starts without
+// any, keeps the ejections of the previous one for a while, and then puts the ejected
+// targets on probation.
 
 const (
-	// spreadTime is the time after which a member forgets what it knows of the spread of
-	// failures over its nodes from before the last such time: two to four seconds are
-	// known, no more than the window of the judge.
-	spreadTime = 2 * time.Second
-	// poorReports is the number of targets with failures from which on a node can be a
-	// poor witness, and poorDivisor the part of all that it reported: half.
-	poorReports = 4
-	poorDivisor = 2
-	// judgePause is the time between two judgements for each target that is judged: it
-	// bounds their cost to an eighth of what a small member has. Up to 3,333 targets each
-	// message to the leader is judged; 36,000 are judged each second.
-	judgePause = 30 * time.Microsecond
+	// failureWindow is the period after which failure counts by node are rotated. The
+	// current and the previous period together cover at most the detector's window.
+	failureWindow = 2 * time.Second
+	// A node is unreliable when at least minFailingTargets of the targets that it reported
+	// failed, and these are more than the share 1/failingShareDivisor of all.
+	minFailingTargets   = 4
+	failingShareDivisor = 2
+	// evaluationTimePerTarget, times the number of targets, is the time between two
+	// evaluations. It limits the CPU time that the leader of a large fleet spends on them.
+	evaluationTimePerTarget = 30 * time.Microsecond
 )
 
-// nodeReports counts what a node told lately: the targets that it reported, and those
-// of them with failures.
+// nodeReports counts the targets that a node reported in a period, and those among them
+// with failures.
 type nodeReports struct{ targets, failing uint32 }
 
-// failureSpread holds the failures of each target by the name of the node that saw them.
+// failureSpread holds the failures of each target by the name of the reporting node.
 type failureSpread struct {
 	failures map[directory.Token]map[string]uint32
 	reports  map[string]nodeReports
@@ -49,36 +47,37 @@
 	return failureSpread{failures: map[directory.Token]map[string]uint32{}, reports: map[string]nodeReports{}}
 }
 
-// outcomeTable holds how exchanges ended as nodes report it.
+// outcomeTable holds the outcomes of exchanges that nodes report.
 type outcomeTable struct {
 	unsent map[directory.Token]directory.Outcomes
-	// spread is that of the time since turnAt, before that of the time before it.
-	spread, before failureSpread
-	turnAt         kernel.Instant
-	judge          *outlier.Detector
-	// judgeAt is when the targets are judged next.
-	judgeAt kernel.Instant
+	// spread covers the time since the last rotation, and previous the period before it.
+	spread, previous failureSpread
+	nextRotation     kernel.Instant
+	detector         *outlier.Detector
+	// nextEvaluation is when the targets are evaluated next.
+	nextEvaluation kernel.Instant
 }
 
-// newOutcomeTable begins anew with what the last leader left out.
+// newOutcomeTable returns an empty table that keeps the ejections and probations of the
+// previous leader.
 func newOutcomeTable(now kernel.Instant, revision uint64, verdicts directory.Verdicts) outcomeTable {
 	table := outcomeTable{
-		unsent: map[directory.Token]directory.Outcomes{},
-		spread: newFailureSpread(),
-		before: newFailureSpread(),
-		turnAt: now.Add(spreadTime),
-		judge:  outlier.NewDetector(),
+		unsent:       map[directory.Token]directory.Outcomes{},
+		spread:       newFailureSpread(),
+		previous:     newFailureSpread(),
+		nextRotation: now.Add(failureWindow),
+		detector:     outlier.NewDetector(),
 	}
-	table.judge.Restore(now, revision, verdicts.Ejected, verdicts.Probation)
+	table.detector.Restore(now, revision, verdicts.Ejected, verdicts.Probation)
 	return table
 }
 
-// add sums up the report of a node. The failures that a node sees at most of the
-// targets that it reports are its own: its link, or its process, is choked.
+// add adds the report of a node. A node with failures at most of its targets is probably at
+// fault itself, for example because its link is congested, and is ignored.
 func (o *outcomeTable) add(now kernel.Instant, node string, list []directory.Outcomes) {
-	o.turn(now)
+	o.rotate(now)
 	o.countReports(node, list)
-	if o.isPoorWitness(node) {
+	if o.isUnreliable(node) {
 		return
 	}
 	for _, counted := range list {
@@ -86,21 +85,21 @@
 		sum.Token = counted.Token
 		o.unsent[counted.Token] = sum.Add(counted)
 		if failures := outlier.CountOf(counted).Failures; failures > 0 {
-			o.noteFailures(node, counted.Token, failures)
+			o.addFailures(node, counted.Token, failures)
 		}
 	}
 }
 
-func (o *outcomeTable) turn(now kernel.Instant) {
-	if now.Before(o.turnAt) {
+func (o *outcomeTable) rotate(now kernel.Instant) {
+	if now.Before(o.nextRotation) {
 		return
 	}
-	if now.Sub(o.turnAt) >= spreadTime {
+	if now.Sub(o.nextRotation) >= failureWindow {
 		o.spread = newFailureSpread()
 	}
-	o.before = o.spread
+	o.previous = o.spread
 	o.spread = newFailureSpread()
-	o.turnAt = now.Add(spreadTime)
+	o.nextRotation = now.Add(failureWindow)
 }
 
 func (o *outcomeTable) countReports(node string, list []directory.Outcomes) {
@@ -114,14 +113,14 @@
 	o.spread.reports[node] = known
 }
 
-// isPoorWitness reports whether a node has lately seen failures at most targets.
-func (o *outcomeTable) isPoorWitness(node string) bool {
-	lately, before := o.spread.reports[node], o.before.reports[node]
-	failing := lately.failing + before.failing
-	return failing >= poorReports && failing*poorDivisor > lately.targets+before.targets
+// isUnreliable reports whether a node has recently seen failures at most of its targets.
+func (o *outcomeTable) isUnreliable(node string) bool {
+	recent, previous := o.spread.reports[node], o.previous.reports[node]
+	failing := recent.failing + previous.failing
+	return failing >= minFailingTargets && failing*failingShareDivisor > recent.targets+previous.targets
 }
 
-func (o *outcomeTable) noteFailures(node string, token directory.Token, failures uint32) {
+func (o *outcomeTable) addFailures(node string, token directory.Token, failures uint32) {
 	byNode, known := o.spread.failures[token]
 	if !known {
 		byNode = map[string]uint32{}
@@ -130,9 +129,9 @@
 	byNode[node] += failures
 }
 
-// take returns the sums since the last call.
-func (o *outcomeTable) take(now kernel.Instant) []outlier.Report {
-	o.turn(now)
+// drain returns and clears the sums since the last call.
+func (o *outcomeTable) drain(now kernel.Instant) []outlier.Report {
+	o.rotate(now)
 	reports := make([]outlier.Report, 0, len(o.unsent))
 	for token, sum := range o.unsent {
 		report := outlier.Report{Outcomes: sum}
@@ -144,38 +143,38 @@
 	return reports
 }
 
-// spreadOf returns the number of nodes that lately saw failures of a target, that of
-// these failures, those that the node with the most of them saw, and its key.
-func (o *outcomeTable) spreadOf(token directory.Token) (nodes, seen, most, witness uint32) {
+// spreadOf returns how many nodes recently saw failures of a target, how many failures they
+// saw in all, and the largest count of a single node with the key of that node.
+func (o *outcomeTable) spreadOf(token directory.Token) (nodes, total, top, topNode uint32) {
 	byNode := maps.Clone(o.spread.failures[token])
 	if byNode == nil {
 		byNode = map[string]uint32{}
 	}
-	for node, failures := range o.before.failures[token] {
+	for node, failures := range o.previous.failures[token] {
 		byNode[node] += failures
 	}
 	for node, failures := range byNode {
-		seen += failures
+		total += failures
 		key := directory.NodeKey(node)
-		if failures > most || failures == most && key < witness {
-			most, witness = failures, key
+		if failures > top || failures == top && key < topNode {
+			top, topNode = failures, key
 		}
 	}
-	return uint32(len(byNode)), seen, most, witness
+	return uint32(len(byNode)), total, top, topNode
 }
 
-// noteOutcomes enters a member's sums into the leader's.
-func (c *Core) noteOutcomes(now kernel.Instant, seen observations) {
+// recordOutcomes adds a member's sums to the leader's.
+func (c *Core) recordOutcomes(now kernel.Instant, seen observations) {
 	for _, report := range seen.Outcomes {
-		c.outcomes.judge.AddReport(now, seen.From, report)
+		c.outcomes.detector.AddReport(now, seen.From, report)
 	}
 }
 
-// ejectOutliers adds the targets that fail their work to the verdicts. Those that take
-// no new flows anyway, also in evacuated zones, or are held for lost, are not judged and
-// forgotten; they bear nothing, so they do not count in the share that may be left out.
+// ejectOutliers adds the targets to eject and those on probation to the verdicts. Targets
+// without new flows are left out: those not ready, held for lost or in evacuated zones.
+// They do not count towards the limit on the share of ejected targets either.
 func (c *Core) ejectOutliers(now kernel.Instant, next *leaderVerdicts) {
-	if now.Before(c.outcomes.judgeAt) {
+	if now.Before(c.outcomes.nextEvaluation) {
 		next.Ejected = c.liveness.verdicts.Ejected
 		next.Probation = c.liveness.verdicts.Probation
 		return
@@ -183,49 +182,49 @@
 	var targets []outlier.Target
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.State == directory.TargetReady && !slices.Contains(next.Lost, target.Token) && !c.state.Evacuation(target.Zone).Active {
-			targets = append(targets, c.judged(now, target))
+			targets = append(targets, c.outlierTarget(now, target))
 		}
 	})
-	c.outcomes.judgeAt = now.Add(time.Duration(len(targets)) * judgePause)
-	decision := c.outcomes.judge.Decide(now, targets)
+	c.outcomes.nextEvaluation = now.Add(time.Duration(len(targets)) * evaluationTimePerTarget)
+	decision := c.outcomes.detector.Decide(now, targets)
 	next.Ejected = decision.Ejected
 	next.Probation = decision.Probation
 	for _, change := range decision.Changes {
-		c.logOutlier(change)
+		c.logTargetChange(change)
 	}
 	for _, change := range decision.Versions {
-		c.logVersion(change)
+		c.logVersionChange(change)
 	}
 }
 
-// judged returns what the judge needs to know of a target. One that is cold, or was within
-// the judge's window, tells nothing of its version.
-func (c *Core) judged(now kernel.Instant, target *directory.Target) outlier.Target {
+// outlierTarget returns the detector's input for a target. A target that is cold, or was
+// within the detector's window, is no evidence about its version.
+func (c *Core) outlierTarget(now kernel.Instant, target *directory.Target) outlier.Target {
 	return outlier.Target{
 		Token: target.Token, Service: target.Service, Zone: target.Zone, Order: c.state.TargetOrder(target.ID),
 		Version: target.Version, VersionRule: c.state.VersionOrder(target.ServiceVersion()).Rule, RegisteredAt: target.Revision, Slots: target.Slots,
-		WarmingUp: target.Warmup != nil && c.warmups.leftOf(now, *target) > -outlier.WindowTime,
+		WarmingUp: target.Warmup != nil && c.warmups.remaining(now, *target) > -outlier.WindowTime,
 	}
 }
 
-func (c *Core) logOutlier(change outlier.Change) {
+func (c *Core) logTargetChange(change outlier.Change) {
 	target, _ := c.state.TargetByToken(change.Token)
 	fields := []any{"target", target.ID, "token", target.Token, "service", target.Service, "zone", target.Zone}
 	switch change.Kind {
 	case outlier.Ejected:
-		fields = append(fields, "reason", failedText(change.Count), "nodes", change.FailingNodes, "usual_share", shareText(change.Baseline), "hold", change.Hold)
+		fields = append(fields, "reason", failureText(change.Count), "nodes", change.FailingNodes, "usual_share", shareText(change.Baseline), "hold", change.Hold)
 		c.logEvent(eventlog.TargetEjected, fields...)
 	case outlier.OnProbation:
 		c.logEvent(eventlog.TargetOnProbation, fields...)
 	case outlier.Readmitted:
-		c.logEvent(eventlog.TargetReadmitted, append(fields, "reason", failedText(change.Count))...)
+		c.logEvent(eventlog.TargetReadmitted, append(fields, "reason", failureText(change.Count))...)
 	}
 }
 
-func (c *Core) logVersion(change outlier.VersionChange) {
+func (c *Core) logVersionChange(change outlier.VersionChange) {
 	fields := []any{"service", change.Service, "version", change.Version, "targets", change.Targets, "cause", change.Cause}
 	if change.Count.Exchanges > 0 {
-		fields = append(fields, "reason", failedText(change.Count))
+		fields = append(fields, "reason", failureText(change.Count))
 	}
 	switch change.Kind {
 	case outlier.Ejected:
@@ -237,16 +236,15 @@
 	}
 }
 
-// failedText returns a count as words for operators.
-func failedText(count outlier.Count) string {
+// failureText returns a count as text for operators.
+func failureText(count outlier.Count) string {
 	return fmt.Sprintf("%d of %d exchanges ended unanswered", count.Failures, count.Exchanges)
 }
 
 func shareText(share float64) string { return fmt.Sprintf("%.3f", share) }
 
-// smallestReport is the encoded size in bytes of a report with small counts. A member
-// of nine, with 1,200 exchanges a second in all, sends the leader 1.5 kB/s of them.
-const smallestReport = 11
+// minReportSize is the smallest encoded size of a report in bytes.
+const minReportSize = 11
 
 func encodeReports(encoder *wire.Encoder, reports []outlier.Report) {
 	encoder.Uint32(uint32(len(reports)))
@@ -263,7 +261,7 @@
 
 func decodeReports(decoder *wire.Decoder) []outlier.Report {
 	var reports []outlier.Report
-	for count := decoder.Count(smallestReport); count > 0; count-- {
+	for count := decoder.Count(minReportSize); count > 0; count-- {
 		report := outlier.Report{Outcomes: directory.Outcomes{Token: directory.Token(decoder.Uint32())}}
 		for _, number := range []*uint32{&report.Answered, &report.Unanswered, &report.Short, &report.Slow, &report.FailingNodes, &report.RecentFailures, &report.TopFailures} {
 			*number = decoder.Small()
--- a/internal/registry/sightings.go
+++ b/internal/registry/sightings.go
@@ -2,16 +2,16 @@
 
 import "github.com/beamdoor/beamdoor/internal/directory"
 
-// sightingSlack is the number of sightings beyond twice those of the living targets from
-// which on those of ended ones are forgotten: it bounds how often all are looked at.
-const sightingSlack = 64
+// statusSweepSlack is how far the number of statuses must exceed twice the number of
+// targets before those of ended targets are removed. It limits how often all are scanned.
+const statusSweepSlack = 64
 
-// forgetEnded forgets what is known of targets that have ended, now and then.
-func (c *Core) forgetEnded() {
-	if len(c.liveness.statuses) <= sightingSlack {
+// removeEndedTargets removes the statuses of ended targets once enough have accumulated.
+func (c *Core) removeEndedTargets() {
+	if len(c.liveness.statuses) <= statusSweepSlack {
 		return
 	}
-	if len(c.liveness.statuses) <= 2*c.state.TargetCount()+sightingSlack {
+	if len(c.liveness.statuses) <= 2*c.state.TargetCount()+statusSweepSlack {
 		return
 	}
 	for token := range c.liveness.statuses {
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -9,33 +9,32 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// A node whose callers' data gets lost sees living targets as silent (bursts over links
-// of 2 Mbit/s, where heartbeats are late as well and answers up to a second apart).
-func TestDoubtfulEvidenceNeedsALongerSilence(t *testing.T) {
+// Nodes that lose packets of their callers see healthy targets as silent.
+func TestUnreliableEvidenceNeedsLongerSilence(t *testing.T) {
 	cases := []struct {
-		name   string
-		seen   SilentTarget
-		nodes  int
-		quiet  time.Duration
-		silent bool
+		name     string
+		reported SilentTarget
+		nodes    int
+		quiet    time.Duration
+		silent   bool
 	}{
-		{"certain", SilentTarget{Weight: 2}, 2, time.Millisecond, true},
-		{"certain, of one node", SilentTarget{Weight: 9}, 1, time.Minute, false},
-		{"doubtful, lately seen", SilentTarget{UnreliableWeight: 9}, 2, doubtfulSilence - time.Millisecond, false},
-		{"doubtful", SilentTarget{UnreliableWeight: 2}, 2, doubtfulSilence, true},
-		{"doubtful, of one node", SilentTarget{UnreliableWeight: 9}, 1, time.Minute, false},
-		{"both", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, doubtfulSilence, true},
-		{"both, lately seen", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, time.Millisecond, false},
-		{"too little", SilentTarget{UnreliableWeight: 1}, 3, time.Minute, false},
+		{"reliable", SilentTarget{Weight: 2}, 2, time.Millisecond, true},
+		{"reliable, of one node", SilentTarget{Weight: 9}, 1, time.Minute, false},
+		{"unreliable, recently seen", SilentTarget{UnreliableWeight: 9}, 2, unreliableSilenceTime - time.Millisecond, false},
+		{"unreliable", SilentTarget{UnreliableWeight: 2}, 2, unreliableSilenceTime, true},
+		{"unreliable, of one node", SilentTarget{UnreliableWeight: 9}, 1, time.Minute, false},
+		{"both", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, unreliableSilenceTime, true},
+		{"both, recently seen", SilentTarget{Weight: 1, UnreliableWeight: 1}, 2, time.Millisecond, false},
+		{"too little weight", SilentTarget{UnreliableWeight: 1}, 3, time.Minute, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			now := kernel.Instant(time.Hour)
-			seen := &targetStatus{silences: map[string]silenceReport{}, lastHeartbeat: now.Add(-test.quiet)}
+			status := &targetStatus{silences: map[string]silenceReport{}, lastHeartbeat: now.Add(-test.quiet)}
 			for number := range test.nodes {
-				seen.noteSilence(now, address(number), test.seen.FromSingleNode())
+				status.recordSilence(now, address(number), test.reported.FromSingleNode())
 			}
-			assert.Equal(t, test.silent, seen.isSilent(now))
+			assert.Equal(t, test.silent, status.isSilent(now))
 		})
 	}
 }
--- a/internal/registry/speeds.go
+++ b/internal/registry/speeds.go
@@ -12,180 +12,184 @@
 	"github.com/beamdoor/beamdoor/internal/speed"
 )
 
-// Nodes tell their member how long targets take, members sum that up and tell the leader,
-// which estimates the time of each target relative to its service (package speed) and
-// tells all members, and those their nodes. Nothing of it is replicated. A new leader
-// begins with the members' next words; until it has heard them, members and nodes keep
-// what they know.
+// Nodes report the response times of targets to their member. Members add up the reports of
+// their nodes and send the sums to the leader, which estimates the response time of each
+// target relative to its service (package speed) and distributes the estimates, as steps,
+// to all members and their nodes. None of this is replicated. A new leader starts from the
+// members' next reports; until it has estimates, members and nodes keep the steps they
+// have.
 
 const (
-	// speedInterval is the time between two words of a member, to the leader and to nodes.
-	speedInterval = 500 * time.Millisecond
-	// speedSettling is how long a leader hears words before it tells what it makes of them:
-	// those of all members, and of nodes that have just come to them.
-	speedSettling = 6 * speedInterval
-	// estimatePause is the time between two estimates for each target, so that a leader of
-	// many targets keeps its time.
-	estimatePause = 100 * time.Microsecond
-	// speedMemory is how long a new leader leaves a target as it was told before while no
-	// member says anything of it.
-	speedMemory = 5 * time.Minute
-	// stepMemory is how long a member keeps what the leader does not tell again: that a
-	// target takes the usual time is told once, and may be lost.
-	stepMemory = 10 * time.Minute
-	// countOfNode bounds the samples of one node in the sums of a target: one that lies, or
-	// whose link is choked, is one of many.
-	countOfNode = 16
-	// summedAtOnce bounds the targets in a word to the leader to 1 kB, changedAtOnce those
-	// that the leader changes to 2.5 kB to each member. A node is told no more than
-	// toldAtOnce that have changed and as many others, 0.6 kB, and half as much more while
-	// it is new.
-	summedAtOnce  = 128
-	changedAtOnce = 512
-	toldAtOnce    = 64
-	// speedRepeat is the time in which all that is told is told again, where a word holds
-	// as much.
-	speedRepeat = 30 * time.Second
+	// responseTimeInterval is the time between two messages of a member, to the leader and
+	// to its nodes.
+	responseTimeInterval = 500 * time.Millisecond
+	// leaderSettleTime is how long a new leader collects reports before it distributes its
+	// own estimates.
+	leaderSettleTime = 6 * responseTimeInterval
+	// estimateTimePerTarget, times the number of targets, is the time between two
+	// estimates. It limits the CPU time that a leader of many targets spends on them.
+	estimateTimePerTarget = 100 * time.Microsecond
+	// inheritedStepLifetime is how long a new leader keeps the previous step of a target
+	// with too few samples.
+	inheritedStepLifetime = 5 * time.Minute
+	// stepLifetime is how long a member keeps a step that the leader does not repeat. A
+	// reset to the usual time is sent only once and may be lost.
+	stepLifetime = 10 * time.Minute
+	// maxSamplesPerNode limits the weight of one node in the sums of a target, so that a
+	// faulty or congested node cannot dominate them.
+	maxSamplesPerNode = 16
+	// maxSumsPerMessage limits the targets in a message to the leader, and
+	// maxChangesPerMessage the changed steps in a message to each member. A message to a
+	// node holds at most maxStepsPerNodeMessage changed steps, as many refreshed ones and,
+	// while the node is new, as many initial ones.
+	maxSumsPerMessage      = 128
+	maxChangesPerMessage   = 512
+	maxStepsPerNodeMessage = 64
+	// stepRefreshInterval is the time in which all steps are sent once more, as far as the
+	// message limits allow.
+	stepRefreshInterval = 30 * time.Second
 )
 
-// responseTimeTable holds how long targets take, as nodes and members tell it.
+// responseTimeTable holds the response times of targets that nodes and members report, and
+// the leader's estimates.
 type responseTimeTable struct {
-	// nodes are the words of the nodes that follow this member, members those of the
-	// members at the leader.
-	nodes   speed.Table[ConnectionID]
-	members speed.Table[string]
-	// unsent are the targets of which the leader was not told the newest sums, in the
-	// order in which they are told.
-	unsent tokenQueue
-	// leader is the address of the leader that was told, and leadsSince when this member
-	// began to lead, or 0.
-	leader     string
-	leadsSince kernel.Instant
-	// term is that of the leader that told last, and told what it told, without targets
-	// that take the usual time.
-	term uint64
-	told map[directory.Token]speed.Step
-	// heard is when each of these was told last.
-	heard map[directory.Token]kernel.Instant
-	// order are the targets of told; it is made anew when isStale is set. The turns are
-	// those that members and nodes are told again next.
-	order                []directory.Token
-	isStale              bool
-	memberTurn, nodeTurn int
-	// changed are those of which nodes were not told the newest.
-	changed tokenQueue
-	// uneven are the services whose targets are known to differ.
-	uneven                    map[string]bool
-	next, estimateAt, sweepAt kernel.Instant
+	// nodeSums are the reports of the nodes that follow this member; memberSums, used on
+	// the leader, those of the members.
+	nodeSums   speed.Table[ConnectionID]
+	memberSums speed.Table[string]
+	// unsentSums are the targets whose newest sums the leader does not have yet, oldest
+	// first.
+	unsentSums tokenQueue
+	// leader is the address of the leader that gets the sums, and leadingSince when that
+	// leader was first seen.
+	leader       string
+	leadingSince kernel.Instant
+	// term is that of the leader whose steps these are. Targets that take the usual time
+	// have no entry in steps.
+	term  uint64
+	steps map[directory.Token]speed.Step
+	// receivedAt is when each step was last received.
+	receivedAt map[directory.Token]kernel.Instant
+	// refreshOrder lists the targets of steps; it is rebuilt when isOrderStale is set. The
+	// cursors are the positions from which members and nodes are refreshed next.
+	refreshOrder             []directory.Token
+	isOrderStale             bool
+	memberCursor, nodeCursor int
+	// unsentSteps are the targets whose newest step has not been sent to nodes.
+	unsentSteps tokenQueue
+	// unevenServices are the services whose targets differ in response time.
+	unevenServices                   map[string]bool
+	nextRun, nextEstimate, nextSweep kernel.Instant
 }
 
 func newResponseTimeTable() responseTimeTable {
 	return responseTimeTable{
-		nodes:   speed.NewTable[ConnectionID](speed.HalfLife),
-		members: speed.NewTable[string](speed.MemberHalfLife),
-		unsent:  newTokenQueue(),
-		told:    map[directory.Token]speed.Step{},
-		heard:   map[directory.Token]kernel.Instant{},
-		changed: newTokenQueue(),
-		uneven:  map[string]bool{},
+		nodeSums:       speed.NewTable[ConnectionID](speed.HalfLife),
+		memberSums:     speed.NewTable[string](speed.MemberHalfLife),
+		unsentSums:     newTokenQueue(),
+		steps:          map[directory.Token]speed.Step{},
+		receivedAt:     map[directory.Token]kernel.Instant{},
+		unsentSteps:    newTokenQueue(),
+		unevenServices: map[string]bool{},
 	}
 }
 
-// tokenQueue is a queue that holds each target once.
+// tokenQueue is a FIFO queue that holds each target at most once.
 type tokenQueue struct {
 	tokens []directory.Token
-	held   map[directory.Token]bool
+	queued map[directory.Token]bool
 }
 
-func newTokenQueue() tokenQueue { return tokenQueue{held: map[directory.Token]bool{}} }
+func newTokenQueue() tokenQueue { return tokenQueue{queued: map[directory.Token]bool{}} }
 
 func (q *tokenQueue) push(token directory.Token) {
-	if !q.held[token] {
-		q.held[token] = true
+	if !q.queued[token] {
+		q.queued[token] = true
 		q.tokens = append(q.tokens, token)
 	}
 }
 
-// pop takes no more than a number of targets.
-func (q *tokenQueue) pop(most int) []directory.Token {
-	count := min(most, len(q.tokens))
-	taken := slices.Clone(q.tokens[:count])
+// pop removes and returns at most limit targets.
+func (q *tokenQueue) pop(limit int) []directory.Token {
+	count := min(limit, len(q.tokens))
+	popped := slices.Clone(q.tokens[:count])
 	q.tokens = slices.Delete(q.tokens, 0, count)
-	for _, token := range taken {
-		delete(q.held, token)
+	for _, token := range popped {
+		delete(q.queued, token)
 	}
-	return taken
+	return popped
 }
 
-// RecordResponseTimes notes what a subscribed node tells of how long targets take.
-func (c *Core) RecordResponseTimes(now kernel.Instant, connection ConnectionID, words []speed.Report) {
+// RecordResponseTimes adds a subscribed node's report of response times.
+func (c *Core) RecordResponseTimes(now kernel.Instant, connection ConnectionID, reports []speed.Report) {
 	if _, connected := c.nodes[connection]; !connected {
 		return
 	}
-	for _, word := range words {
-		if _, known := c.state.TargetByToken(word.Token); !known {
+	for _, report := range reports {
+		if _, known := c.state.TargetByToken(report.Token); !known {
 			continue
 		}
-		c.speeds.nodes.Record(now, connection, word.Token, word.Capped(countOfNode))
-		c.speeds.unsent.push(word.Token)
+		c.speeds.nodeSums.Record(now, connection, report.Token, report.Capped(maxSamplesPerNode))
+		c.speeds.unsentSums.push(report.Token)
 	}
 }
 
-// tickResponseTimes passes on what was learned: to the leader, and to the nodes.
+// tickResponseTimes sends new sums to the leader and new steps to the nodes; the leader
+// also sends steps to the members.
 func (c *Core) tickResponseTimes(now kernel.Instant) {
-	if now.Before(c.speeds.next) {
+	if now.Before(c.speeds.nextRun) {
 		return
 	}
-	c.speeds.next = now.Add(speedInterval)
-	c.followLeader(now)
-	c.tellSums(now)
-	if c.IsLeader() && now.Sub(c.speeds.leadsSince) >= speedSettling {
-		c.tellMembersSpeeds(now)
+	c.speeds.nextRun = now.Add(responseTimeInterval)
+	c.detectLeaderChange(now)
+	c.sendSums(now)
+	if c.IsLeader() && now.Sub(c.speeds.leadingSince) >= leaderSettleTime {
+		c.sendStepsToMembers(now)
 	}
-	c.tellNodesSpeeds()
-	c.sweepSpeeds(now)
+	c.sendStepsToNodes()
+	c.sweepResponseTimes(now)
 }
 
-// followLeader has a new leader told of all targets.
-func (c *Core) followLeader(now kernel.Instant) {
+// detectLeaderChange queues the sums of all targets for a new leader.
+func (c *Core) detectLeaderChange(now kernel.Instant) {
 	leader := c.address(c.replica.Node.Leader())
 	if leader == c.speeds.leader {
 		return
 	}
 	c.speeds.leader = leader
-	c.speeds.leadsSince = now
-	c.speeds.members = speed.NewTable[string](speed.MemberHalfLife)
-	for _, token := range c.speeds.nodes.Tokens() {
-		c.speeds.unsent.push(token)
+	c.speeds.leadingSince = now
+	c.speeds.memberSums = speed.NewTable[string](speed.MemberHalfLife)
+	for _, token := range c.speeds.nodeSums.Tokens() {
+		c.speeds.unsentSums.push(token)
 	}
 }
 
-// tellSums tells the leader, or notes for itself, the sums that have changed.
-func (c *Core) tellSums(now kernel.Instant) {
+// sendSums sends the changed sums to the leader, or records them if this member leads.
+func (c *Core) sendSums(now kernel.Instant) {
 	if c.speeds.leader == "" {
 		return
 	}
-	var words []speed.Report
-	for _, token := range c.speeds.unsent.pop(summedAtOnce) {
-		words = append(words, speed.Report{Token: token, Sums: c.speeds.nodes.Total(now, token)})
+	var reports []speed.Report
+	for _, token := range c.speeds.unsentSums.pop(maxSumsPerMessage) {
+		reports = append(reports, speed.Report{Token: token, Sums: c.speeds.nodeSums.Total(now, token)})
 	}
-	if len(words) == 0 {
+	if len(reports) == 0 {
 		return
 	}
 	if c.IsLeader() {
-		c.noteSums(now, c.settings.Address, words)
+		c.recordSums(now, c.settings.Address, reports)
 		return
 	}
-	c.sendToMember(c.speeds.leader, speed.ReportFrame(c.settings.Address, words))
+	c.sendToMember(c.speeds.leader, speed.ReportFrame(c.settings.Address, reports))
 }
 
-func (c *Core) noteSums(now kernel.Instant, member string, words []speed.Report) {
-	for _, word := range words {
-		c.speeds.members.Record(now, member, word.Token, word.Sums)
+func (c *Core) recordSums(now kernel.Instant, member string, reports []speed.Report) {
+	for _, report := range reports {
+		c.speeds.memberSums.Record(now, member, report.Token, report.Sums)
 	}
 }
 
-// receiveResponseTimes takes the sums of a member, or what the leader tells.
+// receiveResponseTimes handles the sums of a member or the steps of the leader.
 func (c *Core) receiveResponseTimes(now kernel.Instant, payload []byte) error {
 	message, err := speed.Decode(payload)
 	if err != nil {
@@ -193,7 +197,7 @@
 	}
 	if !message.FromLeader {
 		if c.IsLeader() {
-			c.noteSums(now, message.Source, message.Reports)
+			c.recordSums(now, message.Source, message.Reports)
 		}
 		return nil
 	}
@@ -201,29 +205,28 @@
 		return nil
 	}
 	c.speeds.term = message.Term
-	c.setSteps(now, message.Steps)
+	c.applySteps(now, message.Steps)
 	return nil
 }
 
-// tellMembersSpeeds tells the members the targets whose step changes and a part of the
-// rest.
-func (c *Core) tellMembersSpeeds(now kernel.Instant) {
+// sendStepsToMembers sends the members the changed steps and some of the others to refresh
+// them.
+func (c *Core) sendStepsToMembers(now kernel.Instant) {
 	c.speeds.term = c.replica.Term
-	list := append(c.estimateSpeeds(now), c.speeds.repeated(&c.speeds.memberTurn)...)
-	c.setSteps(now, list)
-	if len(list) == 0 {
+	steps := append(c.estimateSteps(now), c.speeds.nextRefresh(&c.speeds.memberCursor)...)
+	c.applySteps(now, steps)
+	if len(steps) == 0 {
 		return
 	}
-	frame := speed.StepFrame(c.speeds.term, list)
+	frame := speed.StepFrame(c.speeds.term, steps)
 	for _, member := range c.state.Members() {
 		c.sendToMember(member.Address, frame)
 	}
 }
 
-// estimateSpeeds works out how long targets take, and returns those whose step changes,
-// the farthest first.
-func (c *Core) estimateSpeeds(now kernel.Instant) []speed.TargetStep {
-	if now.Before(c.speeds.estimateAt) {
+// estimateSteps returns the targets whose step changes, largest change first.
+func (c *Core) estimateSteps(now kernel.Instant) []speed.TargetStep {
+	if now.Before(c.speeds.nextEstimate) {
 		return nil
 	}
 	services := map[string][]directory.Token{}
@@ -234,38 +237,39 @@
 			count++
 		}
 	})
-	maps.DeleteFunc(c.speeds.uneven, func(service string, _ bool) bool { return services[service] == nil })
-	c.speeds.estimateAt = now.Add(time.Duration(count) * estimatePause)
+	maps.DeleteFunc(c.speeds.unevenServices, func(service string, _ bool) bool { return services[service] == nil })
+	c.speeds.nextEstimate = now.Add(time.Duration(count) * estimateTimePerTarget)
 	var changes []speed.TargetStep
 	for _, service := range slices.Sorted(maps.Keys(services)) {
 		tokens := services[service]
 		slices.Sort(tokens)
-		changes = append(changes, c.estimateService(now, service, tokens)...)
+		changes = append(changes, c.estimateServiceSteps(now, service, tokens)...)
 	}
 	slices.SortStableFunc(changes, func(a, b speed.TargetStep) int {
-		return cmp.Compare(c.speeds.distance(b), c.speeds.distance(a))
+		return cmp.Compare(c.speeds.stepDistance(b), c.speeds.stepDistance(a))
 	})
-	return changes[:min(changedAtOnce, len(changes))]
+	return changes[:min(maxChangesPerMessage, len(changes))]
 }
 
-// distance returns how far a step is from what was told before.
-func (s *responseTimeTable) distance(told speed.TargetStep) int {
-	distance := int(told.Step) - int(s.told[told.Token])
+// stepDistance returns the absolute difference between a step and the current one of its
+// target.
+func (s *responseTimeTable) stepDistance(entry speed.TargetStep) int {
+	distance := int(entry.Step) - int(s.steps[entry.Token])
 	return max(distance, -distance)
 }
 
-// estimateService returns the targets of a service whose step changes.
-func (c *Core) estimateService(now kernel.Instant, service string, tokens []directory.Token) []speed.TargetStep {
+// estimateServiceSteps returns the targets of a service whose step changes.
+func (c *Core) estimateServiceSteps(now kernel.Instant, service string, tokens []directory.Token) []speed.TargetStep {
 	sums := make([]speed.Sums, len(tokens))
 	for position, token := range tokens {
-		sums[position] = c.speeds.members.Total(now, token)
+		sums[position] = c.speeds.memberSums.Total(now, token)
 	}
 	var changes []speed.TargetStep
 	var slowest, fastest speed.Step
 	for position, estimate := range speed.Estimate(sums) {
-		before := c.speeds.told[tokens[position]]
+		before := c.speeds.steps[tokens[position]]
 		next := before.Next(estimate)
-		if sums[position].Count < speed.MinCount && now.Sub(c.speeds.leadsSince) < speedMemory {
+		if sums[position].Count < speed.MinCount && now.Sub(c.speeds.leadingSince) < inheritedStepLifetime {
 			next = before
 		}
 		if next != before {
@@ -274,145 +278,149 @@
 		slowest = max(slowest, next)
 		fastest = min(fastest, next)
 	}
-	c.noteUneven(service, slowest, fastest)
+	c.logUnevenService(service, slowest, fastest)
 	return changes
 }
 
-// unevenRatio is the ratio of the slowest to the fastest target from which on a service
-// is uneven; it is even again below evenRatio.
+// A service counts as uneven when the ratio of its slowest to its fastest target reaches
+// unevenRatio, and as even again below evenRatio.
 const (
 	unevenRatio = 1.5
 	evenRatio   = 1.2
 )
 
-// noteUneven logs when the targets of a service turn out to differ, or not to any more.
-func (c *Core) noteUneven(service string, slowest, fastest speed.Step) {
+// logUnevenService logs when the targets of a service begin or cease to differ in response
+// time.
+func (c *Core) logUnevenService(service string, slowest, fastest speed.Step) {
 	ratio := slowest.TimeRatio() / fastest.TimeRatio()
 	switch {
-	case !c.speeds.uneven[service] && ratio >= unevenRatio:
-		c.speeds.uneven[service] = true
+	case !c.speeds.unevenServices[service] && ratio >= unevenRatio:
+		c.speeds.unevenServices[service] = true
 		c.logEvent(eventlog.SpeedsDiffer, "service", service, "slowest", slowest.TimeRatio(), "fastest", fastest.TimeRatio())
-	case c.speeds.uneven[service] && ratio < evenRatio:
-		delete(c.speeds.uneven, service)
+	case c.speeds.unevenServices[service] && ratio < evenRatio:
+		delete(c.speeds.unevenServices, service)
 		c.logEvent(eventlog.SpeedsAlike, "service", service, "slowest", slowest.TimeRatio(), "fastest", fastest.TimeRatio())
 	}
 }
 
-// setSteps takes what the leader tells; nodes are told of it.
-func (c *Core) setSteps(now kernel.Instant, list []speed.TargetStep) {
-	for _, told := range list {
-		before := c.speeds.told[told.Token]
-		if told.Step != 0 {
-			c.speeds.heard[told.Token] = now
+// applySteps sets the steps that the leader sent and queues the changed ones for the nodes.
+func (c *Core) applySteps(now kernel.Instant, steps []speed.TargetStep) {
+	for _, entry := range steps {
+		before := c.speeds.steps[entry.Token]
+		if entry.Step != 0 {
+			c.speeds.receivedAt[entry.Token] = now
 		}
-		if before == told.Step {
+		if before == entry.Step {
 			continue
 		}
-		c.speeds.changed.push(told.Token)
-		if told.Step == 0 {
-			c.speeds.forget(told.Token)
+		c.speeds.unsentSteps.push(entry.Token)
+		if entry.Step == 0 {
+			c.speeds.removeStep(entry.Token)
 			continue
 		}
-		c.speeds.told[told.Token] = told.Step
-		c.speeds.isStale = c.speeds.isStale || before == 0
+		c.speeds.steps[entry.Token] = entry.Step
+		c.speeds.isOrderStale = c.speeds.isOrderStale || before == 0
 	}
 }
 
-func (s *responseTimeTable) forget(token directory.Token) {
-	delete(s.told, token)
-	delete(s.heard, token)
-	s.isStale = true
+func (s *responseTimeTable) removeStep(token directory.Token) {
+	delete(s.steps, token)
+	delete(s.receivedAt, token)
+	s.isOrderStale = true
 }
 
-// setOrder makes the order anew. A long one is left as it is until it is told whole.
-func (s *responseTimeTable) setOrder() {
-	isLong := len(s.order) > toldAtOnce
-	if !s.isStale || isLong && s.nodeTurn != 0 {
+// updateRefreshOrder rebuilds the refresh order if it is stale. An order too long for one
+// message is rebuilt only after a full pass.
+func (s *responseTimeTable) updateRefreshOrder() {
+	isLong := len(s.refreshOrder) > maxStepsPerNodeMessage
+	if !s.isOrderStale || isLong && s.nodeCursor != 0 {
 		return
 	}
-	s.isStale = false
-	s.order = slices.Sorted(maps.Keys(s.told))
+	s.isOrderStale = false
+	s.refreshOrder = slices.Sorted(maps.Keys(s.steps))
 }
 
-// repeated returns the part of all that is told which is due again, from a turn on.
-func (s *responseTimeTable) repeated(turn *int) []speed.TargetStep {
-	due := min(len(s.order)*int(speedInterval)/int(speedRepeat)+1, toldAtOnce)
-	from := min(*turn, len(s.order))
-	to := min(from+due, len(s.order))
-	*turn = to
-	if to == len(s.order) {
-		*turn = 0
-	}
-	return s.list(s.order[from:to])
+// nextRefresh returns the next steps to refresh and advances the cursor.
+func (s *responseTimeTable) nextRefresh(cursor *int) []speed.TargetStep {
+	due := min(len(s.refreshOrder)*int(responseTimeInterval)/int(stepRefreshInterval)+1, maxStepsPerNodeMessage)
+	from := min(*cursor, len(s.refreshOrder))
+	to := min(from+due, len(s.refreshOrder))
+	*cursor = to
+	if to == len(s.refreshOrder) {
+		*cursor = 0
+	}
+	return s.stepsOf(s.refreshOrder[from:to])
 }
 
-func (s *responseTimeTable) list(tokens []directory.Token) []speed.TargetStep {
-	var list []speed.TargetStep
+func (s *responseTimeTable) stepsOf(tokens []directory.Token) []speed.TargetStep {
+	var steps []speed.TargetStep
 	for _, token := range tokens {
-		list = append(list, speed.TargetStep{Token: token, Step: s.told[token]})
+		steps = append(steps, speed.TargetStep{Token: token, Step: s.steps[token]})
 	}
-	return list
+	return steps
 }
 
-// tellNodesSpeeds tells nodes what has changed and a part of the rest; a node that has
-// come lately is told all of it part by part.
-func (c *Core) tellNodesSpeeds() {
-	c.speeds.setOrder()
-	list := c.speeds.list(c.speeds.changed.pop(toldAtOnce))
-	list = append(list, c.speeds.repeated(&c.speeds.nodeTurn)...)
-	shared := speed.StepFrame(c.speeds.term, list)
+// sendStepsToNodes sends nodes the changed steps and some of the others to refresh them. A
+// new node also gets all steps, in parts.
+func (c *Core) sendStepsToNodes() {
+	c.speeds.updateRefreshOrder()
+	steps := c.speeds.stepsOf(c.speeds.unsentSteps.pop(maxStepsPerNodeMessage))
+	steps = append(steps, c.speeds.nextRefresh(&c.speeds.nodeCursor)...)
+	shared := speed.StepFrame(c.speeds.term, steps)
 	for _, connection := range c.sortedConnections() {
-		if own := c.firstSteps(c.nodes[connection]); len(own) > 0 {
-			c.sendToNode(connection, speed.StepFrame(c.speeds.term, slices.Concat(list, own)))
-		} else if len(list) > 0 {
+		if initial := c.nextInitialSteps(c.nodes[connection]); len(initial) > 0 {
+			c.sendToNode(connection, speed.StepFrame(c.speeds.term, slices.Concat(steps, initial)))
+		} else if len(steps) > 0 {
 			c.sendToNode(connection, shared)
 		}
 	}
 }
 
-// firstSteps returns the next part of what a node that has come lately was not told yet.
-func (c *Core) firstSteps(node *subscription) []speed.TargetStep {
-	from := min(node.stepsSent, len(c.speeds.order))
-	to := min(from+toldAtOnce, len(c.speeds.order))
+// nextInitialSteps returns the next part of the steps that a new node has not been sent
+// yet.
+func (c *Core) nextInitialSteps(node *subscription) []speed.TargetStep {
+	from := min(node.stepsSent, len(c.speeds.refreshOrder))
+	to := min(from+maxStepsPerNodeMessage, len(c.speeds.refreshOrder))
 	if node.hasAllSteps {
 		return nil
 	}
 	node.stepsSent = to
-	node.hasAllSteps = to == len(c.speeds.order)
-	return c.speeds.list(c.speeds.order[from:to])
+	node.hasAllSteps = to == len(c.speeds.refreshOrder)
+	return c.speeds.stepsOf(c.speeds.refreshOrder[from:to])
 }
 
-// sweepSpeeds forgets targets that have ended and words that count no more.
-func (c *Core) sweepSpeeds(now kernel.Instant) {
-	if now.Before(c.speeds.sweepAt) {
+// sweepResponseTimes removes ended targets, departed nodes and members, and expired
+// reports.
+func (c *Core) sweepResponseTimes(now kernel.Instant) {
+	if now.Before(c.speeds.nextSweep) {
 		return
 	}
-	c.speeds.sweepAt = now.Add(speed.SweepInterval)
-	left := c.speeds.nodes.RetainSources(now, func(connection ConnectionID) bool { return c.nodes[connection] != nil })
+	c.speeds.nextSweep = now.Add(speed.SweepInterval)
+	left := c.speeds.nodeSums.RetainSources(now, func(connection ConnectionID) bool { return c.nodes[connection] != nil })
 	slices.Sort(left)
 	for _, token := range left {
-		c.speeds.unsent.push(token)
+		c.speeds.unsentSums.push(token)
 	}
-	c.speeds.nodes.Sweep(now)
+	c.speeds.nodeSums.Sweep(now)
 	group := map[string]bool{}
 	for _, member := range c.state.Members() {
 		group[member.Address] = true
 	}
-	c.speeds.members.RetainSources(now, func(address string) bool { return group[address] })
-	c.speeds.members.Sweep(now)
+	c.speeds.memberSums.RetainSources(now, func(address string) bool { return group[address] })
+	c.speeds.memberSums.Sweep(now)
 	c.sweepSteps(now)
 }
 
 func (c *Core) sweepSteps(now kernel.Instant) {
-	var old []speed.TargetStep
-	for token := range c.speeds.told {
+	var expired []speed.TargetStep
+	for token := range c.speeds.steps {
 		target, known := c.state.TargetByToken(token)
 		switch {
 		case !known || target.State == directory.TargetEnded:
-			c.speeds.forget(token)
-		case !c.IsLeader() && now.Sub(c.speeds.heard[token]) > stepMemory:
-			old = append(old, speed.TargetStep{Token: token})
+			c.speeds.removeStep(token)
+		case !c.IsLeader() && now.Sub(c.speeds.receivedAt[token]) > stepLifetime:
+			expired = append(expired, speed.TargetStep{Token: token})
 		}
 	}
-	c.setSteps(now, old)
+	c.applySteps(now, expired)
 }
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -11,24 +11,24 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// weighInterval is the time between two looks at the strengths of all nodes while
-// nobody needs them: hundreds of nodes come at once.
-const weighInterval = time.Second
+// weightInterval is the time between two computations of the weights while nobody needs
+// them. It batches the changes when many nodes subscribe at once.
+const weightInterval = time.Second
 
 // strengthTable holds the weights of the nodes that follow this member.
 type strengthTable struct {
-	// isStale is set after a change until the weights are made anew.
-	isStale   bool
-	weighedAt kernel.Instant
-	// draws are the nodes with their weights; the seed of each is its NodeKey.
-	draws []rendezvous.Node
+	// isStale is set when the weights must be recomputed.
+	isStale    bool
+	computedAt kernel.Instant
+	// weighted are the nodes with their weights; the seed of each is its NodeKey.
+	weighted []rendezvous.Node
 	// unstated is the number of nodes that state no processor.
 	unstated int
-	// bounded are the nodes whose word was taken for less than it says.
-	bounded map[string]bool
+	// capped are the nodes whose weight is lower than the strength that they state.
+	capped map[string]bool
 }
 
-// UpdateStrength takes another strength of a node that follows this member.
+// UpdateStrength sets the strength that a subscribed node states.
 func (c *Core) UpdateStrength(connection ConnectionID, stated strength.Resources) Output {
 	node, follows := c.nodes[connection]
 	if !follows || node.strength == stated {
@@ -41,20 +41,21 @@
 	return c.takeOutput()
 }
 
-// tickStrengths looks at changed strengths now and then, so that a false one shows.
+// tickStrengths recomputes stale weights now and then, so that an implausible strength is
+// logged even if nobody needs the weights.
 func (c *Core) tickStrengths(now kernel.Instant) {
-	if c.strengths.isStale && now.Sub(c.strengths.weighedAt) >= weighInterval {
-		c.strengths.weighedAt = now
-		c.weighNodes()
+	if c.strengths.isStale && now.Sub(c.strengths.computedAt) >= weightInterval {
+		c.strengths.computedAt = now
+		c.weightedNodes()
 	}
 }
 
-// weighNodes returns the nodes that follow this member with their weights. Of two
-// connections of a node the later one counts.
-func (c *Core) weighNodes() []rendezvous.Node {
+// weightedNodes returns the nodes that follow this member with their weights. If a node has
+// several connections, the latest counts.
+func (c *Core) weightedNodes() []rendezvous.Node {
 	table := &c.strengths
 	if !table.isStale {
-		return table.draws
+		return table.weighted
 	}
 	positions := map[uint32]int{}
 	var nodes []*subscription
@@ -68,40 +69,41 @@
 		positions[key] = len(nodes)
 		nodes = append(nodes, node)
 	}
-	c.weigh(nodes)
+	c.computeWeights(nodes)
 	table.isStale = false
-	return table.draws
+	return table.weighted
 }
 
-func (c *Core) weigh(nodes []*subscription) {
+func (c *Core) computeWeights(nodes []*subscription) {
 	stated := make([]strength.Resources, len(nodes))
 	for position, node := range nodes {
 		stated[position] = node.strength
 	}
 	weights := strength.Weights(stated)
-	draws := make([]rendezvous.Node, len(nodes))
-	bounded := map[string]bool{}
+	weighted := make([]rendezvous.Node, len(nodes))
+	capped := map[string]bool{}
 	unstated := 0
 	for position, node := range nodes {
-		draws[position] = rendezvous.Node{Seed: uint64(directory.NodeKey(node.name)), Weight: weights[position]}
+		weighted[position] = rendezvous.Node{Seed: uint64(directory.NodeKey(node.name)), Weight: weights[position]}
 		if node.strength.CPU() == 0 {
 			unstated++
 		}
 		if !strength.IsCapped(node.strength, weights[position]) {
 			continue
 		}
-		bounded[node.name] = true
-		if !c.strengths.bounded[node.name] {
+		capped[node.name] = true
+		if !c.strengths.capped[node.name] {
 			c.output.Events = append(c.output.Events, LogEvent{Event: eventlog.StrengthBounded, Sampled: true, Fields: []any{
 				"node", node.name, "strength", node.strength, "weight", weights[position]}})
 		}
 	}
-	c.strengths.draws = draws
-	c.strengths.bounded = bounded
+	c.strengths.weighted = weighted
+	c.strengths.capped = capped
 	c.strengths.unstated = unstated
 }
 
-// receiveStrength takes a node's word about its machine, which has changed.
+// receiveStrength handles a subscription on an open connection, by which a node states that
+// its machine has changed.
 func (p *Process) receiveStrength(connection ConnectionID, frame wire.Frame) {
 	if frame.Kind != wire.FrameSubscribe {
 		return
@@ -111,18 +113,18 @@
 		p.logger.Event(eventlog.BadFrame, "connection", connection, "err", err)
 		return
 	}
-	p.inputs.Push(strengthInput{connection: connection, stated: subscribe.Strength})
+	p.inputs.Push(strengthInput{connection: connection, resources: subscribe.Strength})
 }
 
 type strengthInput struct {
 	connection ConnectionID
-	stated     strength.Resources
+	resources  strength.Resources
 }
 
 func (i strengthInput) handle(p *Process, _ kernel.Instant) Output {
-	p.heartbeatDistributor.SetStrength(uint64(i.connection), i.stated)
+	p.heartbeatDistributor.SetStrength(uint64(i.connection), i.resources)
 	if p.core == nil {
 		return Output{}
 	}
-	return p.core.UpdateStrength(i.connection, i.stated)
+	return p.core.UpdateStrength(i.connection, i.resources)
 }
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -17,28 +17,27 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// strengthBytes are what a subscription says of the machine.
-const strengthBytes = 32
+// resourcesSize is the encoded size of the strength at the end of a subscription.
+const resourcesSize = 32
 
-// A node of before ends its word where the strength begins, and a member of before reads
-// no further.
-func TestASubscriptionOfBeforeStatesNoStrength(t *testing.T) {
+// Subscriptions of older nodes end before the strength.
+func TestSubscriptionWithoutStrength(t *testing.T) {
 	subscribe := Subscribe{Node: "edge-1", Zone: "north", HeartbeatAddress: "10.0.0.1:1", CachesVerdicts: true, Strength: strength.Resources{CPUShare: 0.25, CPUCores: 2}}
 	payload := subscribe.Frame().Payload
 	known, err := DecodeSubscribe(payload)
 	require.NoError(t, err)
 	assert.Equal(t, subscribe, known)
-	before, err := DecodeSubscribe(payload[:len(payload)-strengthBytes])
+	before, err := DecodeSubscribe(payload[:len(payload)-resourcesSize])
 	require.NoError(t, err)
 	subscribe.Strength = strength.Resources{}
 	assert.Equal(t, subscribe, before)
 	_, err = DecodeSubscribe(payload[:len(payload)-1])
-	assert.Error(t, err, "half a strength")
+	assert.Error(t, err, "truncated strength")
 }
 
-// leaderOf returns a leader that nodes with strengths follow.
-func leaderOf(c *cluster, shares ...float64) *machine {
-	leader := withNodes(c, 0)
+// leaderWithShares returns a leader with subscribed nodes that state these CPU shares.
+func leaderWithShares(c *cluster, shares ...float64) *machine {
+	leader := leaderWithNodes(c, 0)
 	for number, share := range shares {
 		subscribe := Subscribe{Node: fmt.Sprint("edge-", number), Strength: strength.Resources{CPUShare: share}}
 		c.apply(leader, leader.core.Subscribe(c.now, ConnectionID(number+1), subscribe))
@@ -46,8 +45,8 @@
 	return leader
 }
 
-// stewardsOf counts of how many targets each node is a steward.
-func stewardsOf(core *Core, targets int) map[uint32]int {
+// countStewards counts for how many targets each node is a steward.
+func countStewards(core *Core, targets int) map[uint32]int {
 	counts := map[uint32]int{}
 	for number := range targets {
 		for _, steward := range core.stewards(fmt.Sprint("i-", number), 3, 3) {
@@ -57,21 +56,21 @@
 	return counts
 }
 
-func TestStrongNodesAreStewardsMoreOften(t *testing.T) {
+func TestStrongNodesAreChosenMoreOften(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := leaderOf(c, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.153, 0)
+	leader := leaderWithShares(c, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.153, 0)
 	const targets = 2000
-	counts := stewardsOf(leader.core, targets)
+	counts := countStewards(leader.core, targets)
 	strong := counts[directory.NodeKey("edge-7")]
 	weak := counts[directory.NodeKey("edge-0")]
-	assert.Greater(t, strong, 2*weak, "three are drawn without putting back, so less than 3.4 times")
-	assert.InDelta(t, weak, counts[directory.NodeKey("edge-8")], targets/15, "one that states none counts as the middle one")
+	assert.Greater(t, strong, 2*weak, "three are drawn without replacement, so the ratio is below that of the weights")
+	assert.InDelta(t, weak, counts[directory.NodeKey("edge-8")], targets/15, "a node without a strength counts as the median")
 }
 
-// The word of one node moves only targets of its own.
-func TestAChangedStrengthMovesOnlyTheStewardsOfItsNode(t *testing.T) {
+// A node with a lower strength must not take targets from other nodes.
+func TestStrengthChangeKeepsOtherStewards(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := leaderOf(c, 0.1, 0.1, 0.1, 0.1, 0.1, 0.2)
+	leader := leaderWithShares(c, 0.1, 0.1, 0.1, 0.1, 0.1, 0.2)
 	own := directory.NodeKey("edge-5")
 	before := make([][]uint32, 300)
 	for number := range before {
@@ -82,35 +81,35 @@
 		after := leader.core.stewards(fmt.Sprint("i-", number), 2, 2)
 		for _, steward := range before[number] {
 			if steward != own {
-				assert.Contains(t, after, steward, "a node that weighs less takes nothing from others")
+				assert.Contains(t, after, steward, "a lower weight takes nothing from others")
 			}
 		}
 	}
 	assert.Equal(t, 1, c.events[eventlog.StrengthChanged])
 	c.apply(leader, leader.core.UpdateStrength(6, strength.Resources{CPUShare: 0.15}))
 	c.apply(leader, leader.core.UpdateStrength(99, strength.Resources{CPUShare: 0.15}))
-	assert.Equal(t, 1, c.events[eventlog.StrengthChanged], "the same word, and one of no node")
+	assert.Equal(t, 1, c.events[eventlog.StrengthChanged], "neither an unchanged strength nor an unknown node")
 }
 
-func TestAFalseStrengthIsBoundedAndToldOnce(t *testing.T) {
+func TestImplausibleStrengthIsCappedAndLoggedOnce(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := leaderOf(c, 0.1, 0.1, 0.1, 0.1, 0.1, 4000)
-	c.run(2 * weighInterval)
+	leader := leaderWithShares(c, 0.1, 0.1, 0.1, 0.1, 0.1, 4000)
+	c.run(2 * weightInterval)
 	assert.Equal(t, 1, c.events[eventlog.StrengthBounded])
-	for _, node := range leader.core.weighNodes() {
+	for _, node := range leader.core.weightedNodes() {
 		assert.LessOrEqual(t, node.Weight, 0.8)
 	}
 	c.apply(leader, leader.core.Subscribe(c.now, 50, Subscribe{Node: "edge-old"}))
-	c.run(2 * weighInterval)
-	assert.Equal(t, 1, c.events[eventlog.StrengthBounded], "no second time")
+	c.run(2 * weightInterval)
+	assert.Equal(t, 1, c.events[eventlog.StrengthBounded], "logged only once")
 	assert.Equal(t, 1, leader.core.strengths.unstated)
 	leader.core.Unsubscribe(6)
-	c.run(2 * weighInterval)
-	assert.Empty(t, leader.core.strengths.bounded)
+	c.run(2 * weightInterval)
+	assert.Empty(t, leader.core.strengths.capped)
 }
 
-// Nodes come, go, come again over another connection and state other strengths.
-func TestWeightsFollowTheNodes(t *testing.T) {
+// Nodes subscribe, leave, reconnect and change their strength in random order.
+func TestWeightsMatchSubscribedNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		core := &Core{nodes: map[ConnectionID]*subscription{}, state: directory.New()}
 		for range 60 {
@@ -130,9 +129,9 @@
 			for _, node := range core.nodes {
 				names[directory.NodeKey(node.name)] = true
 			}
-			draws := core.weighNodes()
-			assert.Len(t, draws, len(names), "each node once")
-			for _, node := range draws {
+			weighted := core.weightedNodes()
+			assert.Len(t, weighted, len(names), "each node once")
+			for _, node := range weighted {
 				assert.True(t, names[uint32(node.Seed)])
 				assert.Positive(t, node.Weight)
 			}
@@ -141,7 +140,7 @@
 	})
 }
 
-func TestADiskThatFillsIsToldBeforeItIsFull(t *testing.T) {
+func TestFillingDiskIsDetected(t *testing.T) {
 	process := NewProcess(Settings{Name: "core-1", DataFolder: t.TempDir()}, eventlog.Discard())
 	core, disk, err := process.openCore()
 	require.NoError(t, err)
@@ -159,8 +158,8 @@
 	assert.NoError(t, disk.Close())
 }
 
-// A node says that its machine has changed over the connection that it has.
-func TestAChangedStrengthComesOverTheConnection(t *testing.T) {
+// A node states a changed strength over its open connection.
+func TestStrengthChangeOverOpenConnection(t *testing.T) {
 	process := NewProcess(Settings{Name: "core-1", HeartbeatOptions: []heartbeat.DistributorOption{heartbeat.WithLocalRate(0)}}, eventlog.Discard())
 	for connection, address := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
 		process.heartbeatDistributor.AddNode(uint64(connection), "north", address)
@@ -180,7 +179,7 @@
 	process.receiveStrength(1, wire.Frame{Kind: wire.FrameSubscribe, Payload: []byte{0}})
 	process.receiveStrength(1, frame)
 	batch, _ := process.inputs.PopBatch(nil, 10)
-	require.Len(t, batch, 1, "what cannot be read, and other frames, change nothing")
+	require.Len(t, batch, 1, "malformed and other frames are ignored")
 	process.handleBatch(batch)
 	assert.InDelta(t, 350, second(2), 40)
 }
--- a/internal/registry/targetorder.go
+++ b/internal/registry/targetrule.go
@@ -13,25 +13,25 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// TargetStatus is one target, as an operator sees it.
+// TargetStatus is the status of one target, as shown to operators.
 type TargetStatus struct {
 	ID, Service, Zone string
 	Slots             uint32
-	// Rule is what was ordered about it.
+	// Rule is the rule that an operator set.
 	Rule directory.TargetRule
-	// Ejected is set while it gets no new flows, and Probation while it gets a few.
+	// Ejected is set while the target gets no new flows, and Probation while it gets a few.
 	Ejected, Probation bool
 }
 
-// isPlain reports whether there is nothing to say of the target.
-func (t TargetStatus) isPlain() bool {
+// isDefault reports whether no rule applies to the target and it gets new flows as usual.
+func (t TargetStatus) isDefault() bool {
 	return t.Rule == directory.RuleJudged && !t.Ejected && !t.Probation
 }
 
-// smallestTargetShare is the encoded size in bytes of a target without names.
-const smallestTargetShare = 19
+// minTargetStatusSize is the encoded size in bytes of a status with empty names.
+const minTargetStatusSize = 19
 
-func encodeTargetShares(encoder *wire.Encoder, targets []TargetStatus) {
+func encodeTargetStatuses(encoder *wire.Encoder, targets []TargetStatus) {
 	encoder.Uint32(uint32(len(targets)))
 	for _, target := range targets {
 		encoder.String(target.ID)
@@ -44,9 +44,9 @@
 	}
 }
 
-func decodeTargetShares(decoder *wire.Decoder) []TargetStatus {
+func decodeTargetStatuses(decoder *wire.Decoder) []TargetStatus {
 	var targets []TargetStatus
-	for count := decoder.Count(smallestTargetShare); count > 0; count-- {
+	for count := decoder.Count(minTargetStatusSize); count > 0; count-- {
 		targets = append(targets, TargetStatus{
 			ID: decoder.String(), Service: decoder.String(), Zone: decoder.String(), Slots: decoder.Uint32(),
 			Rule: directory.TargetRule(decoder.Uint8()), Ejected: decoder.Bool(), Probation: decoder.Bool(),
@@ -55,9 +55,9 @@
 	return targets
 }
 
-// SetTargetRule says whether a target is judged, ejected or exempt. It returns once a
-// quorum has the order on disk. An order that has been overtaken by another one since
-// it came fails; what holds may be another one then.
+// SetTargetRule sets whether a target is judged, ejected or exempt. It returns once a
+// quorum has the rule on disk. It fails when another rule for the target was committed
+// after this call; that rule then applies.
 func (p *Process) SetTargetRule(ctx context.Context, id string, rule directory.TargetRule) error {
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
 		order := directory.TargetOrder{ID: id, Rule: rule, Revision: core.State().TargetOrder(id).Revision}
@@ -70,7 +70,7 @@
 		p.logger.Event(eventlog.TargetOrderRefused, "target", id, "rule", rule, "reason", problem)
 		return problem
 	case result.Code != directory.CodeDone:
-		err = steperror.New("registry.order_target", p.settings.Name, "another order about the target came first")
+		err = steperror.New("registry.order_target", p.settings.Name, "another rule for the target was committed first")
 	}
 	if err != nil {
 		p.logger.Event(eventlog.TargetOrderUnanswered, "target", id, "rule", rule, "err", err)
@@ -80,22 +80,23 @@
 	return nil
 }
 
-// targetShares returns the targets of which there is something to say, and the one with
-// an ID.
-func (c *Core) targetShares(id string) []TargetStatus {
+// targetStatuses returns the targets that are not in the default state, and the one with
+// the given ID.
+func (c *Core) targetStatuses(id string) []TargetStatus {
 	verdicts := c.liveness.verdicts.Verdicts
 	var targets []TargetStatus
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.State != directory.TargetReady {
 			return
 		}
-		share := TargetStatus{ID: target.ID, Service: target.Service, Zone: target.Zone, Slots: target.Slots}
-		share.Rule = c.state.TargetOrder(target.ID).Rule
-		// The next verdicts, within livenessInterval, say what was just ordered.
-		share.Ejected = slices.Contains(verdicts.Ejected, target.Token) || share.Rule == directory.RuleEjected
-		share.Probation = slices.Contains(verdicts.Probation, target.Token)
-		if target.ID == id || !share.isPlain() {
-			targets = append(targets, share)
+		status := TargetStatus{ID: target.ID, Service: target.Service, Zone: target.Zone, Slots: target.Slots}
+		status.Rule = c.state.TargetOrder(target.ID).Rule
+		// A rule that was just set shows only in the next verdicts, within
+		// livenessInterval.
+		status.Ejected = slices.Contains(verdicts.Ejected, target.Token) || status.Rule == directory.RuleEjected
+		status.Probation = slices.Contains(verdicts.Probation, target.Token)
+		if target.ID == id || !status.isDefault() {
+			targets = append(targets, status)
 		}
 	})
 	slices.SortFunc(targets, func(a, b TargetStatus) int {
@@ -104,42 +105,41 @@
 	return targets
 }
 
-// DryRunTarget works out what the ejection of a target would do, by what a member told,
-// and what to beware of. It is false when the target is not among those that take new
-// flows.
-func DryRunTarget(reply OperatorResponse, id string) (effect ShareChange, warnings []string, known bool) {
-	position := slices.IndexFunc(reply.Targets, func(target TargetStatus) bool { return target.ID == id })
+// DryRunTarget computes the effect of ejecting a target from a member's response, with
+// warnings for the operator. It returns false if the response does not list the target.
+func DryRunTarget(response OperatorResponse, id string) (effect ShareChange, warnings []string, known bool) {
+	position := slices.IndexFunc(response.Targets, func(target TargetStatus) bool { return target.ID == id })
 	if position < 0 {
 		return ShareChange{}, nil, false
 	}
-	chosen := reply.Targets[position]
+	chosen := response.Targets[position]
 	var total, out uint32
-	for _, share := range reply.Zones {
-		if share.Service == chosen.Service && !share.Evacuated {
-			total += share.Slots
+	for _, status := range response.Zones {
+		if status.Service == chosen.Service && !status.Evacuated {
+			total += status.Slots
 		}
 	}
-	for _, target := range reply.Targets {
+	for _, target := range response.Targets {
 		if target.Service == chosen.Service && target.Ejected && target.ID != id {
 			out += target.Slots
 		}
 	}
 	before := max(total, out) - out
 	after := max(before, chosen.Slots) - chosen.Slots
-	effect = ShareChange{Service: chosen.Service, Zone: chosen.Zone, Before: part(before, total), After: part(after, total)}
+	effect = ShareChange{Service: chosen.Service, Zone: chosen.Zone, Before: fraction(before, total), After: fraction(after, total)}
 	switch {
 	case chosen.Ejected:
-		warnings = append(warnings, fmt.Sprintf("target %s is ejected already", id))
+		warnings = append(warnings, fmt.Sprintf("target %s is already ejected", id))
 	case after == 0:
-		warnings = append(warnings, fmt.Sprintf("service %s has no other targets: its callers are sent to ejected ones", chosen.Service))
-	case float64(before)/float64(after) >= heavyLoad:
-		warnings = append(warnings, fmt.Sprintf("service %s: the others bear %.1f times as much", chosen.Service, float64(before)/float64(after)))
+		warnings = append(warnings, fmt.Sprintf("service %s has no other targets: new flows still go to ejected ones", chosen.Service))
+	case float64(before)/float64(after) >= loadWarningFactor:
+		warnings = append(warnings, fmt.Sprintf("service %s: load on the other targets rises by a factor of %.1f", chosen.Service, float64(before)/float64(after)))
 	}
 	return effect, warnings, true
 }
 
-// part returns the part that some slots are of all.
-func part(slots, total uint32) float64 {
+// fraction returns slots as a fraction of total, or 0 if total is 0.
+func fraction(slots, total uint32) float64 {
 	if total == 0 {
 		return 0
 	}
--- a/internal/registry/versionorder.go
+++ b/internal/registry/versionrule.go
@@ -14,21 +14,21 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// VersionStatus is a version of a service, as an operator sees it.
+// VersionStatus is the status of a version of a service, as shown to operators.
 type VersionStatus struct {
 	directory.ServiceVersion
 	Targets, Slots uint32
-	// Rule is what was ordered about it.
+	// Rule is the rule that an operator set.
 	Rule directory.VersionRule
-	// Ejected is the number of its targets that get no new flows, and Probation that of those
-	// that get a few.
+	// Ejected is the number of its targets without new flows, and Probation the number of
+	// those that get a few.
 	Ejected, Probation uint32
 }
 
-// smallestVersionShare is the encoded size in bytes of a version without names.
-const smallestVersionShare = 25
+// minVersionStatusSize is the encoded size in bytes of a status with empty names.
+const minVersionStatusSize = 25
 
-func encodeVersionShares(encoder *wire.Encoder, versions []VersionStatus) {
+func encodeVersionStatuses(encoder *wire.Encoder, versions []VersionStatus) {
 	encoder.Uint32(uint32(len(versions)))
 	for _, version := range versions {
 		encoder.String(version.Service)
@@ -41,9 +41,9 @@
 	}
 }
 
-func decodeVersionShares(decoder *wire.Decoder) []VersionStatus {
+func decodeVersionStatuses(decoder *wire.Decoder) []VersionStatus {
 	var versions []VersionStatus
-	for count := decoder.Count(smallestVersionShare); count > 0; count-- {
+	for count := decoder.Count(minVersionStatusSize); count > 0; count-- {
 		versions = append(versions, VersionStatus{
 			ServiceVersion: directory.ServiceVersion{Service: decoder.String(), Version: decoder.String()},
 			Targets:        decoder.Uint32(), Slots: decoder.Uint32(), Rule: directory.VersionRule(decoder.Uint8()),
@@ -53,9 +53,9 @@
 	return versions
 }
 
-// SetVersionRule says whether a version of a service is judged, held or released. It returns
-// once a quorum has the order on disk. An order that has been overtaken by another one
-// since it came fails; what holds may be another one then.
+// SetVersionRule sets whether a version of a service is judged, held or released. It
+// returns once a quorum has the rule on disk. It fails when another rule for the version
+// was committed after this call; that rule then applies.
 func (p *Process) SetVersionRule(ctx context.Context, version directory.ServiceVersion, rule directory.VersionRule) error {
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
 		order := directory.VersionOrder{ServiceVersion: version, Rule: rule, Revision: core.State().VersionOrder(version).Revision}
@@ -69,7 +69,7 @@
 		p.logger.Event(eventlog.VersionOrderRefused, append(fields, "reason", problem)...)
 		return problem
 	case result.Code != directory.CodeDone:
-		err = steperror.New("registry.order_version", p.settings.Name, "another order about the version came first")
+		err = steperror.New("registry.order_version", p.settings.Name, "another rule for the version was committed first")
 	}
 	if err != nil {
 		p.logger.Event(eventlog.VersionOrderRefused, append(fields, "err", err)...)
@@ -79,53 +79,54 @@
 	return nil
 }
 
-// versionShares returns the versions of all services, those of a service side by side.
-func (c *Core) versionShares() []VersionStatus {
+// versionStatuses returns the versions of all services, sorted by service and version.
+func (c *Core) versionStatuses() []VersionStatus {
 	verdicts := c.liveness.verdicts.Verdicts
-	shares := map[directory.ServiceVersion]VersionStatus{}
+	statuses := map[directory.ServiceVersion]VersionStatus{}
 	c.state.EachTarget(func(target *directory.Target) {
 		if target.State != directory.TargetReady || target.Version == "" {
 			return
 		}
 		name := target.ServiceVersion()
-		share := shares[name]
-		share.ServiceVersion = name
-		share.Targets++
-		share.Slots += target.Slots
-		share.Rule = c.state.VersionOrder(name).Rule
+		status := statuses[name]
+		status.ServiceVersion = name
+		status.Targets++
+		status.Slots += target.Slots
+		status.Rule = c.state.VersionOrder(name).Rule
 		switch {
 		case slices.Contains(verdicts.Ejected, target.Token):
-			share.Ejected++
+			status.Ejected++
 		case slices.Contains(verdicts.Probation, target.Token):
-			share.Probation++
+			status.Probation++
 		}
-		shares[name] = share
+		statuses[name] = status
 	})
-	return slices.SortedFunc(maps.Values(shares), func(a, b VersionStatus) int {
+	return slices.SortedFunc(maps.Values(statuses), func(a, b VersionStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Version, b.Version))
 	})
 }
 
-// DryRunVersion works out what a hold of a version would do, by what a member told, and
-// what to beware of. It is false when the version has no targets that take new flows.
-func DryRunVersion(reply OperatorResponse, version directory.ServiceVersion) (effect ShareChange, warnings []string, known bool) {
-	position := slices.IndexFunc(reply.Versions, func(share VersionStatus) bool { return share.ServiceVersion == version })
+// DryRunVersion computes the effect of holding a version from a member's response, with
+// warnings for the operator. It returns false if the version has no targets that take new
+// flows.
+func DryRunVersion(response OperatorResponse, version directory.ServiceVersion) (effect ShareChange, warnings []string, known bool) {
+	position := slices.IndexFunc(response.Versions, func(status VersionStatus) bool { return status.ServiceVersion == version })
 	if position < 0 {
 		return ShareChange{}, nil, false
 	}
 	var total uint32
-	for _, share := range reply.Zones {
-		if share.Service == version.Service && !share.Evacuated {
-			total += share.Slots
+	for _, status := range response.Zones {
+		if status.Service == version.Service && !status.Evacuated {
+			total += status.Slots
 		}
 	}
-	left := total - min(total, reply.Versions[position].Slots)
-	effect = ShareChange{Service: version.Service, Before: part(total, total), After: part(left, total)}
+	left := total - min(total, response.Versions[position].Slots)
+	effect = ShareChange{Service: version.Service, Before: fraction(total, total), After: fraction(left, total)}
 	switch {
 	case left == 0:
-		warnings = append(warnings, fmt.Sprintf("service %s has no other targets: its callers are sent to held ones", version.Service))
-	case float64(total)/float64(left) >= heavyLoad:
-		warnings = append(warnings, fmt.Sprintf("service %s: the others bear %.1f times as much", version.Service, float64(total)/float64(left)))
+		warnings = append(warnings, fmt.Sprintf("service %s has no other targets: new flows still go to held ones", version.Service))
+	case float64(total)/float64(left) >= loadWarningFactor:
+		warnings = append(warnings, fmt.Sprintf("service %s: load on the other targets rises by a factor of %.1f", version.Service, float64(total)/float64(left)))
 	}
 	return effect, warnings, true
 }
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -12,24 +12,25 @@
 	"github.com/beamdoor/beamdoor/internal/rendezvous"
 )
 
-// WarmupConfig is what is stated about the cold targets of a service.
+// WarmupConfig is the warm-up configuration of a service. A target is cold until its
+// warm-up is over.
 type WarmupConfig struct {
 	// Time is how long a target is cold after its start.
 	Time time.Duration
-	// Rate is the number of requests that a cold target bears in a second; 0 where
-	// none is stated.
+	// Rate is the number of requests per second that a cold target can handle; 0 means
+	// unspecified.
 	Rate float64
 }
 
 const (
-	// maxWarmupTime is the longest warm-up that is taken for meant.
+	// maxWarmupTime is the longest valid warm-up.
 	maxWarmupTime = time.Hour
-	// maxWarmupRate is the largest rate of a cold target that is taken for meant.
+	// maxWarmupRate is the highest valid rate of a cold target.
 	maxWarmupRate = 1_000_000
 )
 
-// Validate returns a directory.Problem when a value cannot be meant. The fields are
-// those of the service that states them.
+// Validate returns a directory.Problem if a value is out of range. The parameters name the
+// fields in the error.
 func (w WarmupConfig) Validate(timeField, rateField string) error {
 	if w.Time < 0 || w.Time > maxWarmupTime {
 		return directory.NewProblem(timeField, w.Time, fmt.Sprintf("must be from 0 to %v", maxWarmupTime))
@@ -40,72 +41,71 @@
 	return nil
 }
 
-// WarmupLimits bound what a cold target may be sent in a second to Over times the
-// rate that it bears, and Slack beyond that.
+// WarmupLimits limit the new flows of a cold target per second to Factor times its rate
+// plus Slack.
 type WarmupLimits struct{ Factor, Slack float64 }
 
 const (
-	// maxStewards is the number of nodes that share the budget of a target. Each is
-	// 4 bytes of the target's registration at each node.
+	// maxStewards is the number of nodes that share the budget of a target. Each takes 4
+	// bytes in the target's registration at each node.
 	maxStewards = 4
-	// maxZoneStewards is the same for the targets of a zone that is taken back. They
-	// are told once for each service.
+	// maxZoneStewards is the same for the targets of a zone whose evacuation has ended.
+	// They are sent once for each service.
 	maxZoneStewards = 16
-	// leastWarmups is the number of targets from which on those that are warm by now
-	// are forgotten.
-	leastWarmups = 256
+	// minWarmupSweep is the smallest table size at which warm targets are removed.
+	minWarmupSweep = 256
 )
 
-// warmupTable knows until when targets are cold, on this member's clock. Those of
-// its disk or of another member's snapshot count from when it read them.
+// warmupTable tracks until when targets are cold, on this member's clock. Warm-ups loaded
+// from disk or from a snapshot count from when they were loaded.
 type warmupTable struct {
-	readAt kernel.Instant
-	since  map[directory.Token]kernel.Instant
-	// sweepAt is the number of targets at which the warm ones are forgotten next.
-	sweepAt int
-	// zones holds when zones were taken back.
-	zones map[string]kernel.Instant
+	loadedAt  kernel.Instant
+	startedAt map[directory.Token]kernel.Instant
+	// nextSweepSize is the number of targets at which warm ones are removed next.
+	nextSweepSize int
+	// reopenedAt is when the evacuation of each zone ended.
+	reopenedAt map[string]kernel.Instant
 }
 
 func newWarmupTable(now kernel.Instant) warmupTable {
 	return warmupTable{
-		readAt: now, since: map[directory.Token]kernel.Instant{}, sweepAt: leastWarmups, zones: map[string]kernel.Instant{},
+		loadedAt: now, startedAt: map[directory.Token]kernel.Instant{}, nextSweepSize: minWarmupSweep, reopenedAt: map[string]kernel.Instant{},
 	}
 }
 
-// note enters a target that has just registered.
-func (w *warmupTable) note(now kernel.Instant, target directory.Target) {
+// record adds a target that has just registered.
+func (w *warmupTable) record(now kernel.Instant, target directory.Target) {
 	if target.Warmup == nil {
 		return
 	}
-	if len(w.since) >= w.sweepAt {
-		maps.DeleteFunc(w.since, func(_ directory.Token, at kernel.Instant) bool { return now.Sub(at) > target.Warmup.Left })
-		// Twice what is left: where a whole fleet is cold at once, looking at all with
-		// each of them grew with the square of the fleet.
-		w.sweepAt = max(leastWarmups, 2*len(w.since))
+	if len(w.startedAt) >= w.nextSweepSize {
+		maps.DeleteFunc(w.startedAt, func(_ directory.Token, at kernel.Instant) bool { return now.Sub(at) > target.Warmup.Left })
+		// Doubling the size keeps the total cost linear when a whole fleet starts cold.
+		w.nextSweepSize = max(minWarmupSweep, 2*len(w.startedAt))
 	}
-	w.since[target.Token] = now
+	w.startedAt[target.Token] = now
 }
 
-// leftOf returns how much longer a target is cold.
-func (w *warmupTable) leftOf(now kernel.Instant, target directory.Target) time.Duration {
-	since, noted := w.since[target.Token]
+// remaining returns how much longer a target is cold.
+func (w *warmupTable) remaining(now kernel.Instant, target directory.Target) time.Duration {
+	since, noted := w.startedAt[target.Token]
 	if !noted {
-		since = w.readAt
+		since = w.loadedAt
 	}
 	return target.Warmup.Left - now.Sub(since)
 }
 
-// leftIn returns how much longer the targets of a zone that was taken back are cold.
-func (w *warmupTable) leftIn(now kernel.Instant, zone string, warmup directory.Warmup) time.Duration {
-	since, noted := w.zones[zone]
+// remainingInZone returns how much longer the targets of a zone whose evacuation ended are
+// cold.
+func (w *warmupTable) remainingInZone(now kernel.Instant, zone string, warmup directory.Warmup) time.Duration {
+	since, noted := w.reopenedAt[zone]
 	if !noted {
-		since = w.readAt
+		since = w.loadedAt
 	}
 	return warmup.Left - now.Sub(since)
 }
 
-// recordWarmup enters what a command has just made cold.
+// recordWarmup starts the clock of the warm-ups that a command has just started.
 func (c *Core) recordWarmup(now kernel.Instant, command directory.Command, result directory.Result) {
 	if c.state.Revision() != result.Revision {
 		return
@@ -113,22 +113,22 @@
 	switch command.Kind {
 	case directory.CommandPutTarget:
 		if target, _ := c.state.Target(command.Target.ID); target.Revision == result.Revision {
-			c.warmups.note(now, target)
+			c.warmups.record(now, target)
 		}
 	case directory.CommandEvacuate:
-		c.warmups.zones[command.Evacuation.Zone] = now
+		c.warmups.reopenedAt[command.Evacuation.Zone] = now
 	}
 }
 
-// adjustWarmups leaves out of an update what nodes need not know: the warm-up of targets
-// that are warm by now. A node counts the time that is left from when it is told.
+// adjustWarmups sets the warm-ups in an update to the remaining time, which nodes count
+// from its receipt, and removes those that are over.
 func (c *Core) adjustWarmups(now kernel.Instant, update directory.Update) directory.Update {
 	for position, target := range update.Targets {
 		if target.Warmup == nil {
 			continue
 		}
 		warmup := *target.Warmup
-		warmup.Left = c.warmups.leftOf(now, target)
+		warmup.Left = c.warmups.remaining(now, target)
 		update.Targets[position].Warmup = &warmup
 		if warmup.Left <= 0 {
 			update.Targets[position].Warmup = nil
@@ -137,7 +137,7 @@
 	for position, evacuation := range update.Evacuations {
 		var warmups []directory.ServiceWarmup
 		for _, known := range evacuation.Warmups {
-			known.Warmup.Left = c.warmups.leftIn(now, evacuation.Zone, known.Warmup)
+			known.Warmup.Left = c.warmups.remainingInZone(now, evacuation.Zone, known.Warmup)
 			if known.Warmup.Left > 0 {
 				warmups = append(warmups, known)
 			}
@@ -147,45 +147,46 @@
 	return update
 }
 
-// newWarmup returns the warm-up of a target that is cold, with its budget and stewards.
+// newWarmup returns the warm-up of a cold target with its budget and stewards.
 func (c *Core) newWarmup(target directory.Target) *directory.Warmup {
-	warmup := directory.Warmup{Left: target.Warmup.Left, Budget: c.budget(c.warmthOf(target.Service))}
+	warmup := directory.Warmup{Left: target.Warmup.Left, Budget: c.budget(c.warmupConfig(target.Service))}
 	warmup.Stewards = c.stewards(target.ID, warmup.Budget, maxStewards)
 	return &warmup
 }
 
-// PrepareEvacuation returns the order that begins or ends the evacuation of a zone, given on
-// what this member knows.
+// PrepareEvacuation returns the command that starts or ends the evacuation of a zone, based
+// on this member's state.
 func (c *Core) PrepareEvacuation(zone string, active bool) directory.Evacuation {
-	order := directory.Evacuation{Zone: zone, Active: active, Revision: c.state.Evacuation(zone).Revision}
+	evacuation := directory.Evacuation{Zone: zone, Active: active, Revision: c.state.Evacuation(zone).Revision}
 	if active {
-		return order
+		return evacuation
 	}
-	return c.takeBack(order)
+	return c.endEvacuation(evacuation)
 }
 
-// takeBack returns the order that takes a zone back: its targets may be cold.
-func (c *Core) takeBack(order directory.Evacuation) directory.Evacuation {
+// endEvacuation adds the warm-ups of the zone's services: after an evacuation its targets
+// may be cold.
+func (c *Core) endEvacuation(evacuation directory.Evacuation) directory.Evacuation {
 	services := map[string]bool{}
 	c.state.EachTarget(func(target *directory.Target) {
-		if target.Zone == order.Zone && target.State == directory.TargetReady {
+		if target.Zone == evacuation.Zone && target.State == directory.TargetReady {
 			services[target.Service] = true
 		}
 	})
 	for _, service := range slices.Sorted(maps.Keys(services)) {
-		warmth := c.warmthOf(service)
-		if warmth.Time <= 0 {
+		config := c.warmupConfig(service)
+		if config.Time <= 0 {
 			continue
 		}
-		warmup := directory.Warmup{Left: warmth.Time, Budget: c.budget(warmth)}
-		warmup.Stewards = c.stewards(order.Zone, warmup.Budget, maxZoneStewards)
-		order.Warmups = append(order.Warmups, directory.ServiceWarmup{Service: service, Warmup: warmup})
+		warmup := directory.Warmup{Left: config.Time, Budget: c.budget(config)}
+		warmup.Stewards = c.stewards(evacuation.Zone, warmup.Budget, maxZoneStewards)
+		evacuation.Warmups = append(evacuation.Warmups, directory.ServiceWarmup{Service: service, Warmup: warmup})
 	}
-	return order
+	return evacuation
 }
 
-// warmthOf returns what the configuration states about a service's cold targets.
-func (c *Core) warmthOf(name string) WarmupConfig {
+// warmupConfig returns the warm-up configuration of a service.
+func (c *Core) warmupConfig(name string) WarmupConfig {
 	if c.settings.WarmthOf == nil {
 		return WarmupConfig{}
 	}
@@ -193,35 +194,35 @@
 		if service.Name != name {
 			continue
 		}
-		warmth, err := c.settings.WarmthOf(service)
+		config, err := c.settings.WarmthOf(service)
 		if err != nil {
 			c.logEvent(eventlog.WarmthUnreadable, "service", name, "err", err)
 			return WarmupConfig{}
 		}
-		return warmth
+		return config
 	}
 	return WarmupConfig{}
 }
 
-// budget returns the number of new flows that a cold target gets in a second at
-// most: what it bears, and one at least so that it is used at all, within the
-// limits. It is 0 where no rate is stated.
-func (c *Core) budget(warmth WarmupConfig) uint32 {
-	if warmth.Rate <= 0 {
+// budget returns the number of new flows per second that a cold target may get: its rate
+// within the limits, and at least one so that it is used at all. It is 0 if no rate is
+// configured.
+func (c *Core) budget(config WarmupConfig) uint32 {
+	if config.Rate <= 0 {
 		return 0
 	}
-	bound := warmth.Rate*c.settings.WarmupLimits.Factor + c.settings.WarmupLimits.Slack
-	return uint32(max(1, min(bound, warmth.Rate)))
+	bound := config.Rate*c.settings.WarmupLimits.Factor + c.settings.WarmupLimits.Slack
+	return uint32(max(1, min(bound, config.Rate)))
 }
 
-// stewards returns the nodes that share a budget: some of those that follow this
-// member, each with a share of one flow at least. The same nodes are chosen for the
-// same key, a node as often as its processor is strong.
+// stewards returns the nodes that share a budget: some of those that follow this member, so
+// that each has a share of at least one flow. The choice is stable for a key, and the
+// probability of a node is proportional to its weight.
 func (c *Core) stewards(key string, budget uint32, limit int) []uint32 {
 	if budget == 0 {
 		return nil
 	}
-	nodes := c.weighNodes()
+	nodes := c.weightedNodes()
 	var stewards []uint32
 	for _, position := range rendezvous.BestN(nodes, rendezvous.Hash(key), min(limit, int(budget))) {
 		stewards = append(stewards, uint32(nodes[position].Seed))
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-func TestBudgetsOfColdTargets(t *testing.T) {
+func TestWarmupBudget(t *testing.T) {
 	cases := []struct {
 		rate   float64
 		limits WarmupLimits
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestAWarmUpThatCannotBeMeantIsRefused(t *testing.T) {
+func TestInvalidWarmupConfigIsRejected(t *testing.T) {
 	assert.NoError(t, WarmupConfig{Time: time.Second, Rate: 100}.Validate("time", "rate"))
 	assert.ErrorContains(t, WarmupConfig{Time: -1}.Validate("time", "rate"), "time: ")
 	assert.ErrorContains(t, WarmupConfig{Time: 2 * time.Hour}.Validate("time", "rate"), "time: ")
@@ -38,8 +38,8 @@
 	assert.ErrorContains(t, WarmupConfig{Rate: 1e9}.Validate("time", "rate"), "rate: ")
 }
 
-// withNodes returns a leader that some nodes follow and that states a rate.
-func withNodes(c *cluster, nodes int) *machine {
+// leaderWithNodes returns a leader with subscribed nodes and a configured warm-up.
+func leaderWithNodes(c *cluster, nodes int) *machine {
 	leader := c.waitForLeader()
 	leader.core.settings.WarmupLimits = WarmupLimits{Factor: 1.5, Slack: 5}
 	leader.core.settings.WarmthOf = func(directory.Service) (WarmupConfig, error) {
@@ -54,9 +54,9 @@
 	return leader
 }
 
-func TestAColdTargetHasStewardsUntilItIsWarm(t *testing.T) {
+func TestColdTargetHasStewardsUntilWarm(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := withNodes(c, 10)
+	leader := leaderWithNodes(c, 10)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
 	command.Target.Warmup = &directory.Warmup{Left: time.Second}
 	command.Target.Warmup = leader.core.newWarmup(command.Target)
@@ -68,16 +68,16 @@
 	assert.LessOrEqual(t, first.Targets[0].Warmup.Left, time.Second)
 	c.run(500 * time.Millisecond)
 	later := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
-	assert.Less(t, later.Targets[0].Warmup.Left, 600*time.Millisecond, "a node counts from when it is told")
+	assert.Less(t, later.Targets[0].Warmup.Left, 600*time.Millisecond, "the time that is left")
 	c.run(time.Second)
-	assert.Nil(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Targets[0].Warmup, "it is warm")
+	assert.Nil(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Targets[0].Warmup, "the warm-up is over")
 }
 
-// A member that has just started does not know how old the registrations on its disk
-// are: to it their targets are as cold as they said.
-func TestAMemberCountsColdTimeFromItsStart(t *testing.T) {
+// A restarted member does not know the age of the registrations on its disk, so it counts
+// their whole warm-up again.
+func TestWarmupRestartsWithMember(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := withNodes(c, 4)
+	leader := leaderWithNodes(c, 4)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
 	command.Target.Warmup = &directory.Warmup{Left: 2 * time.Second}
 	require.NoError(t, c.submit(leader, command).Err)
@@ -94,16 +94,16 @@
 	assert.Nil(t, core.adjustWarmups(c.now, core.State().Since(0)).Targets[0].Warmup)
 }
 
-func TestAZoneThatIsTakenBackTellsTheWarmUpOfItsServices(t *testing.T) {
+func TestEndOfEvacuationStartsWarmups(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	leader := withNodes(c, 10)
+	leader := leaderWithNodes(c, 10)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
 	command.Target.Zone = "north"
 	require.NoError(t, c.submit(leader, command).Err)
 	require.NoError(t, c.evacuate(leader, "north", true).Err)
 	base := leader.core.State().Evacuation("north").Revision
-	order := leader.core.takeBack(directory.Evacuation{Zone: "north", Revision: base})
-	require.NoError(t, c.submit(leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order}).Err)
+	evacuation := leader.core.endEvacuation(directory.Evacuation{Zone: "north", Revision: base})
+	require.NoError(t, c.submit(leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: evacuation}).Err)
 	update := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
 	require.Len(t, update.Evacuations, 1)
 	warmup, known := update.Evacuations[0].Warmup("booking")
@@ -114,40 +114,38 @@
 	assert.Empty(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Evacuations[0].Warmups)
 }
 
-func TestTheTableOfColdTargetsForgetsWarmOnes(t *testing.T) {
+func TestWarmupTableRemovesWarmTargets(t *testing.T) {
 	now := kernel.Instant(time.Minute)
 	table := newWarmupTable(now)
-	for token := range directory.Token(10 * leastWarmups) {
+	for token := range directory.Token(10 * minWarmupSweep) {
 		now = now.Add(10 * time.Millisecond)
-		table.note(now, directory.Target{Token: token, Warmup: &directory.Warmup{Left: time.Second}})
-		require.LessOrEqual(t, len(table.since), leastWarmups+1)
+		table.record(now, directory.Target{Token: token, Warmup: &directory.Warmup{Left: time.Second}})
+		require.LessOrEqual(t, len(table.startedAt), minWarmupSweep+1)
 	}
 }
 
-// All targets of a fleet start cold at once: the table is looked through a few times, not
-// once for each of them.
-func TestAFleetOfColdTargetsIsNotedInLinearTime(t *testing.T) {
+// When a whole fleet starts cold, a sweep for each target would make the cost quadratic.
+func TestWarmupTableSweepsRarely(t *testing.T) {
 	const targets = 20_000
 	now := kernel.Instant(time.Minute)
 	table := newWarmupTable(now)
 	sweeps := 0
 	for token := range directory.Token(targets) {
-		before := table.sweepAt
-		table.note(now, directory.Target{Token: token, Warmup: &directory.Warmup{Left: time.Minute}})
-		if table.sweepAt != before {
+		before := table.nextSweepSize
+		table.record(now, directory.Target{Token: token, Warmup: &directory.Warmup{Left: time.Minute}})
+		if table.nextSweepSize != before {
 			sweeps++
 		}
 	}
-	assert.Len(t, table.since, targets)
-	assert.LessOrEqual(t, sweeps, 7, "each at twice the number of the one before")
+	assert.Len(t, table.startedAt, targets)
+	assert.LessOrEqual(t, sweeps, 7, "each at twice the size of the previous one")
 }
 
-// Simulated fleets, seeds 136 and 153: a member that had just started with an empty
-// state registered cold targets without the budget that it did not know of yet, and
-// all nodes sent them flows.
-func TestAMemberThatIsNotCurrentRegistersNoColdTarget(t *testing.T) {
+// A restarted member without state does not know the budget, so that all nodes would send
+// flows to a cold target that it registers.
+func TestStaleMemberRegistersNoColdTarget(t *testing.T) {
 	c := newCluster(t, 1, 3)
-	withNodes(c, 4)
+	leaderWithNodes(c, 4)
 	name := address(1)
 	c.kill(name, true)
 	c.start(name)
@@ -159,10 +157,10 @@
 	assert.ErrorIs(t, err, errNotCurrent)
 	warm := putTarget("i-2", "10.1.1.2:1", directory.TargetReady).Target
 	ticket, output, err := m.core.Register(c.now, warm)
-	require.NoError(t, err, "a warm one waits for the group")
+	require.NoError(t, err, "a warm target waits for the group")
 	c.apply(m, output)
 	c.runUntil(5*time.Second, "an outcome", func() bool { _, done := m.outcomes[ticket]; return done })
-	c.runUntil(5*time.Second, "it is current", func() bool { return m.core.IsCurrent(c.now) })
+	c.runUntil(5*time.Second, "the member is current", func() bool { return m.core.IsCurrent(c.now) })
 	_, output, err = m.core.Register(c.now, cold)
 	require.NoError(t, err)
 	c.apply(m, output)
