--- a/internal/edge/packets.go
+++ b/internal/edge/packets.go
@@ -172,6 +172,6 @@
 	p.logger.Sampled(event, "caller", packet.Flow.Caller, "virtual", packet.Flow.Virtual,
 		"reason", decision.Reason, "route", decision.Route, "copy", packet.Copy, "token", packet.Token,
 		"target", decision.Target.ID, "target_token", decision.Target.Token,
-		"candidates", decision.Candidates, "waiting", decision.Waiting, "time", decision.RelativeTime, "doubtful", decision.Doubtful, "ejected", decision.Ejected,
+		"candidates", decision.Candidates, "waiting", decision.Waiting, "time", decision.RelativeTime, "doubtful", decision.Unresponsive, "ejected", decision.Ejected,
 		"version", p.core.Version(), "revision", p.core.Revision(), "state_age", age)
 }
--- a/internal/steer/core.go
+++ b/internal/steer/core.go
@@ -17,9 +17,8 @@
 	Zone    string
 	Chooser Chooser
 	Random  *rand.Rand
-	// SuspectFor is how long a target is avoided after it left an opening packet
-	// unanswered.
-	SuspectFor time.Duration
+	// AvoidFor is how long a target is avoided after it left an opening packet unanswered.
+	AvoidFor time.Duration
 	// AnswerTimeout is how long a target has to answer an opening packet before a
 	// retransmission counts against it.
 	AnswerTimeout time.Duration
@@ -38,7 +37,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Chooser:         &rateChoice{},
-		SuspectFor:      3 * time.Second,
+		AvoidFor:        3 * time.Second,
 		AnswerTimeout:   100 * time.Millisecond,
 		OpeningLifetime: 3 * time.Second,
 		FlowLifetime:    20 * time.Second,
--- a/internal/steer/core_test.go
+++ b/internal/steer/core_test.go
@@ -179,7 +179,7 @@
 	b.core.Decide(now.Add(300*time.Millisecond), flowPacket(1, dead.Token, 7))
 	decision := b.core.Decide(now.Add(400*time.Millisecond), opening(3, 0))
 	assert.Equal(t, "i-2", decision.Target.ID)
-	assert.Equal(t, 1, decision.Doubtful)
+	assert.Equal(t, 1, decision.Unresponsive)
 	b.core.Decide(now.Add(500*time.Millisecond), flowPacket(1, dead.Token, 8))
 	decision = b.core.Decide(now.Add(600*time.Millisecond), opening(4, 0))
 	assert.Equal(t, "i-1", decision.Target.ID, "a new acknowledgement is an answer")
--- a/internal/steer/exchange_test.go
+++ b/internal/steer/exchange_test.go
@@ -333,7 +333,7 @@
 	for port := range uint16(20) {
 		decision := w.core.Decide(w.now, opening(100+port, 0))
 		assert.Equal(t, w.busyTarget, decision.Target.Token)
-		assert.Equal(t, 1, decision.Doubtful)
+		assert.Equal(t, 1, decision.Unresponsive)
 	}
 	entry := w.core.targets[token]
 	assert.True(t, entry.hasFailed(w.now))
--- a/internal/steer/packet.go
+++ b/internal/steer/packet.go
@@ -121,8 +121,9 @@
 	Waiting int
 	// RelativeTime is the chosen target's time per request, relative to its service's mean.
 	RelativeTime float64
-	// Doubtful is the number of targets skipped because they may not be answering.
-	Doubtful int
+	// Unresponsive is the number of targets skipped because there is evidence that they do not
+	// answer.
+	Unresponsive int
 	// Ejected is the number of targets skipped because they fail requests.
 	Ejected int
 }
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -93,7 +93,7 @@
 			Candidates:   len(c.usable),
 			Waiting:      chosen.waitingFlows,
 			RelativeTime: c.choice.Candidates[position].RelativeTime,
-			Doubtful:     skipped.doubtful,
+			Unresponsive: skipped.doubtful,
 			Ejected:      skipped.ejected,
 		}, chosen
 	}
@@ -244,7 +244,7 @@
 // members suspect it, probes or opening packets failed, or it left data unanswered and has
 // not been seen to answer since.
 func (c *Core) isDoubtful(now kernel.Instant, entry *targetEntry) bool {
-	missed := entry.missedAt > entry.answeredAt && now.Sub(entry.missedAt) < c.settings.SuspectFor
+	missed := entry.missedAt > entry.answeredAt && now.Sub(entry.missedAt) < c.settings.AvoidFor
 	return missed || entry.probes.isUnreachable(now) || entry.hasRefused(now) || entry.hasFailed(now) || entry.suspected || entry.lost
 }
 
