--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -43,8 +43,8 @@
 
 // Best returns the index of the node that owns a key, or -1 without nodes.
 func Best(nodes []Node, key uint64) int {
-	var room [1]candidate
-	best := lowestCosts(nodes, key, room[:0])
+	var buffer [1]candidate
+	best := lowestCosts(nodes, key, buffer[:0])
 	if len(best) == 0 {
 		return -1
 	}
@@ -67,14 +67,15 @@
 	position int
 }
 
-// lowestCosts fills best up to its capacity.
+// lowestCosts fills best up to its capacity with the nodes of the lowest costs, in order.
 func lowestCosts(nodes []Node, key uint64, best []candidate) []candidate {
 	if cap(best) == 0 {
 		return best
 	}
 	for position, node := range nodes {
 		drawn := uniform(node.Seed, key)
-		// The cost is at least drawn/weight, which avoids computing the logarithm.
+		// The cost is at least drawn/weight. If even that is too high, the logarithm need not be
+		// computed.
 		if len(best) == cap(best) && drawn >= best[len(best)-1].cost*node.Weight {
 			continue
 		}
@@ -83,7 +84,7 @@
 	return best
 }
 
-// insert adds a candidate in order of cost and drops the last one if there is no room.
+// insert adds a candidate in order of cost and drops the last one if best is full.
 func insert(best []candidate, next candidate) []candidate {
 	at, _ := slices.BinarySearchFunc(best, next, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	if at == cap(best) {
