--- a/internal/steer/choice.go
+++ b/internal/steer/choice.go
@@ -10,7 +10,8 @@
 type Candidate struct {
 	// Waiting is the number of its flows at this node whose callers wait for an answer.
 	Waiting int
-	Slots   int
+	// Slots is the number of requests that the target serves concurrently.
+	Slots int
 	// Local is set when the target is in the node's zone.
 	Local bool
 	// RelativeTime is the target's time per request, relative to its service's mean.
@@ -21,9 +22,10 @@
 type Choice struct {
 	// Candidates are never empty.
 	Candidates []Candidate
-	// LocalSlots and RemoteSlots count the slots of the candidates in the node's zone and in
+	// LocalSlots and RemoteSlots are the slots of the candidates in the node's zone and in
 	// other zones, plus those of targets skipped because they fail or do not answer.
-	// RemoteSlots also count the targets skipped because they are warming up.
+	// RemoteSlots include the slots of targets skipped because they are warming up;
+	// LocalSlots do not.
 	LocalSlots, RemoteSlots int
 }
 
@@ -63,7 +65,8 @@
 	return random.IntN(len(choice.Candidates))
 }
 
-// crossZoneCost is added to the cost of targets in another zone, in waiting flows per slot.
+// crossZoneCost is added to the cost of targets in another zone or, for a flow that spills to
+// other zones, of those in the node's own zone. The unit is waiting flows per slot.
 const crossZoneCost = 0.5
 
 // nearbyChoice selects the candidate with the fewest waiting flows per slot. Idle flows are
--- a/internal/steer/choicerate_test.go
+++ b/internal/steer/choicerate_test.go
@@ -152,8 +152,8 @@
 	oneSpeed    = relativeTimesOf(1)
 )
 
-// Compares the choosers: rateChoice must not be worse than nearbyChoice, and must not
-// overload targets where leastDelayChoice does.
+// rateChoice must be faster than nearbyChoice without more rejections, and must not overload
+// targets where leastDelayChoice does.
 func TestChoosersOnSimulatedService(t *testing.T) {
 	for name, times := range map[string][]float64{"three speeds": threeSpeeds, "ten speeds": tenSpeeds} {
 		for _, nodes := range []int{8, 100, 1000} {
@@ -200,10 +200,10 @@
 // proportion to the missing capacity otherwise.
 func TestSpillIsProportional(t *testing.T) {
 	cases := []struct {
-		name                  string
-		nearTime              float64
-		nearUsable, nearSlots int
-		want                  float64
+		name                    string
+		localTime               float64
+		localUsable, localSlots int
+		want                    float64
 	}{
 		{"equal", 1, 4, 4, 0},
 		{"slightly slower", 1.05, 4, 4, 0},
@@ -214,9 +214,9 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			choice := Choice{LocalSlots: test.nearSlots, RemoteSlots: 12}
-			for range test.nearUsable {
-				choice.Candidates = append(choice.Candidates, Candidate{Slots: 1, Local: true, RelativeTime: test.nearTime})
+			choice := Choice{LocalSlots: test.localSlots, RemoteSlots: 12}
+			for range test.localUsable {
+				choice.Candidates = append(choice.Candidates, Candidate{Slots: 1, Local: true, RelativeTime: test.localTime})
 			}
 			for range 12 {
 				choice.Candidates = append(choice.Candidates, Candidate{Slots: 1, RelativeTime: 1})
@@ -242,7 +242,7 @@
 			candidate := Candidate{
 				Waiting:      rapid.IntRange(0, 3).Draw(t, "waiting"),
 				Slots:        rapid.IntRange(1, 3).Draw(t, "slots"),
-				Local:        rapid.Bool().Draw(t, "near"),
+				Local:        rapid.Bool().Draw(t, "local"),
 				RelativeTime: 1,
 			}
 			choice.Candidates = append(choice.Candidates, candidate)
--- a/internal/steer/core.go
+++ b/internal/steer/core.go
@@ -56,8 +56,9 @@
 	target directory.Target
 	// waitingFlows is the number of its flows whose callers are waiting for an answer.
 	waitingFlows int
-	// missedAt is when an opening packet was last found unanswered.
-	missedAt kernel.Instant
+	// openingUnansweredAt is when a caller last retransmitted an opening packet that the target
+	// had not answered in time.
+	openingUnansweredAt kernel.Instant
 	// answeredAt is when the target was last seen to answer a caller.
 	answeredAt kernel.Instant
 	// suspected is set while the control members have not heard from the target, or have
@@ -69,9 +70,9 @@
 	remembered bool
 	// inAnswering is set while the target is in Core.answering.
 	inAnswering bool
-	// missed is the number of opening packets left unanswered since answeredAt.
-	missed int
-	// refusedAt is when an opening packet was last found not to be accepted.
+	// openingsUnanswered is the number of such retransmissions since answeredAt.
+	openingsUnanswered int
+	// refusedAt is when an opening packet last counted as refused (openingTracker).
 	refusedAt kernel.Instant
 	// ejected is set while the control members consider the target failing, and probation
 	// while they test whether it has recovered.
@@ -89,13 +90,14 @@
 	speed                 targetSpeed
 }
 
-// flowEntry is the state of a flow at this node. It is used for retransmitted opening
-// packets and for statistics; forwarding does not need it.
+// flowEntry is the state of a flow at this node. It is used to place retransmitted opening
+// packets, to observe the target and for statistics. Packets of open flows are forwarded
+// without it.
 type flowEntry struct {
 	target *targetEntry
 	// tried are the targets to which the opening packet has been sent.
 	tried []directory.Token
-	// placedAt is when an opening packet was last sent to the target.
+	// placedAt is when the target was chosen for an opening packet.
 	placedAt kernel.Instant
 	opened   bool
 	// dropped is set when this node dropped the opening packet.
@@ -122,7 +124,8 @@
 	// ended are the targets that have ended, oldest first.
 	ended []*targetEntry
 	flows map[FlowKey]*flowEntry
-	// untracked is the number of flows not tracked, for lack of space, since TakeUntracked.
+	// untracked is the number of flows not tracked because of FlowLimit, since the last call of
+	// TakeUntracked.
 	untracked int
 	// unanswered are the flows whose callers have retransmitted data.
 	unanswered map[FlowKey]*flowEntry
@@ -133,10 +136,10 @@
 	// was stalled.
 	stalledUntil kernel.Instant
 	// answering are the targets that have answered since the last report, and
-	// unansweredOpenings those that have left opening packets unanswered.
-	answering          []*targetEntry
-	unansweredOpenings map[*targetEntry]bool
-	// probeWanted are the targets that a caller waits for.
+	// withUnansweredOpenings those with recent unanswered opening packets.
+	answering              []*targetEntry
+	withUnansweredOpenings map[*targetEntry]bool
+	// probeWanted are the targets for whose answer a caller waits.
 	probeWanted    map[*targetEntry]struct{}
 	probesInFlight int
 	openings       openingTracker
@@ -152,8 +155,8 @@
 	// revisions of the latest order for each zone.
 	evacuated           map[string]bool
 	evacuationRevisions map[string]uint64
-	// nodeKey is this node's key in the lists of stewards. Budgets may be used from
-	// budgetFrom on.
+	// nodeKey identifies this node among the stewards of a target, the nodes that share its
+	// warm-up budget. This node uses its share from budgetFrom on.
 	nodeKey    uint32
 	budgetFrom kernel.Instant
 	// rememberedUntil is until when new flows may be placed by remembered state, or 0.
@@ -174,12 +177,12 @@
 		services: map[string][]*targetEntry{},
 		flows:    map[FlowKey]*flowEntry{},
 
-		unanswered:         map[FlowKey]*flowEntry{},
-		waiting:            map[*flowEntry]struct{}{},
-		unansweredOpenings: map[*targetEntry]bool{},
-		probeWanted:        map[*targetEntry]struct{}{},
-		openings:           newOpeningTracker(),
-		baselines:          map[netip.AddrPort]*routeBaseline{},
+		unanswered:             map[FlowKey]*flowEntry{},
+		waiting:                map[*flowEntry]struct{}{},
+		withUnansweredOpenings: map[*targetEntry]bool{},
+		probeWanted:            map[*targetEntry]struct{}{},
+		openings:               newOpeningTracker(),
+		baselines:              map[netip.AddrPort]*routeBaseline{},
 
 		evacuated:           map[string]bool{},
 		evacuationRevisions: map[string]uint64{},
@@ -243,12 +246,12 @@
 // until they end.
 func (c *Core) SetFlowLimit(limit int) { c.settings.FlowLimit = limit }
 
-// TakeUntracked returns the number of flows not tracked, for lack of space, since the last
+// TakeUntracked returns the number of flows not tracked because of FlowLimit, since the last
 // call.
 func (c *Core) TakeUntracked() int {
-	unkept := c.untracked
+	count := c.untracked
 	c.untracked = 0
-	return unkept
+	return count
 }
 
 // IsReady reports whether the node can place new flows: it has a configuration and at
@@ -347,7 +350,7 @@
 		c.ended[0] = nil
 		c.ended = c.ended[1:]
 		delete(c.targets, oldest.target.Token)
-		delete(c.unansweredOpenings, oldest)
+		delete(c.withUnansweredOpenings, oldest)
 		delete(c.probeWanted, oldest)
 	}
 }
@@ -410,7 +413,8 @@
 	return Decision{Action: ActionReset, Reason: ReasonEnded, Target: target}
 }
 
-// trackFlow updates the state of a flow and records that its target answers.
+// trackFlow updates the state of a flow, and records an answer of its target if the packet
+// shows one.
 func (c *Core) trackFlow(now kernel.Instant, packet Packet, entry *targetEntry) {
 	flow, known := c.flows[packet.Flow]
 	if known && !flow.opened {
@@ -470,7 +474,8 @@
 	delete(c.openings.inFlight, key)
 }
 
-// Tick drops idle flows. It is called about once a second.
+// Tick removes idle flows and those that were not opened in time. It is called about once a
+// second.
 func (c *Core) Tick(now kernel.Instant) {
 	for key, flow := range c.flows {
 		limit := c.settings.FlowLifetime
--- a/internal/steer/core_test.go
+++ b/internal/steer/core_test.go
@@ -408,7 +408,7 @@
 	}
 }
 
-// A caller that waits for an answer while its target restarts is told at once, and only once.
+// The flow of a caller that waits while its target restarts is reset at once, and only once.
 func TestWaitingFlowsOfEndedTargetAreResetOnce(t *testing.T) {
 	b := newBookingFixture(t)
 	first := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -18,15 +18,15 @@
 
 func TestEvacuatedZoneKeepsOpenFlowsOnly(t *testing.T) {
 	b := newBookingFixture(t)
-	near := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-	far := b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
-	assert.Equal(t, near.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
+	local := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
+	remote := b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
+	assert.Equal(t, local.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
 	b.setEvacuated(start, "north", true)
 	assert.Equal(t, []string{"north"}, b.core.EvacuatedZones())
 	for port := range uint16(20) {
-		assert.Equal(t, far.ID, b.core.Decide(start, opening(100+port, 0)).Target.ID)
+		assert.Equal(t, remote.ID, b.core.Decide(start, opening(100+port, 0)).Target.ID)
 	}
-	assert.Equal(t, near.ID, b.core.Decide(start, flowPacket(50, near.Token, 1)).Target.ID, "open flows stay")
+	assert.Equal(t, local.ID, b.core.Decide(start, flowPacket(50, local.Token, 1)).Target.ID, "open flows stay")
 	b.setEvacuated(start, "north", false)
 	assert.Empty(t, b.core.EvacuatedZones())
 }
@@ -34,12 +34,12 @@
 // An early retransmission goes to the same target, unless that is blocked meanwhile.
 func TestRetransmissionAvoidsEvacuatedZone(t *testing.T) {
 	b := newBookingFixture(t)
-	near := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-	far := b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
-	assert.Equal(t, near.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
+	local := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
+	remote := b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
+	assert.Equal(t, local.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
 	b.setEvacuated(start, "north", true)
 	soon := start.Add(b.core.settings.AnswerTimeout / 2)
-	assert.Equal(t, far.ID, b.core.Decide(soon, opening(1, 1)).Target.ID)
+	assert.Equal(t, remote.ID, b.core.Decide(soon, opening(1, 1)).Target.ID)
 }
 
 // With all zones of a service evacuated, new flows are reset at once, whatever the health of
--- a/internal/steer/evidence.go
+++ b/internal/steer/evidence.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// silenceThreshold is how long data must have been unacknowledged, and the target have
-	// answered no other flow of this node, before it counts as evidence of silence.
+	// silenceThreshold is how long data must have been unacknowledged before it counts as
+	// evidence of silence. The target must not have answered any flow of this node in that time.
 	silenceThreshold = 250 * time.Millisecond
-	// missedLifetime is how long an unanswered opening packet counts.
-	missedLifetime = 900 * time.Millisecond
+	// unansweredOpeningLifetime is how long an unanswered opening packet counts.
+	unansweredOpeningLifetime = 900 * time.Millisecond
 )
 
 // SilentTarget is a target that left packets unanswered.
 type SilentTarget struct {
 	Token directory.Token
 	// Weight is the strength of the evidence: it grows with the number of waiting flows and
-	// the length of the wait.
+	// their retransmissions. In Evidence.Refused it is the number of opening packets.
 	Weight uint32
-	// Doubtful is the same for evidence that may be due to a fault of this node or its link.
+	// Doubtful is the weight of evidence that may be due to a fault of this node or its link.
 	Doubtful uint32
 }
 
@@ -32,8 +32,8 @@
 	// Answering are the targets that answered at least one caller.
 	Answering []directory.Token
 	Silent    []SilentTarget
-	// Refused are the targets that did not accept opening packets, with the number of
-	// packets; Openings count the opening packets to all targets by zone.
+	// Refused are the targets that did not accept opening packets. Openings count the accepted
+	// and refused opening packets by zone.
 	Refused  []SilentTarget
 	Openings []directory.ZoneOpenings
 	// Outcomes count how exchanges with targets ended.
@@ -42,7 +42,8 @@
 
 // Report returns the evidence since the last report. It returns none if this process was
 // stalled in between, and no evidence of silence for some time after: data and its
-// retransmissions were queued here together, and answers took the path through other nodes.
+// retransmissions were queued here together, and acknowledgements may have passed through
+// other nodes.
 func (c *Core) Report(now kernel.Instant, interval time.Duration) Evidence {
 	c.expireWaits(now)
 	since := c.reportedAt
@@ -79,23 +80,24 @@
 // recordAnswer records that a target has answered a caller.
 func (c *Core) recordAnswer(now kernel.Instant, entry *targetEntry) {
 	entry.answeredAt = now
-	entry.missed = 0
-	delete(c.unansweredOpenings, entry)
+	entry.openingsUnanswered = 0
+	delete(c.withUnansweredOpenings, entry)
 	if !entry.inAnswering {
 		entry.inAnswering = true
 		c.answering = append(c.answering, entry)
 	}
 }
 
-// recordMissed records that a target has left an opening packet unanswered.
-func (c *Core) recordMissed(now kernel.Instant, flow *flowEntry) {
+// recordUnansweredOpening records that a target has left an opening packet unanswered, unless
+// this node dropped it.
+func (c *Core) recordUnansweredOpening(now kernel.Instant, flow *flowEntry) {
 	if flow.dropped {
 		return
 	}
 	entry := flow.target
-	entry.missedAt = now
-	entry.missed++
-	c.unansweredOpenings[entry] = true
+	entry.openingUnansweredAt = now
+	entry.openingsUnanswered++
+	c.withUnansweredOpenings[entry] = true
 }
 
 func (c *Core) takeAnswering() []directory.Token {
@@ -142,20 +144,20 @@
 
 // addUnansweredOpenings adds the weight of unanswered opening packets.
 func (c *Core) addUnansweredOpenings(now kernel.Instant, weights map[*targetEntry]SilentTarget) {
-	for entry := range c.unansweredOpenings {
-		if now.Sub(entry.missedAt) >= missedLifetime {
-			delete(c.unansweredOpenings, entry)
+	for entry := range c.withUnansweredOpenings {
+		if now.Sub(entry.openingUnansweredAt) >= unansweredOpeningLifetime {
+			delete(c.withUnansweredOpenings, entry)
 			continue
 		}
 		silent := weights[entry]
-		silent.Weight += uint32(entry.missed)
+		silent.Weight += uint32(entry.openingsUnanswered)
 		weights[entry] = silent
 	}
 }
 
 // ApplyVerdicts applies the verdicts of the control members. Suspected targets get no new
-// flows while others are available. It returns one packet for each open flow whose target
-// is newly lost, for its reset.
+// flows while others are available. It removes the open flows of newly lost targets and
+// returns one packet of each for its reset.
 func (c *Core) ApplyVerdicts(verdicts directory.Verdicts) []Packet {
 	wasLost := map[*targetEntry]bool{}
 	for _, entry := range c.targets {
@@ -180,8 +182,8 @@
 }
 
 // ResetUnanswered removes the flows with retransmitted data whose targets have ended, and
-// returns one packet of each for its reset. Their next retransmission would be reset as
-// well, but may come too late for the caller to try again before its deadline.
+// returns one packet of each for its reset. The next retransmission would cause a reset too,
+// but perhaps too late for the caller to try again before its deadline.
 func (c *Core) ResetUnanswered() []Packet {
 	var packets []Packet
 	for key, flow := range c.unanswered {
@@ -208,10 +210,10 @@
 
 // resetFlows removes the open flows of the selected targets and returns one packet of each
 // for its reset.
-func (c *Core) resetFlows(ended func(entry *targetEntry) bool) []Packet {
+func (c *Core) resetFlows(selects func(entry *targetEntry) bool) []Packet {
 	var packets []Packet
 	for key, flow := range c.flows {
-		if !flow.opened || !ended(flow.target) {
+		if !flow.opened || !selects(flow.target) {
 			continue
 		}
 		packets = append(packets, c.resetFlow(key, flow))
--- a/internal/steer/exchange.go
+++ b/internal/steer/exchange.go
@@ -8,27 +8,29 @@
 )
 
 // An exchange is a request of a caller and the target's response. A node sees only the
-// packets of callers: data, acknowledgements, and how they end their flows. From these it
+// packets of callers: data, acknowledgements, and how they end their flows. An exchange makes
+// progress when the caller acknowledges more of the response. It is quiet if its first progress
+// does not follow the caller's last new data within the quiet time of the route. The node
 // classifies exchanges per target:
 //
-//   - Unanswered: data without progress of the acknowledgement or new data for the quiet
-//     time of the route, or a flow that ends with nothing acknowledged but the target's
-//     close. Quiet is ignored on routes whose callers acknowledge one-packet responses only
-//     with their next request (routeBaseline.isQuietSignificant).
+//   - Unanswered: an exchange that is quiet, or that ends with nothing acknowledged but the
+//     target's close. Quiet is ignored on routes whose callers acknowledge one-packet
+//     responses only with their next request (routeBaseline.isQuietSignificant).
 //   - Short: a response far shorter than the route's baseline. A caller that closes midway
-//     through a download looks the same, but does so at all targets alike. A flow that the
-//     caller resets is not counted as short.
+//     through a download looks the same, but does so at all targets alike. A short response
+//     after which the caller resets the flow is not counted.
 //   - Slow: first progress far later than the route's baseline. Uploads are timed from
 //     their last new data, unless packets were retransmitted. Progress that arrives with the
 //     next request is not timed. A lost one-packet request looks slow, at all targets alike.
 //
 // Exchanges are ignored if a local cause is possible: no other exchange made progress
 // through this node meanwhile, the evidence is doubtful (isUnreliableObserver), the process
-// was stalled, or the node dropped or delayed packets. A caller that leaves before the quiet
-// time may have canceled. A flow joined midway counts from its second request on, because
-// stray retransmissions of an ended flow look like one. A flow that moves to another node
-// looks quiet, at all targets alike. Positions wrap; packets out of order and
-// retransmissions are detected by position.
+// was stalled, or the node dropped or delayed packets. An exchange whose caller ends the flow
+// before progress and before the quiet time is not counted, since the caller may have canceled.
+// A flow that the node joins midway counts from its second request on, because stray
+// retransmissions of an ended flow look like such a flow. A flow that moves to another node
+// looks quiet, at all targets alike. Positions wrap; packets out of order and retransmissions
+// are detected by position.
 
 const (
 	// minQuietTime is the shortest time without progress after which an exchange is quiet.
@@ -40,10 +42,10 @@
 	// maxQuietTime bounds the quiet time of slow routes, so that failures are seen before
 	// callers give up.
 	maxQuietTime = time.Second
-	// quietFactor is the ratio of the quiet time to a high quantile of response times.
+	// quietFactor is the ratio of the quiet time to routeBaseline.lateTime.
 	quietFactor = 2
 	// slowFactor is the ratio to the median response time above which an exchange is slow;
-	// requests of one kind may take several times the mean.
+	// requests of one kind may take several times the median.
 	slowFactor = 8
 	// minSlowTime is the shortest time that counts as slow; network and queueing delays vary
 	// by less.
@@ -59,13 +61,13 @@
 type exchangeStage uint8
 
 const (
-	// exchangeNone is before the first data, or after the flow was removed.
+	// exchangeNone is before the first data, or after the end of the flow.
 	exchangeNone exchangeStage = iota
-	// exchangeWaiting has sent data and seen no progress.
+	// exchangeWaiting has data and no progress.
 	exchangeWaiting
-	// exchangeQuiet has seen no progress for longer than the quiet time.
+	// exchangeQuiet has had no progress for the quiet time.
 	exchangeQuiet
-	// exchangeAnswering has seen progress.
+	// exchangeAnswering has made progress.
 	exchangeAnswering
 )
 
--- a/internal/steer/exchange_oracle_test.go
+++ b/internal/steer/exchange_oracle_test.go
@@ -26,8 +26,8 @@
 // simulatedExchange is an exchange as its two ends see it.
 type simulatedExchange struct {
 	outcome outcome
-	// base is the caller's acknowledgement before it, answer the size of the response.
-	base, answer uint32
+	// base is the caller's acknowledgement before it, responseSize the size of the response.
+	base, responseSize uint32
 	// dropped is set when the node dropped the request.
 	dropped bool
 }
@@ -107,17 +107,17 @@
 		s.abandon(s.millis(1, 150, "caller timeout"))
 		return false
 	case outcomeFailed:
-		current.answer = uint32(rapid.IntRange(150, 250).Draw(s.T, "failure"))
+		current.responseSize = uint32(rapid.IntRange(150, 250).Draw(s.T, "failure"))
 	default:
-		current.answer = uint32(rapid.IntRange(1800, 2200).Draw(s.T, "answer"))
+		current.responseSize = uint32(rapid.IntRange(1800, 2200).Draw(s.T, "answer"))
 	}
 	s.at += s.millis(5, 80, "work")
 	if rapid.Bool().Draw(s.T, "acknowledged in parts") {
-		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Acknowledged: s.acknowledged + current.answer/2}, progress: true}, 0)
-		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Acknowledged: s.acknowledged + current.answer/4}}, 0)
+		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Acknowledged: s.acknowledged + current.responseSize/2}, progress: true}, 0)
+		s.emit(observedPacket{packet: Packet{Sequence: s.sequence, Acknowledged: s.acknowledged + current.responseSize/4}}, 0)
 		s.at += s.millis(1, 400, "more")
 	}
-	s.acknowledged += current.answer
+	s.acknowledged += current.responseSize
 	if rapid.Bool().Draw(s.T, "acknowledged") {
 		s.emit(observedPacket{packet: Packet{Sequence: s.sequence}, progress: true}, 0)
 	}
@@ -161,7 +161,7 @@
 	return s.flow
 }
 
-// expect returns the outcomes that a node should count if it sees packets from to to.
+// expect returns the outcomes that a node should count if it sees only packets[from:to].
 func (f simulatedFlow) expect(from, to int) directory.Outcomes {
 	var counted directory.Outcomes
 	observed := f.packets[from:to]
@@ -201,7 +201,7 @@
 
 // observe returns what the observed packets show of an exchange.
 func (f simulatedFlow) observe(observed []observedPacket, number int) (began, progressed, ended bool) {
-	responseEnd := f.exchanges[number].base + f.exchanges[number].answer
+	responseEnd := f.exchanges[number].base + f.exchanges[number].responseSize
 	for _, packet := range observed {
 		began = began || packet.first && packet.exchange == number
 		progress := began && advances(f.exchanges[number].base, packet.packet.Acknowledged) && !packet.packet.Opening
@@ -215,7 +215,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		w, token := newExchangeFixture(t)
 		for range 200 {
-			w.exchange(w.busyTarget, typicalAnswerSize)
+			w.exchange(w.busyTarget, typicalResponseSize)
 		}
 		w.advance(reportPeriod)
 		clear(w.outcomes)
--- a/internal/steer/exchange_test.go
+++ b/internal/steer/exchange_test.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// typicalAnswerSize is the size in bytes of the responses that the node has seen, and
+	// typicalResponseSize is the size in bytes of the responses that the node has seen, and
 	// typicalTime the time to their first progress.
-	typicalAnswerSize = 2000
-	typicalTime       = 20 * time.Millisecond
+	typicalResponseSize = 2000
+	typicalTime         = 20 * time.Millisecond
 	// initialSequence is the first position of callers, shortly before positions wrap.
 	initialSequence = math.MaxUint32 - 400
 )
@@ -56,7 +56,7 @@
 		w.now = due
 		w.reported = due
 		if !w.idle {
-			w.exchange(w.busyTarget, typicalAnswerSize)
+			w.exchange(w.busyTarget, typicalResponseSize)
 		}
 		w.report()
 	}
@@ -288,7 +288,7 @@
 	w.idle = true
 	for range 300 {
 		for range 4 {
-			w.exchange(w.busyTarget, typicalAnswerSize)
+			w.exchange(w.busyTarget, typicalResponseSize)
 		}
 		w.exchange(token, 200)
 		w.advance(reportPeriod)
@@ -304,13 +304,13 @@
 	w.core.Report(start, reportPeriod)
 	w.advance(reportPeriod / 2)
 	for range minBaselineSamples / 2 {
-		w.exchange(token, typicalAnswerSize)
+		w.exchange(token, typicalResponseSize)
 	}
 	w.exchange(token, 200)
 	w.core.Decide(w.now, opening(1, 0))
 	w.core.Decide(w.now, dataPacket(1, token, initialSequence, 1, 100))
 	w.advance(200 * ms)
-	w.exchange(token, typicalAnswerSize)
+	w.exchange(token, typicalResponseSize)
 	w.advance(time.Second)
 	assert.Equal(t, directory.Outcomes{Answered: minBaselineSamples/2 + 2}, w.outcomes[token])
 }
@@ -324,7 +324,7 @@
 	assert.Equal(t, noOutcome, w.outcomes[token])
 }
 
-// Targets that reset their flows look idle and must not attract more of them.
+// A failing target looks idle and must not attract more flows.
 func TestFailedTargetIsAvoidedTemporarily(t *testing.T) {
 	w, token := newExchangeFixture(t)
 	w.core.Decide(w.now, opening(1, 0))
@@ -338,13 +338,13 @@
 	entry := w.core.targets[token]
 	assert.True(t, entry.hasFailed(w.now))
 	assert.False(t, entry.hasFailed(w.now.Add(failureLifetime)))
-	w.exchange(token, typicalAnswerSize)
+	w.exchange(token, typicalResponseSize)
 	assert.False(t, entry.hasFailed(w.now), "the target serves again")
 }
 
 func TestBaselinesOfRemovedRoutesAreDropped(t *testing.T) {
 	w, token := newExchangeFixture(t)
-	w.exchange(token, typicalAnswerSize)
+	w.exchange(token, typicalResponseSize)
 	assert.Len(t, w.core.baselines, 1)
 	w.publish(w.now, 2, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}), route("s", otherAddress, directory.Backend{Service: "booking", Weight: 1}))
 	assert.Equal(t, 2*minBaselineSamples+1, w.core.baselines[bookingAddress].sizes.total)
--- a/internal/steer/follower.go
+++ b/internal/steer/follower.go
@@ -24,8 +24,8 @@
 	maxBackoff = 320 * time.Millisecond
 	// DefaultRetryDelay is the delay after leaving a member for any other reason.
 	DefaultRetryDelay = 40 * time.Millisecond
-	// FirstStatusTimeout is how long a node that has lost its leader waits for the first
-	// status of a member.
+	// FirstStatusTimeout is how long a node that has left a member without a leader waits for
+	// the first status of the next one.
 	FirstStatusTimeout = 200 * time.Millisecond
 	// RemoteStay is how long a node stays with a member of another zone before it retries
 	// the members of its own zone after failures.
--- a/internal/steer/locallink_test.go
+++ b/internal/steer/locallink_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// An exchange during a delay at this node's link is ignored, whether quiet or answered late.
+// An exchange that gets quiet after a delay at this node's link is ignored.
 func TestLinkDelayThresholdForExchanges(t *testing.T) {
 	for delay, want := range map[time.Duration]directory.Outcomes{
 		linkDelayThreshold - time.Millisecond: outcomeOneUnanswered,
@@ -93,31 +93,31 @@
 }
 
 func TestDroppedOpeningIsNotRefused(t *testing.T) {
-	b, near, far := newTwoZoneFixture(t)
-	assert.Equal(t, near.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
+	b, local, remote := newTwoZoneFixture(t)
+	assert.Equal(t, local.ID, b.core.Decide(start, opening(1, 0)).Target.ID)
 	b.core.RecordDrop(start, opening(1, 0).Flow)
 	evidence := b.reportUntil(start, start.Add(reportPeriod))
 	assert.Empty(t, evidence.Openings)
 	assert.Empty(t, evidence.Refused)
 	now := start.Add(200 * time.Millisecond)
-	assert.Equal(t, far.ID, b.core.Decide(now, opening(1, 1)).Target.ID)
+	assert.Equal(t, remote.ID, b.core.Decide(now, opening(1, 1)).Target.ID)
 	assert.Empty(t, b.core.Report(now, reportPeriod).Silent)
-	assert.Equal(t, near.ID, b.core.Decide(now, opening(2, 0)).Target.ID, "the target is not avoided")
+	assert.Equal(t, local.ID, b.core.Decide(now, opening(2, 0)).Target.ID, "the target is not avoided")
 }
 
 func TestOpeningsDuringLinkDelayAreNotRefused(t *testing.T) {
-	b, near, _ := newTwoZoneFixture(t)
+	b, local, _ := newTwoZoneFixture(t)
 	b.core.Decide(start, opening(1, 0))
 	b.core.RecordLinkDelay(start, linkDelayThreshold)
 	evidence := b.reportUntil(start, start.Add(2*reportPeriod))
 	assert.Empty(t, evidence.Openings)
 	assert.Empty(t, evidence.Refused)
-	assert.False(t, b.core.targets[near.Token].hasRefused(start.Add(2*reportPeriod)))
+	assert.False(t, b.core.targets[local.Token].hasRefused(start.Add(2*reportPeriod)))
 }
 
-// Nodes with choked links must not cause zones to be avoided.
+// Nodes with congested links must not cause zones to be avoided.
 func TestRefusalsInEveryZoneAreNotReported(t *testing.T) {
-	b, near, _ := newTwoZoneFixture(t)
+	b, local, _ := newTwoZoneFixture(t)
 	now := start
 	reported := map[string]int{}
 	for port := range uint16(30) {
@@ -131,7 +131,7 @@
 	assert.True(t, b.core.openings.refusedEverywhere())
 	for port := range uint16(10) {
 		b.core.Decide(now, opening(port+100, 0))
-		b.core.Decide(now.Add(time.Millisecond), flowPacket(port+100, near.Token, 1))
+		b.core.Decide(now.Add(time.Millisecond), flowPacket(port+100, local.Token, 1))
 	}
 	now = now.Add(reportPeriod)
 	assert.NotEmpty(t, b.core.Report(now, reportPeriod).Openings)
--- a/internal/steer/losstracker.go
+++ b/internal/steer/losstracker.go
@@ -5,20 +5,21 @@
 const (
 	// lossDecayTime is the approximate time over which losses decay.
 	lossDecayTime = 2 * time.Second
-	// lossThreshold is the share of retransmitted data among answered data above which
+	// lossThreshold is the share of retransmitted data among answered data from which on
 	// packets are likely lost on the path rather than at targets.
 	lossThreshold = 0.125
-	// minRecovered is the least decayed count of losses that counts; single losses do not.
+	// minRecovered is the decayed count of recovered losses below which they are too old to
+	// count.
 	minRecovered = 0.5
 )
 
-// lossTracker measures packet loss on the path: data that was retransmitted and then
-// answered was lost although its target is alive.
+// lossTracker measures packet loss on the path. Data that was answered only after a
+// retransmission counts as lost on the way to a live target.
 type lossTracker struct {
 	answered, recovered float64
 }
 
-// addAnswered counts answered data with its number of retransmissions.
+// addAnswered counts answered data, given its number of retransmissions.
 func (t *lossTracker) addAnswered(resent int) {
 	t.answered++
 	if resent > 0 {
@@ -33,7 +34,7 @@
 	t.recovered *= factor
 }
 
-// isLossy reports whether much data to live targets gets lost.
+// isLossy reports whether a large share of the data to live targets is lost.
 func (t *lossTracker) isLossy() bool {
 	return t.recovered >= minRecovered && t.recovered >= lossThreshold*t.answered
 }
--- a/internal/steer/losstracker_test.go
+++ b/internal/steer/losstracker_test.go
@@ -26,18 +26,18 @@
 }
 
 func TestLossTrackerDecays(t *testing.T) {
-	var w lossTracker
-	w.addAnswered(1)
-	assert.True(t, w.isLossy())
+	var tracker lossTracker
+	tracker.addAnswered(1)
+	assert.True(t, tracker.isLossy())
 	for range 30 {
-		w.decay(reportPeriod)
+		tracker.decay(reportPeriod)
 	}
-	assert.False(t, w.isLossy())
-	w.addAnswered(1)
+	assert.False(t, tracker.isLossy())
+	tracker.addAnswered(1)
 	for range 20 {
-		w.addAnswered(0)
+		tracker.addAnswered(0)
 	}
-	assert.False(t, w.isLossy(), "one in twenty")
-	w.decay(time.Minute)
-	assert.Zero(t, w.answered)
+	assert.False(t, tracker.isLossy(), "one in twenty")
+	tracker.decay(time.Minute)
+	assert.Zero(t, tracker.answered)
 }
--- a/internal/steer/memberlist.go
+++ b/internal/steer/memberlist.go
@@ -17,8 +17,8 @@
 	// Seeds are configured addresses, which may or may not be those of members.
 	Seeds []string
 
-	// failures holds when each address was last tried or left, except where that was no
-	// failure of the member.
+	// failures holds when each address last failed. Nodes also record a failure when they try
+	// or leave a member, so that it comes last in the next order.
 	failures map[string]kernel.Instant
 	shuffle  func(n int, swap func(i, j int))
 }
@@ -87,8 +87,8 @@
 	latest := ""
 	kept := map[string]kernel.Instant{}
 	for _, member := range list {
-		at, left := l.failures[member.Address]
-		if !left {
+		at, failed := l.failures[member.Address]
+		if !failed {
 			continue
 		}
 		kept[member.Address] = at
@@ -108,8 +108,8 @@
 // HasUntriedLocal reports whether a member of the node's zone has no recorded failure.
 func (l *MemberList) HasUntriedLocal() bool {
 	return slices.ContainsFunc(l.Members, func(member directory.Member) bool {
-		_, left := l.failures[member.Address]
-		return member.Zone == l.Zone && !left
+		_, failed := l.failures[member.Address]
+		return member.Zone == l.Zone && !failed
 	})
 }
 
--- a/internal/steer/openings.go
+++ b/internal/steer/openings.go
@@ -11,8 +11,8 @@
 
 // A caller whose opening packet is accepted sends its next packet a few milliseconds later.
 // After a refusal it retries with a new flow, which usually arrives at another node, so no
-// node sees the refusal itself. Nodes therefore count the opening packets that were followed
-// by nothing.
+// node sees the refusal itself. An opening packet therefore counts as refused if the caller's
+// next packet does not follow in time.
 
 const (
 	// minOpeningTimeout is the shortest time after which an opening packet counts as refused.
@@ -20,8 +20,8 @@
 	minOpeningTimeout = 60 * time.Millisecond
 	// maxOpeningTimeout is less than a caller's retransmission timeout of 200 ms.
 	maxOpeningTimeout = 180 * time.Millisecond
-	// The gains of the moving mean and deviation, and the multiple of the deviation in the
-	// timeout (RFC 6298, section 2).
+	// The inverse gains of the moving mean and deviation, and the multiple of the deviation in
+	// the timeout (RFC 6298, section 2).
 	meanDivisor      = 8
 	deviationDivisor = 4
 	deviationFactor  = 4
@@ -106,7 +106,8 @@
 	}
 }
 
-// take returns and clears the counts since the last call.
+// take returns and clears the counts since the last call. The refused list has only targets
+// that have not answered since their last refusal.
 func (t *openingTracker) take() (zones []directory.ZoneOpenings, refused []SilentTarget) {
 	for _, counted := range t.counts {
 		zones = append(zones, *counted)
@@ -126,17 +127,17 @@
 
 // updateRecent decays the recent counts and adds those since the last call.
 func (t *openingTracker) updateRecent() {
-	for zone, share := range t.recent {
-		t.recent[zone] = zoneCounts{opened: share.opened * recentDecay, refused: share.refused * recentDecay}
-		if share.opened+share.refused < minRecent {
+	for zone, counts := range t.recent {
+		t.recent[zone] = zoneCounts{opened: counts.opened * recentDecay, refused: counts.refused * recentDecay}
+		if counts.opened+counts.refused < minRecent {
 			delete(t.recent, zone)
 		}
 	}
 	for zone, counted := range t.counts {
-		share := t.recent[zone]
-		share.opened += float64(counted.Opened)
-		share.refused += float64(counted.Refused)
-		t.recent[zone] = share
+		counts := t.recent[zone]
+		counts.opened += float64(counted.Opened)
+		counts.refused += float64(counted.Refused)
+		t.recent[zone] = counts
 	}
 }
 
@@ -144,8 +145,8 @@
 // zones. Then this node's link is the likely cause, or all targets are full.
 func (t *openingTracker) refusedEverywhere() bool {
 	zones := 0
-	for _, share := range t.recent {
-		if share.refused <= share.opened {
+	for _, counts := range t.recent {
+		if counts.refused <= counts.opened {
 			return false
 		}
 		zones++
--- a/internal/steer/outcomes.go
+++ b/internal/steer/outcomes.go
@@ -12,7 +12,8 @@
 const failureLifetime = 3 * time.Second
 
 // hasFailed reports whether a target recently left an exchange unanswered and has not
-// answered one since. It takes effect at this node before the control members decide.
+// answered one normally since. This node avoids such a target before the control members
+// decide.
 func (entry *targetEntry) hasFailed(now kernel.Instant) bool {
 	return entry.failedAt > entry.succeededAt && now.Sub(entry.failedAt) < failureLifetime
 }
--- a/internal/steer/packet.go
+++ b/internal/steer/packet.go
@@ -85,7 +85,8 @@
 	ReasonNoToken
 	// ReasonForged is a packet of a kind that callers may not send.
 	ReasonForged
-	// ReasonNotReady is a new flow at a node that has no configuration yet.
+	// ReasonNotReady is a new flow at a node that has no configuration yet, or only a remembered
+	// one whose time limit has passed.
 	ReasonNotReady
 	reasonCount
 )
@@ -124,6 +125,6 @@
 	// Unresponsive is the number of targets skipped because there is evidence that they do not
 	// answer.
 	Unresponsive int
-	// Ejected is the number of targets skipped because they fail requests.
+	// Ejected is the number of targets skipped because they are ejected or on probation.
 	Ejected int
 }
--- a/internal/steer/place.go
+++ b/internal/steer/place.go
@@ -18,11 +18,11 @@
 	reason := ReasonPlaced
 	flow, known := c.flows[packet.Flow]
 	if known && packet.Copy > 0 && c.keepsTarget(now, flow) {
-		flow.target.recordOpening(now)
+		flow.target.useBudget(now)
 		return Decision{Action: ActionForward, Reason: ReasonToken, Target: flow.target.target, Route: entry.route.Name}
 	}
 	if known && packet.Copy > 0 {
-		c.recordMissed(now, flow)
+		c.recordUnansweredOpening(now, flow)
 		reason = ReasonPlacedAgain
 	}
 	decision, target := c.choose(now, entry, flow, packet)
@@ -31,7 +31,7 @@
 		return decision
 	}
 	decision.Reason = reason
-	target.recordOpening(now)
+	target.useBudget(now)
 	c.recordPlacement(now, packet, target)
 	return decision
 }
@@ -93,15 +93,15 @@
 			Candidates:   len(c.usable),
 			Waiting:      chosen.waitingFlows,
 			RelativeTime: c.choice.Candidates[position].RelativeTime,
-			Unresponsive: skipped.doubtful,
+			Unresponsive: skipped.unresponsive,
 			Ejected:      skipped.ejected,
 		}, chosen
 	}
-	return Decision{Action: ActionReset, Reason: c.refusalReason(entry)}, nil
+	return Decision{Action: ActionReset, Reason: c.noTargetReason(entry)}, nil
 }
 
-// refusalReason returns why no target is available for a new flow of a route.
-func (c *Core) refusalReason(entry *routeEntry) Reason {
+// noTargetReason returns why a new flow of a route was not placed.
+func (c *Core) noTargetReason(entry *routeEntry) Reason {
 	reason := ReasonNoTarget
 	for _, backend := range entry.route.Backends {
 		if backend.Weight == 0 {
@@ -132,7 +132,7 @@
 }
 
 // skippedCounts counts the targets that were skipped, by cause.
-type skippedCounts struct{ doubtful, ejected int }
+type skippedCounts struct{ unresponsive, ejected int }
 
 // collectCandidates fills the list of candidates of a service and returns how many were
 // skipped. If all would be skipped, they are used nevertheless, except blocked ones.
@@ -146,8 +146,8 @@
 		case entry.ejected, entry.probation && !c.admitsTrial(now, entry, kind, tried):
 			skipped.ejected++
 			c.addSlots(entry)
-		case c.isDoubtful(now, entry):
-			skipped.doubtful++
+		case c.isUnresponsive(now, entry):
+			skipped.unresponsive++
 			c.addSlots(entry)
 		case c.skipsWhileWarming(now, entry):
 			c.addWarmingSlots(entry)
@@ -177,7 +177,7 @@
 	}
 }
 
-// isFallback reports whether a target may be used at a fallback level: first doubtful and
+// isFallback reports whether a target may be used at a fallback level: first unresponsive and
 // warming targets and those on probation, then ejected ones, then lost ones, and at last
 // those tried before.
 func (entry *targetEntry) isFallback(level int, tried bool) bool {
@@ -208,8 +208,8 @@
 	c.choice = Choice{Candidates: c.choice.Candidates[:0]}
 }
 
-// addSlots adds the slots of a target to the capacity of its zone. It is also called for
-// targets that are skipped because of a failure.
+// addSlots adds the slots of a target, even of one that is skipped because of a failure, to
+// LocalSlots or RemoteSlots.
 func (c *Core) addSlots(entry *targetEntry) {
 	if entry.target.Zone == c.settings.Zone {
 		c.choice.LocalSlots += slotsOf(entry)
@@ -218,8 +218,9 @@
 	}
 }
 
-// addWarmingSlots adds the slots of a skipped warming target. In the node's own zone they are
-// not missing capacity and must not cause spill. In other zones they add no capacity for spill.
+// addWarmingSlots adds the slots of a skipped warming target if it is in another zone, which
+// reduces the spill. In the node's own zone they are not missing capacity and must not cause
+// spill.
 func (c *Core) addWarmingSlots(entry *targetEntry) {
 	if entry.target.Zone != c.settings.Zone {
 		c.addSlots(entry)
@@ -240,12 +241,12 @@
 	})
 }
 
-// isDoubtful reports whether there is evidence that a target does not answer: the control
-// members suspect it, probes or opening packets failed, or it left data unanswered and has
-// not been seen to answer since.
-func (c *Core) isDoubtful(now kernel.Instant, entry *targetEntry) bool {
-	missed := entry.missedAt > entry.answeredAt && now.Sub(entry.missedAt) < c.settings.AvoidFor
-	return missed || entry.probes.isUnreachable(now) || entry.hasRefused(now) || entry.hasFailed(now) || entry.suspected || entry.lost
+// isUnresponsive reports whether there is evidence that a target does not answer: the control
+// members suspect it or consider it lost, probes failed, or it recently refused an opening
+// packet or left one or an exchange unanswered and has not answered since.
+func (c *Core) isUnresponsive(now kernel.Instant, entry *targetEntry) bool {
+	openingUnanswered := entry.openingUnansweredAt > entry.answeredAt && now.Sub(entry.openingUnansweredAt) < c.settings.AvoidFor
+	return openingUnanswered || entry.probes.isUnreachable(now) || entry.hasRefused(now) || entry.hasFailed(now) || entry.suspected || entry.lost
 }
 
 func contains(tokens []directory.Token, token directory.Token) bool {
--- a/internal/steer/probe.go
+++ b/internal/steer/probe.go
@@ -10,7 +10,7 @@
 )
 
 // The control members declare a target lost once two nodes report it silent. In a large fleet
-// a target gets requests so rarely that no two nodes observe the same one, and callers would
+// a target gets requests so rarely that no second node finds it silent, and callers would
 // wait until their deadline. A node whose caller waits therefore probes the target itself by
 // opening a connection, and resets its own flows to it after two failures. Other nodes' flows
 // are not affected, since the target may be reachable from there.
@@ -24,8 +24,8 @@
 	probeFailuresNeeded = 2
 	// probeInterval is the least time between two probes of a target.
 	probeInterval = 100 * time.Millisecond
-	// probeLifetime is how long a failed probe and a request for one are valid, and how long
-	// a reachable target is not probed again.
+	// probeLifetime is how long failed probes count, how long a probe stays wanted after a
+	// caller was found waiting, and how long a reachable target is not probed again.
 	probeLifetime = 2 * time.Second
 	// maxProbes is the number of concurrent probes of a node, each of which needs a socket.
 	maxProbes = 8
@@ -36,8 +36,8 @@
 	// wantedAt is when a caller was last found waiting, or 0.
 	wantedAt kernel.Instant
 	inFlight bool
-	// failures is the number of consecutive failed probes. The first of them started at
-	// startedAt, the last ended at endedAt.
+	// failures is the number of consecutive failed probes, the first of which started at
+	// startedAt. endedAt is when the last probe with a result ended.
 	failures           int
 	startedAt, endedAt kernel.Instant
 }
--- a/internal/steer/probe_test.go
+++ b/internal/steer/probe_test.go
@@ -70,8 +70,8 @@
 	return 0
 }
 
-// In a large fleet no second node sees the dead target; its caller must be told in time for
-// another try, without a verdict of the control members.
+// In a large fleet no second node finds the dead target silent; its caller's flow must be reset
+// in time for another try, without a verdict of the control members.
 func TestFlowsOfUnreachableTargetAreReset(t *testing.T) {
 	w := newProbeFixture(t, ProbeFailed)
 	reset := w.runUntil(3 * time.Second)
--- a/internal/steer/progress.go
+++ b/internal/steer/progress.go
@@ -11,10 +11,11 @@
 //
 //   - Data farther than a window past a packet is sent only after the target acknowledged
 //     that packet.
-//   - Without an acknowledgement a caller pauses, retransmits its first missing packet, and
-//     pauses again for twice the time. A lower packet after a pause is thus a retransmission;
-//     another lower packet soon after it shows that an acknowledgement arrived.
-//   - A lower packet without a pause before it was reordered.
+//   - Without an acknowledgement a caller pauses, retransmits its first unacknowledged packet,
+//     and pauses again for twice the time. A packet below the highest position that follows a
+//     pause is thus a retransmission. A different packet below the highest position soon after
+//     it shows that an acknowledgement has arrived.
+//   - Any other packet below the highest position was reordered.
 
 const (
 	// maxPacketData is the largest number of data bytes in a packet.
@@ -25,7 +26,8 @@
 	// network jitter, and far more than the gaps within a burst.
 	retransmitGap = 150 * time.Millisecond
 	// resentLifetime is how long a single retransmission counts. A caller need not
-	// acknowledge a response of one packet, so if it stops sending, the data was answered.
+	// acknowledge a response of one packet, so if it stops retransmitting, the target has
+	// probably answered.
 	resentLifetime = 450 * time.Millisecond
 	// resentTwiceLifetime is the same for repeated retransmissions, whose intervals grow.
 	resentTwiceLifetime = 900 * time.Millisecond
@@ -41,7 +43,7 @@
 
 // pendingData is data of a caller that the target has not acknowledged.
 type pendingData struct {
-	// waiting is set while an answer is outstanding.
+	// waiting is set while an answer is outstanding, and since is when that began.
 	waiting bool
 	since   kernel.Instant
 	// lastDataAt is when data last arrived.
@@ -116,7 +118,8 @@
 	p.resentAt = now
 }
 
-// undoResent reverts a retransmission recorded at the given time, if there is one.
+// undoResent reverts the last retransmission if it was recorded at the given time, and reports
+// whether it was.
 func (p *pendingData) undoResent(now kernel.Instant) bool {
 	if p.resends == 0 || p.resentAt != now {
 		return false
--- a/internal/steer/remembered.go
+++ b/internal/steer/remembered.go
@@ -117,5 +117,5 @@
 			c.removeFlow(key, flow)
 		}
 	}
-	delete(c.unansweredOpenings, entry)
+	delete(c.withUnansweredOpenings, entry)
 }
--- a/internal/steer/rememberedconfig_test.go
+++ b/internal/steer/rememberedconfig_test.go
@@ -78,9 +78,9 @@
 func TestFirstUpdateReplacesRememberedConfiguration(t *testing.T) {
 	b := newFixture(t)
 	state := directory.New()
-	cold := rememberedTarget("i-1", 0)
-	cold.Warmup = &directory.Warmup{Left: time.Minute, Budget: 4}
-	state.Apply(1, directory.Command{Kind: directory.CommandPutTarget, Target: cold})
+	warming := rememberedTarget("i-1", 0)
+	warming.Warmup = &directory.Warmup{Left: time.Minute, Budget: 4}
+	state.Apply(1, directory.Command{Kind: directory.CommandPutTarget, Target: warming})
 	next := rememberedConfiguration(5)
 	state.Apply(2, directory.Command{Kind: directory.CommandPublish, Edit: directory.Difference(directory.Configuration{}, next)})
 	confirmed, _ := state.Target("i-1")
--- a/internal/steer/speeds_test.go
+++ b/internal/steer/speeds_test.go
@@ -57,7 +57,7 @@
 
 func (b *speedFixture) requests(count int, token directory.Token, work time.Duration) {
 	for range count {
-		b.request(token, work, typicalAnswerSize)
+		b.request(token, work, typicalResponseSize)
 	}
 }
 
@@ -99,7 +99,7 @@
 		b.now = b.now.Add(roundTrip)
 		b.core.Decide(b.now, packet)
 		b.now = b.now.Add(roundTrip + 10*typicalWork)
-		packet.Sequence, packet.Size, packet.Acknowledged, packet.Closing = 101, 0, 1+typicalAnswerSize, true
+		packet.Sequence, packet.Size, packet.Acknowledged, packet.Closing = 101, 0, 1+typicalResponseSize, true
 		b.core.Decide(b.now, packet)
 	}
 	assert.InDelta(t, 0, b.takeReports()[b.tokens[2]].Mean(), 0.1)
@@ -110,13 +110,13 @@
 		"acknowledged with the next request": func(b *speedFixture, port uint16, token directory.Token) {
 			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
 			b.now = b.now.Add(time.Second)
-			b.core.Decide(b.now, dataPacket(port, token, 101, 1+typicalAnswerSize, 100))
+			b.core.Decide(b.now, dataPacket(port, token, 101, 1+typicalResponseSize, 100))
 		},
 		"acknowledged with the close of a reused flow": func(b *speedFixture, port uint16, token directory.Token) {
 			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
-			b.core.Decide(b.now.Add(time.Millisecond), dataPacket(port, token, 101, 1+typicalAnswerSize, 100))
+			b.core.Decide(b.now.Add(time.Millisecond), dataPacket(port, token, 101, 1+typicalResponseSize, 100))
 			b.now = b.now.Add(time.Second)
-			closing := dataPacket(port, token, 201, 1+2*typicalAnswerSize, 0)
+			closing := dataPacket(port, token, 201, 1+2*typicalResponseSize, 0)
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
@@ -124,14 +124,14 @@
 			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
 			b.core.Decide(b.now.Add(200*time.Millisecond), dataPacket(port, token, 1, 1, 100))
 			b.now = b.now.Add(250 * time.Millisecond)
-			closing := dataPacket(port, token, 101, 1+typicalAnswerSize, 0)
+			closing := dataPacket(port, token, 101, 1+typicalResponseSize, 0)
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
 		"refused immediately": func(b *speedFixture, port uint16, token directory.Token) {
 			b.core.Decide(b.now, dataPacket(port, token, 1, 1, 100))
 			b.now = b.now.Add(roundTrip)
-			closing := dataPacket(port, token, 101, 1+typicalAnswerSize/10, 0)
+			closing := dataPacket(port, token, 101, 1+typicalResponseSize/10, 0)
 			closing.Closing = true
 			b.core.Decide(b.now, closing)
 		},
@@ -164,7 +164,7 @@
 	b := newSpeedFixture(t)
 	b.learnBaseline()
 	b.requests(9, b.tokens[1], typicalWork)
-	b.request(b.tokens[1], time.Second, typicalAnswerSize)
+	b.request(b.tokens[1], time.Second, typicalResponseSize)
 	assert.Less(t, b.takeReports()[b.tokens[1]].Mean(), 0.3)
 }
 
@@ -233,9 +233,9 @@
 	assert.InDelta(t, 2*all, counts[b.tokens[1]], 0.2*all)
 }
 
-// Warming targets and those that a retransmission has tried are not lost capacity; ejected
-// ones are.
-func TestOnlyLostSlotsCauseSpill(t *testing.T) {
+// Ejected targets are missing capacity; warming ones and those that a retransmission has tried
+// are not.
+func TestOnlyMissingCapacityCausesSpill(t *testing.T) {
 	const each = 10
 	ids := func(prefix string, count int) []string {
 		var list []string
@@ -245,28 +245,28 @@
 		return list
 	}
 	cases := []struct {
-		name                 string
-		cold, tried, ejected []string
-		least, most          float64
+		name                    string
+		warming, tried, ejected []string
+		least, most             float64
 	}{
 		{"nothing skipped", nil, nil, nil, 0, 0},
-		{"release in progress", ids("near-", each/2), nil, nil, 0, 0},
-		{"local zone warming up", ids("near-", each), nil, nil, 0, 0},
-		{"other zones warming up", ids("far-", each), nil, nil, 0, 0},
-		{"retransmissions", nil, ids("near-", 3), nil, 0, 0},
-		{"retransmissions while the local zone warms up", ids("near-", each), ids("near-", 3), nil, 0, 0},
-		{"half of the local zone ejected", nil, nil, ids("near-", each/2), 1 - spillThreshold/2, 1 - spillThreshold/2},
-		{"half ejected while other zones warm up", ids("far-", each), nil, ids("near-", each/2), 0, 1 - spillThreshold/2},
+		{"half of the local zone warming up", ids("local-", each/2), nil, nil, 0, 0},
+		{"local zone warming up", ids("local-", each), nil, nil, 0, 0},
+		{"other zones warming up", ids("remote-", each), nil, nil, 0, 0},
+		{"retransmissions", nil, ids("local-", 3), nil, 0, 0},
+		{"retransmissions while the local zone warms up", ids("local-", each), ids("local-", 3), nil, 0, 0},
+		{"half of the local zone ejected", nil, nil, ids("local-", each/2), 1 - spillThreshold/2, 1 - spillThreshold/2},
+		{"half ejected while other zones warm up", ids("remote-", each), nil, ids("local-", each/2), 0, 1 - spillThreshold/2},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			b := newBookingFixture(t)
 			tokens := map[string]directory.Token{}
-			for number, id := range slices.Concat(ids("near-", each), ids("far-", each)) {
+			for number, id := range slices.Concat(ids("local-", each), ids("remote-", each)) {
 				zone := map[bool]string{true: "north", false: "south"}[number < each]
 				address := fmt.Sprintf("10.0.0.%d:1", number+1)
-				if slices.Contains(test.cold, id) {
-					tokens[id] = b.coldTarget(start, id, zone, address, directory.Warmup{Left: time.Hour}).Token
+				if slices.Contains(test.warming, id) {
+					tokens[id] = b.warmingTarget(start, id, zone, address, directory.Warmup{Left: time.Hour}).Token
 				} else {
 					tokens[id] = b.target(start, id, "booking", zone, address, directory.TargetReady).Token
 				}
@@ -302,7 +302,7 @@
 		for range requests {
 			for number, token := range b.tokens {
 				work := float64(typicalWork) * factors[number] * math.Exp(spread*random.NormFloat64())
-				b.request(token, time.Duration(work), typicalAnswerSize)
+				b.request(token, time.Duration(work), typicalResponseSize)
 			}
 			for _, counted := range b.core.Report(b.now, time.Minute).Outcomes {
 				sums[counted.Token] = sums[counted.Token].Add(counted)
--- a/internal/steer/warmup.go
+++ b/internal/steer/warmup.go
@@ -46,8 +46,9 @@
 	return uint32(len(w.sent)) < w.share
 }
 
-// recordOpening counts an opening packet against the budget of a warming target.
-func (entry *targetEntry) recordOpening(now kernel.Instant) {
+// useBudget counts an opening packet against the budget of a warming target, and ends its
+// warm-up when that is over.
+func (entry *targetEntry) useBudget(now kernel.Instant) {
 	if entry.warmup == nil {
 		return
 	}
@@ -95,7 +96,7 @@
 }
 
 // endEvacuation starts the warm-up of the targets of a zone that takes flows again. Targets
-// that have registered since then have a warm-up and stewards of their own.
+// registered after the end of the evacuation have a warm-up and stewards of their own.
 func (c *Core) endEvacuation(now kernel.Instant, evacuation directory.Evacuation) {
 	for _, entry := range c.targets {
 		if entry.target.Zone != evacuation.Zone || entry.target.Revision > evacuation.Revision {
--- a/internal/steer/warmup_test.go
+++ b/internal/steer/warmup_test.go
@@ -16,8 +16,8 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// coldTarget registers a target that warms up.
-func (b *coreFixture) coldTarget(now kernel.Instant, id, zone, address string, warmup directory.Warmup) directory.Target {
+// warmingTarget registers a target that warms up.
+func (b *coreFixture) warmingTarget(now kernel.Instant, id, zone, address string, warmup directory.Warmup) directory.Target {
 	b.apply(now, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 		ID: id, Service: "booking", Zone: zone, Slots: 2, State: directory.TargetReady, Address: netip.MustParseAddrPort(address), Warmup: &warmup,
 	}})
@@ -25,10 +25,10 @@
 	return target
 }
 
-func TestShareOfColdTargetGrows(t *testing.T) {
+func TestShareOfWarmingTargetGrows(t *testing.T) {
 	b := newBookingFixture(t)
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-	b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
+	b.warmingTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
 	counts := map[int]int{}
 	const flowsEach = 400
 	port := uint16(0)
@@ -50,18 +50,18 @@
 	assert.Greater(t, counts[3], counts[2])
 }
 
-func TestColdTargetServesWhenAlone(t *testing.T) {
+func TestWarmingTargetServesWhenAlone(t *testing.T) {
 	b := newBookingFixture(t)
-	cold := b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
-	assert.Equal(t, cold.ID, b.core.Decide(start, opening(1, 0)).Target.ID, "no budget is set")
+	warming := b.warmingTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
+	assert.Equal(t, warming.ID, b.core.Decide(start, opening(1, 0)).Target.ID, "no budget is set")
 }
 
 // If only warming targets without budget are left, new flows are reset at once.
-func TestExhaustedColdTargetsResetNewFlows(t *testing.T) {
+func TestExhaustedWarmingTargetsResetNewFlows(t *testing.T) {
 	b := newBookingFixture(t)
 	b.core.nodeKey = directory.NodeKey("me")
 	now := start.Add(2 * budgetWindow)
-	b.coldTarget(start.Add(-time.Hour), "i-2", "north", "10.0.0.2:1", directory.Warmup{
+	b.warmingTarget(start.Add(-time.Hour), "i-2", "north", "10.0.0.2:1", directory.Warmup{
 		Left: 2 * time.Hour, Budget: 1, Stewards: []uint32{directory.NodeKey("me")},
 	})
 	assert.Equal(t, ActionForward, b.core.Decide(now, opening(1, 0)).Action)
@@ -70,7 +70,7 @@
 	assert.Equal(t, ReasonCold, decision.Reason)
 	assert.Equal(t, ActionForward, b.core.Decide(now.Add(budgetWindow), opening(3, 0)).Action)
 	b.core.nodeKey = directory.NodeKey("other")
-	b.coldTarget(start, "i-3", "north", "10.0.0.3:1", directory.Warmup{
+	b.warmingTarget(start, "i-3", "north", "10.0.0.3:1", directory.Warmup{
 		Left: time.Hour, Budget: 1, Stewards: []uint32{directory.NodeKey("me")},
 	})
 	assert.Equal(t, ReasonCold, b.core.Decide(now, opening(4, 0)).Reason, "a node that is not a steward sends nothing")
@@ -103,7 +103,7 @@
 		{Service: "booking", Warmup: directory.Warmup{Left: time.Hour, Budget: 2, Stewards: []uint32{directory.NodeKey("me")}}},
 	}}
 	b.apply(start, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
-	b.coldTarget(start, "i-1", "north", "10.0.0.1:1", directory.Warmup{
+	b.warmingTarget(start, "i-1", "north", "10.0.0.1:1", directory.Warmup{
 		Left: time.Hour, Budget: 2, Stewards: []uint32{directory.NodeKey("other")},
 	})
 	fresh := New(b.core.settings)
@@ -112,9 +112,9 @@
 	assert.Equal(t, ReasonCold, fresh.Decide(start.Add(2*budgetWindow), opening(1, 0)).Reason)
 }
 
-// coldSimulation lets a fleet of nodes open flows to warming targets and records what each
+// warmupSimulation lets a fleet of nodes open flows to warming targets and records what each
 // target gets. Nodes restart, and learn of targets late.
-type coldSimulation struct {
+type warmupSimulation struct {
 	random  *rand.Rand
 	state   *directory.State
 	nodes   []*Core
@@ -123,27 +123,27 @@
 }
 
 const (
-	coldNodes   = 24
-	coldTargets = 12
-	coldLeft    = 2 * time.Second
-	coldStep    = 5 * time.Millisecond
+	warmupNodes    = 24
+	warmupTargets  = 12
+	warmupDuration = 2 * time.Second
+	warmupStep     = 5 * time.Millisecond
 	// flowsPerStep is the largest number of new flows at a node per step.
 	flowsPerStep = 4
 )
 
-func newColdSimulation(seed uint64, budget uint32) *coldSimulation {
-	r := &coldSimulation{random: rand.New(rand.NewPCG(seed, 9)), state: directory.New(), budget: budget, arrived: map[string][]kernel.Instant{}}
+func newWarmupSimulation(seed uint64, budget uint32) *warmupSimulation {
+	r := &warmupSimulation{random: rand.New(rand.NewPCG(seed, 9)), state: directory.New(), budget: budget, arrived: map[string][]kernel.Instant{}}
 	edit := directory.Difference(directory.Configuration{}, directory.Configuration{
 		Version: 1, Routes: []directory.Route{route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1})},
 	})
 	r.state.Apply(1, directory.Command{Kind: directory.CommandPublish, Edit: edit})
-	for number := range coldNodes {
+	for number := range warmupNodes {
 		r.nodes = append(r.nodes, r.newNode(number))
 	}
 	return r
 }
 
-func (r *coldSimulation) newNode(number int) *Core {
+func (r *warmupSimulation) newNode(number int) *Core {
 	settings := DefaultSettings()
 	settings.Name = fmt.Sprint("node-", number)
 	settings.Random = r.random
@@ -151,9 +151,9 @@
 }
 
 // register registers a warming target with some of the nodes as its stewards.
-func (r *coldSimulation) register(position uint64) {
-	warmup := directory.Warmup{Left: coldLeft, Budget: r.budget}
-	for _, number := range r.random.Perm(coldNodes)[:min(int(r.budget), 4)] {
+func (r *warmupSimulation) register(position uint64) {
+	warmup := directory.Warmup{Left: warmupDuration, Budget: r.budget}
+	for _, number := range r.random.Perm(warmupNodes)[:min(int(r.budget), 4)] {
 		warmup.Stewards = append(warmup.Stewards, directory.NodeKey(fmt.Sprint("node-", number)))
 	}
 	r.state.Apply(position, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
@@ -163,13 +163,13 @@
 }
 
 // run returns the largest number of opening packets that a warming target got in any second.
-func (r *coldSimulation) run() int {
+func (r *warmupSimulation) run() int {
 	end := start.Add(5 * time.Second)
 	registeredAt := map[string]kernel.Instant{}
 	position := uint64(1)
 	port := uint16(0)
-	for now := start; now < end; now = now.Add(coldStep) {
-		if now.Sub(start) < time.Second && int(position) <= coldTargets {
+	for now := start; now < end; now = now.Add(warmupStep) {
+		if now.Sub(start) < time.Second && int(position) <= warmupTargets {
 			position++
 			r.register(position)
 			registeredAt[fmt.Sprint("i-", position)] = now
@@ -196,7 +196,7 @@
 	for id, times := range r.arrived {
 		first := 0
 		for last, at := range times {
-			if at.Sub(registeredAt[id]) >= coldLeft {
+			if at.Sub(registeredAt[id]) >= warmupDuration {
 				break
 			}
 			for at.Sub(times[first]) >= time.Second {
@@ -208,24 +208,25 @@
 	return highest
 }
 
-// coldSeeds returns the number of seeds, which an environment variable may set.
-func coldSeeds() int {
+// warmupSeeds returns the number of seeds, which an environment variable may set.
+func warmupSeeds() int {
 	if count, err := strconv.Atoi(os.Getenv("BEAMDOOR_COLD_SEEDS")); err == nil {
 		return count
 	}
 	return 60
 }
 
-// The budget of a warming target is shared by all nodes, even if some do not know all others.
-func TestColdBudgetHoldsOverAllNodes(t *testing.T) {
+// All nodes together keep to the budget of a warming target, though they learn of it late and
+// restart.
+func TestWarmupBudgetHoldsOverAllNodes(t *testing.T) {
 	used := 0
-	for seed := range uint64(coldSeeds()) {
+	for seed := range uint64(warmupSeeds()) {
 		budget := []uint32{1, 3, 7, 100}[seed%4]
-		highest := newColdSimulation(seed, budget).run()
+		highest := newWarmupSimulation(seed, budget).run()
 		require.LessOrEqual(t, highest, int(budget), "seed %d", seed)
 		if highest > 0 {
 			used++
 		}
 	}
-	assert.Greater(t, used, coldSeeds()*3/4, "budgets are used")
+	assert.Greater(t, used, warmupSeeds()*3/4, "budgets are used")
 }
--- a/scripts/ablation/mechanisms.py
+++ b/scripts/ablation/mechanisms.py
@@ -16,10 +16,10 @@
     "none": [],
     "own-zone": [(CHOICE, "crossZoneCost = 0.5", "crossZoneCost = 0.0")],
     "waiting-flows": [(PLACE, "entry.waitingFlows,", "0,")],
-    "doubt": [(PLACE, "return missed || entry", "return missed && false || entry")],
+    "doubt": [(PLACE, "return openingUnanswered || entry", "return openingUnanswered && false || entry")],
     "second-target": [(PLACE, "\t\ttried = flow.tried\n", "\t\ttried = nil\n")],
     "doubt-and-second": [
-        (PLACE, "return missed || entry", "return missed && false || entry"),
+        (PLACE, "return openingUnanswered || entry", "return openingUnanswered && false || entry"),
         (PLACE, "\t\ttried = flow.tried\n", "\t\ttried = nil\n"),
     ],
     "waitlist": [(WAITLIST, "\tif !known {\n\t\tif len(", "\tif !known {\n\t\tif true || len(")],
