--- a/internal/steer/core_test.go
+++ b/internal/steer/core_test.go
@@ -179,7 +179,7 @@
 	b.core.Decide(now.Add(300*time.Millisecond), flowPacket(1, dead.Token, 7))
 	decision := b.core.Decide(now.Add(400*time.Millisecond), opening(3, 0))
 	assert.Equal(t, "i-2", decision.Target.ID)
-	assert.Equal(t, 1, decision.Doubtful)
+	assert.Equal(t, 1, decision.Unresponsive)
 	b.core.Decide(now.Add(500*time.Millisecond), flowPacket(1, dead.Token, 8))
 	decision = b.core.Decide(now.Add(600*time.Millisecond), opening(4, 0))
 	assert.Equal(t, "i-1", decision.Target.ID, "a new acknowledgement is an answer")
@@ -408,7 +408,7 @@
 	}
 }
 
-// A caller that waits for an answer while its target restarts is told at once, and only once.
+// The flow of a caller that waits while its target restarts is reset at once, and only once.
 func TestWaitingFlowsOfEndedTargetAreResetOnce(t *testing.T) {
 	b := newBookingFixture(t)
 	first := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
--- a/internal/steer/packet.go
+++ b/internal/steer/packet.go
@@ -85,7 +85,8 @@
 	ReasonNoToken
 	// ReasonForged is a packet of a kind that callers may not send.
 	ReasonForged
-	// ReasonNotReady is a new flow at a node that has no configuration yet.
+	// ReasonNotReady is a new flow at a node that has no configuration yet, or only a remembered
+	// one whose time limit has passed.
 	ReasonNotReady
 	reasonCount
 )
@@ -121,8 +122,9 @@
 	Waiting int
 	// RelativeTime is the chosen target's time per request, relative to its service's mean.
 	RelativeTime float64
-	// Doubtful is the number of targets skipped because they may not be answering.
-	Doubtful int
-	// Ejected is the number of targets skipped because they fail requests.
+	// Unresponsive is the number of targets skipped because there is evidence that they do not
+	// answer.
+	Unresponsive int
+	// Ejected is the number of targets skipped because they are ejected or on probation.
 	Ejected int
 }
