--- a/internal/egress/admission.go
+++ b/internal/egress/admission.go
@@ -239,13 +239,13 @@
 
 // RecordEnd records the end of a flow; whole reports whether the caller sent all its
 // data.
-func (a *AdmissionController) RecordEnd(flow steer.FlowKey, whole bool) {
+func (a *AdmissionController) RecordEnd(flow steer.FlowKey, complete bool) {
 	upload, known := a.uploads[flow]
 	if !known {
 		return
 	}
 	delete(a.uploads, flow)
-	if !whole || upload.sentBytes == 0 {
+	if !complete || upload.sentBytes == 0 {
 		return
 	}
 	upload.size.add(float64(upload.sentBytes))
--- a/internal/egress/classes.go
+++ b/internal/egress/classes.go
@@ -24,8 +24,8 @@
 // first.
 type classes struct {
 	small [UrgencyCount]roundRobin
-	// bulk holds the deadline heaps, indexed by class.
-	bulk [UrgencyCount * levelCount]deadlineHeap
+	// heaps holds the deadline heaps, indexed by class.
+	heaps [UrgencyCount * levelCount]deadlineHeap
 	// occupied is a bit mask of the classes that are not empty.
 	occupied  uint32
 	queuePool pool[callerQueue]
@@ -50,7 +50,7 @@
 		c.small[class/levelCount].add(f, &c.queuePool)
 		return
 	}
-	c.bulk[class].add(f)
+	c.heaps[class].add(f)
 }
 
 // remove removes a flow from its class.
@@ -59,7 +59,7 @@
 	if levelOf(f.class) == levelSmall {
 		c.small[f.class/levelCount].remove(f, &c.queuePool)
 	} else {
-		c.bulk[f.class].remove(f)
+		c.heaps[f.class].remove(f)
 	}
 	if c.isEmpty(f.class) {
 		c.occupied &^= 1 << f.class
@@ -70,7 +70,7 @@
 	if levelOf(class) == levelSmall {
 		return c.small[class/levelCount].isEmpty()
 	}
-	return c.bulk[class].isEmpty()
+	return c.heaps[class].isEmpty()
 }
 
 // first returns the flow to serve next, or nil if all classes are empty.
@@ -82,7 +82,7 @@
 	if levelOf(class) == levelSmall {
 		return c.small[class/levelCount].first()
 	}
-	return c.bulk[class].first()
+	return c.heaps[class].first()
 }
 
 // last returns a flow of the highest occupied class, the candidate for drops, or nil if
@@ -95,5 +95,5 @@
 	if levelOf(class) == levelSmall {
 		return c.small[class/levelCount].last()
 	}
-	return c.bulk[class].last()
+	return c.heaps[class].last()
 }
--- a/internal/egress/fleet_test.go
+++ b/internal/egress/fleet_test.go
@@ -24,9 +24,9 @@
 	maxUtilizationExcess = 0.05
 )
 
-// stability bounds the swing of a node's utilization for loads up to a total
+// swingBound bounds the swing of a node's utilization for loads up to a total
 // utilization.
-type stability struct{ utilization, swing float64 }
+type swingBound struct{ utilization, swing float64 }
 
 // fleetNode is a node that receives a fixed share of all flows.
 type fleetNode struct {
@@ -103,8 +103,8 @@
 	}
 }
 
-// outcome is the state of a settled fleet.
-type outcome struct {
+// fleetResult is the state of a settled fleet.
+type fleetResult struct {
 	// wait is the mean wait per byte in seconds.
 	wait float64
 	// maxUtilization is the highest utilization of a node, and swing the largest
@@ -112,8 +112,8 @@
 	maxUtilization, swing float64
 }
 
-func (f *fleet) run(bytes float64, refuse bool) outcome {
-	var o outcome
+func (f *fleet) run(bytes float64, refuse bool) fleetResult {
+	var o fleetResult
 	lowest, highest := map[*fleetNode]float64{}, map[*fleetNode]float64{}
 	for second := range fleetSeconds {
 		f.distribute(bytes, refuse)
@@ -137,22 +137,22 @@
 // With unequal nodes and delayed reports, refusals must not lengthen the mean wait or
 // overload single nodes.
 func TestRefusalsDoNotIncreaseWait(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.8, swing: 1}) })
+	rapid.Check(t, func(t *rapid.T) { checkFleet(t, swingBound{utilization: 0.8, swing: 1}) })
 }
 
 // The fleet must also settle (see KNOWN-RED.txt).
 func TestRefusalsSpreadFlowsByStrengthWithoutHerds(t *testing.T) {
 	for range fleetRounds {
-		rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.8, swing: 0.25}) })
+		rapid.Check(t, func(t *rapid.T) { checkFleet(t, swingBound{utilization: 0.8, swing: 0.25}) })
 	}
 }
 
 // The fleet must settle near full load, with less swing (see KNOWN-RED.txt).
 func TestRefusalsSettleInNearlyFullFleets(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { checkFleet(t, stability{utilization: 0.95, swing: 0.15}) })
+	rapid.Check(t, func(t *rapid.T) { checkFleet(t, swingBound{utilization: 0.95, swing: 0.15}) })
 }
 
-func checkFleet(t *rapid.T, bounds stability) {
+func checkFleet(t *rapid.T, bounds swingBound) {
 	f := drawFleet(t)
 	rate := 0.0
 	for _, node := range f.nodes {
--- a/internal/egress/flow.go
+++ b/internal/egress/flow.go
@@ -57,8 +57,8 @@
 	packets list[packet]
 	// queuedBytes is the size of packets.
 	queuedBytes int
-	// waiting is the number of all queued packets of the flow.
-	waiting int
+	// queuedPackets is the number of all queued packets of the flow.
+	queuedPackets int
 	// opening is the queued opening packet, or nil.
 	opening *packet
 	// scheduled is set while packets is not empty; class then holds the flow.
@@ -85,7 +85,7 @@
 	f.waitReported = false
 	if f.bulk {
 		f.bulk = false
-		f.caller.bulk--
+		f.caller.bulkFlows--
 	}
 }
 
@@ -103,8 +103,8 @@
 	return int(f.urgency)*levelCount + level
 }
 
-// hasWaiting reports whether the flow has queued packets.
-func (f *flow) hasWaiting() bool { return f.waiting > 0 }
+// hasQueued reports whether the flow has queued packets.
+func (f *flow) hasQueued() bool { return f.queuedPackets > 0 }
 
 // findQueued returns the queued packet that contains all data of the item, or nil.
 func (f *flow) findQueued(item *Item) *packet {
--- a/internal/egress/held.go
+++ b/internal/egress/held.go
@@ -43,13 +43,13 @@
 }
 
 // Add adds a copy of an opening packet, to be held for no longer than bound.
-func (h *HeldOpenings) Add(now kernel.Instant, packet steer.Packet, datagram []byte, urgency uint8, bound time.Duration) {
+func (h *HeldOpenings) Add(now kernel.Instant, packet steer.Packet, datagram []byte, urgency uint8, maxHold time.Duration) {
 	held := h.takeFree()
 	held.Packet = packet
 	held.Datagram = append(held.Datagram[:0], datagram...)
 	held.Urgency = urgency
 	held.HeldAt = now
-	held.Deadline = now.Add(bound)
+	held.Deadline = now.Add(maxHold)
 	position, _ := slices.BinarySearchFunc(h.queue, held, func(other, held *HeldOpening) int {
 		if other.Urgency > held.Urgency {
 			return 1
@@ -61,10 +61,10 @@
 
 // Pop removes and returns an opening that has reached its deadline or, if fits is set,
 // the first of the queue. The caller returns it by Recycle.
-func (h *HeldOpenings) Pop(now kernel.Instant, fits bool) (*HeldOpening, bool) {
+func (h *HeldOpenings) Pop(now kernel.Instant, hasCapacity bool) (*HeldOpening, bool) {
 	position := slices.IndexFunc(h.queue, func(held *HeldOpening) bool { return !now.Before(held.Deadline) })
 	if position < 0 {
-		if !fits || len(h.queue) == 0 {
+		if !hasCapacity || len(h.queue) == 0 {
 			return nil, false
 		}
 		position = 0
--- a/internal/egress/losses.go
+++ b/internal/egress/losses.go
@@ -12,9 +12,9 @@
 	// was sent. Callers retransmit after 200 ms, most of which the packet may have been
 	// queued here. Data that arrives again sooner was reordered in the network.
 	minLossAge = 40 * time.Millisecond
-	// markTimeout is how long data is remembered: the callers' longest retransmission
+	// dataRecordTimeout is how long data is remembered: the callers' longest retransmission
 	// timeout.
-	markTimeout = 1600 * time.Millisecond
+	dataRecordTimeout = 1600 * time.Millisecond
 	// recoveryDelay is the time between a caller's first retransmission and those of
 	// the rest of its window, which follow once the target has acknowledged the first:
 	// a few round trips.
@@ -25,12 +25,12 @@
 	// windowDataBytes is a caller's largest window: 16 packets of 1200 bytes. Data
 	// further ahead shows that the target has acknowledged the data before it.
 	windowDataBytes = 16 * 1200
-	// dataMarkCount is the number of packets remembered: 1.6 s of a 2 Mbit/s link in
+	// dataRecordCount is the number of packets remembered: 1.6 s of a 2 Mbit/s link in
 	// packets of 100 bytes. On faster links packets are overwritten sooner.
-	dataMarkCount = 4096
-	// flowMarkCount is the number of flows tracked, several times those that a small
+	dataRecordCount = 4096
+	// flowProgressCount is the number of flows tracked, several times those that a small
 	// node carries at once.
-	flowMarkCount = 1024
+	flowProgressCount = 1024
 )
 
 // SentDatagram is a datagram that the node has sent.
@@ -63,15 +63,15 @@
 	delivered func(now kernel.Instant, bytes int)
 }
 
-// dataMark records when data was received or, if size is set, when it was sent.
-type dataMark struct {
+// dataRecord records when data was received or, if size is set, when it was sent.
+type dataRecord struct {
 	key  uint64
 	at   kernel.Instant
 	size int
 }
 
-// flowMark is the delivery state of a flow.
-type flowMark struct {
+// flowProgress is the delivery state of a flow.
+type flowProgress struct {
 	key          uint64
 	acknowledged uint32
 	// known is set once data of the flow was received. The data received ends at end,
@@ -93,13 +93,13 @@
 // Callers also retransmit to a dead target, so a loss counts only once the flow makes
 // progress. The tables have a fixed size; overwritten entries are forgotten.
 type lossDetector struct {
-	marks    []dataMark
-	flows    []flowMark
+	data     []dataRecord
+	flows    []flowProgress
 	observer observer
 }
 
 func newLossDetector(observer observer) lossDetector {
-	return lossDetector{marks: make([]dataMark, dataMarkCount), flows: make([]flowMark, flowMarkCount), observer: observer}
+	return lossDetector{data: make([]dataRecord, dataRecordCount), flows: make([]flowProgress, flowProgressCount), observer: observer}
 }
 
 // recordSent records when data was sent. It reports whether the flow's target is known
@@ -110,17 +110,17 @@
 	}
 	flowKey := flowHash(sent.Flow)
 	key := dataHash(flowKey, sent.Sequence)
-	d.marks[key%dataMarkCount] = dataMark{key: key, at: now, size: sent.Size}
-	flow := &d.flows[flowKey%flowMarkCount]
+	d.data[key%dataRecordCount] = dataRecord{key: key, at: now, size: sent.Size}
+	flow := &d.flows[flowKey%flowProgressCount]
 	return flow.key == flowKey && flow.progressed
 }
 
 // recordPacket processes a packet of an open flow.
 func (d *lossDetector) recordPacket(now kernel.Instant, packet ReceivedPacket) {
 	key := flowHash(packet.Flow)
-	flow := &d.flows[key%flowMarkCount]
+	flow := &d.flows[key%flowProgressCount]
 	if flow.key != key {
-		*flow = flowMark{key: key, acknowledged: packet.Acknowledged}
+		*flow = flowProgress{key: key, acknowledged: packet.Acknowledged}
 	}
 	if offset, advanced := flow.updateDelivered(packet); advanced {
 		d.recordDelivered(now, flow, offset)
@@ -134,17 +134,17 @@
 
 // recordData checks whether data was received before, and whether it had been sent by
 // then.
-func (d *lossDetector) recordData(now kernel.Instant, flow *flowMark, offset uint32) {
+func (d *lossDetector) recordData(now kernel.Instant, flow *flowProgress, offset uint32) {
 	key := dataHash(flow.key, offset)
-	mark := &d.marks[key%dataMarkCount]
-	if mark.key != key || now.Sub(mark.at) > markTimeout {
-		*mark = dataMark{key: key, at: now}
+	record := &d.data[key%dataRecordCount]
+	if record.key != key || now.Sub(record.at) > dataRecordTimeout {
+		*record = dataRecord{key: key, at: now}
 		return
 	}
 	var lost loss
-	if mark.size > 0 && now.Sub(mark.at) >= minLossAge {
-		lost = loss{sentAt: mark.at, size: mark.size}
-		*mark = dataMark{key: key, at: now}
+	if record.size > 0 && now.Sub(record.at) >= minLossAge {
+		lost = loss{sentAt: record.at, size: record.size}
+		*record = dataRecord{key: key, at: now}
 	}
 	d.recordRetransmission(now, flow, offset, lost)
 }
@@ -153,7 +153,7 @@
 // which data is shown to have been delivered, and whether that advanced. A new
 // acknowledgement by the caller confirms all data received so far, or all before the
 // packet if that carries data. Otherwise all but the last window is confirmed.
-func (f *flowMark) updateDelivered(packet ReceivedPacket) (offset uint32, advanced bool) {
+func (f *flowProgress) updateDelivered(packet ReceivedPacket) (offset uint32, advanced bool) {
 	if packet.Data > 0 {
 		f.extend(packet)
 	}
@@ -169,7 +169,7 @@
 }
 
 // recordDelivered records the offset up to which data of a flow was delivered.
-func (d *lossDetector) recordDelivered(now kernel.Instant, flow *flowMark, offset uint32) {
+func (d *lossDetector) recordDelivered(now kernel.Instant, flow *flowProgress, offset uint32) {
 	bytes := int(int32(offset - flow.delivered))
 	if bytes <= 0 {
 		return
@@ -179,7 +179,7 @@
 }
 
 // extend updates the range of the flow's data.
-func (f *flowMark) extend(packet ReceivedPacket) {
+func (f *flowProgress) extend(packet ReceivedPacket) {
 	end := packet.Sequence + uint32(packet.Data)
 	if !f.known {
 		f.known, f.delivered, f.end = true, packet.Sequence, end
@@ -198,7 +198,7 @@
 // may be dead. Once the target has acknowledged it, the caller retransmits the rest of
 // its window, including data that has arrived; of that burst only the lowest offset is
 // certainly missing.
-func (d *lossDetector) recordRetransmission(now kernel.Instant, flow *flowMark, offset uint32, lost loss) {
+func (d *lossDetector) recordRetransmission(now kernel.Instant, flow *flowProgress, offset uint32, lost loss) {
 	switch {
 	case now.Before(flow.recoveryUntil):
 		if int32(offset-flow.resentOffset) < 0 {
@@ -218,7 +218,7 @@
 
 // confirmLoss reports the suspected loss of a flow that has made progress, once no
 // retransmission of a lower offset can follow.
-func (d *lossDetector) confirmLoss(now kernel.Instant, flow *flowMark) {
+func (d *lossDetector) confirmLoss(now kernel.Instant, flow *flowProgress) {
 	if flow.suspected.size == 0 || now.Before(flow.recoveryUntil) {
 		return
 	}
--- a/internal/egress/oracle_test.go
+++ b/internal/egress/oracle_test.go
@@ -16,37 +16,37 @@
 	*rapid.T
 	scheduler *Scheduler
 	now       kernel.Instant
-	waiting   []Item
+	queued    []Item
 	// Byte counts of all items by outcome.
-	offered, sentNow, sent, dropped, refused, repeated int
+	offered, sentNow, sent, dropped, full, duplicate int
 }
 
-// fuzzPackets is the queue limit, small enough to be reached.
-const fuzzPackets = 12
+// maxQueued is the queue limit, small enough to be reached.
+const maxQueued = 12
 
 func newOracle(t *rapid.T) *oracle {
 	o := &oracle{
 		T: t, now: start,
-		scheduler: New(WithLink(narrow), func(s *settings) { s.maxPackets = fuzzPackets }),
+		scheduler: New(WithLink(narrow), func(s *settings) { s.maxPackets = maxQueued }),
 	}
-	o.scheduler.OnDrop = o.dropOne
+	o.scheduler.OnDrop = o.recordDrop
 	return o
 }
 
 // find returns the index of a queued item.
 func (o *oracle) find(item *Item) int {
-	return slices.IndexFunc(o.waiting, func(other Item) bool {
+	return slices.IndexFunc(o.queued, func(other Item) bool {
 		return other.Flow == item.Flow && other.Kind == item.Kind && other.Sequence == item.Sequence &&
 			other.Data == item.Data && other.OfferedAt == item.OfferedAt && other.Size == item.Size
 	})
 }
 
-func (o *oracle) dropOne(item *Item, _ DropReason) {
+func (o *oracle) recordDrop(item *Item, _ DropReason) {
 	position := o.find(item)
 	if position < 0 {
 		o.Fatalf("dropped an item that was not queued: %+v", *item)
 	}
-	o.waiting = slices.Delete(o.waiting, position, position+1)
+	o.queued = slices.Delete(o.queued, position, position+1)
 	o.dropped += item.Size
 }
 
@@ -72,15 +72,15 @@
 func (o *oracle) offer(*rapid.T) {
 	item := o.drawItem()
 	o.offered += item.Size
-	repeated := slices.ContainsFunc(o.waiting, func(other Item) bool {
+	duplicate := slices.ContainsFunc(o.queued, func(other Item) bool {
 		same := other.Flow == item.Flow && other.Kind == item.Kind
 		return same && (item.Kind == KindOpening || (item.Kind == KindData && other.covers(item)))
 	})
-	before := len(o.waiting)
+	before := len(o.queued)
 	dropped := o.dropped
 	outcome := o.scheduler.Offer(o.now, item)
-	if item.Kind != KindClosing && (outcome == OutcomeDuplicate) != (repeated && outcome != OutcomeSendNow) {
-		o.Fatalf("outcome %d, but duplicate is %v", outcome, repeated)
+	if item.Kind != KindClosing && (outcome == OutcomeDuplicate) != (duplicate && outcome != OutcomeSendNow) {
+		o.Fatalf("outcome %d, but duplicate is %v", outcome, duplicate)
 	}
 	switch outcome {
 	case OutcomeSendNow:
@@ -89,28 +89,28 @@
 		}
 		o.sentNow += item.Size
 	case OutcomeQueued:
-		o.waiting = append(o.waiting, *item)
+		o.queued = append(o.queued, *item)
 	case OutcomeDuplicate:
-		o.repeated += item.Size
+		o.duplicate += item.Size
 	case OutcomeFull:
-		if before < fuzzPackets && o.countControl() < fuzzPackets/controlDivisor {
+		if before < maxQueued && o.countControl() < maxQueued/controlDivisor {
 			o.Fatalf("full with %d items", before)
 		}
-		o.refused += item.Size
+		o.full += item.Size
 	}
-	if item.Kind == KindAbort && outcome == OutcomeQueued && slices.ContainsFunc(o.waiting, func(other Item) bool {
+	if item.Kind == KindAbort && outcome == OutcomeQueued && slices.ContainsFunc(o.queued, func(other Item) bool {
 		return other.Flow == item.Flow && other.Kind == KindData
 	}) {
 		o.Fatalf("data of an aborted flow is queued")
 	}
-	if o.dropped > dropped && item.Kind != KindAbort && before < fuzzPackets {
+	if o.dropped > dropped && item.Kind != KindAbort && before < maxQueued {
 		o.Fatalf("dropped with %d items queued", before)
 	}
 }
 
 // flood offers more items than the queue holds.
 func (o *oracle) flood(t *rapid.T) {
-	for range fuzzPackets + 3 {
+	for range maxQueued + 3 {
 		o.offer(t)
 	}
 }
@@ -118,7 +118,7 @@
 // countControl returns the number of queued items that carry no data.
 func (o *oracle) countControl() int {
 	count := 0
-	for _, item := range o.waiting {
+	for _, item := range o.queued {
 		if item.Kind != KindData {
 			count++
 		}
@@ -140,7 +140,7 @@
 		o.Fatalf("sent an expired item: %+v", item)
 	}
 	o.checkOrder(item, position)
-	o.waiting = slices.Delete(o.waiting, position, position+1)
+	o.queued = slices.Delete(o.queued, position, position+1)
 	o.sent += item.Size
 }
 
@@ -149,7 +149,7 @@
 // checkOrder checks the order within the flow, and that no more urgent or control item
 // was overtaken, except by the oldest item when overdue.
 func (o *oracle) checkOrder(item Item, position int) {
-	for _, other := range o.waiting[:position] {
+	for _, other := range o.queued[:position] {
 		if other.Flow == item.Flow && other.Kind == KindData && item.Kind == KindData {
 			o.Fatalf("%+v sent before %+v of its flow", item, other)
 		}
@@ -157,7 +157,7 @@
 	if position == 0 && o.now.Sub(item.OfferedAt) > overdueAfter {
 		return
 	}
-	for _, other := range o.waiting {
+	for _, other := range o.queued {
 		if other.hasExpired(o.now) {
 			continue
 		}
@@ -179,15 +179,15 @@
 
 // sendAll sends items whenever the scheduler allows it.
 func (o *oracle) sendAll(*rapid.T) {
-	for range fuzzPackets {
+	for range maxQueued {
 		wait, waits := o.scheduler.TimeUntilNext(o.now)
 		if !waits {
 			return
 		}
 		o.now = o.now.Add(wait)
-		before := len(o.waiting)
+		before := len(o.queued)
 		o.next(o.T)
-		if len(o.waiting) == before {
+		if len(o.queued) == before {
 			o.Fatalf("nothing was sent after the wait")
 		}
 	}
@@ -196,7 +196,7 @@
 func (o *oracle) cancel(*rapid.T) {
 	flow := flowKey(rapid.IntRange(1, 4).Draw(o.T, "caller"), rapid.IntRange(1, 3).Draw(o.T, "port"))
 	o.scheduler.CancelFlow(flow)
-	for _, other := range o.waiting {
+	for _, other := range o.queued {
 		if other.Flow == flow && other.Kind == KindData {
 			o.Fatalf("data of a cancelled flow is queued: %+v", other)
 		}
@@ -208,23 +208,23 @@
 // check verifies the invariants after each step.
 func (o *oracle) check(*rapid.T) {
 	bytes := 0
-	for _, item := range o.waiting {
+	for _, item := range o.queued {
 		bytes += item.Size
 	}
-	if o.scheduler.Len() != len(o.waiting) || o.scheduler.Bytes() != bytes {
-		o.Fatalf("%d packets, %d bytes; want %d, %d", o.scheduler.Len(), o.scheduler.Bytes(), len(o.waiting), bytes)
+	if o.scheduler.Len() != len(o.queued) || o.scheduler.Bytes() != bytes {
+		o.Fatalf("%d packets, %d bytes; want %d, %d", o.scheduler.Len(), o.scheduler.Bytes(), len(o.queued), bytes)
 	}
-	if o.offered != o.sentNow+o.sent+o.dropped+o.refused+o.repeated+bytes {
+	if o.offered != o.sentNow+o.sent+o.dropped+o.full+o.duplicate+bytes {
 		o.Fatalf("byte counts do not add up")
 	}
-	if len(o.waiting) > fuzzPackets {
-		o.Fatalf("%d packets queued", len(o.waiting))
+	if len(o.queued) > maxQueued {
+		o.Fatalf("%d packets queued", len(o.queued))
 	}
 	rate := narrow.BytesPerSecond() * linkFraction
 	if most := minBurst + rate*o.now.Sub(start).Seconds(); float64(o.sentNow+o.sent) > most+1 {
 		o.Fatalf("%d bytes sent, the link carries at most %v", o.sentNow+o.sent, most)
 	}
-	if len(o.waiting) > 0 && o.scheduler.QueueDelay(o.now) != o.now.Sub(o.waiting[0].OfferedAt) {
+	if len(o.queued) > 0 && o.scheduler.QueueDelay(o.now) != o.now.Sub(o.queued[0].OfferedAt) {
 		o.Fatalf("queue delay is %v", o.scheduler.QueueDelay(o.now))
 	}
 }
@@ -253,7 +253,7 @@
 				port++
 				item := bulk(flowKey(rapid.IntRange(1, 5).Draw(t, "caller"), port), 0)
 				item.Urgency = uint8(rapid.IntRange(0, 3).Draw(t, "urgency"))
-				if o.scheduler.Len() >= fuzzPackets || o.scheduler.Offer(o.now, item) != OutcomeQueued {
+				if o.scheduler.Len() >= maxQueued || o.scheduler.Offer(o.now, item) != OutcomeQueued {
 					continue
 				}
 				ahead := float64(overdueDivisor * (o.scheduler.Bytes() + quantum))
--- a/internal/egress/order_test.go
+++ b/internal/egress/order_test.go
@@ -148,16 +148,16 @@
 // Under constant urgent traffic, overdue packets get 1/overdueDivisor of the link.
 func TestOverdueDataIsNotStarvedByUrgentData(t *testing.T) {
 	f := newFixture(t)
-	victims := 4
-	for number := range victims {
+	overduePackets := 4
+	for number := range overduePackets {
 		f.offer(bulk(flowKey(1, 1), number))
 	}
 	rate := narrow.BytesPerSecond() * linkFraction
-	bound := overdueAfter + time.Duration(overdueDivisor*float64(victims*fullSize+quantum)/rate*float64(time.Second))
+	bound := overdueAfter + time.Duration(overdueDivisor*float64(overduePackets*fullSize+quantum)/rate*float64(time.Second))
 	startedAt := f.now
 	port := 0
 	found := 0
-	for found < victims && f.now.Sub(startedAt) < 2*bound {
+	for found < overduePackets && f.now.Sub(startedAt) < 2*bound {
 		for f.Len() < 40 {
 			port++
 			item := bulk(flowKey(2, port), 0)
@@ -171,7 +171,7 @@
 			}
 		}
 	}
-	assert.Equal(t, victims, found)
+	assert.Equal(t, overduePackets, found)
 	assert.LessOrEqual(t, f.now.Sub(startedAt), bound)
 }
 
--- a/internal/egress/queue.go
+++ b/internal/egress/queue.go
@@ -6,7 +6,7 @@
 	p.flow = f
 	p.priority = hasPriority(f, item.Kind)
 	s.byAge.pushBack(p)
-	f.waiting++
+	f.queuedPackets++
 	s.length++
 	s.bytes += item.Size
 	if p.priority {
@@ -33,7 +33,7 @@
 	if f.scheduled && f.class == class {
 		f.queuedBytes += bytes
 		if f.queue != nil {
-			f.queue.bytes += bytes
+			f.queue.queuedBytes += bytes
 		}
 		return
 	}
@@ -49,7 +49,7 @@
 	item := p.Item
 	f := p.flow
 	s.byAge.remove(p)
-	f.waiting--
+	f.queuedPackets--
 	s.length--
 	s.bytes -= p.Size
 	if p.priority {
@@ -69,7 +69,7 @@
 	f.packets.remove(p)
 	f.queuedBytes -= p.Size
 	if f.queue != nil {
-		f.queue.bytes -= p.Size
+		f.queue.queuedBytes -= p.Size
 	}
 	if f.packets.isEmpty() {
 		s.classes.remove(f)
--- a/internal/egress/rate.go
+++ b/internal/egress/rate.go
@@ -45,7 +45,7 @@
 // maxEstimatedRate is the rate in bytes per second above which no rate is estimated:
 // sent data would be overwritten in the loss table within 250 ms, before callers
 // retransmit it.
-const maxEstimatedRate = dataMarkCount * writeErrorSize / 0.25
+const maxEstimatedRate = dataRecordCount * writeErrorSize / 0.25
 
 // RateOption configures a RateEstimator.
 type RateOption func(r *RateEstimator)
--- a/internal/egress/records.go
+++ b/internal/egress/records.go
@@ -10,7 +10,7 @@
 // recordOffered records bytes offered for a flow. After flowIdleTimeout they start a
 // new request.
 func (s *Scheduler) recordOffered(now kernel.Instant, f *flow, bytes int) {
-	if now.Sub(f.lastActive) >= flowIdleTimeout && !f.hasWaiting() {
+	if now.Sub(f.lastActive) >= flowIdleTimeout && !f.hasQueued() {
 		f.reset(now)
 	}
 	f.lastActive = now
@@ -28,10 +28,10 @@
 	f.bulk = true
 	f.deadline = f.startedAt.Add(f.objectiveOrDefault())
 	if rate := s.bucket.rate; rate > 0 {
-		share := float64(f.caller.bulk*windowBytes) / rate
+		share := float64(f.caller.bulkFlows*windowBytes) / rate
 		f.deadline = f.deadline.Add(time.Duration(share * float64(time.Second)))
 	}
-	f.caller.bulk++
+	f.caller.bulkFlows++
 }
 
 // flowRecord returns the record of the item's flow, which it creates if needed.
@@ -70,7 +70,7 @@
 	if len(s.flows) < s.settings.maxFlows() {
 		return
 	}
-	for s.byActivity.first.hasWaiting() {
+	for s.byActivity.first.hasQueued() {
 		s.byActivity.moveBack(s.byActivity.first)
 	}
 	s.removeFlow(s.byActivity.first)
--- a/internal/egress/room.go
+++ b/internal/egress/room.go
@@ -20,8 +20,8 @@
 // the item itself ranks last, or if the control queue has reached its share of the
 // packets.
 func (s *Scheduler) makeRoom(f *flow, item *Item) bool {
-	first := hasPriority(f, item.Kind)
-	if first && s.controlCount >= s.settings.maxPackets/controlDivisor {
+	priority := hasPriority(f, item.Kind)
+	if priority && s.controlCount >= s.settings.maxPackets/controlDivisor {
 		return false
 	}
 	for s.length >= s.settings.maxPackets || s.bytes+item.Size > s.settings.maxBytes() {
@@ -29,7 +29,7 @@
 		if last == nil {
 			return false
 		}
-		if !first && f.ranksBehind(last) {
+		if !priority && f.ranksBehind(last) {
 			return false
 		}
 		s.drop(last.packets.last, DropFull)
@@ -49,5 +49,5 @@
 		return f.deadline >= other.deadline
 	}
 	queue := f.caller.queueIn(class)
-	return queue != nil && queue.bytes >= other.queue.bytes
+	return queue != nil && queue.queuedBytes >= other.queue.queuedBytes
 }
--- a/internal/egress/scheduler.go
+++ b/internal/egress/scheduler.go
@@ -178,7 +178,7 @@
 		for f.packets.first != nil && f.packets.first.isExpired(now) {
 			s.drop(f.packets.first, DropExpired)
 		}
-		if !f.hasWaiting() && now.Sub(f.lastActive) >= flowIdleTimeout {
+		if !f.hasQueued() && now.Sub(f.lastActive) >= flowIdleTimeout {
 			s.removeFlow(f)
 		}
 		f = next
--- a/internal/egress/turns.go
+++ b/internal/egress/turns.go
@@ -16,8 +16,8 @@
 	address netip.Addr
 	// flows is the number of the caller's flow records, and bulk the number of bulk
 	// flows among them.
-	flows int
-	bulk  int
+	flows     int
+	bulkFlows int
 	// queues holds the caller's queues, at most one per urgency.
 	queues []*callerQueue
 }
@@ -27,8 +27,8 @@
 	caller *caller
 	class  int
 	flows  list[flow]
-	// bytes is the queued size of its flows.
-	bytes int
+	// queuedBytes is the queued size of its flows.
+	queuedBytes int
 	// deficit is the number of bytes that the caller may still send in this round.
 	deficit   int
 	ringLinks links[callerQueue]
@@ -40,10 +40,10 @@
 // turn.
 type roundRobin struct{ callers list[callerQueue] }
 
-func (t *roundRobin) isEmpty() bool { return t.callers.isEmpty() }
+func (r *roundRobin) isEmpty() bool { return r.callers.isEmpty() }
 
 // add appends a flow to its caller's queue.
-func (t *roundRobin) add(f *flow, pool *pool[callerQueue]) {
+func (r *roundRobin) add(f *flow, pool *pool[callerQueue]) {
 	f.queue = f.caller.queueIn(f.class)
 	if f.queue == nil {
 		f.queue = pool.get()
@@ -51,45 +51,45 @@
 		f.queue.class = f.class
 		f.queue.flows.linksOf = ringLinksOf
 		f.caller.queues = append(f.caller.queues, f.queue)
-		t.callers.pushBack(f.queue)
+		r.callers.pushBack(f.queue)
 	}
 	f.queue.flows.pushBack(f)
-	f.queue.bytes += f.queuedBytes
+	f.queue.queuedBytes += f.queuedBytes
 }
 
-func (t *roundRobin) remove(f *flow, pool *pool[callerQueue]) {
+func (r *roundRobin) remove(f *flow, pool *pool[callerQueue]) {
 	queue := f.queue
 	f.queue = nil
 	queue.flows.remove(f)
-	queue.bytes -= f.queuedBytes
+	queue.queuedBytes -= f.queuedBytes
 	if queue.flows.isEmpty() {
-		t.callers.remove(queue)
+		r.callers.remove(queue)
 		queue.caller.removeQueue(queue)
 		pool.put(queue)
 	}
 }
 
 // first returns the flow to serve next.
-func (t *roundRobin) first() *flow {
+func (r *roundRobin) first() *flow {
 	for {
-		queue := t.callers.first
+		queue := r.callers.first
 		next := queue.flows.first
 		if queue.deficit >= next.packets.first.Size {
 			return next
 		}
 		queue.deficit += quantum
-		t.callers.moveBack(queue)
+		r.callers.moveBack(queue)
 	}
 }
 
 // last returns, from the first maxScan callers, the newest flow of the one with the
 // most queued bytes.
-func (t *roundRobin) last() *flow {
-	found := t.callers.first
+func (r *roundRobin) last() *flow {
+	found := r.callers.first
 	scanned := 0
-	for queue := t.callers.first; queue != nil && scanned < maxScan; queue = queue.ringLinks.next {
+	for queue := r.callers.first; queue != nil && scanned < maxScan; queue = queue.ringLinks.next {
 		scanned++
-		if queue.bytes > found.bytes {
+		if queue.queuedBytes > found.queuedBytes {
 			found = queue
 		}
 	}
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -94,13 +94,13 @@
 	}
 }
 
-// messageForm is the kind of a message.
-type messageForm uint8
+// messageKind is the kind of a message.
+type messageKind uint8
 
 const (
-	formReport messageForm = iota + 1
-	formMember
-	formFleet
+	kindReport messageKind = iota + 1
+	kindMember
+	kindFleet
 )
 
 // Message is the payload of a frame: a node's report, a member's summaries or the
@@ -121,14 +121,14 @@
 	var encoder wire.Encoder
 	switch {
 	case m.Report != nil:
-		encoder.Uint8(uint8(formReport))
+		encoder.Uint8(uint8(kindReport))
 		m.Report.encode(&encoder)
 	case m.Member != "":
-		encoder.Uint8(uint8(formMember))
+		encoder.Uint8(uint8(kindMember))
 		encoder.String(m.Member)
 		encodeZones(&encoder, m.Zones)
 	default:
-		encoder.Uint8(uint8(formFleet))
+		encoder.Uint8(uint8(kindFleet))
 		encoder.Uint64(m.Term)
 		encodeZones(&encoder, m.Zones)
 	}
@@ -139,14 +139,14 @@
 func Decode(payload []byte) (Message, error) {
 	decoder := wire.NewDecoder(payload)
 	var message Message
-	switch messageForm(decoder.Uint8()) {
-	case formReport:
+	switch messageKind(decoder.Uint8()) {
+	case kindReport:
 		report := decodeReport(decoder)
 		message.Report = &report
-	case formMember:
+	case kindMember:
 		message.Member = decoder.String()
 		message.Zones = decodeZones(decoder)
-	case formFleet:
+	case kindFleet:
 		message.Term = decoder.Uint64()
 		message.Zones = decodeZones(decoder)
 	}
--- a/internal/room/room_test.go
+++ b/internal/room/room_test.go
@@ -45,7 +45,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		payload := rapid.SliceOf(rapid.Byte()).Draw(t, "payload")
 		message, err := Decode(payload)
-		if err == nil && payload[0] > byte(formFleet) {
+		if err == nil && payload[0] > byte(kindFleet) {
 			require.Equal(t, Message{}, message)
 		}
 	})
--- a/internal/speed/word.go
+++ b/internal/speed/word.go
@@ -57,9 +57,9 @@
 }
 
 // EncodeSteps appends target steps to a message.
-func EncodeSteps(encoder *wire.Encoder, list []TargetStep) {
-	encoder.Uint32(uint32(len(list)))
-	for _, target := range list {
+func EncodeSteps(encoder *wire.Encoder, steps []TargetStep) {
+	encoder.Uint32(uint32(len(steps)))
+	for _, target := range steps {
 		encoder.Uint32(uint32(target.Token))
 		encoder.Uint8(uint8(target.Step))
 	}
@@ -87,11 +87,11 @@
 }
 
 // StepFrame returns a frame with the steps that the leader of a term has determined.
-func StepFrame(term uint64, list []TargetStep) wire.Frame {
+func StepFrame(term uint64, steps []TargetStep) wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(true)
 	encoder.Uint64(term)
-	EncodeSteps(&encoder, list)
+	EncodeSteps(&encoder, steps)
 	return wire.Frame{Kind: wire.FrameSpeeds, Payload: encoder.Buffer}
 }
 
--- a/internal/strength/strength.go
+++ b/internal/strength/strength.go
@@ -152,8 +152,8 @@
 func medianCPU(nodes []Resources) float64 {
 	var configured []float64
 	for _, node := range nodes {
-		if processor := node.CPU(); processor > 0 {
-			configured = append(configured, processor)
+		if cpu := node.CPU(); cpu > 0 {
+			configured = append(configured, cpu)
 		}
 	}
 	if len(configured) == 0 {
