--- a/internal/egress/admission.go
+++ b/internal/egress/admission.go
@@ -10,53 +10,55 @@
 )
 
 const (
-	// callerTries is the number of connection attempts a caller makes, each from
-	// another source port, usually one or two above the last.
+	// callerTries is the number of times a caller tries to open a connection. Each try
+	// is from another source port, usually one or two above the last.
 	callerTries = 3
 	// retryWindow is the time in which a refused caller retries. Retries are immediate,
 	// so it only has to cover a round trip on a loaded link.
 	retryWindow = 250 * time.Millisecond
-	// maxRefusedCallers bounds the refused callers that are remembered: more than a 2
-	// Mbit/s link receives openings (68 bytes each) within retryWindow.
+	// maxRefusedCallers bounds the refused callers that are remembered. It exceeds the
+	// number of openings (68 bytes each) that a 2 Mbit/s link receives within
+	// retryWindow.
 	maxRefusedCallers = 1024
 	// maxTrackedRoutes bounds the routes whose upload sizes are estimated. The table is
 	// cleared when it is full; removed routes stay in it until then.
 	maxTrackedRoutes = 1024
-	// sizeSmoothing is the divisor of the moving average of upload sizes.
+	// sizeSmoothing is the inverse of the weight of a new upload in the moving average
+	// of upload sizes.
 	sizeSmoothing = 8
-	// maxTrackedUploads bounds the uploads tracked at once: more than a 2 Mbit/s link
-	// carries within an objective of a few seconds.
+	// maxTrackedUploads bounds the uploads tracked at once. It exceeds the number that a
+	// 2 Mbit/s link carries within an objective of a few seconds.
 	maxTrackedUploads = 256
-	// uploadIdleTimeout is how long an upload that sends nothing stays tracked. Pacing
-	// counts it only for uploadActiveTime, which is longer than the caller's initial
-	// retransmission timeout of 200 ms.
+	// uploadIdleTimeout is how long an upload that sends nothing stays tracked.
+	// uploadActiveTime is how long its remaining data delays new uploads. It is longer
+	// than the callers' initial retransmission timeout of 200 ms.
 	uploadIdleTimeout = 3 * time.Second
 	uploadActiveTime  = 300 * time.Millisecond
-	// pacingWait is the backlog, as transmission time, up to which new uploads are
-	// admitted. It covers the round trip between an opening and its data, so the link
-	// does not go idle. Two windows at once would take a slow incoming link longer than
-	// the retransmission timeout of 200 ms, and the retransmissions would add to the
-	// overload.
+	// pacingWait is the transmission time of the backlog up to which new uploads are
+	// accepted. It covers the round trip between an opening and its data, so the link
+	// does not go idle. A longer one would let callers send two windows at once, which
+	// take a slow incoming link longer than the retransmission timeout of 200 ms; the
+	// retransmissions would add to the overload.
 	pacingWait = 25 * time.Millisecond
-	// holdFraction is the fraction of a route's objective for which an opening is held
-	// at most. Uploads that would wait longer are refused, on a caller's last try those
-	// that would wait longer than lastTryFraction. The remaining time is needed to send
-	// the data.
+	// holdFraction is the largest fraction of a route's objective for which an opening
+	// is held. Uploads that would wait longer are refused; on ports that may be the
+	// caller's last try, only those that would wait longer than lastTryFraction. The
+	// remaining time is needed to send the data.
 	holdFraction    = 0.5
 	lastTryFraction = 0.75
-	// saturatedRetryWait is the wait at the best other nodes above which the zone
-	// counts as saturated: half the callers' retransmission timeout. Uploads take the
-	// capacity of many small requests, so they are then refused above saturatedFraction
-	// of the objective.
+	// saturatedRetryWait is the wait expected on a retry above which the zone counts as
+	// saturated: half the callers' retransmission timeout. In a saturated zone, uploads
+	// that would wait longer than saturatedFraction of the objective are refused, since
+	// an upload takes the capacity of many small requests.
 	saturatedRetryWait = 100 * time.Millisecond
 	saturatedFraction  = 0.2
-	// maxHoldTime caps the hold time: half the 1.4 s after which callers abandon an
-	// opening.
+	// maxHoldTime is the longest time for which an opening is held: half the 1.4 s
+	// after which callers abandon it.
 	maxHoldTime = 700 * time.Millisecond
 )
 
-// uploadSize is the average size of a route's uploads, one window of data until the
-// first upload has completed.
+// uploadSize is the average size of a route's uploads. It is one window of data until
+// the first upload has completed, which sets learned.
 type uploadSize struct {
 	bytes   float64
 	learned bool
@@ -102,13 +104,13 @@
 	}
 }
 
-// Decide decides on a new flow. Two rules keep a caller from having all its tries
-// refused for load: one of three successive source ports is always accepted
-// (isRefusablePort), and a node refuses a caller only once within retryWindow. Uploads
-// that would spend most of their objective in the queue are refused regardless if the
-// load of other nodes is known, since they would be late and delay others. Flows of
-// other routes are refused for load only if the expected wait exceeds their objective,
-// because each refusal leaves one try less for a target that is full.
+// Decide decides on a new flow. Two rules prevent that all tries of a caller are refused
+// for load: one of three successive source ports is never refused (isRefusablePort), and
+// a node refuses a caller only once within retryWindow. Uploads that would wait for most
+// of their objective are exempt from these rules while the load of other nodes is known:
+// they are refused with ReasonLate, since they would be late and delay others. Flows of
+// other routes are refused only if the expected wait exceeds their objective, because
+// each refusal leaves one try less for a target that is full.
 func (a *AdmissionController) Decide(now kernel.Instant, flow steer.FlowKey, route directory.Route, load LinkLoad) Decision {
 	if load.Rate <= 0 {
 		return Decision{}
@@ -158,8 +160,9 @@
 	return time.Duration(fraction * float64(route.Objective))
 }
 
-// lateLimit returns the wait above which an upload is refused in any case. It is longer
-// on ports that are otherwise accepted, which may be the caller's last try.
+// lateLimit returns the wait above which an upload is refused on any port. Unless the
+// zone is saturated, it is longer on ports that isRefusablePort excludes, which may be
+// the caller's last try.
 func lateLimit(flow steer.FlowKey, route directory.Route, load LinkLoad) time.Duration {
 	if load.RetryWait > saturatedRetryWait {
 		return fractionOfObjective(route, saturatedFraction)
@@ -170,15 +173,15 @@
 	return fractionOfObjective(route, lastTryFraction)
 }
 
-// CanStartUpload reports whether the data of an upload that starts now would be sent
-// without a long wait.
+// CanStartUpload reports whether the data of an upload that starts now would wait no
+// longer than pacingWait.
 func (a *AdmissionController) CanStartUpload(now kernel.Instant, load LinkLoad) bool {
 	_, active := a.pendingBytes(now)
 	return load.transmitTime(load.QueuedBytes+active) <= pacingWait
 }
 
-// uploadWaits returns two transmission times: that of all queued, pending and held
-// data, and that of the queued data and the pending data of active uploads.
+// uploadWaits returns two transmission times. wait is that of all queued, pending and
+// held data; pace is that of the queued data and the pending data of active uploads.
 func (a *AdmissionController) uploadWaits(now kernel.Instant, route directory.Route, load LinkLoad) (wait, pace time.Duration) {
 	held := float64(load.HeldUploads) * a.expectedSize(route.Address)
 	all, active := a.pendingBytes(now)
@@ -199,8 +202,8 @@
 	}
 }
 
-// recordRefusal records a refusal of the flow's caller. It returns false if the caller
-// was refused within retryWindow or the table is full.
+// recordRefusal records a refusal of the flow's caller. It records nothing and returns
+// false if the caller was already refused within retryWindow or the table is full.
 func (a *AdmissionController) recordRefusal(now kernel.Instant, flow steer.FlowKey) bool {
 	caller := flow.Caller.Addr()
 	if at, known := a.refusedAt[caller]; known && now.Sub(at) < retryWindow {
@@ -237,8 +240,7 @@
 	upload.sentBytes = max(upload.sentBytes, int(int32(sequence-upload.firstSequence))+data)
 }
 
-// RecordEnd records the end of a flow; whole reports whether the caller sent all its
-// data.
+// RecordEnd records the end of a flow; complete is set if the caller sent all its data.
 func (a *AdmissionController) RecordEnd(flow steer.FlowKey, complete bool) {
 	upload, known := a.uploads[flow]
 	if !known {
@@ -272,8 +274,8 @@
 	return size
 }
 
-// pendingBytes returns the bytes that uploads in progress have yet to send, and the
-// part that belongs to uploads active within uploadActiveTime.
+// pendingBytes returns how many bytes the uploads in progress are expected to send yet,
+// and how many of these belong to uploads that were active within uploadActiveTime.
 func (a *AdmissionController) pendingBytes(now kernel.Instant) (all, active float64) {
 	for flow, upload := range a.uploads {
 		idle := now.Sub(upload.lastActive)
--- a/internal/egress/admission_test.go
+++ b/internal/egress/admission_test.go
@@ -21,9 +21,9 @@
 	}
 	fullRateLink = LinkLoad{Rate: modelRate, ConfiguredRate: modelRate}
 	narrowLink   = LinkLoad{Rate: modelRate / 4, ConfiguredRate: modelRate}
-	// busyNode is a node under load while other nodes are idle.
+	// busyNode is the load of a node that is busy while other nodes are idle.
 	busyNode = LinkLoad{Rate: modelRate, ConfiguredRate: modelRate, Utilization: 0.75, PeersKnown: true, RetryWait: time.Millisecond, RefusalFraction: 1}
-	// refusablePort permits a refusal; acceptedPort is always accepted.
+	// isRefusablePort permits a refusal on refusablePort, and not on acceptedPort.
 	refusablePort, acceptedPort = uint16(1), uint16(callerTries)
 )
 
@@ -101,8 +101,8 @@
 	}
 }
 
-// Whatever the load, a caller whose source ports advance by one or two has one of three
-// tries accepted, except for uploads that would be late.
+// Of three tries from source ports that advance by one or two, at least one must not be
+// refused for load, whatever the load.
 func TestDecideAcceptsOneOfThreeTries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := controllerWithUploads(100)
@@ -124,7 +124,7 @@
 	})
 }
 
-// Whatever the source ports, a node refuses a caller only once within retryWindow.
+// A node must refuse a caller only once within retryWindow, whatever the source ports.
 func TestDecideRefusesCallerOncePerRetryWindow(t *testing.T) {
 	a := controllerWithUploads(100)
 	patient := uploadRoute
@@ -155,7 +155,7 @@
 			refused++
 		}
 	}
-	assert.Equal(t, maxRefusedCallers, refused, "accepted if the refusal cannot be recorded")
+	assert.Equal(t, maxRefusedCallers, refused, "a caller is not refused if the refusal cannot be recorded")
 	assert.Len(t, a.refusedAt, maxRefusedCallers)
 	assert.Equal(t, ActionRefuse, a.Decide(modelStart.Add(retryWindow), flowKey(9, int(refusablePort)), patient, narrowLink).Action)
 	assert.Len(t, a.refusedAt, 1)
--- a/internal/egress/bench_test.go
+++ b/internal/egress/bench_test.go
@@ -21,7 +21,7 @@
 	return f
 }
 
-// step offers a packet, and sends one.
+// step offers a packet and sends one.
 func (f *fixture) step(number int) {
 	item := bulk(flowKey(number%100, number%queuedFlows), number)
 	f.Offer(f.now, item)
@@ -63,7 +63,7 @@
 	assert.InDelta(b, queuedFlows, f.Len(), queuedFlows/10)
 }
 
-// BenchmarkUploadOpening decides on uploads with the largest number of tracked uploads.
+// BenchmarkUploadOpening measures Decide with the largest number of tracked uploads.
 func BenchmarkUploadOpening(b *testing.B) {
 	a := controllerWithUploads(maxTrackedUploads)
 	number := 0
--- a/internal/egress/bucket.go
+++ b/internal/egress/bucket.go
@@ -11,14 +11,14 @@
 	// left for the node's connections to control members.
 	linkFraction = 0.95
 	// minBurst is the burst size in bytes on slow links: two full datagrams and some
-	// small ones, about as much as the send queue of a slow link holds without drops.
+	// small ones, which the send queue of a slow link holds without drops.
 	minBurst = 3000
-	// burstSeconds is the time whose bytes make up the burst on fast links, about the
+	// burstSeconds is the transmission time of the burst on fast links, about the
 	// resolution of a timer.
 	burstSeconds = 0.001
 	// wakeFraction is the fraction of the burst at which the sender wakes for bulk
-	// data: two full datagrams at minBurst. The rest absorbs late timers, 2 ms at 2
-	// Mbit/s.
+	// data: two full datagrams at minBurst. The rest keeps tokens from being lost when a
+	// timer is late, by up to 2 ms at 2 Mbit/s.
 	wakeFraction = 0.85
 )
 
@@ -31,10 +31,10 @@
 	rate float64
 }
 
-// burst returns the capacity of the bucket.
+// burst returns the capacity of the bucket in bytes.
 func (b *tokenBucket) burst() float64 { return max(minBurst, b.rate*burstSeconds) }
 
-// wakeBytes returns the tokens that must be available before bulk data is sent.
+// wakeBytes returns the tokens for which the sender waits before it sends bulk data.
 func (b *tokenBucket) wakeBytes() int { return int(wakeFraction * b.burst()) }
 
 // refill adds the tokens earned since the last refill, up to the burst size.
@@ -48,7 +48,8 @@
 	b.tokens = min(b.burst(), b.tokens+rate*float64(elapsed)*1e-9)
 }
 
-// has reports whether the number of bytes can be sent now.
+// has reports whether the number of bytes can be sent now. A datagram larger than the
+// burst can be sent once the bucket is full.
 func (b *tokenBucket) has(bytes int) bool {
 	return b.rate <= 0 || b.tokens >= min(float64(bytes), b.burst())
 }
--- a/internal/egress/classes.go
+++ b/internal/egress/classes.go
@@ -11,20 +11,21 @@
 	// levelSmall holds flows that have sent little; they are served round robin by
 	// caller.
 	levelSmall = iota
-	// levelBulk holds larger flows that can still meet their objective, served by
-	// earliest deadline first: of flows of similar size, more meet their deadline when
-	// they are sent one after the other.
+	// levelBulk holds larger flows that can still meet their objective. They are served
+	// earliest deadline first, because more flows meet their deadline if they are sent
+	// one after the other than if they share the link.
 	levelBulk
 	// levelLate holds flows that can no longer meet their objective.
 	levelLate
 	levelCount
 )
 
-// classes holds the backlogged flows by urgency and level; the lowest class is served
-// first.
+// classes holds the backlogged flows by class: class urgency*levelCount + level is for
+// the flows of that urgency and level. The lowest class is served first.
 type classes struct {
+	// small holds the flows of levelSmall, indexed by urgency.
 	small [UrgencyCount]roundRobin
-	// heaps holds the deadline heaps, indexed by class.
+	// heaps holds the flows of the other levels, indexed by class.
 	heaps [UrgencyCount * levelCount]deadlineHeap
 	// occupied is a bit mask of the classes that are not empty.
 	occupied  uint32
@@ -85,8 +86,8 @@
 	return c.heaps[class].first()
 }
 
-// last returns a flow of the highest occupied class, the candidate for drops, or nil if
-// all classes are empty.
+// last returns the flow whose packets are dropped first, one of the highest occupied
+// class, or nil if all classes are empty.
 func (c *classes) last() *flow {
 	if c.occupied == 0 {
 		return nil
--- a/internal/egress/congestion.go
+++ b/internal/egress/congestion.go
@@ -20,12 +20,12 @@
 type CongestionDetector struct {
 	congested bool
 	since     kernel.Instant
-	// lastLong is the time of the last delay of at least congestedAfter.
+	// lastLong is the time of the latest delay of at least congestedAfter.
 	lastLong kernel.Instant
 }
 
-// Update takes the longest recent queueing delay and reports whether congestion began
-// or ended.
+// Update processes the longest queueing delay since the last call, and reports whether
+// congestion began or ended.
 func (d *CongestionDetector) Update(now kernel.Instant, delay time.Duration) (began, ended bool) {
 	if delay >= congestedAfter {
 		d.lastLong = now
@@ -46,5 +46,6 @@
 // IsCongested reports whether the link is congested.
 func (d *CongestionDetector) IsCongested() bool { return d.congested }
 
-// Duration returns the time from the start of the congestion to its last long delay.
+// Duration returns the time from the start of the latest congestion to its last delay
+// of at least congestedAfter.
 func (d *CongestionDetector) Duration() time.Duration { return d.lastLong.Sub(d.since) }
--- a/internal/egress/dueheap.go
+++ b/internal/egress/dueheap.go
@@ -26,7 +26,7 @@
 }
 
 // last returns the flow with the latest deadline among the last maxScan entries of the
-// heap.
+// heap, which need not be the latest of all.
 func (h *deadlineHeap) last() *flow {
 	end := len(h.flows)
 	found := h.flows[end-1]
--- a/internal/egress/fleet_test.go
+++ b/internal/egress/fleet_test.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// fleetSeconds is the simulated time, and fleetSettled the start of the measured
-	// part.
+	// fleetSeconds is the simulated time, and fleetSettled the start of the part that
+	// is evaluated.
 	fleetSeconds, fleetSettled = 40, 20
-	// fleetRounds is the number of runs of the property, each on many random fleets.
+	// fleetRounds is the number of runs of a property, each on many random fleets.
 	fleetRounds = 10
 	// maxLag is the largest age of the load reports in seconds.
 	maxLag = 3
-	// maxUtilizationExcess is how much the highest utilization of a node may rise
-	// through refusals.
+	// maxUtilizationExcess is how much refusals may raise the highest utilization of a
+	// node.
 	maxUtilizationExcess = 0.05
 )
 
-// swingBound bounds the swing of a node's utilization for loads up to a total
-// utilization.
+// swingBound is the largest swing of a node's utilization that is allowed in fleets up
+// to the given utilization.
 type swingBound struct{ utilization, swing float64 }
 
-// fleetNode is a node that receives a fixed share of all flows.
+// fleetNode is a node to which routers hash a fixed share of all flows.
 type fleetNode struct {
 	share   float64
 	load    LinkLoad
 	refused RefusalFraction
 }
 
-// fleet is a zone of nodes that know each other's waits with a lag.
+// fleet is a zone of nodes that know each other's waits with a lag in seconds.
 type fleet struct {
 	nodes     []*fleetNode
 	lag       int
@@ -45,8 +45,8 @@
 func drawFleet(t *rapid.T) *fleet {
 	f := &fleet{lag: rapid.IntRange(1, maxLag).Draw(t, "lag")}
 	random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-	maxCapacity := rapid.Float64Range(1, 10).Draw(t, "strongest")
-	largeShare := rapid.Float64Range(0, 1).Draw(t, "strong share")
+	maxCapacity := rapid.Float64Range(1, 10).Draw(t, "max capacity")
+	largeShare := rapid.Float64Range(0, 1).Draw(t, "large share")
 	uneven := rapid.Float64Range(0, 0.6).Draw(t, "uneven")
 	total := 0.0
 	for range rapid.IntRange(8, 1000).Draw(t, "nodes") {
@@ -65,9 +65,9 @@
 	return f
 }
 
-// distribute applies a load in bytes per second. One of three successive ports is
-// always accepted, on the others nodes refuse their fraction, and refused callers are
-// hashed again.
+// distribute computes the nodes' utilization for a load in bytes per second. Nodes
+// refuse their fraction of the flows on two of three successive ports, and refused
+// callers are hashed again.
 func (f *fleet) distribute(bytes float64, refuse bool) {
 	refusals := make([]float64, len(f.nodes))
 	refused := 0.0
@@ -86,7 +86,7 @@
 	f.exchangeLoads()
 }
 
-// exchangeLoads distributes the load reports, delayed by the lag.
+// exchangeLoads gives the nodes the load reports from before the lag.
 func (f *fleet) exchangeLoads() {
 	table := room.NewTable[*fleetNode]()
 	for _, node := range f.nodes {
@@ -103,12 +103,12 @@
 	}
 }
 
-// fleetResult is the state of a settled fleet.
+// fleetResult is what was measured in a settled fleet.
 type fleetResult struct {
 	// wait is the mean wait per byte in seconds.
 	wait float64
 	// maxUtilization is the highest utilization of a node, and swing the largest
-	// variation of one node.
+	// difference between the highest and the lowest utilization of one node.
 	maxUtilization, swing float64
 }
 
@@ -140,14 +140,14 @@
 	rapid.Check(t, func(t *rapid.T) { checkFleet(t, swingBound{utilization: 0.8, swing: 1}) })
 }
 
-// The fleet must also settle (see KNOWN-RED.txt).
+// The utilization of the nodes must settle as well (see KNOWN-RED.txt).
 func TestRefusalsSpreadFlowsByStrengthWithoutHerds(t *testing.T) {
 	for range fleetRounds {
 		rapid.Check(t, func(t *rapid.T) { checkFleet(t, swingBound{utilization: 0.8, swing: 0.25}) })
 	}
 }
 
-// The fleet must settle near full load, with less swing (see KNOWN-RED.txt).
+// The utilization must also settle near full load, with less swing (see KNOWN-RED.txt).
 func TestRefusalsSettleInNearlyFullFleets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { checkFleet(t, swingBound{utilization: 0.95, swing: 0.15}) })
 }
@@ -158,7 +158,7 @@
 	for _, node := range f.nodes {
 		rate += node.load.Rate
 	}
-	bytes := rate * rapid.Float64Range(0.05, bounds.utilization).Draw(t, "use")
+	bytes := rate * rapid.Float64Range(0.05, bounds.utilization).Draw(t, "utilization")
 	without, with := f.run(bytes, false), f.run(bytes, true)
 	require.LessOrEqual(t, with.wait, without.wait+minRefusalWait.Seconds()/10)
 	require.LessOrEqual(t, with.maxUtilization, without.maxUtilization+maxUtilizationExcess)
--- a/internal/egress/flow.go
+++ b/internal/egress/flow.go
@@ -22,7 +22,8 @@
 	// priority is set if the packet is in the control queue, which is served before all
 	// flows.
 	priority bool
-	// queueLinks links the packets of a flow, or those of the control queue.
+	// queueLinks links the packets of the queue that holds the packet: that of its flow
+	// or the control queue.
 	queueLinks links[packet]
 	// ageLinks links all packets in order of arrival.
 	ageLinks links[packet]
@@ -44,28 +45,29 @@
 	objective time.Duration
 	// startedAt is when the current request of the flow first had to queue.
 	startedAt kernel.Instant
-	// bulk is set once the request has exceeded bulkThreshold; deadline is then the
-	// time by which it should complete.
+	// bulk is set once the request has exceeded bulkThreshold; deadline then orders the
+	// flow among the bulk flows.
 	bulk     bool
 	deadline kernel.Instant
 	// offeredBytes is the number of bytes offered for the current request.
 	offeredBytes int
 	// waitReported is set once a long wait was reported for the current request.
 	waitReported bool
-	// packets holds the flow's queued packets in order, without those in the control
+	// packets holds the flow's queued packets in order, except those in the control
 	// queue.
 	packets list[packet]
-	// queuedBytes is the size of packets.
+	// queuedBytes is the total size of packets.
 	queuedBytes int
-	// queuedPackets is the number of all queued packets of the flow.
+	// queuedPackets is the number of the flow's queued packets, including those in the
+	// control queue.
 	queuedPackets int
-	// opening is the queued opening packet, or nil.
+	// opening is the queued opening packet of the flow, or nil.
 	opening *packet
-	// scheduled is set while packets is not empty; class then holds the flow.
+	// scheduled is set while packets is not empty; the flow is then in class.
 	scheduled bool
 	class     int
-	// queue is the caller's queue that holds the flow, or nil if the flow is not in
-	// levelSmall.
+	// queue is the caller's queue that holds the flow, or nil if the flow is not
+	// scheduled in levelSmall.
 	queue     *callerQueue
 	ringLinks links[flow]
 	// heapIndex is the flow's index in its deadline heap.
@@ -106,7 +108,8 @@
 // hasQueued reports whether the flow has queued packets.
 func (f *flow) hasQueued() bool { return f.queuedPackets > 0 }
 
-// findQueued returns the queued packet that contains all data of the item, or nil.
+// findQueued returns the queued packet that makes the item a duplicate, or nil: for an
+// opening the queued opening, otherwise one in packets that contains all its data.
 func (f *flow) findQueued(item *Item) *packet {
 	if item.Kind == KindOpening {
 		return f.opening
--- a/internal/egress/flowhash.go
+++ b/internal/egress/flowhash.go
@@ -8,7 +8,7 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// The multipliers of the hash: the fractional part of the golden ratio, and the first
+// Constants of the hash: the fractional part of the golden ratio, and the first
 // multiplier of SplitMix64.
 const (
 	goldenFactor = 0x9e3779b97f4a7c15
@@ -20,8 +20,8 @@
 	return high ^ low
 }
 
-// flowHash returns the key of a flow in the loss tables. A collision only distorts a
-// loss count.
+// flowHash returns a hash of the flow. It is the flow's key in the loss tables, where a
+// collision only distorts a loss count.
 func flowHash(flow steer.FlowKey) uint64 {
 	return mix(mix(endpointHash(flow.Caller)) ^ endpointHash(flow.Virtual))
 }
--- a/internal/egress/held.go
+++ b/internal/egress/held.go
@@ -8,8 +8,8 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// maxHeldOpenings bounds the held openings: more than arrive on a slow link within the
-// hold time.
+// maxHeldOpenings bounds the held openings. It exceeds the number that arrive on a slow
+// link within the hold time.
 const maxHeldOpenings = 128
 
 // HeldOpening is the opening packet of a flow that is delayed until the link has
@@ -19,13 +19,13 @@
 	Datagram []byte
 	Urgency  uint8
 	HeldAt   kernel.Instant
-	// Deadline is when the opening is forwarded regardless of the load.
+	// Deadline is when Pop returns the opening regardless of the capacity.
 	Deadline kernel.Instant
 }
 
-// HeldOpenings is a queue of opening packets, ordered by urgency and then by age. A
-// flow that has not been opened sends no data, so holding its opening keeps
-// retransmissions off the queue and the incoming link.
+// HeldOpenings is a queue of opening packets, ordered by urgency and then by age. The
+// caller sends no data before its flow is opened, so holding the opening avoids
+// retransmissions that would fill the queue and the incoming link.
 type HeldOpenings struct {
 	queue []*HeldOpening
 	free  []*HeldOpening
@@ -42,7 +42,8 @@
 	return slices.ContainsFunc(h.queue, func(held *HeldOpening) bool { return held.Packet.Flow == flow })
 }
 
-// Add adds a copy of an opening packet, to be held for no longer than bound.
+// Add adds an opening packet with a copy of its datagram, to be held no longer than
+// maxHold.
 func (h *HeldOpenings) Add(now kernel.Instant, packet steer.Packet, datagram []byte, urgency uint8, maxHold time.Duration) {
 	held := h.takeFree()
 	held.Packet = packet
@@ -59,8 +60,9 @@
 	h.queue = slices.Insert(h.queue, position, held)
 }
 
-// Pop removes and returns an opening that has reached its deadline or, if fits is set,
-// the first of the queue. The caller returns it by Recycle.
+// Pop removes and returns an opening that has reached its deadline or, if there is none
+// and hasCapacity is set, the first of the queue. The caller passes it to Recycle after
+// use.
 func (h *HeldOpenings) Pop(now kernel.Instant, hasCapacity bool) (*HeldOpening, bool) {
 	position := slices.IndexFunc(h.queue, func(held *HeldOpening) bool { return !now.Before(held.Deadline) })
 	if position < 0 {
@@ -74,7 +76,7 @@
 	return held, true
 }
 
-// Recycle takes back an opening whose datagram is no longer needed.
+// Recycle allows a popped opening and its datagram to be reused.
 func (h *HeldOpenings) Recycle(held *HeldOpening) { h.free = append(h.free, held) }
 
 func (h *HeldOpenings) takeFree() *HeldOpening {
--- a/internal/egress/item.go
+++ b/internal/egress/item.go
@@ -19,10 +19,10 @@
 	KindOpening
 	// KindAcknowledgement carries only an acknowledgement.
 	KindAcknowledgement
-	// KindClosing closes the caller's side and carries no data. It stays behind the
-	// flow's data.
+	// KindClosing closes the caller's side and carries no data. It is sent after the
+	// flow's queued data.
 	KindClosing
-	// KindAbort is a reset from the caller, which discards the flow's queued data.
+	// KindAbort is a reset from the caller. The flow's queued data is dropped.
 	KindAbort
 	// KindReset is a reset that the node sends to a caller.
 	KindReset
@@ -49,10 +49,11 @@
 	Payload []byte
 	// OfferedAt is when the item was offered.
 	OfferedAt kernel.Instant
-	// WaitedLong is set by Next on the first item of a request that waited for the
-	// caller's retransmission timeout or longer.
+	// WaitedLong is set by Next on the first item of a request that was queued for at
+	// least the callers' initial retransmission timeout.
 	WaitedLong bool
-	// ExpiresAt is when the caller has given up; 0 means never.
+	// ExpiresAt is the time from which the caller no longer waits for the item, which is
+	// then dropped; 0 means never.
 	ExpiresAt kernel.Instant
 }
 
@@ -72,7 +73,8 @@
 	OutcomeSendNow Outcome = iota
 	// OutcomeQueued means that the item was queued; Next returns it later.
 	OutcomeQueued
-	// OutcomeDuplicate means that the item's data is queued already.
+	// OutcomeDuplicate means that the opening, or all data of the item, is queued
+	// already.
 	OutcomeDuplicate
 	// OutcomeFull means that the queue has no room for the item.
 	OutcomeFull
@@ -83,7 +85,7 @@
 
 // Reasons for dropping a queued item.
 const (
-	// DropFull makes room for an item of higher rank.
+	// DropFull is for items that make room for one that ranks before them.
 	DropFull DropReason = iota
 	// DropExpired is for items whose caller has given up.
 	DropExpired
--- a/internal/egress/link.go
+++ b/internal/egress/link.go
@@ -1,6 +1,7 @@
 // Package egress schedules the datagrams that a node sends over its own link: by
-// urgency, fairly between callers and flows, and no faster than the link carries. It
-// uses no clock, socket or goroutine of its own.
+// urgency, fairly between callers and flows, and no faster than the link's rate. It
+// also estimates that rate and decides on new flows. It uses no clock, socket or
+// goroutine of its own.
 package egress
 
 import "github.com/beamdoor/beamdoor/internal/directory"
@@ -12,8 +13,8 @@
 // mistaken unit.
 const maxLinkMbps = 1_000_000
 
-// minLinkMbps is the smallest rate accepted in settings. Below it, a caller's window of
-// 16 packets takes longer than the longest retransmission timeout of 1.6 s.
+// minLinkMbps is the smallest rate accepted in settings. At lower rates, a caller's
+// window of 16 packets takes longer than the longest retransmission timeout of 1.6 s.
 const minLinkMbps = 0.1
 
 // Link is the configuration of a machine's own link.
--- a/internal/egress/link_test.go
+++ b/internal/egress/link_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// The smallest rate must not overflow the wait.
+// The wait on a link of the smallest rate must not overflow.
 func TestSlowestLinkHasFiniteWait(t *testing.T) {
 	s := New(WithLink(Link{Mbps: minLinkMbps}))
 	item := Item{Flow: modelFlow(1), Size: quantum}
--- a/internal/egress/linkmodel_test.go
+++ b/internal/egress/linkmodel_test.go
@@ -28,17 +28,17 @@
 	modelStart     = kernel.Instant(time.Minute)
 )
 
-// modelUpload is an upload of a caller, which knows the offset up to which the target
-// has all data. Without progress it retransmits the first missing packet with
-// exponential backoff; on progress it then retransmits the rest of its window.
+// modelUpload is an upload of a caller, which learns how many packets the target has
+// received without a gap. Without progress the caller retransmits the first missing
+// packet with exponential backoff; on progress after that, the rest of its window.
 type modelUpload struct {
 	flow    steer.FlowKey
 	dead    bool
 	packets []modelPacketState
-	// answers is the caller's acknowledgement of answers.
+	// answers is the offset up to which the caller has acknowledged answers.
 	answers uint32
-	// acked is the number of acknowledged packets, and next the first packet never
-	// sent.
+	// acked is the number of acknowledged packets, and next the number of the first
+	// packet that was not sent yet.
 	acked, next int
 	resendAt    kernel.Instant
 	wait        time.Duration
@@ -61,12 +61,14 @@
 	random    *rand.Rand
 	estimator *RateEstimator
 	now       kernel.Instant
-	// link is the rate of the link, and lossShare the fraction lost at random.
+	// link is the rate of the link in bytes per second, and lossShare the fraction of
+	// datagrams lost at random.
 	link      float64
 	lossShare float64
 	// deadShare is the fraction of uploads whose targets are dead.
 	deadShare float64
-	// uploads is the number of concurrent uploads, and pause the time between two.
+	// uploads is the number of concurrent uploads, and pause the mean time from the end
+	// of one to the start of the next.
 	uploads    int
 	pause      time.Duration
 	active     []*modelUpload
@@ -117,8 +119,7 @@
 	return total / float64(steps)
 }
 
-// runUntilReduced advances the simulation until the rate is reduced, from when recovery
-// takes longest.
+// runUntilReduced advances the simulation until the rate is reduced.
 func (m *linkModel) runUntilReduced(t *testing.T) {
 	t.Helper()
 	before := m.estimator.Reductions()
@@ -128,8 +129,8 @@
 	}
 }
 
-// timeUntil returns the simulated time until the rate reaches a fraction of the
-// configured one.
+// timeUntil advances the simulation until the rate reaches a fraction of the configured
+// one, or for limit, and returns the simulated time that this took.
 func (m *linkModel) timeUntil(share float64, limit time.Duration) time.Duration {
 	start := m.now
 	for m.now.Sub(start) < limit && m.estimator.Rate(m.now) < share*modelRate {
@@ -196,7 +197,8 @@
 	}
 }
 
-// sendNew sends what the window allows after progress.
+// sendNew sends the packets that the window allows after progress, and retransmits the
+// missing ones of a window in recovery, all in random order.
 func (m *linkModel) sendNew(u *modelUpload) {
 	u.wait = modelResend
 	u.resendAt = m.now.Add(u.wait)
@@ -221,7 +223,7 @@
 	m.arrive(u, number)
 }
 
-// arrive delivers a packet to the node.
+// arrive delivers a packet to the node, which queues it unless it is queued already.
 func (m *linkModel) arrive(u *modelUpload, number int) {
 	duplicate := false
 	for _, waiting := range m.queue {
--- a/internal/egress/list.go
+++ b/internal/egress/list.go
@@ -3,8 +3,8 @@
 // links holds the neighbours of an element in one list.
 type links[T any] struct{ next, previous *T }
 
-// list is an intrusive doubly linked list, which does not allocate. An element is in a
-// list at most once.
+// list is a doubly linked list whose links are part of the elements, so that it does not
+// allocate. An element is in a list at most once.
 type list[T any] struct {
 	first, last *T
 	// linksOf returns the element's links for this list.
@@ -49,7 +49,7 @@
 	l.pushBack(element)
 }
 
-// pool is a free list.
+// pool keeps unused elements for reuse.
 type pool[T any] struct{ free []*T }
 
 func (p *pool[T]) get() *T {
--- a/internal/egress/load.go
+++ b/internal/egress/load.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// fullRateFraction is the fraction of the configured rate from which on a link
-	// counts as running at its full rate.
+	// fullRateFraction is the fraction of the configured rate below which the estimated
+	// rate counts as reduced.
 	fullRateFraction = 0.8
-	// minRefusalWait is the wait up to which a node refuses no flows: a quarter of the
-	// callers' retransmission timeout of 200 ms.
+	// minRefusalWait is the wait up to which a node refuses no flows for the capacity of
+	// other nodes: a quarter of the callers' retransmission timeout of 200 ms.
 	minRefusalWait = 50 * time.Millisecond
-	// fullRefusalRatio is the ratio of the node's wait to that of other nodes at which
-	// all refusable flows are refused. From a ratio of 1 the fraction grows linearly.
+	// fullRefusalRatio is the ratio of the node's wait to that at other nodes from which
+	// on the refusal fraction is 1. It is 0 up to a ratio of 1 and linear in between.
 	fullRefusalRatio = 3
-	// refusalGain is the fraction of the way to its target value that the refusal
-	// fraction moves in a second. Load reports arrive seconds late, so nodes that
-	// reacted at once would oscillate.
+	// refusalGain is the part of the difference to its target value by which the
+	// refusal fraction changes in a second. Load reports arrive seconds late, so the
+	// load would oscillate if nodes reacted at once.
 	refusalGain = 0.2
 	// maxUtilization caps the utilization in ExpectedWait, which would otherwise
 	// diverge.
@@ -52,8 +52,7 @@
 	// ReasonCapacityElsewhere means that the wait is longer than at other nodes of the
 	// zone.
 	ReasonCapacityElsewhere
-	// ReasonPaced means that the upload starts once those before it have sent their
-	// data.
+	// ReasonPaced means that the upload is held while those before it send their data.
 	ReasonPaced
 	// ReasonLate means that the upload's data would wait for most of its objective.
 	ReasonLate
@@ -87,14 +86,14 @@
 	// Rate and ConfiguredRate are the estimated and the configured rate in bytes per
 	// second; 0 means unlimited.
 	Rate, ConfiguredRate float64
-	// QueuedBytes is the size of the queue, and HeldUploads the number of held
-	// openings.
+	// QueuedBytes is the size of the queue, and HeldUploads the number of uploads whose
+	// opening is held.
 	QueuedBytes float64
 	HeldUploads int
 	// Utilization is that of the busier direction.
 	Utilization float64
-	// RefusalFraction is the fraction of new flows to refuse, as smoothed by the type
-	// of that name.
+	// RefusalFraction is the smoothed fraction of new flows to refuse, the value of a
+	// RefusalFraction.
 	RefusalFraction float64
 	// PeersKnown is set while the waits at other nodes of the zone are known. RetryWait
 	// is the wait that a refused caller can expect to find on a retry.
@@ -110,15 +109,15 @@
 	return time.Duration(bytes / l.Rate * float64(time.Second))
 }
 
-// ExpectedWait returns the mean queueing time of a window of data at the link's
-// utilization, by the formula for random arrivals (M/M/1).
+// ExpectedWait returns the mean queueing time at the link's utilization, by the formula
+// of an M/M/1 queue whose service time is that of a window of data.
 func (l LinkLoad) ExpectedWait() time.Duration {
 	use := min(l.Utilization, maxUtilization)
 	return l.transmitTime(use / (1 - use) * windowBytes)
 }
 
-// refusalReason returns why a flow whose data would wait for the given time should go
-// to another node, or ReasonNone.
+// refusalReason returns why a flow whose data would wait for the given time should be
+// refused, or ReasonNone.
 func (l LinkLoad) refusalReason(flow steer.FlowKey, wait time.Duration) DecisionReason {
 	if !l.PeersKnown {
 		if l.Rate < fullRateFraction*l.ConfiguredRate && wait > pacingWait {
@@ -139,8 +138,8 @@
 // Value returns the fraction.
 func (r *RefusalFraction) Value() float64 { return r.fraction }
 
-// Update moves the fraction towards the value for the current load. It is 0 while the
-// load of other nodes is unknown.
+// Update moves the fraction towards the value for the current load. While the load of
+// other nodes is unknown, it sets the fraction to 0.
 func (r *RefusalFraction) Update(load LinkLoad, elapsed time.Duration) {
 	if !load.PeersKnown {
 		r.fraction = 0
--- a/internal/egress/losses.go
+++ b/internal/egress/losses.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// minLossAge is the age from which data that arrives again counts as lost after it
-	// was sent. Callers retransmit after 200 ms, most of which the packet may have been
-	// queued here. Data that arrives again sooner was reordered in the network.
+	// minLossAge is the time after which sent data counts as lost if it is received
+	// again. It is well below the callers' retransmission timeout of 200 ms, as the
+	// packet may have been queued here for most of that. Data received again sooner was
+	// reordered in the network.
 	minLossAge = 40 * time.Millisecond
-	// dataRecordTimeout is how long data is remembered: the callers' longest retransmission
-	// timeout.
+	// dataRecordTimeout is how long a dataRecord is valid: the callers' longest
+	// retransmission timeout.
 	dataRecordTimeout = 1600 * time.Millisecond
-	// recoveryDelay is the time between a caller's first retransmission and those of
-	// the rest of its window, which follow once the target has acknowledged the first:
-	// a few round trips.
+	// recoveryDelay is the longest time between a caller's first retransmission and
+	// those of the rest of its window: a few round trips. The caller sends them once the
+	// target has acknowledged the first.
 	recoveryDelay = 100 * time.Millisecond
-	// recoveryBurst is the time within which these retransmissions are received. They
-	// are sent at once, but a busy node reads them later.
+	// recoveryBurst is the time within which the retransmissions of the rest of a window
+	// are received. They are sent at once, but a busy node takes time to read them.
 	recoveryBurst = 20 * time.Millisecond
-	// windowDataBytes is a caller's largest window: 16 packets of 1200 bytes. Data
-	// further ahead shows that the target has acknowledged the data before it.
+	// windowDataBytes is a caller's largest window: 16 packets of 1200 bytes. Data that
+	// is further ahead of an offset shows that all before the offset was acknowledged.
 	windowDataBytes = 16 * 1200
-	// dataRecordCount is the number of packets remembered: 1.6 s of a 2 Mbit/s link in
-	// packets of 100 bytes. On faster links packets are overwritten sooner.
+	// dataRecordCount is the size of the table of data records: enough for 1.6 s of a 2
+	// Mbit/s link in packets of 100 bytes. On faster links, records are overwritten
+	// sooner.
 	dataRecordCount = 4096
-	// flowProgressCount is the number of flows tracked, several times those that a small
-	// node carries at once.
+	// flowProgressCount is the size of the table of flows: several times the number
+	// that a small node carries at once.
 	flowProgressCount = 1024
 )
 
@@ -56,8 +58,7 @@
 	size   int
 }
 
-// observer is notified of losses and deliveries that are inferred from the callers'
-// packets.
+// observer is notified of the losses and deliveries that a lossDetector infers.
 type observer struct {
 	lost      func(now kernel.Instant, lost loss)
 	delivered func(now kernel.Instant, bytes int)
@@ -74,24 +75,27 @@
 type flowProgress struct {
 	key          uint64
 	acknowledged uint32
-	// known is set once data of the flow was received. The data received ends at end,
-	// and all before delivered has reached the target.
+	// known is set once data of the flow was received. end is the end of the received
+	// data, and all data before delivered has reached the target.
 	known          bool
 	delivered, end uint32
-	// progressed is set once data was delivered: an earlier offset is then a
-	// retransmission. Until then the first packets may arrive out of order.
+	// progressed is set once data was delivered. Until then, an offset before delivered
+	// is not a retransmission: the first packets may arrive out of order.
 	progressed bool
 	// suspected is a loss that is not yet confirmed by progress of the flow.
-	suspected    loss
+	suspected loss
+	// resentOffset is the offset of the first retransmission, received at resentAt, or
+	// the lowest one of the current burst.
 	resentOffset uint32
 	resentAt     kernel.Instant
 	// recoveryUntil is the end of the current burst of retransmissions.
 	recoveryUntil kernel.Instant
 }
 
-// lossDetector detects datagrams that were lost on the node's own link or beyond it.
-// Callers also retransmit to a dead target, so a loss counts only once the flow makes
-// progress. The tables have a fixed size; overwritten entries are forgotten.
+// lossDetector infers from the callers' packets which datagrams were lost on the node's
+// own link or beyond it, and which were delivered. Callers also retransmit to a dead
+// target, so a loss counts only once the flow makes progress. The tables have a fixed
+// size; on a collision the older entry is overwritten.
 type lossDetector struct {
 	data     []dataRecord
 	flows    []flowProgress
@@ -132,8 +136,8 @@
 	d.recordData(now, flow, packet.Sequence)
 }
 
-// recordData checks whether data was received before, and whether it had been sent by
-// then.
+// recordData records received data. If it was received before, it is a retransmission,
+// and a suspected loss if it had been sent.
 func (d *lossDetector) recordData(now kernel.Instant, flow *flowProgress, offset uint32) {
 	key := dataHash(flow.key, offset)
 	record := &d.data[key%dataRecordCount]
@@ -149,10 +153,10 @@
 	d.recordRetransmission(now, flow, offset, lost)
 }
 
-// updateDelivered updates the range of the flow's data. It returns the offset up to
-// which data is shown to have been delivered, and whether that advanced. A new
-// acknowledgement by the caller confirms all data received so far, or all before the
-// packet if that carries data. Otherwise all but the last window is confirmed.
+// updateDelivered updates the range of the flow's received data. It returns the offset
+// up to which a packet shows that data was delivered, and whether that offset advanced.
+// A new acknowledgement by the caller confirms all data received so far, or all before
+// the packet if that carries data. Otherwise all but the last window is confirmed.
 func (f *flowProgress) updateDelivered(packet ReceivedPacket) (offset uint32, advanced bool) {
 	if packet.Data > 0 {
 		f.extend(packet)
@@ -168,7 +172,7 @@
 	return offset, f.known && int32(offset-f.delivered) > 0
 }
 
-// recordDelivered records the offset up to which data of a flow was delivered.
+// recordDelivered advances the offset up to which data of a flow was delivered.
 func (d *lossDetector) recordDelivered(now kernel.Instant, flow *flowProgress, offset uint32) {
 	bytes := int(int32(offset - flow.delivered))
 	if bytes <= 0 {
@@ -178,7 +182,7 @@
 	d.observer.delivered(now, bytes)
 }
 
-// extend updates the range of the flow's data.
+// extend extends the range of the flow's received data by a packet.
 func (f *flowProgress) extend(packet ReceivedPacket) {
 	end := packet.Sequence + uint32(packet.Data)
 	if !f.known {
@@ -193,11 +197,11 @@
 	}
 }
 
-// recordRetransmission processes data that was received again, with its loss if it had
-// been sent. The first retransmission is of the first missing packet, and the target
-// may be dead. Once the target has acknowledged it, the caller retransmits the rest of
-// its window, including data that has arrived; of that burst only the lowest offset is
-// certainly missing.
+// recordRetransmission processes data that was received again; lost is zero if it had
+// not been sent. A caller first retransmits only the first missing packet, perhaps to a
+// dead target. Once the target has acknowledged it, the caller retransmits the rest of
+// its window in a burst, including data that has arrived. Of that burst, only the lowest
+// offset is certain to be lost.
 func (d *lossDetector) recordRetransmission(now kernel.Instant, flow *flowProgress, offset uint32, lost loss) {
 	switch {
 	case now.Before(flow.recoveryUntil):
@@ -216,8 +220,8 @@
 	}
 }
 
-// confirmLoss reports the suspected loss of a flow that has made progress, once no
-// retransmission of a lower offset can follow.
+// confirmLoss reports the suspected loss of a flow that has made progress, unless a
+// retransmission of a lower offset may still follow in the current burst.
 func (d *lossDetector) confirmLoss(now kernel.Instant, flow *flowProgress) {
 	if flow.suspected.size == 0 || now.Before(flow.recoveryUntil) {
 		return
--- a/internal/egress/oracle_test.go
+++ b/internal/egress/oracle_test.go
@@ -11,7 +11,8 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// oracle checks each step of a scheduler against a plain list of the queued items.
+// oracle checks each step of a scheduler against a list of the queued items in order of
+// arrival.
 type oracle struct {
 	*rapid.T
 	scheduler *Scheduler
@@ -21,7 +22,7 @@
 	offered, sentNow, sent, dropped, full, duplicate int
 }
 
-// maxQueued is the queue limit, small enough to be reached.
+// maxQueued is the queue limit in packets, small enough to be reached.
 const maxQueued = 12
 
 func newOracle(t *rapid.T) *oracle {
@@ -146,8 +147,8 @@
 
 func (i *Item) hasExpired(now kernel.Instant) bool { return i.ExpiresAt > 0 && now >= i.ExpiresAt }
 
-// checkOrder checks the order within the flow, and that no more urgent or control item
-// was overtaken, except by the oldest item when overdue.
+// checkOrder checks that the item overtook no data of its flow and, unless it is the
+// oldest and overdue, no control item and no more urgent data.
 func (o *oracle) checkOrder(item Item, position int) {
 	for _, other := range o.queued[:position] {
 		if other.Flow == item.Flow && other.Kind == KindData && item.Kind == KindData {
@@ -177,7 +178,7 @@
 	o.now = o.now.Add(time.Duration(rapid.IntRange(0, 30_000).Draw(o.T, "microseconds")) * time.Microsecond)
 }
 
-// sendAll sends items whenever the scheduler allows it.
+// sendAll sends items, each after the wait that the scheduler asks for.
 func (o *oracle) sendAll(*rapid.T) {
 	for range maxQueued {
 		wait, waits := o.scheduler.TimeUntilNext(o.now)
@@ -241,7 +242,7 @@
 	})
 }
 
-// Under random traffic no packet waits longer than the bound given at overdueDivisor.
+// No packet of random traffic may wait longer than the bound at overdueDivisor.
 func TestRandomTrafficIsNotStarved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newOracle(t)
--- a/internal/egress/order.go
+++ b/internal/egress/order.go
@@ -2,8 +2,8 @@
 
 import "github.com/beamdoor/beamdoor/internal/kernel"
 
-// nextPacket returns the packet to send next, or nil if the queue is empty. Overdue
-// packets are sent first as long as there is credit for them.
+// nextPacket returns the packet to send next, or nil if the queue is empty. The oldest
+// packet is sent first if it is overdue and the overdue credit covers it.
 func (s *Scheduler) nextPacket(now kernel.Instant) (next *packet, overdue bool) {
 	if oldest := s.byAge.first; oldest != nil && now.Sub(oldest.OfferedAt) > overdueAfter && s.overdueCredit >= min(oldest.Size, maxOverdueCredit) {
 		return oldest, true
@@ -31,8 +31,8 @@
 	}
 }
 
-// updateOverdueCredit charges overdue packets to the credit, which grows with all other
-// traffic.
+// updateOverdueCredit subtracts the bytes of an overdue packet from the overdue credit,
+// which grows with all other traffic.
 func (s *Scheduler) updateOverdueCredit(bytes int, overdue bool) {
 	if overdue {
 		s.overdueCredit -= bytes
--- a/internal/egress/order_test.go
+++ b/internal/egress/order_test.go
@@ -88,7 +88,8 @@
 	assert.InDelta(t, packets*fullSize, bytes[flowKey(1, 0).Caller.Addr()], quantum)
 }
 
-// A caller with many uploads must not delay the only upload of another by all of them.
+// A caller with many uploads must not delay the single upload of another caller by the
+// time that all of them take.
 func TestManyBulkFlowsDoNotStarveOtherCallers(t *testing.T) {
 	const packets = 40
 	f := newFixture(t)
@@ -145,7 +146,7 @@
 	})
 }
 
-// Under constant urgent traffic, overdue packets get 1/overdueDivisor of the link.
+// Overdue packets must get 1/overdueDivisor of the link under constant urgent traffic.
 func TestOverdueDataIsNotStarvedByUrgentData(t *testing.T) {
 	f := newFixture(t)
 	overduePackets := 4
@@ -175,7 +176,7 @@
 	assert.LessOrEqual(t, f.now.Sub(startedAt), bound)
 }
 
-// A datagram with a header of the target may exceed maxOverdueCredit.
+// A datagram larger than maxOverdueCredit must not wait forever.
 func TestLargestDatagramIsNotStarved(t *testing.T) {
 	f := newFixture(t)
 	large := bulk(flowKey(1, 1), 0)
--- a/internal/egress/queue.go
+++ b/internal/egress/queue.go
@@ -21,8 +21,8 @@
 	s.reclassify(f, item.Size)
 }
 
-// hasPriority reports whether a packet belongs in the control queue. A closing packet
-// stays behind the data of its flow.
+// hasPriority reports whether a packet of the kind belongs in the control queue. A
+// closing packet is queued behind the data of its flow, if there is any.
 func hasPriority(f *flow, kind ItemKind) bool {
 	return kind != KindData && (kind != KindClosing || f.packets.isEmpty())
 }
--- a/internal/egress/rate.go
+++ b/internal/egress/rate.go
@@ -7,44 +7,43 @@
 )
 
 const (
-	// lossWindow is the time over which losses are evaluated: a caller's window takes
-	// that long at half a Mbit/s.
+	// lossWindow is the time over which losses are evaluated: the transmission time of a
+	// caller's window at half a Mbit/s.
 	lossWindow = 400 * time.Millisecond
 	// evaluationDelay is the time from the first loss to the evaluation. Callers
 	// retransmit all missing data within a few milliseconds.
 	evaluationDelay = 25 * time.Millisecond
 	// maturityAge is the age at which all losses of a slot have been detected.
 	maturityAge = 500 * time.Millisecond
-	// busyFraction is the fraction of the rate above which traffic is a valid test of
-	// it.
+	// busyFraction is the fraction of the rate from which on traffic is enough to test
+	// the rate.
 	busyFraction = 0.5
-	// idleWeight is the weight of time with too little traffic to test the rate. It
-	// lets a reduced rate recover without traffic.
+	// idleWeight is the weight in lossFreeTime of time with too little traffic to test
+	// the rate. It lets a reduced rate recover without traffic.
 	idleWeight = 0.3
-	// backgroundBytes is the number of bytes over which the background loss is
-	// averaged: about a second at half a Mbit/s.
+	// backgroundBytes is the number of bytes over which the background loss is averaged:
+	// those of about a second at half a Mbit/s.
 	backgroundBytes = 64 * 1024
-	// maxBackground caps the background loss. A higher loss is unusable in any case and
-	// would mask congestion.
+	// maxBackground caps the background loss. A link with a higher one is unusable in
+	// any case, and a higher value would hide congestion.
 	maxBackground = 0.3
-	// writeErrorSize is the size counted for a datagram that the system rejected with
-	// its send queue full: a full datagram.
+	// writeErrorSize is the size counted for a datagram that the system rejected because
+	// its send queue was full: that of a full datagram.
 	writeErrorSize = 1240
 	// ingressWindow is the time over which the load of the incoming link is measured.
-	// It is longer than the callers' initial retransmission timeout of 200 ms.
-	// ingressBusyFraction is the fraction of the configured rate from which on the
-	// incoming link counts as busy.
+	// It is longer than the callers' initial retransmission timeout of 200 ms. The link
+	// counts as busy from ingressBusyFraction of the configured rate.
 	ingressWindow       = 250 * time.Millisecond
 	ingressBusyFraction = 0.7
-	// minRate is the lowest rate in bytes per second. It carries a caller's window of
-	// 16 packets within the longest retransmission timeout of 1.6 s, so that no caller
-	// gives up for the rate alone.
+	// minRate is the lowest estimated rate in bytes per second. It carries a caller's
+	// window of 16 packets within the longest retransmission timeout of 1.6 s, so that
+	// no caller gives up only because the rate was lowered.
 	minRate = 16 * writeErrorSize / 1.6
 )
 
-// maxEstimatedRate is the rate in bytes per second above which no rate is estimated:
-// sent data would be overwritten in the loss table within 250 ms, before callers
-// retransmit it.
+// maxEstimatedRate is the configured rate in bytes per second above which no rate is
+// estimated: the records of sent data would be overwritten within 250 ms, before callers
+// retransmit the data.
 const maxEstimatedRate = dataRecordCount * writeErrorSize / 0.25
 
 // RateOption configures a RateEstimator.
@@ -67,13 +66,13 @@
 	detector lossDetector
 	slots    [slotCount]rateSlot
 	// newestSlot is the number of the current slot, and maturedSlot that of the newest
-	// one whose losses have been detected.
+	// slot that learnBackground has processed.
 	newestSlot, maturedSlot int64
-	// reducedRate is the rate after the last reduction, at reducedAt; 0 if there was
+	// reducedRate is the rate set by the last reduction, at reducedAt; 0 if there was
 	// none.
 	reducedRate float64
 	reducedAt   kernel.Instant
-	// lossFreeTime is the weighted time since then without excessive loss.
+	// lossFreeTime is the weighted time since reducedAt without excessive loss.
 	lossFreeTime time.Duration
 	// lastLostSentAt is when the most recently sent of the lost packets was sent.
 	lastLostSentAt kernel.Instant
@@ -85,8 +84,8 @@
 }
 
 // NewRateEstimator returns an estimator for a link with a configured rate in bytes per
-// second. A rate of 0 means unlimited. A rate of 0 or above maxEstimatedRate is
-// returned unchanged.
+// second; 0 means unlimited. If the configured rate is 0 or above maxEstimatedRate, no
+// rate is estimated and Rate returns the configured one.
 func NewRateEstimator(configured float64, opts ...RateOption) *RateEstimator {
 	r := &RateEstimator{configured: configured, disabled: configured <= 0 || configured > maxEstimatedRate, policy: DeliveredRate()}
 	r.detector = newLossDetector(observer{lost: r.recordLoss, delivered: r.recordDelivered})
@@ -150,8 +149,8 @@
 	r.slotAt(now).received += bytes
 }
 
-// isIngressBusy reports whether the incoming link was recently busy. Data queued in
-// front of it is not visible here, and callers retransmit it although nothing was lost.
+// isIngressBusy reports whether the incoming link was recently busy. Callers then
+// retransmit data that still waits in front of that link, although nothing was lost.
 func (r *RateEstimator) isIngressBusy() bool {
 	received := 0
 	first := max(r.newestSlot-int64(ingressWindow/slotTime), 0)
@@ -216,7 +215,8 @@
 	}
 }
 
-// beginSlots starts the slots up to a number.
+// beginSlots starts the slots up to the given number. Time for which there are no slots
+// counts as idle.
 func (r *RateEstimator) beginSlots(number int64) {
 	if passed := number - r.newestSlot - slotCount; passed > 0 {
 		r.lossFreeTime += time.Duration(idleWeight * float64(passed) * float64(slotTime))
@@ -228,8 +228,8 @@
 	r.newestSlot = number
 }
 
-// countLossFreeTime adds the time of a finished slot to lossFreeTime, unless recent
-// losses were excessive.
+// countLossFreeTime adds the weighted time of a finished slot to lossFreeTime, unless
+// recent losses were excessive or there was an outage.
 func (r *RateEstimator) countLossFreeTime(slot *rateSlot) {
 	recent := r.recentTotals()
 	if recent.lossFraction() > toleratedLoss+r.backgroundLoss || recent.sent >= minOutageBytes/2 && recent.isOutage() {
@@ -242,7 +242,8 @@
 	r.lossFreeTime += time.Duration(weight * float64(slotTime))
 }
 
-// evaluate lowers the rate if recent losses were excessive.
+// evaluate lowers the rate if recent losses were excessive. The reduction starts from
+// the rate at which the most recently sent of the lost packets was sent.
 func (r *RateEstimator) evaluate(now kernel.Instant) {
 	totals := r.recentTotals()
 	if !totals.isExcessive(r.backgroundLoss) {
@@ -259,7 +260,7 @@
 	r.reductions++
 }
 
-// recentTotals sums up the slots of the loss window since the last reduction.
+// recentTotals sums up the slots of the loss window, but none before the last reduction.
 func (r *RateEstimator) recentTotals() rateSlot {
 	var totals rateSlot
 	first := max(r.newestSlot-int64(lossWindow/slotTime), slotNumber(r.reducedAt), 0)
--- a/internal/egress/rate_test.go
+++ b/internal/egress/rate_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// lossOnNarrowLink returns the mean loss from one second after the link became slower.
+// lossOnNarrowLink returns the mean loss on a link that became slower, not counting the
+// first second after that.
 func lossOnNarrowLink(load modelLoad, link float64, policy RatePolicy) float64 {
 	total := 0.0
 	for seed := range uint64(modelSeeds) {
@@ -78,8 +79,8 @@
 	}
 }
 
-// Recovery is slowest just after a reduction, because earlier losses are still being
-// detected.
+// Recovery takes longest after a recent reduction, because losses from before are still
+// being detected.
 func TestRateRecoversAfterRecentReduction(t *testing.T) {
 	for _, link := range []float64{modelRate / 2, modelRate / 4} {
 		var total time.Duration
@@ -200,10 +201,10 @@
 	return (&linkModel{}).flowOf(port)
 }
 
-// Arbitrary input in any order must keep the rate within its bounds.
+// The rate must stay within its bounds for arbitrary input in any order.
 func TestRateStaysInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		configured := rapid.Float64Range(1, 1e9).Draw(t, "stated")
+		configured := rapid.Float64Range(1, 1e9).Draw(t, "configured")
 		policies := []RatePolicy{AdditiveIncrease(), DeliveredRate()}
 		r := NewRateEstimator(configured, WithPolicy(rapid.SampledFrom(policies).Draw(t, "policy")))
 		now := modelStart
--- a/internal/egress/ratepolicy.go
+++ b/internal/egress/ratepolicy.go
@@ -11,33 +11,35 @@
 	additiveIncreaseFraction = 0.5
 
 	// deliveredMaxFactor is the largest factor of one reduction. Only the first loss of
-	// each caller is certain, so the loss is mostly underestimated.
+	// each caller is certain, so the measured loss is usually too low.
 	deliveredMaxFactor = 0.7
-	// deliveredMinFactor is the smallest factor of one reduction. The fate of the
-	// window in flight is not fully known, and the next evaluation follows soon. The
-	// first reduction always uses it, because far above the link's rate most signs of
-	// loss are lost as well.
+	// deliveredMinFactor is the smallest factor of one reduction. It is not yet known
+	// how much of the window in flight is lost, and the next evaluation follows soon. A
+	// reduction from the configured rate always uses it, because far above the link's
+	// rate most of the retransmissions that would show losses are lost as well.
 	deliveredMinFactor = 0.5
 	// deliveredHoldTime is how long a reduced rate is kept before it is raised. Probes
-	// above the link's rate cost losses, so it is as long as a recovery within 2 s
-	// permits.
+	// above the link's rate cause losses, so it is as long as possible with a recovery
+	// within 2 s.
 	deliveredHoldTime = 750 * time.Millisecond
-	// probeInterval is the time between two increases: a link's queue has to fill
-	// first, and callers retransmit after 200 ms.
+	// probeInterval is the time between two increases. Before losses show, the link's
+	// queue has to fill and callers retransmit after 200 ms.
 	probeInterval = 425 * time.Millisecond
-	// firstProbeFactor is the first increase, enough to fill the link's queue within
-	// probeInterval so that losses show.
+	// firstProbeFactor is the factor of the first increase. It is large enough to fill
+	// the link's queue within probeInterval, so that losses show.
 	firstProbeFactor = 1.5
-	// nextProbeFactor is the further increases, which follow on successful ones.
+	// nextProbeFactor is the factor of further increases, which follow if the previous
+	// one caused no excessive loss.
 	nextProbeFactor = 2.5
 )
 
 // RatePolicy determines how the rate follows losses.
 type RatePolicy struct {
-	// Decrease returns the rate after an excessive share of the data sent at rate was
-	// lost.
+	// Decrease returns the rate to use after the excessive fraction lost of the data
+	// sent at rate was lost.
 	Decrease func(rate, configured, lost float64) float64
-	// Increase returns the rate after the given time without excessive loss.
+	// Increase returns the rate to use when the time since the reduction without
+	// excessive loss is since.
 	Increase func(reduced, configured float64, since time.Duration) float64
 }
 
--- a/internal/egress/ratesigns.go
+++ b/internal/egress/ratesigns.go
@@ -2,9 +2,9 @@
 
 import "github.com/beamdoor/beamdoor/internal/kernel"
 
-// detectOutage lowers the rate when almost nothing of a large amount sent was
-// delivered. In that case the retransmissions that would show the losses are lost as
-// well.
+// detectOutage lowers the rate if much data was sent and almost none of it delivered.
+// Losses are not detected then, because the retransmissions that would show them are
+// lost as well.
 func (r *RateEstimator) detectOutage(now kernel.Instant) {
 	cutoff := slotNumber(now.Add(-outageDelay))
 	first := max(slotNumber(now.Add(-outageDelay-outageWindow)), slotNumber(r.reducedAt)+1, 0)
@@ -22,8 +22,9 @@
 	r.reduce(now, r.slots[first%slotCount].rate, 1-float64(before.delivered)/float64(before.sent))
 }
 
-// learnBackground updates the background loss from the slots up to last. It uses those
-// sent at the configured rate or at most at the reduced one.
+// learnBackground updates the background loss from the slots up to last whose losses
+// have been detected. It ignores slots from before the last reduction, and those of
+// probes: their rate is above the reduced one and below the configured one.
 func (r *RateEstimator) learnBackground(last int64) {
 	for number := max(r.maturedSlot+1, r.newestSlot-slotCount+1, 0); number <= min(last, r.newestSlot); number++ {
 		r.learnFromSlot(number)
--- a/internal/egress/records.go
+++ b/internal/egress/records.go
@@ -7,8 +7,8 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// recordOffered records bytes offered for a flow. After flowIdleTimeout they start a
-// new request.
+// recordOffered records bytes offered for a flow. They start a new request if the flow
+// was idle for flowIdleTimeout.
 func (s *Scheduler) recordOffered(now kernel.Instant, f *flow, bytes int) {
 	if now.Sub(f.lastActive) >= flowIdleTimeout && !f.hasQueued() {
 		f.reset(now)
@@ -21,9 +21,9 @@
 	s.byActivity.moveBack(f)
 }
 
-// markBulk marks a flow as bulk and sets its deadline. Each other bulk flow of the
-// caller delays it by the transmission time of a window, so that callers with many
-// flows do not crowd out those with few.
+// markBulk marks a flow as bulk and sets its deadline: its objective, plus the
+// transmission time of a window for each other bulk flow of the caller, so that callers
+// with many flows do not crowd out those with few.
 func (s *Scheduler) markBulk(f *flow) {
 	f.bulk = true
 	f.deadline = f.startedAt.Add(f.objectiveOrDefault())
@@ -53,7 +53,8 @@
 	return f
 }
 
-// callerRecord returns the record of a caller for one more flow.
+// callerRecord returns the record of a caller, which it creates if needed, and counts
+// one more flow in it.
 func (s *Scheduler) callerRecord(address netip.Addr) *caller {
 	record, known := s.callers[address]
 	if !known {
@@ -64,8 +65,9 @@
 	return record
 }
 
-// evictOldest makes room for a flow record. There are flowsPerPacket records per packet
-// in the queue, so most flows are idle.
+// evictOldest makes room for a flow record by removing the least recently active flow
+// without queued packets. There is always one, because maxFlows is flowsPerPacket times
+// the largest number of queued packets.
 func (s *Scheduler) evictOldest() {
 	if len(s.flows) < s.settings.maxFlows() {
 		return
--- a/internal/egress/room.go
+++ b/internal/egress/room.go
@@ -6,7 +6,8 @@
 	s.OnDrop(&item, reason)
 }
 
-// cancelFlow drops a flow's queued data and its opening packet.
+// cancelFlow drops a flow's queued data and its opening packet, but no other packets in
+// the control queue.
 func (s *Scheduler) cancelFlow(f *flow, reason DropReason) {
 	for !f.packets.isEmpty() {
 		s.drop(f.packets.first, reason)
@@ -16,9 +17,8 @@
 	}
 }
 
-// makeRoom drops packets that rank behind the item until it fits. It returns false if
-// the item itself ranks last, or if the control queue has reached its share of the
-// packets.
+// makeRoom drops packets that rank behind the item until the item fits. It returns false
+// if the item itself ranks last, or if it belongs in the control queue and that is full.
 func (s *Scheduler) makeRoom(f *flow, item *Item) bool {
 	priority := hasPriority(f, item.Kind)
 	if priority && s.controlCount >= s.settings.maxPackets/controlDivisor {
@@ -37,9 +37,9 @@
 	return true
 }
 
-// ranksBehind reports whether a further packet of the flow ranks behind those of
-// another flow, which is in the last class: it is in a later class, has no earlier
-// deadline, or its caller has no less data queued.
+// ranksBehind reports whether a further packet of the flow would rank behind those of
+// other, a flow of the last class. In the same class, packets rank by deadline, or in
+// levelSmall by the bytes that their callers have queued; on a tie it ranks behind.
 func (f *flow) ranksBehind(other *flow) bool {
 	class := f.classAt(f.lastActive)
 	if class != other.class {
--- a/internal/egress/scheduler.go
+++ b/internal/egress/scheduler.go
@@ -16,8 +16,8 @@
 type Scheduler struct {
 	// Rate returns the rate of the link in bytes per second; 0 means unlimited.
 	Rate func(now kernel.Instant) float64
-	// OnDrop is called for each queued item that is dropped, and takes back its
-	// payload.
+	// OnDrop is called for each queued item that is dropped, and becomes the owner of
+	// its payload.
 	OnDrop func(item *Item, reason DropReason)
 
 	settings settings
@@ -36,7 +36,7 @@
 	flowPool   pool[flow]
 	length     int
 	bytes      int
-	// overdueCredit is the number of bytes that overdue packets may send.
+	// overdueCredit is the number of bytes of overdue packets that may be sent.
 	overdueCredit int
 }
 
@@ -77,8 +77,8 @@
 	return now.Sub(s.byAge.first.OfferedAt)
 }
 
-// Allow reports whether an item can be sent at once: the queue is empty and the link
-// has capacity, which is then consumed.
+// Allow reports whether an item can be sent at once, because the queue is empty and the
+// link has capacity. If so, it counts the item as sent.
 func (s *Scheduler) Allow(now kernel.Instant, key steer.FlowKey, size int) bool {
 	s.bucket.refill(now, s.Rate(now))
 	if s.length > 0 || !s.bucket.has(size) {
@@ -94,7 +94,8 @@
 	return true
 }
 
-// Offer sends or queues an item. Once queued, its payload belongs to the scheduler.
+// Offer queues an item, unless it can be sent at once, its data is queued already or the
+// queue has no room. The scheduler owns the payload of a queued item.
 func (s *Scheduler) Offer(now kernel.Instant, item *Item) Outcome {
 	if s.Allow(now, item.Flow, item.Size) {
 		return OutcomeSendNow
@@ -142,7 +143,7 @@
 	}
 }
 
-// TimeUntilNext returns the time until an item can be sent; false if the queue is
+// TimeUntilNext returns the time until Next should be called; false if the queue is
 // empty. Bulk data waits until several packets can be sent at once.
 func (s *Scheduler) TimeUntilNext(now kernel.Instant) (time.Duration, bool) {
 	next, _ := s.nextPacket(now)
@@ -163,15 +164,16 @@
 	return known && f.opening != nil
 }
 
-// CancelFlow drops the queued packets of a flow whose target was lost or has ended.
+// CancelFlow drops the queued data and the opening packet of a flow whose target was
+// lost or which has ended.
 func (s *Scheduler) CancelFlow(key steer.FlowKey) {
 	if f, known := s.flows[key]; known {
 		s.cancelFlow(f, DropTargetLost)
 	}
 }
 
-// Tick drops expired items and removes idle flows. It is called several times per
-// second.
+// Tick drops expired items at the front of their flows and removes idle flows. It must
+// be called several times per second.
 func (s *Scheduler) Tick(now kernel.Instant) {
 	for f := s.byActivity.first; f != nil; {
 		next := f.activityLinks.next
--- a/internal/egress/scheduler_test.go
+++ b/internal/egress/scheduler_test.go
@@ -23,7 +23,7 @@
 	smallSize = 68
 )
 
-// narrow is the link of a small machine.
+// narrow is the slow link of a small machine.
 var narrow = Link{Mbps: 2}
 
 var virtual = netip.MustParseAddrPort("198.18.0.1:8443")
@@ -74,7 +74,7 @@
 	}
 }
 
-// drain sends for the given time with an exact timer.
+// drain sends items for the given time, each exactly when TimeUntilNext says.
 func (f *fixture) drain(span time.Duration) []Item {
 	var sent []Item
 	end := f.now.Add(span)
@@ -156,7 +156,7 @@
 	assert.Zero(t, f.Len(), "a rate of 0 is unlimited")
 }
 
-// A late timer finds tokens for several packets, but no more than the burst.
+// After a late timer, several packets must be sent at once, but no more than the burst.
 func TestLateWakeUpSendsBurst(t *testing.T) {
 	f := newFixture(t)
 	for number := range 16 {
--- a/internal/egress/turns.go
+++ b/internal/egress/turns.go
@@ -4,10 +4,10 @@
 
 const (
 	// quantum is the number of bytes that a caller may send per round: a full buffer
-	// with its headers.
+	// and the headers of a datagram.
 	quantum = bufferBytes + HeaderBytes
-	// maxScan bounds the callers or flows examined to find a packet to drop when the
-	// queue is full.
+	// maxScan is the largest number of callers or flows examined to find a packet to
+	// drop when the queue is full.
 	maxScan = 16
 )
 
@@ -27,7 +27,7 @@
 	caller *caller
 	class  int
 	flows  list[flow]
-	// queuedBytes is the queued size of its flows.
+	// queuedBytes is the number of queued bytes of its flows.
 	queuedBytes int
 	// deficit is the number of bytes that the caller may still send in this round.
 	deficit   int
@@ -37,7 +37,7 @@
 func callerRingLinksOf(q *callerQueue) *links[callerQueue] { return &q.ringLinks }
 
 // roundRobin schedules callers by deficit round robin, and the flows of a caller in
-// turn.
+// turn, one packet each.
 type roundRobin struct{ callers list[callerQueue] }
 
 func (r *roundRobin) isEmpty() bool { return r.callers.isEmpty() }
@@ -82,8 +82,8 @@
 	}
 }
 
-// last returns, from the first maxScan callers, the newest flow of the one with the
-// most queued bytes.
+// last returns the last flow in the queue of the caller with the most queued bytes,
+// among the first maxScan callers.
 func (r *roundRobin) last() *flow {
 	found := r.callers.first
 	scanned := 0
--- a/internal/egress/usage.go
+++ b/internal/egress/usage.go
@@ -11,14 +11,15 @@
 // traffic counts the bytes in both directions of a link.
 type traffic struct{ in, out int }
 
-// LinkUsage measures the utilization of a link. Both directions have the same rate, and
-// the incoming one cannot be scheduled, so the busier of both counts.
+// LinkUsage measures the utilization of a link in both directions, which have the same
+// rate. It uses a sliding window of slots.
 type LinkUsage struct {
 	slots   [usageSlots]traffic
 	current int
 	// filled is the number of finished slots, at most usageSlots.
 	filled int
-	sum    traffic
+	// sum is the traffic of the finished slots in the window.
+	sum traffic
 }
 
 // RecordReceived records the size of a received datagram, including all headers.
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -1,6 +1,6 @@
-// Package room shares the load of the nodes' links: each node reports its own, members
-// summarize the reports by zone, and each node keeps a view of its zone. Nothing is
-// replicated. Each report replaces the previous one and expires.
+// Package room shares the load of the nodes' links. Each node reports the load of its
+// own link, members summarize the reports by zone, and each node keeps a view of its
+// zone. Nothing is replicated. Each report replaces the previous one and expires.
 package room
 
 import (
@@ -15,12 +15,13 @@
 	ReportInterval = time.Second
 	// RepeatInterval is the time after which an unchanged report is sent again.
 	RepeatInterval = 2 * time.Second
-	// ReportLifetime is how long a report is valid: two lost reports have no effect.
+	// ReportLifetime is how long a report is valid. It is longer than two repeat
+	// intervals, so a single lost report has no effect.
 	ReportLifetime = 5 * time.Second
 )
 
 const (
-	// WaitSteps is the number of steps in which waits are reported.
+	// WaitSteps is the number of steps into which reported waits are rounded up.
 	WaitSteps = 12
 	// minWait is the wait of the first step; each further step doubles it.
 	minWait = time.Millisecond
@@ -35,14 +36,15 @@
 	return step
 }
 
-// StepToWait returns the longest wait of a step.
+// StepToWait returns the longest wait of a step. The last step also stands for longer
+// waits.
 func StepToWait(step uint8) time.Duration { return minWait << min(step, WaitSteps-1) }
 
 // LinkReport is the load of a node's link.
 type LinkReport struct {
 	// Rate is in bytes per second; 0 means not configured.
 	Rate uint32
-	// InPercent and OutPercent are the utilization of both directions.
+	// InPercent and OutPercent are the utilization of the link's two directions.
 	InPercent, OutPercent uint8
 	// WaitStep is the step of the wait that a new flow can expect.
 	WaitStep uint8
@@ -94,7 +96,7 @@
 	}
 }
 
-// messageKind is the kind of a message.
+// messageKind distinguishes the encoded messages.
 type messageKind uint8
 
 const (
@@ -103,13 +105,13 @@
 	kindFleet
 )
 
-// Message is the payload of a frame: a node's report, a member's summaries or the
-// fleet's.
+// Message is the payload of a frame: the report of a node, the summaries of a member or
+// the summaries of the fleet.
 type Message struct {
-	// Report is the report of a node.
+	// Report is the report of a node; nil if the message contains summaries.
 	Report *LinkReport
-	// Member is the address of the member that made the summaries, or "" for those of
-	// the fleet.
+	// Member is the address of the member that made the summaries; "" if they are those
+	// of the fleet.
 	Member string
 	// Term is the term of the leader that summarized the fleet.
 	Term  uint64
@@ -135,7 +137,7 @@
 	return wire.Frame{Kind: wire.FrameRoom, Payload: encoder.Buffer}
 }
 
-// Decode decodes the payload of a frame. An unknown form yields an empty message.
+// Decode decodes the payload of a frame. An unknown kind yields an empty message.
 func Decode(payload []byte) (Message, error) {
 	decoder := wire.NewDecoder(payload)
 	var message Message
--- a/internal/room/room_test.go
+++ b/internal/room/room_test.go
@@ -17,7 +17,7 @@
 func drawReport(t *rapid.T) LinkReport {
 	return LinkReport{
 		Rate: rapid.Uint32().Draw(t, "rate"), InPercent: rapid.Uint8().Draw(t, "in"), OutPercent: rapid.Uint8().Draw(t, "out"),
-		WaitStep: rapid.Uint8().Draw(t, "wait"), Refusing: rapid.Bool().Draw(t, "refuses"),
+		WaitStep: rapid.Uint8().Draw(t, "wait"), Refusing: rapid.Bool().Draw(t, "refusing"),
 	}
 }
 
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestDecodeRejectsMalformedAndIgnoresUnknownForms(t *testing.T) {
+func TestDecodeRejectsMalformedAndIgnoresUnknownKinds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		payload := rapid.SliceOf(rapid.Byte()).Draw(t, "payload")
 		message, err := Decode(payload)
@@ -69,7 +69,7 @@
 	assert.Equal(t, uint8(WaitSteps-1), WaitToStep(time.Hour))
 }
 
-// Lost, late or duplicate reports: only the latest counts, until it expires.
+// Of a node's reports only the latest counts, until it expires.
 func TestNewestReportCountsUntilItExpires(t *testing.T) {
 	table := NewTable[int]()
 	table.RecordReport(start, 1, "north", LinkReport{Rate: 100, InPercent: 90})
@@ -106,7 +106,7 @@
 	assert.False(t, view.IsCurrent(start))
 }
 
-// A false report changes the retry wait only if the zone has few nodes.
+// In a zone with enough nodes, one false report must not change the retry wait.
 func TestOneFalseReportDoesNotChangeRetryWait(t *testing.T) {
 	reports := make([]LinkReport, 2*retryNodeDivisor)
 	for number := range reports {
--- a/internal/room/table.go
+++ b/internal/room/table.go
@@ -14,8 +14,8 @@
 	at    kernel.Instant
 }
 
-// Table keeps the latest reports of nodes, or the latest summaries of members, and sums
-// them up by zone.
+// Table keeps the latest report of each node, or the latest summaries of each member,
+// and sums them up by zone.
 type Table[K comparable] struct {
 	entries map[K]entry
 }
@@ -23,22 +23,22 @@
 // NewTable returns an empty table.
 func NewTable[K comparable]() Table[K] { return Table[K]{entries: map[K]entry{}} }
 
-// RecordReport records the report of a node.
+// RecordReport replaces the report of a node.
 func (t *Table[K]) RecordReport(now kernel.Instant, from K, zone string, report LinkReport) {
 	sum := ZoneSummary{Zone: zone}
 	sum.addReport(report)
 	t.RecordSummaries(now, from, []ZoneSummary{sum})
 }
 
-// RecordSummaries records the summaries of a member.
+// RecordSummaries replaces the summaries of a member.
 func (t *Table[K]) RecordSummaries(now kernel.Instant, from K, zones []ZoneSummary) {
 	t.entries[from] = entry{zones: zones, at: now}
 }
 
-// Remove removes the entry of a sender.
+// Remove removes what a node or member has reported.
 func (t *Table[K]) Remove(from K) { delete(t.entries, from) }
 
-// Summaries returns the summaries of all entries that have not expired, sorted by zone.
+// Summaries removes expired entries and returns the sums of the others, sorted by zone.
 func (t *Table[K]) Summaries(now kernel.Instant) []ZoneSummary {
 	sums := map[string]*ZoneSummary{}
 	for from, latest := range t.entries {
--- a/internal/room/view.go
+++ b/internal/room/view.go
@@ -6,9 +6,9 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// retryNodeDivisor is the inverse of the share of nodes with the shortest waits that
-// determine RetryWait. With two retries, a refused caller reaches one of them with a
-// probability of about one in four.
+// retryNodeDivisor is the inverse of the fraction of nodes that RetryWait considers. A
+// refused caller that retries twice reaches one of these nodes with a probability of
+// about one in four.
 const retryNodeDivisor = 8
 
 // ZoneView is a node's view of the load in its zone.
@@ -19,8 +19,8 @@
 	valid     bool
 }
 
-// Update takes the summary of the node's zone from the fleet's summaries. Summaries
-// from an older term are ignored while the view is current.
+// Update replaces the view with the summary of the node's zone from a message with the
+// fleet's summaries. A message of an older term is ignored while the view is current.
 func (v *ZoneView) Update(now kernel.Instant, zone string, message Message) {
 	if v.IsCurrent(now) && message.Term < v.term {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// IsCurrent reports whether the view has not expired and includes other nodes.
+// IsCurrent reports whether the view is still valid and includes other nodes.
 func (v *ZoneView) IsCurrent(now kernel.Instant) bool {
 	return v.valid && now.Sub(v.updatedAt) < ReportLifetime && v.summary.Nodes() > 1
 }
@@ -40,8 +40,8 @@
 // Summary returns the latest summary of the zone.
 func (v *ZoneView) Summary() ZoneSummary { return v.summary }
 
-// RetryWait returns the longest wait among the eighth of the nodes with the shortest
-// waits, at least one node.
+// RetryWait returns the wait that a refused caller can expect on a retry: the longest
+// wait among the eighth of the nodes (at least one) with the shortest waits.
 func (v *ZoneView) RetryWait() time.Duration {
 	needed := max(1, v.summary.Nodes()/retryNodeDivisor)
 	for step, count := range v.summary.NodesByWait {
--- a/internal/speed/estimate.go
+++ b/internal/speed/estimate.go
@@ -3,18 +3,18 @@
 import "math"
 
 const (
-	// minVariance is the minimum variance of single samples, for equal requests on an
-	// idle machine: a standard deviation of 10 percent.
+	// minVariance is the lower bound of the variance of single samples. It is that of
+	// equal requests on an idle machine, whose standard deviation is 10 percent.
 	minVariance = 0.01
-	// minCountForSpread is the number of samples from which on a target counts in the
-	// spread of its service.
+	// minCountForSpread is the number of samples that a target needs to be included in
+	// the variance and the spread of its service.
 	minCountForSpread = 2
 )
 
-// Estimate returns the logarithm of each target's time relative to its service,
-// centered on 0. Each is shrunk towards 0 by its sampling error compared with the
-// spread of the targets (empirical Bayes), so that similar targets and those with few
-// samples come out at 0.
+// Estimate returns the logarithm of each target's time relative to its service. The
+// estimates have a mean of 0. Each is shrunk towards 0, the more the larger its sampling
+// error is compared with the spread of the targets (empirical Bayes), so the estimates
+// of similar targets and of those with few samples are close to 0.
 func Estimate(targets []Sums) []float64 {
 	estimates := make([]float64, len(targets))
 	noise := variance(targets)
@@ -35,7 +35,7 @@
 	squares, freedom := 0.0, 0.0
 	for _, target := range targets {
 		if target.Count >= minCountForSpread {
-			// A received report may understate the squares.
+			// The difference is negative if a received report understates the squares.
 			squares += max(target.Squares-target.Total*target.Mean(), 0)
 			freedom += target.Count - 1
 		}
@@ -46,12 +46,12 @@
 	return max(squares/freedom, minVariance)
 }
 
-// spreadStandardErrors is the number of standard errors by which the targets must
-// differ beyond chance.
+// spreadStandardErrors is the number of standard errors by which the variance of the
+// targets must exceed that explained by chance.
 const spreadStandardErrors = 2
 
-// meanAndSpread returns the mean of the targets' means and their variance, less the
-// part that chance explains.
+// meanAndSpread returns the mean of the targets' means, and their variance without the
+// part that is explained by chance. The spread may be negative.
 func meanAndSpread(targets []Sums, noise float64) (mean, spread float64) {
 	known := 0.0
 	for _, target := range targets {
@@ -88,20 +88,22 @@
 	return estimates
 }
 
-// stepsPerUnit is the resolution of a step: 6 percent.
+// stepsPerUnit is the number of steps per unit of the logarithm. One step is a
+// difference of 6 percent.
 const stepsPerUnit = 16
 
-// maxStep bounds a step in both directions.
+// maxStep is the largest absolute value of a step.
 const maxStep = MaxSample * stepsPerUnit
 
-// hysteresis is the distance, in steps, that an estimate must have from the current
-// step to change it.
+// hysteresis is the distance in steps from the current step at which an estimate
+// changes it.
 const hysteresis = 1.25
 
-// Step is the natural logarithm of a target's relative time, in units of one sixteenth.
+// Step is the natural logarithm of a target's relative time, in sixteenths.
 type Step int8
 
-// Next returns the step for a new estimate, given the current one.
+// Next returns the step for a new estimate, which is s if the estimate is within
+// hysteresis of it.
 func (s Step) Next(estimate float64) Step {
 	exact := min(max(estimate*stepsPerUnit, -maxStep), maxStep)
 	if math.Abs(exact-float64(s)) < hysteresis {
--- a/internal/speed/speed_test.go
+++ b/internal/speed/speed_test.go
@@ -94,7 +94,7 @@
 		table := NewTable[int](HalfLife)
 		newest := map[int]timedSums{}
 		now := kernel.Instant(0)
-		for range rapid.IntRange(1, 40).Draw(t, "words") {
+		for range rapid.IntRange(1, 40).Draw(t, "reports") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 			source := rapid.IntRange(0, 4).Draw(t, "source")
 			report := Sums{Count: rapid.Float64Range(0, 30).Draw(t, "count")}
--- a/internal/speed/sums.go
+++ b/internal/speed/sums.go
@@ -1,11 +1,12 @@
-// Package speed estimates how long targets take compared with the others of their
-// service.
+// Package speed estimates how long each target takes for requests, compared with the
+// other targets of its service.
 //
-// A sample is the natural logarithm of the time that a target took for a request, less
-// the usual one of its route at the same node, so that routes with different work and
-// nodes with different paths are comparable. Nodes, members and the leader each keep
-// decaying sums of samples by target. The latest report of a source replaces its
-// previous one and decays, so lost, late or duplicate reports have no lasting effect.
+// A sample is the natural logarithm of the ratio of the time that a target took for a
+// request to the usual time of the route at the same node. This makes samples of
+// different routes and nodes comparable. Nodes, members and the leader
+// each keep decaying sums of samples by target. The latest report of a source replaces
+// its previous one and decays, so lost, late or duplicate reports have no lasting
+// effect.
 package speed
 
 import (
@@ -14,13 +15,14 @@
 )
 
 const (
-	// HalfLife is the half-life of samples.
+	// HalfLife is the time in which the weight of samples halves.
 	HalfLife = 10 * time.Second
 	// MemberHalfLife is the half-life of a member's reports at the leader. It is longer
-	// because a member with many targets reports each of them only once in minutes.
+	// than HalfLife because a member with many targets reports each of them only every
+	// few minutes.
 	MemberHalfLife = 2 * time.Minute
-	// MaxSample bounds a sample in both directions, to about a seventh and seven times
-	// the usual time. A single lost or stalled request carries no more information.
+	// MaxSample limits samples to between a seventh and seven times the usual time, so
+	// that a single lost or stalled request has a limited effect.
 	MaxSample = 2.0
 	// MinCount is the decayed number of samples below which sums are removed.
 	MinCount = 0.1
@@ -51,7 +53,7 @@
 	return Sums{Count: s.Count * factor, Total: s.Total * factor, Squares: s.Squares * factor}
 }
 
-// Decayed returns the sums after the given time.
+// Decayed returns the sums after they have aged by the given time.
 func (s Sums) Decayed(age, halfLife time.Duration) Sums {
 	if age <= 0 {
 		return s
--- a/internal/speed/table.go
+++ b/internal/speed/table.go
@@ -13,7 +13,7 @@
 	at kernel.Instant
 }
 
-// Table keeps the latest reports of many sources and their totals by target.
+// Table keeps the latest reports of many sources, and the totals of each target.
 type Table[Source comparable] struct {
 	halfLife time.Duration
 	reports  map[Source]map[directory.Token]timedSums
@@ -47,8 +47,8 @@
 	t.totals[token] = timedSums{Sums: t.decayed(now, t.totals[token]).Plus(sums), at: now}
 }
 
-// RetainSources removes the reports of all other sources and returns the affected
-// targets.
+// RetainSources removes the reports of all sources for which isKept returns false. It
+// returns the targets of the removed reports, once per report.
 func (t *Table[Source]) RetainSources(now kernel.Instant, isKept func(source Source) bool) []directory.Token {
 	var changed []directory.Token
 	for source, reports := range t.reports {
@@ -78,8 +78,8 @@
 	return tokens
 }
 
-// Sweep removes reports with a negligible count and recomputes the totals, so that
-// rounding errors do not accumulate.
+// Sweep removes reports whose count is below MinCount, and recomputes the totals so
+// that rounding errors do not accumulate.
 func (t *Table[Source]) Sweep(now kernel.Instant) {
 	clear(t.totals)
 	for source, reports := range t.reports {
--- a/internal/speed/word.go
+++ b/internal/speed/word.go
@@ -7,7 +7,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Report is what a source reports on a target.
+// Report holds the sums that a source reports for a target.
 type Report struct {
 	Token directory.Token
 	Sums
@@ -19,7 +19,7 @@
 	Step  Step
 }
 
-// Resolution of encoded sums.
+// Resolution of encoded sums: of the count, the mean sample and the mean square.
 const (
 	countUnit  = 1.0 / 8
 	meanUnit   = MaxSample / math.MaxInt8
@@ -76,8 +76,8 @@
 	return list
 }
 
-// ReportFrame returns a frame with the reports of a source: the address of a member, or
-// "" for a node.
+// ReportFrame returns a frame with the reports of a source. The source is the address
+// of a member, or "" for a node.
 func ReportFrame(source string, reports []Report) wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(false)
@@ -95,7 +95,8 @@
 	return wire.Frame{Kind: wire.FrameSpeeds, Payload: encoder.Buffer}
 }
 
-// Message is the content of a frame: reports of a source, or steps from a leader.
+// Message is the content of a frame: Term and Steps if it is from the leader, otherwise
+// Source and Reports.
 type Message struct {
 	FromLeader bool
 	Source     string
--- a/internal/strength/bounds.go
+++ b/internal/strength/bounds.go
@@ -1,10 +1,10 @@
 package strength
 
-// Inverse shares of the process memory for bounded tables.
+// Inverses of the fractions of the process memory that bounded tables may use.
 const (
 	// flowMemoryDivisor is for the flow table of a node.
 	flowMemoryDivisor = 4
-	// queueMemoryDivisor is for the packets queued until a node is ready.
+	// queueMemoryDivisor is for the packets that a node queues until it is ready.
 	queueMemoryDivisor = 32
 )
 
@@ -14,14 +14,14 @@
 	return r.countFitting(limit, flowMemoryDivisor, size)
 }
 
-// MaxQueuedPackets returns the number of packets of the given size in bytes that are
-// queued until a node is ready, at most limit.
+// MaxQueuedPackets returns the number of packets of the given size in bytes that a node
+// queues until it is ready, at most limit.
 func (r Resources) MaxQueuedPackets(limit int, size int64) int {
 	return r.countFitting(limit, queueMemoryDivisor, size)
 }
 
-// countFitting returns how many entries of a size fit into a share of the memory. It is
-// at least one, since a limit of zero would stop the node.
+// countFitting returns how many entries of a size fit into the memory divided by
+// divisor, at most limit. It is at least one, since zero would stop the node.
 func (r Resources) countFitting(limit int, divisor, size int64) int {
 	if r.Memory <= 0 {
 		return limit
@@ -45,9 +45,9 @@
 	return int(max(1, (r.Descriptors-ReservedDescriptors)*httpDescriptorPercent/percent))
 }
 
-// Disk usage in percent from which on the disk counts as nearly full, and below which
-// it no longer does. The gap is wide so that rewriting a log, which leaves two thirds
-// of its size, does not end the state.
+// The disk counts as nearly full from diskFullPercent of its size in use, until less
+// than diskRelievedPercent is used. Rewriting a log leaves two thirds of its size, which
+// alone must not end the state.
 const (
 	diskFullPercent     = 80
 	diskRelievedPercent = 52
--- a/internal/strength/strength.go
+++ b/internal/strength/strength.go
@@ -11,11 +11,11 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Resources is the configuration of a machine's resources. A field of 0 is not
+// Resources is the configuration of a machine's resources. A field that is 0 is not
 // configured.
 type Resources struct {
-	// CPUShare is the share of the processor that the process gets, and CPUCores the
-	// speed of the whole processor as a multiple of one core.
+	// CPUShare is the fraction of the processor that the process gets, and CPUCores the
+	// speed of the whole processor in cores. CPUShare is in cores if CPUCores is 0.
 	CPUShare, CPUCores float64
 	// Memory and Disk are in bytes.
 	Memory, Disk int64
@@ -48,9 +48,9 @@
 // one caller.
 const minDescriptors = ReservedDescriptors + 16
 
-// Valid ranges, in the units of the settings. A larger CPU value is taken for a
-// mistaken unit. The others have no maximum, because systems report the largest integer
-// where there is no limit.
+// Valid ranges, in the units of the settings. CPU values above the maximum are taken
+// for a mistaken unit. Sizes and descriptors have no maximum, because systems report
+// the largest integer where there is no limit.
 var (
 	CPUShareRange    = Range{0.001, 1024}
 	CPUCoresRange    = Range{0.01, 1024}
@@ -58,8 +58,8 @@
 	DescriptorsRange = Range{minDescriptors, math.MaxInt64}
 )
 
-// Larger values are clamped to these, so that sizes in bytes and multiples of them do
-// not overflow.
+// Larger configured values are clamped to these maxima, so that calculations with sizes
+// in bytes do not overflow.
 const (
 	maxMegabytes   = 1 << 30
 	maxDescriptors = 1 << 31
@@ -84,15 +84,16 @@
 	return directory.NewProblem(field, value, "must be 0 (not stated) or "+bounds)
 }
 
-// thousandths and millionths are the scales of encoded fractions.
+// Units of encoded values.
 const (
+	// thousandths and millionths are the factors by which fractions are multiplied.
 	thousandths = 1e3
 	millionths  = 1e6
-	// kilobyte is the unit of encoded sizes.
+	// kilobyte is the unit of sizes.
 	kilobyte = 1 << 10
 )
 
-// Encode appends the resources to a message: 32 bytes.
+// Encode appends the resources to a message, as 32 bytes.
 func (r Resources) Encode(encoder *wire.Encoder) {
 	encoder.Uint32(saturatingUint32(r.CPUShare * millionths))
 	encoder.Uint32(saturatingUint32(r.CPUCores * thousandths))
@@ -125,8 +126,8 @@
 // resources.
 const maxMedianMultiple = 8
 
-// Weights returns the weights of nodes by CPU. A node without a configured CPU gets the
-// median.
+// Weights returns the weight of each node: its CPU, capped at a multiple of the median.
+// A node without a configured CPU gets the median.
 func Weights(nodes []Resources) []float64 {
 	reference := medianCPU(nodes)
 	weights := make([]float64, len(nodes))
@@ -146,9 +147,9 @@
 	return min(configured, maxMedianMultiple*reference)
 }
 
-// medianCPU returns the lower median of the configured CPUs, or 1 if there are none. It
-// is the value of an existing node, so that small changes of other nodes do not change
-// it.
+// medianCPU returns the lower median of the configured CPUs, or 1 if there are none. As
+// it is the value of one node and no mean of two, a change of another node rarely
+// changes it.
 func medianCPU(nodes []Resources) float64 {
 	var configured []float64
 	for _, node := range nodes {
