--- a/internal/egress/load.go
+++ b/internal/egress/load.go
@@ -92,8 +92,8 @@
 	HeldUploads int
 	// Utilization is that of the busier direction.
 	Utilization float64
-	// RefusalFraction is the smoothed fraction of new flows to refuse, the value of a
-	// RefusalFraction.
+	// RefusalFraction is the smoothed fraction of new flows to refuse, as computed by
+	// the RefusalFraction type.
 	RefusalFraction float64
 	// PeersKnown is set while the waits at other nodes of the zone are known. RetryWait
 	// is the wait that a refused caller can expect to find on a retry.
--- a/internal/egress/ratepolicy.go
+++ b/internal/egress/ratepolicy.go
@@ -35,11 +35,11 @@
 
 // RatePolicy determines how the rate follows losses.
 type RatePolicy struct {
-	// Decrease returns the rate to use after the excessive fraction lost of the data
-	// sent at rate was lost.
+	// Decrease returns the rate to use after excessive losses: lost is the lost fraction
+	// of the data sent at rate.
 	Decrease func(rate, configured, lost float64) float64
-	// Increase returns the rate to use when the time since the reduction without
-	// excessive loss is since.
+	// Increase returns the rate to use once the time since the reduction, counted without
+	// time of excessive loss, is since.
 	Increase func(reduced, configured float64, since time.Duration) float64
 }
 
--- a/internal/egress/settings.go
+++ b/internal/egress/settings.go
@@ -34,8 +34,8 @@
 	// controlDivisor is the inverse of the fraction of maxPackets that may be in the
 	// control queue, so that a flood of openings leaves room for open flows.
 	controlDivisor = 4
-	// minPackets is the smallest value of maxPackets that a memory limit results in: two
-	// full windows.
+	// minPackets is the lower bound of maxPackets under a memory limit: two full
+	// windows.
 	minPackets = 32
 	// flowsPerPacket is the ratio of maxFlows to maxPackets. It is above 1 because most
 	// flows have no queued packets.
--- a/internal/egress/turns.go
+++ b/internal/egress/turns.go
@@ -14,7 +14,7 @@
 // caller is a source address with flow records.
 type caller struct {
 	address netip.Addr
-	// flows is the number of the caller's flow records, and bulk the number of bulk
+	// flows is the number of the caller's flow records, and bulkFlows that of the bulk
 	// flows among them.
 	flows     int
 	bulkFlows int
--- a/internal/strength/strength_test.go
+++ b/internal/strength/strength_test.go
@@ -62,8 +62,8 @@
 	return found
 }
 
-// A key may move only from or to the changed node or nodes whose weight changed. No weight may exceed
-// maxMedianMultiple times the median.
+// A key may move only from or to the changed node or nodes whose weight changed. No
+// weight may exceed maxMedianMultiple times the median.
 func TestResourceChangeMovesOnlyAffectedKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := rapid.SampledFrom([]float64{0, 0.045, 0.152, 0.3, 1024})
