--- a/internal/egress/classes.go
+++ b/internal/egress/classes.go
@@ -11,21 +11,22 @@
 	// levelSmall holds flows that have sent little; they are served round robin by
 	// caller.
 	levelSmall = iota
-	// levelBulk holds larger flows that can still meet their objective, served by
-	// earliest deadline first: of flows of similar size, more meet their deadline when
-	// they are sent one after the other.
+	// levelBulk holds larger flows that can still meet their objective. They are served
+	// earliest deadline first, because more flows meet their deadline if they are sent
+	// one after the other than if they share the link.
 	levelBulk
 	// levelLate holds flows that can no longer meet their objective.
 	levelLate
 	levelCount
 )
 
-// classes holds the backlogged flows by urgency and level; the lowest class is served
-// first.
+// classes holds the backlogged flows by class: class urgency*levelCount + level is for
+// the flows of that urgency and level. The lowest class is served first.
 type classes struct {
+	// small holds the flows of levelSmall, indexed by urgency.
 	small [UrgencyCount]roundRobin
-	// bulk holds the deadline heaps, indexed by class.
-	bulk [UrgencyCount * levelCount]deadlineHeap
+	// heaps holds the flows of the other levels, indexed by class.
+	heaps [UrgencyCount * levelCount]deadlineHeap
 	// occupied is a bit mask of the classes that are not empty.
 	occupied  uint32
 	queuePool pool[callerQueue]
@@ -50,7 +51,7 @@
 		c.small[class/levelCount].add(f, &c.queuePool)
 		return
 	}
-	c.bulk[class].add(f)
+	c.heaps[class].add(f)
 }
 
 // remove removes a flow from its class.
@@ -59,7 +60,7 @@
 	if levelOf(f.class) == levelSmall {
 		c.small[f.class/levelCount].remove(f, &c.queuePool)
 	} else {
-		c.bulk[f.class].remove(f)
+		c.heaps[f.class].remove(f)
 	}
 	if c.isEmpty(f.class) {
 		c.occupied &^= 1 << f.class
@@ -70,7 +71,7 @@
 	if levelOf(class) == levelSmall {
 		return c.small[class/levelCount].isEmpty()
 	}
-	return c.bulk[class].isEmpty()
+	return c.heaps[class].isEmpty()
 }
 
 // first returns the flow to serve next, or nil if all classes are empty.
@@ -82,11 +83,11 @@
 	if levelOf(class) == levelSmall {
 		return c.small[class/levelCount].first()
 	}
-	return c.bulk[class].first()
+	return c.heaps[class].first()
 }
 
-// last returns a flow of the highest occupied class, the candidate for drops, or nil if
-// all classes are empty.
+// last returns the flow whose packets are dropped first, one of the highest occupied
+// class, or nil if all classes are empty.
 func (c *classes) last() *flow {
 	if c.occupied == 0 {
 		return nil
@@ -95,5 +96,5 @@
 	if levelOf(class) == levelSmall {
 		return c.small[class/levelCount].last()
 	}
-	return c.bulk[class].last()
+	return c.heaps[class].last()
 }
--- a/internal/egress/order_test.go
+++ b/internal/egress/order_test.go
@@ -88,7 +88,8 @@
 	assert.InDelta(t, packets*fullSize, bytes[flowKey(1, 0).Caller.Addr()], quantum)
 }
 
-// A caller with many uploads must not delay the only upload of another by all of them.
+// A caller with many uploads must not delay the single upload of another caller by the
+// time that all of them take.
 func TestManyBulkFlowsDoNotStarveOtherCallers(t *testing.T) {
 	const packets = 40
 	f := newFixture(t)
@@ -145,19 +146,19 @@
 	})
 }
 
-// Under constant urgent traffic, overdue packets get 1/overdueDivisor of the link.
+// Overdue packets must get 1/overdueDivisor of the link under constant urgent traffic.
 func TestOverdueDataIsNotStarvedByUrgentData(t *testing.T) {
 	f := newFixture(t)
-	victims := 4
-	for number := range victims {
+	overduePackets := 4
+	for number := range overduePackets {
 		f.offer(bulk(flowKey(1, 1), number))
 	}
 	rate := narrow.BytesPerSecond() * linkFraction
-	bound := overdueAfter + time.Duration(overdueDivisor*float64(victims*fullSize+quantum)/rate*float64(time.Second))
+	bound := overdueAfter + time.Duration(overdueDivisor*float64(overduePackets*fullSize+quantum)/rate*float64(time.Second))
 	startedAt := f.now
 	port := 0
 	found := 0
-	for found < victims && f.now.Sub(startedAt) < 2*bound {
+	for found < overduePackets && f.now.Sub(startedAt) < 2*bound {
 		for f.Len() < 40 {
 			port++
 			item := bulk(flowKey(2, port), 0)
@@ -171,11 +172,11 @@
 			}
 		}
 	}
-	assert.Equal(t, victims, found)
+	assert.Equal(t, overduePackets, found)
 	assert.LessOrEqual(t, f.now.Sub(startedAt), bound)
 }
 
-// A datagram with a header of the target may exceed maxOverdueCredit.
+// A datagram larger than maxOverdueCredit must not wait forever.
 func TestLargestDatagramIsNotStarved(t *testing.T) {
 	f := newFixture(t)
 	large := bulk(flowKey(1, 1), 0)
--- a/internal/egress/queue.go
+++ b/internal/egress/queue.go
@@ -6,7 +6,7 @@
 	p.flow = f
 	p.priority = hasPriority(f, item.Kind)
 	s.byAge.pushBack(p)
-	f.waiting++
+	f.queuedPackets++
 	s.length++
 	s.bytes += item.Size
 	if p.priority {
@@ -21,8 +21,8 @@
 	s.reclassify(f, item.Size)
 }
 
-// hasPriority reports whether a packet belongs in the control queue. A closing packet
-// stays behind the data of its flow.
+// hasPriority reports whether a packet of the kind belongs in the control queue. A
+// closing packet is queued behind the data of its flow, if there is any.
 func hasPriority(f *flow, kind ItemKind) bool {
 	return kind != KindData && (kind != KindClosing || f.packets.isEmpty())
 }
@@ -33,7 +33,7 @@
 	if f.scheduled && f.class == class {
 		f.queuedBytes += bytes
 		if f.queue != nil {
-			f.queue.bytes += bytes
+			f.queue.queuedBytes += bytes
 		}
 		return
 	}
@@ -49,7 +49,7 @@
 	item := p.Item
 	f := p.flow
 	s.byAge.remove(p)
-	f.waiting--
+	f.queuedPackets--
 	s.length--
 	s.bytes -= p.Size
 	if p.priority {
@@ -69,7 +69,7 @@
 	f.packets.remove(p)
 	f.queuedBytes -= p.Size
 	if f.queue != nil {
-		f.queue.bytes -= p.Size
+		f.queue.queuedBytes -= p.Size
 	}
 	if f.packets.isEmpty() {
 		s.classes.remove(f)
--- a/internal/speed/word.go
+++ b/internal/speed/word.go
@@ -7,7 +7,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Report is what a source reports on a target.
+// Report holds the sums that a source reports for a target.
 type Report struct {
 	Token directory.Token
 	Sums
@@ -19,7 +19,7 @@
 	Step  Step
 }
 
-// Resolution of encoded sums.
+// Resolution of encoded sums: of the count, the mean sample and the mean square.
 const (
 	countUnit  = 1.0 / 8
 	meanUnit   = MaxSample / math.MaxInt8
@@ -57,9 +57,9 @@
 }
 
 // EncodeSteps appends target steps to a message.
-func EncodeSteps(encoder *wire.Encoder, list []TargetStep) {
-	encoder.Uint32(uint32(len(list)))
-	for _, target := range list {
+func EncodeSteps(encoder *wire.Encoder, steps []TargetStep) {
+	encoder.Uint32(uint32(len(steps)))
+	for _, target := range steps {
 		encoder.Uint32(uint32(target.Token))
 		encoder.Uint8(uint8(target.Step))
 	}
@@ -76,8 +76,8 @@
 	return list
 }
 
-// ReportFrame returns a frame with the reports of a source: the address of a member, or
-// "" for a node.
+// ReportFrame returns a frame with the reports of a source. The source is the address
+// of a member, or "" for a node.
 func ReportFrame(source string, reports []Report) wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(false)
@@ -87,15 +87,16 @@
 }
 
 // StepFrame returns a frame with the steps that the leader of a term has determined.
-func StepFrame(term uint64, list []TargetStep) wire.Frame {
+func StepFrame(term uint64, steps []TargetStep) wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(true)
 	encoder.Uint64(term)
-	EncodeSteps(&encoder, list)
+	EncodeSteps(&encoder, steps)
 	return wire.Frame{Kind: wire.FrameSpeeds, Payload: encoder.Buffer}
 }
 
-// Message is the content of a frame: reports of a source, or steps from a leader.
+// Message is the content of a frame: Term and Steps if it is from the leader, otherwise
+// Source and Reports.
 type Message struct {
 	FromLeader bool
 	Source     string
