--- a/internal/balancer/admin.go
+++ b/internal/balancer/admin.go
@@ -20,7 +20,7 @@
 
 const metricsNamespace = "beamdoor_balancer"
 
-// metrics are the Prometheus metrics of a balancer.
+// metrics holds the Prometheus metrics of a balancer.
 type metrics struct {
 	registry        *prometheus.Registry
 	counters        *prometheus.GaugeVec
@@ -77,7 +77,7 @@
 	return m.refused[source]
 }
 
-// observe copies the router's counters into the metrics.
+// observe copies the state and the counters of the router into the metrics.
 func (m *metrics) observe(now kernel.Instant, router *routing.Router, dropped uint64) {
 	m.flows.Set(float64(router.FlowCount()))
 	m.revision.Set(float64(router.Revision()))
@@ -92,7 +92,8 @@
 	}
 }
 
-// explainService serves explanations.
+// explainService implements the Explain call, which shows how a caller's packets
+// would be routed.
 type explainService struct {
 	process *Process
 }
@@ -108,11 +109,11 @@
 	return mux
 }
 
-// serveReady answers 200 while the fabric may send packets here: the balancer
-// is in the view and does not leave.
+// serveReady responds with 200 while the network fabric may send packets here: the
+// balancer is in the view and is not leaving it.
 func (p *Process) serveReady(writer http.ResponseWriter, request *http.Request) {
 	ready := false
-	err := p.ask(request.Context(), func(router *routing.Router, _ kernel.Instant) {
+	err := p.query(request.Context(), func(router *routing.Router, _ kernel.Instant) {
 		ready = router.InView() && !p.leaving
 	})
 	if err != nil || !ready {
@@ -120,7 +121,7 @@
 	}
 }
 
-// Explain implements the balancer's API.
+// Explain implements BalancerServiceHandler.
 func (s *explainService) Explain(ctx context.Context, request *connect.Request[beamdoorv1.ExplainRequest]) (*connect.Response[beamdoorv1.ExplainResponse], error) {
 	caller, err := netip.ParseAddrPort(request.Msg.Caller)
 	if err != nil {
@@ -128,14 +129,14 @@
 	}
 	var explanation routing.Explanation
 	known := false
-	askErr := s.process.ask(ctx, func(router *routing.Router, now kernel.Instant) {
+	queryErr := s.process.query(ctx, func(router *routing.Router, now kernel.Instant) {
 		explanation, known = router.Explain(now, request.Msg.Service, caller)
 	})
-	if askErr != nil {
-		return nil, connect.NewError(connect.CodeUnavailable, askErr)
+	if queryErr != nil {
+		return nil, connect.NewError(connect.CodeUnavailable, queryErr)
 	}
 	if !known {
-		return nil, connect.NewError(connect.CodeNotFound, errors.New("service: "+request.Msg.Service+" is not in force on this balancer"))
+		return nil, connect.NewError(connect.CodeNotFound, errors.New("service: "+request.Msg.Service+" is not in the configuration applied by this balancer"))
 	}
 	return connect.NewResponse(&beamdoorv1.ExplainResponse{
 		Known:     explanation.Known,
--- a/internal/balancer/control.go
+++ b/internal/balancer/control.go
@@ -15,24 +15,24 @@
 )
 
 const (
-	controlQueue   = 64
-	controlTimeout = time.Second
-	controlBackoff = 250 * time.Millisecond
+	controlQueueSize = 64
+	controlTimeout   = time.Second
+	controlBackoff   = 250 * time.Millisecond
 )
 
-// controlLink is the connection to one control member at a time. It tries
-// the members in turn, starting with a different one in each process.
+// controlLink maintains a connection to one control member at a time. It tries the
+// members round-robin, from a starting point derived from the balancer's name.
 type controlLink struct {
-	process *Process
-	queue   *ring.Ring[wire.Frame]
-	next    int
-	health  linkhealth.Health
+	process    *Process
+	queue      *ring.Ring[wire.Frame]
+	nextMember int
+	health     linkhealth.Health
 }
 
 func newControlLink(process *Process) *controlLink {
-	link := &controlLink{process: process, queue: ring.New[wire.Frame](controlQueue)}
-	for _, letter := range process.settings.Name {
-		link.next += int(letter)
+	link := &controlLink{process: process, queue: ring.New[wire.Frame](controlQueueSize)}
+	for _, char := range process.settings.Name {
+		link.nextMember += int(char)
 	}
 	return link
 }
@@ -41,7 +41,7 @@
 
 func (l *controlLink) close() { l.queue.Close() }
 
-// run keeps a connection open until the process stops.
+// run reconnects to the next member after each failure until the process stops.
 func (l *controlLink) run() {
 	for {
 		select {
@@ -50,8 +50,8 @@
 		default:
 		}
 		addresses := l.process.settings.Control
-		address := addresses[l.next%len(addresses)]
-		l.next++
+		address := addresses[l.nextMember%len(addresses)]
+		l.nextMember++
 		connection, err := net.DialTimeout("tcp", address, controlTimeout)
 		if err != nil {
 			time.Sleep(controlBackoff)
@@ -64,23 +64,24 @@
 	}
 }
 
-// serve writes reports while another goroutine reads the member's frames.
+// serve writes queued frames while another goroutine reads the member's frames. It
+// returns the read error once the connection is closed.
 func (l *controlLink) serve(connection net.Conn) error {
-	broken := make(chan error, 1)
+	readErr := make(chan error, 1)
 	go func() {
-		broken <- l.read(connection)
+		readErr <- l.read(connection)
 		_ = connection.Close()
 	}()
 	for {
 		frame, open := l.queue.Pop()
 		if !open {
 			_ = connection.Close()
-			return <-broken
+			return <-readErr
 		}
 		_ = connection.SetWriteDeadline(time.Now().Add(controlTimeout))
 		if _, err := connection.Write(wire.AppendFrame(nil, frame)); err != nil {
 			_ = connection.Close()
-			return <-broken
+			return <-readErr
 		}
 		l.process.metrics.controlSent.Add(float64(wire.FrameSize(frame)))
 	}
@@ -92,7 +93,7 @@
 	l.health.ConnectionOpened(l.process.now())
 	for {
 		if l.health.ShouldSwitch(l.process.now()) {
-			return steperror.New(step, connection.RemoteAddr().String(), "the member knows no leader")
+			return steperror.New(step, connection.RemoteAddr().String(), "the control member reports no leader")
 		}
 		_ = connection.SetReadDeadline(time.Now().Add(linkhealth.SilenceTimeout))
 		frame, err := wire.ReadFrame(reader)
@@ -105,14 +106,14 @@
 	}
 }
 
-// reconnectedInput says that the connection was opened.
+// reconnectedInput signals that a connection to a control member was opened.
 type reconnectedInput struct{}
 
 func (reconnectedInput) handle(p *Process, now kernel.Instant) []routing.Action {
 	return p.router.HandleReconnect(now)
 }
 
-// controlInput is a frame of the control member.
+// controlInput is a frame received from the control member.
 type controlInput struct{ frame wire.Frame }
 
 func (i controlInput) handle(p *Process, now kernel.Instant) []routing.Action {
--- a/internal/balancer/forward_bench_test.go
+++ b/internal/balancer/forward_bench_test.go
@@ -26,10 +26,10 @@
 	benchTag     = wire.ForwardTag{ServiceID: 1, TargetID: 2, View: 1}
 )
 
-// measured is how long each side of a comparison is measured.
-const measured = 2 * time.Second
+// measureDuration is the length of one throughput measurement.
+const measureDuration = 2 * time.Second
 
-func loopback(b *testing.B) *net.UDPConn {
+func listenLoopback(b *testing.B) *net.UDPConn {
 	socket, err := listenUDP("127.0.0.1:0")
 	require.NoError(b, err)
 	b.Cleanup(func() { _ = socket.Close() })
@@ -38,9 +38,9 @@
 
 func addressOf(socket *net.UDPConn) string { return socket.LocalAddr().String() }
 
-// flood sends the same packet until stopped.
-func flood(b *testing.B, to string, packet []byte, stop <-chan struct{}) {
-	socket := loopback(b)
+// sendUntilStopped sends packet in a loop until stop is closed.
+func sendUntilStopped(b *testing.B, to string, packet []byte, stop <-chan struct{}) {
+	socket := listenLoopback(b)
 	address, err := net.ResolveUDPAddr("udp", to)
 	require.NoError(b, err)
 	batched := ipv4.NewPacketConn(socket)
@@ -58,20 +58,21 @@
 	}
 }
 
-// rate counts the packets that arrive at a sink while the system is flooded.
-func rate(b *testing.B, sink *net.UDPConn, to string, packet []byte) float64 {
+// receiveRate returns the packets per second that arrive at sink while packet is
+// sent to the address to in a loop.
+func receiveRate(b *testing.B, sink *net.UDPConn, to string, packet []byte) float64 {
 	stop := make(chan struct{})
-	go flood(b, to, packet, stop)
+	go sendUntilStopped(b, to, packet, stop)
 	defer close(stop)
 	batched := ipv4.NewPacketConn(sink)
 	messages := make([]ipv4.Message, batchSize)
 	for i := range messages {
-		messages[i].Buffers = [][]byte{make([]byte, datagramSize)}
+		messages[i].Buffers = [][]byte{make([]byte, datagramBufferSize)}
 	}
 	count := 0
 	start := time.Now()
-	for time.Since(start) < measured {
-		_ = sink.SetReadDeadline(start.Add(measured))
+	for time.Since(start) < measureDuration {
+		_ = sink.SetReadDeadline(start.Add(measureDuration))
 		read, err := batched.ReadBatch(messages, 0)
 		if err != nil {
 			break
@@ -81,22 +82,22 @@
 	return float64(count) / time.Since(start).Seconds()
 }
 
-// plainLoop receives, reads the header, writes one with a tag and sends, in
-// batches, with one goroutine for each direction as the balancer has.
-func plainLoop(b *testing.B, sink string) string {
-	in, out := loopback(b), loopback(b)
+// startPlainForwarder starts a forwarder without routing: it decodes the header,
+// encodes one with a tag and sends, with the same batching as the balancer.
+func startPlainForwarder(b *testing.B, sink string) string {
+	in, out := listenLoopback(b), listenLoopback(b)
 	to := netip.MustParseAddrPort(sink)
 	sender := newSender(out, eventlog.Discard())
 	go sender.run()
 	go func() {
 		reader := proxyheader.NewReader()
-		readBatches(in, func(buffer *[datagramSize]byte, size int, _ time.Duration) bool {
+		readBatches(in, func(buffer *[datagramBufferSize]byte, size int, _ time.Duration) bool {
 			header, payload, err := reader.Read(buffer[:size])
 			if err != nil {
 				return false
 			}
 			header.Tag = &benchTag
-			data := dataPool.Get().(*[]byte)
+			data := sendBufferPool.Get().(*[]byte)
 			encoded, err := proxyheader.Append((*data)[:0], header)
 			if err != nil {
 				return false
@@ -110,9 +111,9 @@
 	return addressOf(in)
 }
 
-// startBalancer runs a balancer alone in its view, with one target.
+// startBalancer runs a balancer as the only member of its view, with one target.
 func startBalancer(b *testing.B, sink string) string {
-	in := loopback(b)
+	in := listenLoopback(b)
 	callers := addressOf(in)
 	require.NoError(b, in.Close())
 	router := routing.DefaultSettings()
@@ -155,18 +156,18 @@
 	return append(packet, buffer[:size]...)
 }
 
-// BenchmarkForwardingRatio compares the balancer's forwarding rate of a known
-// flow with a plain loop that does no more than receive and send.
+// BenchmarkForwardingRatio compares the balancer's forwarding rate for a known flow
+// with that of a forwarder without routing.
 func BenchmarkForwardingRatio(b *testing.B) {
 	packet := benchPacket(b)
-	sink := loopback(b)
-	plain := plainLoop(b, addressOf(sink))
+	sink := listenLoopback(b)
+	forwarder := startPlainForwarder(b, addressOf(sink))
 	callers := startBalancer(b, addressOf(sink))
-	var plainRate, balancerRate float64
+	var forwarderRate, balancerRate float64
 	for b.Loop() {
-		plainRate += rate(b, sink, plain, packet)
-		balancerRate += rate(b, sink, callers, packet)
+		forwarderRate += receiveRate(b, sink, forwarder, packet)
+		balancerRate += receiveRate(b, sink, callers, packet)
 	}
-	b.ReportMetric(balancerRate/plainRate, "of-plain-loop")
+	b.ReportMetric(balancerRate/forwarderRate, "of-plain-loop")
 	b.ReportMetric(balancerRate/float64(b.N), "packets/s")
 }
--- a/internal/balancer/process.go
+++ b/internal/balancer/process.go
@@ -1,7 +1,6 @@
-// Package balancer provides the process around the routing core: sockets for
-// callers, targets and other balancers, the connection to the control plane,
-// metrics and explanations. Each duty has a goroutine, joined by bounded
-// rings.
+// Package balancer runs the routing core as a process: UDP sockets for callers,
+// targets and other balancers, the connection to the control plane, metrics and the
+// admin API. Goroutines exchange messages through bounded ring buffers.
 package balancer
 
 import (
@@ -26,48 +25,48 @@
 	outputCapacity = 16384
 	inputBatch     = 256
 	tickInterval   = 50 * time.Millisecond
-	// lingerQuiet is how long no caller's packet may come before a leaving
-	// balancer holds the fabric's list for updated.
-	lingerQuiet = 1500 * time.Millisecond
-	// lingerLimit bounds a planned stop.
-	lingerLimit = 45 * time.Second
+	// drainQuietPeriod is the time without caller packets after which a leaving
+	// balancer assumes that the network fabric no longer routes to it.
+	drainQuietPeriod = 1500 * time.Millisecond
+	// drainTimeout is the maximum duration of a graceful shutdown.
+	drainTimeout = 45 * time.Second
 )
 
-// input is a typed message for the goroutine that owns the router.
+// input is a message for the goroutine that owns the router.
 type input interface {
 	handle(p *Process, now kernel.Instant) []routing.Action
 }
 
-// Process runs a balancer.
+// Process runs a balancer: the router, its sockets and its admin server.
 type Process struct {
-	settings *settings.Balancer
-	logger   *eventlog.Logger
-	router   *routing.Router
-	started  time.Time
-	inputs   *ring.Ring[input]
-	toTarget *sender
-	toCaller *sender
-	toPeer   *sender
-	control  *controlLink
-	metrics  *metrics
-	server   *http.Server
-	fabric   netip.AddrPort
+	settings     *settings.Balancer
+	logger       *eventlog.Logger
+	router       *routing.Router
+	started      time.Time
+	inputs       *ring.Ring[input]
+	targetSender *sender
+	callerSender *sender
+	peerSender   *sender
+	control      *controlLink
+	metrics      *metrics
+	server       *http.Server
+	fabric       netip.AddrPort
 
 	callers *net.UDPConn
 	targets *net.UDPConn
 	peers   *net.UDPConn
 
-	lastCaller kernel.Instant
-	leaving    bool
-	leavingAt  kernel.Instant
-	joined     bool
+	lastCallerPacketAt kernel.Instant
+	leaving            bool
+	leaveRequestedAt   kernel.Instant
+	wasInView          bool
 
 	group    sync.WaitGroup
 	stopped  chan struct{}
 	stopOnce sync.Once
 }
 
-// NewProcess prepares a balancer. Nothing listens yet.
+// NewProcess creates a balancer. It opens no sockets; Run does.
 func NewProcess(loaded *settings.Balancer, router routing.Settings, logger *eventlog.Logger) (*Process, error) {
 	process := &Process{
 		settings: loaded,
@@ -94,17 +93,17 @@
 	return process, nil
 }
 
-// now returns the time on this process's monotonic clock.
+// now returns the monotonic time since the process started.
 func (p *Process) now() kernel.Instant { return kernel.Instant(time.Since(p.started)) }
 
-// Run serves until the context ends, and then leaves in a planned way. The
-// force channel ends it at once.
+// Run serves until the context is cancelled, and then leaves the view and drains
+// its flows before it returns. Closing force skips the draining.
 func (p *Process) Run(ctx context.Context, force <-chan struct{}) error {
 	if err := p.listen(); err != nil {
 		return err
 	}
 	p.logger.Event(eventlog.ProcessStarted, "name", p.settings.Name, "cell", p.settings.Cell, "zone", p.settings.Zone)
-	p.startDuties()
+	p.startGoroutines()
 	select {
 	case <-ctx.Done():
 		p.logger.Event(eventlog.StopRequested)
@@ -114,7 +113,7 @@
 	select {
 	case <-p.stopped:
 	case <-force:
-	case <-time.After(lingerLimit):
+	case <-time.After(drainTimeout):
 		p.logger.Event(eventlog.DrainLingerExpired)
 	}
 	p.stop()
@@ -123,23 +122,23 @@
 	return nil
 }
 
-func (p *Process) startDuties() {
+func (p *Process) startGoroutines() {
 	p.spawn(p.runRouter)
 	p.spawn(p.runTicker)
 	p.spawn(func() { p.readCallers(p.callers) })
 	p.spawn(func() { p.readTargets(p.targets) })
 	p.spawn(func() { p.readPeers(p.peers) })
-	p.spawn(p.toTarget.run)
-	p.spawn(p.toCaller.run)
-	p.spawn(p.toPeer.run)
+	p.spawn(p.targetSender.run)
+	p.spawn(p.callerSender.run)
+	p.spawn(p.peerSender.run)
 	p.spawn(p.control.run)
 }
 
-func (p *Process) spawn(duty func()) {
+func (p *Process) spawn(task func()) {
 	p.group.Add(1)
 	go func() {
 		defer p.group.Done()
-		duty()
+		task()
 	}()
 }
 
@@ -150,9 +149,9 @@
 	_ = p.peers.Close()
 	_ = p.server.Close()
 	p.inputs.Close()
-	p.toTarget.close()
-	p.toCaller.close()
-	p.toPeer.close()
+	p.targetSender.close()
+	p.callerSender.close()
+	p.peerSender.close()
 	p.control.close()
 }
 
@@ -167,9 +166,9 @@
 	if p.peers, err = listenUDP(p.settings.Peers); err != nil {
 		return err
 	}
-	p.toTarget = newSender(p.targets, p.logger)
-	p.toCaller = newSender(p.callers, p.logger)
-	p.toPeer = newSender(p.peers, p.logger)
+	p.targetSender = newSender(p.targets, p.logger)
+	p.callerSender = newSender(p.callers, p.logger)
+	p.peerSender = newSender(p.peers, p.logger)
 	listener, err := net.Listen("tcp", p.settings.Admin)
 	if err != nil {
 		return steperror.Wrap("balancer.listen", p.settings.Admin, err)
@@ -192,7 +191,8 @@
 	}
 }
 
-// runRouter owns the router until the ring is closed.
+// runRouter applies inputs to the router until the ring is closed. No other
+// goroutine accesses the router.
 func (p *Process) runRouter() {
 	var batch []input
 	for {
@@ -201,9 +201,9 @@
 		if !open {
 			return
 		}
-		for _, message := range batch {
-			p.dispatch(message.handle(p, p.now()))
-			if packet, ok := message.(*packetInput); ok {
+		for _, item := range batch {
+			p.dispatch(item.handle(p, p.now()))
+			if packet, ok := item.(*packetInput); ok {
 				packet.release()
 			}
 		}
@@ -214,7 +214,7 @@
 
 func (tickInput) handle(p *Process, now kernel.Instant) []routing.Action {
 	p.metrics.observe(now, p.router, p.inputs.Dropped())
-	p.checkLeave(now)
+	p.stopWhenDrained(now)
 	return p.router.Tick(now)
 }
 
@@ -222,44 +222,45 @@
 
 func (leaveInput) handle(p *Process, now kernel.Instant) []routing.Action {
 	p.leaving = true
-	p.leavingAt = now
+	p.leaveRequestedAt = now
 	return p.router.Leave(now)
 }
 
-// checkLeave ends the process once the balancer is out of the view, the
-// fabric has stopped sending to it and nothing is under way.
-func (p *Process) checkLeave(now kernel.Instant) {
-	p.joined = p.joined || p.router.InView()
+// stopWhenDrained stops a leaving process once the balancer is out of the view, no
+// caller packets arrive and the router is idle or was never in a view.
+func (p *Process) stopWhenDrained(now kernel.Instant) {
+	p.wasInView = p.wasInView || p.router.InView()
 	if !p.leaving {
 		return
 	}
-	out := !p.router.InView()
-	quietSince := max(p.lastCaller, p.leavingAt)
-	quiet := now.Sub(quietSince) > lingerQuiet
-	if out && quiet && (p.router.HasNoPendingRequests() || !p.joined) {
+	outOfView := !p.router.InView()
+	quietSince := max(p.lastCallerPacketAt, p.leaveRequestedAt)
+	quiet := now.Sub(quietSince) > drainQuietPeriod
+	if outOfView && quiet && (p.router.HasNoPendingRequests() || !p.wasInView) {
 		p.stopOnce.Do(func() { close(p.stopped) })
 	}
 }
 
-// query runs a function on the goroutine that owns the router.
-type query struct {
+// queryInput calls a function on the goroutine that owns the router.
+type queryInput struct {
 	run  func(router *routing.Router, now kernel.Instant)
 	done chan struct{}
 }
 
-func (q query) handle(p *Process, now kernel.Instant) []routing.Action {
+func (q queryInput) handle(p *Process, now kernel.Instant) []routing.Action {
 	q.run(p.router, now)
 	close(q.done)
 	return nil
 }
 
-func (p *Process) ask(ctx context.Context, run func(router *routing.Router, now kernel.Instant)) error {
-	question := query{run: run, done: make(chan struct{})}
-	if !p.inputs.TryPush(question) {
-		return steperror.New("balancer.ask", "", "the balancer is overloaded or stopping")
+// query calls run on the goroutine that owns the router and waits until it returns.
+func (p *Process) query(ctx context.Context, run func(router *routing.Router, now kernel.Instant)) error {
+	request := queryInput{run: run, done: make(chan struct{})}
+	if !p.inputs.TryPush(request) {
+		return steperror.New("balancer.ask", "", "the input queue is full or closed: the balancer is overloaded or stopping")
 	}
 	select {
-	case <-question.done:
+	case <-request.done:
 		return nil
 	case <-ctx.Done():
 		return steperror.Wrap("balancer.ask", "", ctx.Err())
--- a/internal/balancer/sockets.go
+++ b/internal/balancer/sockets.go
@@ -18,12 +18,13 @@
 )
 
 const (
-	// datagramSize is the largest datagram that is read whole.
-	datagramSize = 2048
-	// batchSize is the number of datagrams moved by one system call.
+	// datagramBufferSize is the size of a datagram buffer. A received datagram that
+	// fills it may be truncated; readCallers and readTargets reject it.
+	datagramBufferSize = 2048
+	// batchSize is the maximum number of datagrams per system call.
 	batchSize = 32
-	// socketBuffer is the size asked for the kernel's buffers, in bytes.
-	socketBuffer = 4 << 20
+	// socketBufferSize is the requested size of the kernel's socket buffers in bytes.
+	socketBufferSize = 4 << 20
 )
 
 func listenUDP(address string) (*net.UDPConn, error) {
@@ -36,17 +37,17 @@
 	if err != nil {
 		return nil, steperror.Wrap(step, address, err)
 	}
-	_ = connection.SetReadBuffer(socketBuffer)
-	_ = connection.SetWriteBuffer(socketBuffer)
+	_ = connection.SetReadBuffer(socketBufferSize)
+	_ = connection.SetWriteBuffer(socketBufferSize)
 	if err := enableTimestamps(connection); err != nil {
 		return nil, steperror.Wrap(step, address, err)
 	}
 	return connection, nil
 }
 
-var bufferPool = sync.Pool{New: func() any { return new([datagramSize]byte) }}
+var receiveBufferPool = sync.Pool{New: func() any { return new([datagramBufferSize]byte) }}
 
-// packetSource tells where a datagram came from.
+// packetSource is the kind of sender of a datagram.
 type packetSource uint8
 
 const (
@@ -55,11 +56,11 @@
 	fromPeer
 )
 
-// packetInput is one datagram with its buffer from the pool.
+// packetInput is a received datagram in a buffer from receiveBufferPool.
 type packetInput struct {
 	source  packetSource
 	arrived kernel.Instant
-	buffer  *[datagramSize]byte
+	buffer  *[datagramBufferSize]byte
 	payload []byte
 	header  proxyheader.Header
 	packet  wire.PeerPacket
@@ -68,7 +69,7 @@
 var packetPool = sync.Pool{New: func() any { return new(packetInput) }}
 
 func (i *packetInput) release() {
-	bufferPool.Put(i.buffer)
+	receiveBufferPool.Put(i.buffer)
 	*i = packetInput{}
 	packetPool.Put(i)
 }
@@ -76,7 +77,7 @@
 func (i *packetInput) handle(p *Process, now kernel.Instant) []routing.Action {
 	switch i.source {
 	case fromCaller:
-		p.lastCaller = now
+		p.lastCallerPacketAt = now
 		return p.router.HandleCallerPacket(now, i.arrived, i.header.Destination, i.header.Source, i.payload)
 	case fromTarget:
 		return p.router.HandleTargetPacket(now, i.header.Source, i.header.Destination, *i.header.Tag, i.payload)
@@ -84,20 +85,20 @@
 	return p.router.HandlePeerPacket(now, i.arrived, &i.packet)
 }
 
-// datagramHandler takes a datagram that has waited in the socket for a time.
-// It returns false when it has not kept the buffer.
-type datagramHandler func(buffer *[datagramSize]byte, size int, waited time.Duration) bool
+// datagramHandler handles a datagram that was queued in the socket for delay. It
+// returns true when it takes ownership of the buffer.
+type datagramHandler func(buffer *[datagramBufferSize]byte, size int, delay time.Duration) bool
 
-// readBatches reads datagrams, many with one system call, and hands each to
-// accept together with its own buffer. A refused buffer is used again.
-func readBatches(connection *net.UDPConn, accept datagramHandler) {
+// readBatches reads datagrams in batches and calls handle for each one. It reuses
+// a buffer that handle does not take.
+func readBatches(connection *net.UDPConn, handle datagramHandler) {
 	batched := ipv4.NewPacketConn(connection)
 	messages := make([]ipv4.Message, batchSize)
-	buffers := make([]*[datagramSize]byte, batchSize)
+	buffers := make([]*[datagramBufferSize]byte, batchSize)
 	for i := range messages {
-		buffers[i] = bufferPool.Get().(*[datagramSize]byte)
+		buffers[i] = receiveBufferPool.Get().(*[datagramBufferSize]byte)
 		messages[i].Buffers = [][]byte{buffers[i][:]}
-		messages[i].OOB = make([]byte, timestampRoom)
+		messages[i].OOB = make([]byte, timestampBufferSize)
 	}
 	for {
 		count, err := batched.ReadBatch(messages, 0)
@@ -106,18 +107,18 @@
 		}
 		now := time.Now()
 		for i := range count {
-			waited := waitedSince(now, messages[i].OOB[:messages[i].NN])
-			if !accept(buffers[i], messages[i].N, waited) {
+			delay := socketDelay(now, messages[i].OOB[:messages[i].NN])
+			if !handle(buffers[i], messages[i].N, delay) {
 				continue
 			}
-			buffers[i] = bufferPool.Get().(*[datagramSize]byte)
+			buffers[i] = receiveBufferPool.Get().(*[datagramBufferSize]byte)
 			messages[i].Buffers[0] = buffers[i][:]
 		}
 	}
 }
 
-// push hands a packet to the router; when the ring is full it is dropped, as
-// the network would, and its buffer stays with the reader.
+// push queues a packet for the router. When the ring is full, the packet is dropped
+// and push returns false; the reader keeps the buffer.
 func (p *Process) push(packet *packetInput) bool {
 	if p.inputs.TryPush(packet) {
 		return true
@@ -127,28 +128,28 @@
 	return false
 }
 
-// readCallers reads the packets that the fabric brings from callers.
+// readCallers reads packets from callers, forwarded by the network fabric.
 func (p *Process) readCallers(connection *net.UDPConn) {
 	reader := proxyheader.NewReader()
-	readBatches(connection, func(buffer *[datagramSize]byte, size int, waited time.Duration) bool {
+	readBatches(connection, func(buffer *[datagramBufferSize]byte, size int, delay time.Duration) bool {
 		header, payload, err := reader.Read(buffer[:size])
-		if err != nil || size == datagramSize || header.Tag != nil {
+		if err != nil || size == datagramBufferSize || header.Tag != nil {
 			p.refusePacket("caller", err)
 			return false
 		}
 		packet := packetPool.Get().(*packetInput)
-		arrived := p.now().Add(-waited)
+		arrived := p.now().Add(-delay)
 		*packet = packetInput{source: fromCaller, arrived: arrived, buffer: buffer, payload: payload, header: header}
 		return p.push(packet)
 	})
 }
 
-// readTargets reads the answers of targets.
+// readTargets reads response packets from targets.
 func (p *Process) readTargets(connection *net.UDPConn) {
 	reader := proxyheader.NewReader()
-	readBatches(connection, func(buffer *[datagramSize]byte, size int, _ time.Duration) bool {
+	readBatches(connection, func(buffer *[datagramBufferSize]byte, size int, _ time.Duration) bool {
 		header, payload, err := reader.Read(buffer[:size])
-		if err != nil || size == datagramSize || header.Tag == nil {
+		if err != nil || size == datagramBufferSize || header.Tag == nil {
 			p.refusePacket("target", err)
 			return false
 		}
@@ -158,11 +159,11 @@
 	})
 }
 
-// readPeers reads the packets of other balancers.
+// readPeers reads packets from other balancers.
 func (p *Process) readPeers(connection *net.UDPConn) {
-	readBatches(connection, func(buffer *[datagramSize]byte, size int, waited time.Duration) bool {
+	readBatches(connection, func(buffer *[datagramBufferSize]byte, size int, delay time.Duration) bool {
 		packet := packetPool.Get().(*packetInput)
-		*packet = packetInput{source: fromPeer, arrived: p.now().Add(-waited), buffer: buffer}
+		*packet = packetInput{source: fromPeer, arrived: p.now().Add(-delay), buffer: buffer}
 		if err := wire.DecodePeerPacket(buffer[:size], &packet.packet); err != nil {
 			*packet = packetInput{}
 			packetPool.Put(packet)
@@ -173,10 +174,10 @@
 	})
 }
 
-// refusedLogInterval is the number of refused packets for each that is logged.
+// refusedLogInterval is the number of refused packets per log line, counted per source.
 const refusedLogInterval = 1000
 
-// refusePacket counts a packet that cannot be read, and logs some of them.
+// refusePacket counts an invalid packet, and logs one in refusedLogInterval.
 func (p *Process) refusePacket(source string, err error) {
 	count := p.metrics.countRefused(source)
 	if count%refusedLogInterval == 1 {
@@ -184,18 +185,18 @@
 	}
 }
 
-// datagram is one packet to be sent.
+// datagram is an outgoing packet.
 type datagram struct {
 	to   netip.AddrPort
 	data *[]byte
 }
 
-var dataPool = sync.Pool{New: func() any {
-	data := make([]byte, 0, datagramSize)
+var sendBufferPool = sync.Pool{New: func() any {
+	data := make([]byte, 0, datagramBufferSize)
 	return &data
 }}
 
-// sender writes datagrams to one socket, many with one system call.
+// sender writes queued datagrams to a socket in batches.
 type sender struct {
 	connection *net.UDPConn
 	logger     *eventlog.Logger
@@ -210,7 +211,7 @@
 
 func (s *sender) push(to netip.AddrPort, data *[]byte) {
 	if !s.queue.TryPush(datagram{to: to, data: data}) {
-		dataPool.Put(data)
+		sendBufferPool.Put(data)
 	}
 }
 
@@ -231,12 +232,12 @@
 		s.write(batched, messages[:len(batch)])
 		for _, item := range batch {
 			*item.data = (*item.data)[:0]
-			dataPool.Put(item.data)
+			sendBufferPool.Put(item.data)
 		}
 	}
 }
 
-// write sends a batch; a datagram that cannot be sent is passed over.
+// write sends a batch and skips a datagram that cannot be sent.
 func (s *sender) write(batched *ipv4.PacketConn, messages []ipv4.Message) {
 	for len(messages) > 0 {
 		count, err := batched.WriteBatch(messages, 0)
@@ -247,21 +248,21 @@
 	}
 }
 
-// dispatch carries out what the router wants done.
+// dispatch executes the actions returned by the router.
 func (p *Process) dispatch(actions []routing.Action) {
 	for i := range actions {
 		action := &actions[i]
 		switch action.Kind {
 		case routing.ActionToTarget:
 			header := proxyheader.Header{Source: action.Caller, Destination: action.Service, Tag: &action.Tag}
-			p.sendWithHeader(p.toTarget, action.Address, header, action.Payload)
+			p.sendWithHeader(p.targetSender, action.Address, header, action.Payload)
 		case routing.ActionToCaller:
 			header := proxyheader.Header{Source: action.Service, Destination: action.Caller}
-			p.sendWithHeader(p.toCaller, p.fabric, header, action.Payload)
+			p.sendWithHeader(p.callerSender, p.fabric, header, action.Payload)
 		case routing.ActionToPeer:
-			data := dataPool.Get().(*[]byte)
+			data := sendBufferPool.Get().(*[]byte)
 			*data = wire.AppendPeerPacket((*data)[:0], &action.Packet)
-			p.toPeer.push(action.Address, data)
+			p.peerSender.push(action.Address, data)
 		case routing.ActionToControl:
 			p.control.send(wire.ReportFrame(action.Report))
 		case routing.ActionLog:
@@ -271,11 +272,11 @@
 }
 
 func (p *Process) sendWithHeader(to *sender, address netip.AddrPort, header proxyheader.Header, payload []byte) {
-	data := dataPool.Get().(*[]byte)
+	data := sendBufferPool.Get().(*[]byte)
 	encoded, err := proxyheader.Append((*data)[:0], header)
 	if err != nil {
 		p.logger.Event(eventlog.SocketFailed, "peer", address, "err", err)
-		dataPool.Put(data)
+		sendBufferPool.Put(data)
 		return
 	}
 	*data = append(encoded, payload...)
--- a/internal/balancer/timestamp.go
+++ b/internal/balancer/timestamp.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// timestampRoom holds one control message with a timespec.
-	timestampRoom = 64
-	timespecSize  = 16
+	// timestampBufferSize has room for one control message with a timespec.
+	timestampBufferSize = 64
+	timespecSize        = 16
 )
 
-// enableTimestamps asks the kernel for the arrival time of each datagram
-// (socket(7), SO_TIMESTAMPNS). With it a process that was stopped and goes on
-// can tell a packet that has waited from a fresh one.
+// enableTimestamps makes the kernel attach the arrival time to each datagram
+// (SO_TIMESTAMPNS in socket(7)), so that a process that was suspended can tell how
+// long a packet has been queued.
 func enableTimestamps(connection *net.UDPConn) error {
 	raw, err := connection.SyscallConn()
 	if err != nil {
@@ -32,9 +32,9 @@
 	return setErr
 }
 
-// waitedSince returns how long a datagram has waited in the socket. Without a
-// timestamp it is 0, and so it is when the wall clock was set back since.
-func waitedSince(now time.Time, control []byte) time.Duration {
+// socketDelay returns how long a datagram was queued in the socket. It returns 0
+// without a timestamp, or when the wall clock was set back in the meantime.
+func socketDelay(now time.Time, control []byte) time.Duration {
 	header, data, _, err := unix.ParseOneSocketControlMessage(control)
 	if err != nil || header.Level != unix.SOL_SOCKET || header.Type != unix.SCM_TIMESTAMPNS || len(data) < timespecSize {
 		return 0
