--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -19,7 +19,7 @@
 	"github.com/beamdoor/beamdoor/internal/store"
 )
 
-// adminService serves the administration API.
+// adminService implements the admin API.
 type adminService struct {
 	process *Process
 }
@@ -35,10 +35,10 @@
 	return mux
 }
 
-// serveReady answers 200 once the member knows a leader.
+// serveReady responds with 200 while the member knows a leader.
 func (p *Process) serveReady(writer http.ResponseWriter, request *http.Request) {
 	known := false
-	err := p.ask(request.Context(), func(core *Core, _ kernel.Instant) {
+	err := p.query(request.Context(), func(core *Core, _ kernel.Instant) {
 		known = core.Raft().Leader() != raft.NoMember
 	})
 	if err != nil || !known {
@@ -46,8 +46,9 @@
 	}
 }
 
-// refusal makes an API error with details.
-func refusal(code connect.Code, err error, detail *beamdoorv1.ErrorDetail) *connect.Error {
+// newAPIError returns an API error with details. The step and peer default to those of
+// err.
+func newAPIError(code connect.Code, err error, detail *beamdoorv1.ErrorDetail) *connect.Error {
 	answer := connect.NewError(code, err)
 	if wrapped, ok := asStepError(err); ok && detail.Step == "" {
 		detail.Step = wrapped.Step
@@ -65,29 +66,29 @@
 	return stepError, ok
 }
 
-// notLeader refuses a request and names the leader.
-func (s *adminService) notLeader(ctx context.Context, err error) *connect.Error {
+// notLeaderError returns an API error that carries the admin address of the leader.
+func (s *adminService) notLeaderError(ctx context.Context, err error) *connect.Error {
 	detail := &beamdoorv1.ErrorDetail{Reason: err.Error()}
-	_ = s.process.ask(ctx, func(core *Core, _ kernel.Instant) {
+	_ = s.process.query(ctx, func(core *Core, _ kernel.Instant) {
 		for _, member := range core.Store().Members() {
 			if member.Id == uint32(core.Raft().Leader()) {
 				detail.LeaderAdmin = member.Admin
 			}
 		}
 	})
-	return refusal(connect.CodeUnavailable, err, detail)
+	return newAPIError(connect.CodeUnavailable, err, detail)
 }
 
-// write submits a command and turns its result into an answer.
+// write proposes a command and converts its result to a response.
 func (s *adminService) write(ctx context.Context, command store.Command) (*connect.Response[beamdoorv1.WriteResponse], error) {
 	result, err := s.process.propose(ctx, command)
-	return s.answer(ctx, result, err)
+	return s.writeResponse(ctx, result, err)
 }
 
-func (s *adminService) answer(ctx context.Context, result store.Result, err error) (*connect.Response[beamdoorv1.WriteResponse], error) {
+func (s *adminService) writeResponse(ctx context.Context, result store.Result, err error) (*connect.Response[beamdoorv1.WriteResponse], error) {
 	if err != nil {
 		s.process.metrics.writes.WithLabelValues("unknown").Inc()
-		return nil, s.notLeader(ctx, err)
+		return nil, s.notLeaderError(ctx, err)
 	}
 	if result.Code == store.ErrorNone {
 		s.process.metrics.writes.WithLabelValues("accepted").Inc()
@@ -106,7 +107,7 @@
 		Reason:           result.Reason,
 		ConflictRevision: result.ConflictRevision,
 	}
-	return nil, refusal(codes[result.Code], steperror.New("store.apply", "", result.Reason), detail)
+	return nil, newAPIError(codes[result.Code], steperror.New("store.apply", "", result.Reason), detail)
 }
 
 func checkRequestID(id []byte) *connect.Error {
@@ -114,21 +115,21 @@
 		return nil
 	}
 	reason := "request_id: must be " + strconv.Itoa(store.RequestIDSize) + " bytes"
-	return refusal(connect.CodeInvalidArgument, errors.New(reason), &beamdoorv1.ErrorDetail{Field: "request_id", Reason: reason})
+	return newAPIError(connect.CodeInvalidArgument, errors.New(reason), &beamdoorv1.ErrorDetail{Field: "request_id", Reason: reason})
 }
 
-// Apply implements the administration API.
+// Apply implements AdminServiceHandler.
 func (s *adminService) Apply(ctx context.Context, request *connect.Request[beamdoorv1.ApplyRequest]) (*connect.Response[beamdoorv1.WriteResponse], error) {
 	if err := checkRequestID(request.Msg.RequestId); err != nil {
 		return nil, err
 	}
 	if err := config.ValidateRequest(request.Msg); err != nil {
-		return nil, refusal(connect.CodeInvalidArgument, err, &beamdoorv1.ErrorDetail{Reason: err.Error()})
+		return nil, newAPIError(connect.CodeInvalidArgument, err, &beamdoorv1.ErrorDetail{Reason: err.Error()})
 	}
 	return s.write(ctx, store.Command{Kind: store.CommandApply, Body: request.Msg})
 }
 
-// SetDraining implements the administration API.
+// SetDraining implements AdminServiceHandler.
 func (s *adminService) SetDraining(ctx context.Context, request *connect.Request[beamdoorv1.SetDrainingRequest]) (*connect.Response[beamdoorv1.WriteResponse], error) {
 	if err := checkRequestID(request.Msg.RequestId); err != nil {
 		return nil, err
@@ -136,7 +137,7 @@
 	return s.write(ctx, store.Command{Kind: store.CommandSetDraining, Body: request.Msg})
 }
 
-// RemoveBalancer implements the administration API.
+// RemoveBalancer implements AdminServiceHandler.
 func (s *adminService) RemoveBalancer(ctx context.Context, request *connect.Request[beamdoorv1.RemoveBalancerRequest]) (*connect.Response[beamdoorv1.WriteResponse], error) {
 	if err := checkRequestID(request.Msg.RequestId); err != nil {
 		return nil, err
@@ -144,25 +145,25 @@
 	return s.write(ctx, store.Command{Kind: store.CommandRemoveBalancer, Body: request.Msg})
 }
 
-// read runs a query that must be linearizable unless stale is set.
+// read runs a query. The query must be linearizable unless stale is set.
 func (s *adminService) read(ctx context.Context, stale bool, run func(core *Core, now kernel.Instant)) *connect.Error {
-	confirmed := false
-	err := s.process.ask(ctx, func(core *Core, now kernel.Instant) {
-		confirmed = stale || core.CanRead(now)
-		if confirmed {
+	allowed := false
+	err := s.process.query(ctx, func(core *Core, now kernel.Instant) {
+		allowed = stale || core.CanRead(now)
+		if allowed {
 			run(core, now)
 		}
 	})
 	if err != nil {
-		return refusal(connect.CodeUnavailable, err, &beamdoorv1.ErrorDetail{Reason: err.Error()})
+		return newAPIError(connect.CodeUnavailable, err, &beamdoorv1.ErrorDetail{Reason: err.Error()})
 	}
-	if !confirmed {
-		return s.notLeader(ctx, steperror.New("control.read", "", "this member is not a leader with a quorum behind it"))
+	if !allowed {
+		return s.notLeaderError(ctx, steperror.New("control.read", "", "this member is not a leader confirmed by a quorum"))
 	}
 	return nil
 }
 
-// Read implements the administration API.
+// Read implements AdminServiceHandler.
 func (s *adminService) Read(ctx context.Context, request *connect.Request[beamdoorv1.ReadRequest]) (*connect.Response[beamdoorv1.ReadResponse], error) {
 	response := &beamdoorv1.ReadResponse{}
 	err := s.read(ctx, request.Msg.Stale, func(core *Core, _ kernel.Instant) {
@@ -177,13 +178,13 @@
 	return connect.NewResponse(response), nil
 }
 
-const defaultHistory = 20
+const defaultHistoryLimit = 20
 
-// History implements the administration API.
+// History implements AdminServiceHandler.
 func (s *adminService) History(ctx context.Context, request *connect.Request[beamdoorv1.HistoryRequest]) (*connect.Response[beamdoorv1.HistoryResponse], error) {
 	limit := int(request.Msg.Limit)
 	if limit == 0 {
-		limit = defaultHistory
+		limit = defaultHistoryLimit
 	}
 	response := &beamdoorv1.HistoryResponse{}
 	err := s.read(ctx, false, func(core *Core, _ kernel.Instant) { response.Entries = core.Store().History(limit) })
@@ -193,8 +194,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// Status implements the administration API. Every member answers; only a
-// leader knows the balancers.
+// Status implements AdminServiceHandler. Every member responds; only the leader
+// includes the balancers.
 func (s *adminService) Status(ctx context.Context, _ *connect.Request[beamdoorv1.StatusRequest]) (*connect.Response[beamdoorv1.StatusResponse], error) {
 	var response *beamdoorv1.StatusResponse
 	err := s.read(ctx, true, func(core *Core, now kernel.Instant) { response = core.Status(now) })
@@ -205,7 +206,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// Trace implements the administration API.
+// Trace implements AdminServiceHandler.
 func (s *adminService) Trace(ctx context.Context, request *connect.Request[beamdoorv1.TraceRequest]) (*connect.Response[beamdoorv1.TraceResponse], error) {
 	var response *beamdoorv1.TraceResponse
 	err := s.read(ctx, false, func(core *Core, now kernel.Instant) { response = core.Trace(now, request.Msg.Revision) })
@@ -213,13 +214,14 @@
 		return nil, err
 	}
 	if response == nil {
-		reason := "revision: the spread of this revision is not remembered by the leader"
-		return nil, refusal(connect.CodeNotFound, errors.New(reason), &beamdoorv1.ErrorDetail{Field: "revision", Reason: reason})
+		reason := "revision: the leader has no trace of this revision"
+		return nil, newAPIError(connect.CodeNotFound, errors.New(reason), &beamdoorv1.ErrorDetail{Field: "revision", Reason: reason})
 	}
 	return connect.NewResponse(response), nil
 }
 
-// Watch implements the administration API.
+// Watch implements AdminServiceHandler. It streams the history entries after the
+// requested revision until the client disconnects or the process stops.
 func (s *adminService) Watch(ctx context.Context, request *connect.Request[beamdoorv1.WatchRequest], stream *connect.ServerStream[beamdoorv1.HistoryEntry]) error {
 	watcher := make(chan struct{}, 1)
 	s.process.inputs.Push(watchInput{watcher: watcher, add: true})
@@ -249,41 +251,43 @@
 	}
 }
 
-// ChangeMember implements the administration API: the addresses are written
-// before a member joins, and forgotten after it has left.
+// ChangeMember implements AdminServiceHandler. A member's addresses are stored before
+// it joins, and deleted after it has been removed.
 func (s *adminService) ChangeMember(ctx context.Context, request *connect.Request[beamdoorv1.ChangeMemberRequest]) (*connect.Response[beamdoorv1.WriteResponse], error) {
 	if err := checkRequestID(request.Msg.RequestId); err != nil {
 		return nil, err
 	}
-	change, err := readMembershipChange(request.Msg)
+	change, err := parseMembershipChange(request.Msg)
 	if err != nil {
-		return nil, refusal(connect.CodeInvalidArgument, err, &beamdoorv1.ErrorDetail{Reason: err.Error()})
+		return nil, newAPIError(connect.CodeInvalidArgument, err, &beamdoorv1.ErrorDetail{Reason: err.Error()})
 	}
 	command := store.Command{Kind: store.CommandSetMember, Body: request.Msg}
 	if request.Msg.Change == beamdoorv1.MemberChange_MEMBER_CHANGE_ADD_LEARNER {
 		if result, err := s.process.propose(ctx, command); err != nil || result.Code != store.ErrorNone {
-			return s.answer(ctx, result, err)
+			return s.writeResponse(ctx, result, err)
 		}
 	}
 	answer := make(chan Outcome, 1)
 	result, err := s.process.submit(ctx, membershipInput{change: change, answer: answer}, answer)
 	if err != nil || request.Msg.Change != beamdoorv1.MemberChange_MEMBER_CHANGE_REMOVE {
-		return s.answer(ctx, result, err)
+		return s.writeResponse(ctx, result, err)
 	}
 	return s.write(ctx, command)
 }
 
-// membershipChange makes the next membership out of the present one.
+// membershipChange derives the next membership from the current one.
 type membershipChange func(now kernel.Instant, core *Core) (raft.Membership, error)
 
-func readMembershipChange(request *beamdoorv1.ChangeMemberRequest) (membershipChange, error) {
+func parseMembershipChange(request *beamdoorv1.ChangeMemberRequest) (membershipChange, error) {
 	if request.GetMember().GetId() == 0 {
-		return nil, errors.New("member.id: must be a number from 1 on that no member has had before")
+		return nil, errors.New("member.id: must be a positive number that no member has used before")
 	}
 	id := raft.MemberID(request.Member.Id)
 	switch request.Change {
 	case beamdoorv1.MemberChange_MEMBER_CHANGE_ADD_LEARNER:
-		return func(now kernel.Instant, core *Core) (raft.Membership, error) { return core.withLearner(now, id) }, nil
+		return func(now kernel.Instant, core *Core) (raft.Membership, error) {
+			return core.membershipWithLearner(now, id)
+		}, nil
 	case beamdoorv1.MemberChange_MEMBER_CHANGE_PROMOTE:
 		return func(_ kernel.Instant, core *Core) (raft.Membership, error) {
 			return core.Raft().Membership().Promote(id), nil
@@ -296,7 +300,7 @@
 	return nil, errors.New("change: must be add-learner, promote or remove")
 }
 
-// Backup implements the administration API.
+// Backup implements AdminServiceHandler.
 func (s *adminService) Backup(ctx context.Context, _ *connect.Request[beamdoorv1.BackupRequest]) (*connect.Response[beamdoorv1.BackupResponse], error) {
 	response := &beamdoorv1.BackupResponse{}
 	var encodeErr error
@@ -313,9 +317,9 @@
 	return connect.NewResponse(response), nil
 }
 
-// snapshotServices returns copies of all services, for use outside the
-// goroutine that owns the core.
-func snapshotServices(state *store.Store) []*beamdoorv1.Service {
+// cloneServices returns deep copies of all services, for use by goroutines that don't
+// own the core.
+func cloneServices(state *store.Store) []*beamdoorv1.Service {
 	var services []*beamdoorv1.Service
 	for _, service := range state.Services() {
 		services = append(services, proto.CloneOf(service))
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -1,6 +1,6 @@
-// Package control provides a control member: the replicated state, the leases
-// and views of the balancers, and the spread of the configuration to them.
-// Core is deterministic; Process runs it with goroutines, disks and sockets.
+// Package control implements a control member. It replicates the configuration, grants
+// leases to balancers, changes the views of their cells and distributes the
+// configuration. Core is deterministic; Process adds goroutines, storage and sockets.
 package control
 
 import (
@@ -21,47 +21,50 @@
 // ConnectionID identifies the connection of a balancer to this member.
 type ConnectionID uint64
 
-// Token links a proposal with its outcome.
+// Token identifies a proposal, so that its outcome can be matched to it.
 type Token uint64
 
-// Mechanisms switches off single mechanisms for tests.
+// Mechanisms disables individual mechanisms in tests.
 type Mechanisms struct {
 	Raft  raft.Mechanisms
 	Store store.Options
-	// NoLeaseWait removes a silent balancer from the view before its lease ends.
+	// NoLeaseWait removes a silent balancer from the view before its lease expires.
 	NoLeaseWait bool
-	// NoStallCheck holds balancers for silent after this process was stopped.
+	// NoStallCheck counts the time in which this process was suspended as silence of
+	// the balancers.
 	NoStallCheck bool
-	// NoLeaderLease grants leases and serves reads without a quorum's support.
+	// NoLeaderLease grants leases and serves reads without confirmation by a quorum.
 	NoLeaderLease bool
 }
 
-// Settings are the fixed settings of a member's core.
+// Settings configures the core of a member.
 type Settings struct {
 	Raft raft.Settings
-	// Lease is how long a balancer may decide alone after a report.
+	// Lease is the duration of a balancer's lease, during which it may assign new flows.
 	Lease time.Duration
-	// LeaseMargin is kept between the end of a lease and its consequences.
+	// LeaseMargin is the delay between the expiry of a lease and the removal of its
+	// holder from the view.
 	LeaseMargin time.Duration
-	// LagLimit is how long a balancer may be behind its cell's configuration
-	// before its lease is no longer renewed.
+	// LagLimit is how long a balancer may lag behind the configuration of its cell
+	// before the leader stops renewing its lease.
 	LagLimit time.Duration
-	// InitialViewDelay collects the first balancers of a cell into one view.
+	// InitialViewDelay is the time from the first report of a cell to its first view,
+	// so that this view contains all balancers that start together.
 	InitialViewDelay time.Duration
-	// SettleTimeout is the longest wait for a view to settle before the next
-	// planned change.
+	// SettleTimeout is the longest time that the next planned change waits for a view
+	// to settle.
 	SettleTimeout time.Duration
-	// SnapshotEntries is the length of the log at which it is compacted.
+	// SnapshotEntries is the number of log entries that triggers compaction.
 	SnapshotEntries int
 	Mechanisms      Mechanisms
-	// InitialMembers are the members of a group that does not exist yet; empty when
-	// this member is to be added to one that does.
+	// InitialMembers are the members of a new group. It is empty for a member that joins
+	// an existing group.
 	InitialMembers []*beamdoorv1.Member
-	// SeedMembers are the members to which one with an empty folder introduces itself.
+	// SeedMembers are the members that a member without a group sends hello frames to.
 	SeedMembers []raft.MemberID
 }
 
-// DefaultSettings returns the settings of a member in production.
+// DefaultSettings returns the settings for production.
 func DefaultSettings() Settings {
 	return Settings{
 		Raft: raft.Settings{
@@ -79,44 +82,44 @@
 	}
 }
 
-// MemberMessage is a frame for another control member.
+// MemberMessage is a frame to be sent to another control member.
 type MemberMessage struct {
 	To    raft.MemberID
 	Frame wire.Frame
 }
 
-// NodeMessage is a frame for a connected balancer.
+// NodeMessage is a frame to be sent to a connected balancer.
 type NodeMessage struct {
 	Connection ConnectionID
 	Frame      wire.Frame
 }
 
-// Outcome tells what became of a proposal.
+// Outcome is the result of a proposal.
 type Outcome struct {
 	Token  Token
 	Result store.Result
-	// Err is set when the outcome is not known: the leader changed before the
-	// proposal was committed. A resend with the same request identity is safe.
+	// Err is set when the proposal was rejected, or when its result is unknown because
+	// the leader changed. A write can be retried with the same request ID.
 	Err error
 }
 
-// LogEvent is an event for the structured log.
+// LogEvent is an entry for the event log.
 type LogEvent struct {
 	Event  eventlog.ID
 	Fields []any
 }
 
-// Output is what the core wants done after an input.
+// Output holds the messages, outcomes and events that an input produced.
 type Output struct {
 	Members  []MemberMessage
 	Nodes    []NodeMessage
 	Outcomes []Outcome
 	Events   []LogEvent
-	// Applied is set when the replicated state has changed.
+	// Applied is set when the replicated state changed.
 	Applied bool
 }
 
-// pendingProposal waits for its entry to commit.
+// pendingProposal is a proposal whose log entry is not committed yet.
 type pendingProposal struct {
 	token Token
 	term  uint64
@@ -124,22 +127,23 @@
 
 var _ replica.Host = (*Core)(nil)
 
-// Core is the deterministic part of a control member. One goroutine owns it.
+// Core is the deterministic state machine of a control member. It is not safe for
+// concurrent use.
 type Core struct {
-	settings Settings
-	replica  *replica.Driver
-	store    *store.Store
-	pending  map[uint64]pendingProposal
-	leases   *leaseTable
-	founding *founding
-	nodes    *nodeTable
-	tracer   *tracer
-	output   Output
+	settings  Settings
+	replica   *replica.Driver
+	store     *store.Store
+	pending   map[uint64]pendingProposal
+	leases    *leaseTable
+	bootstrap *groupBootstrap
+	nodes     *nodeTable
+	tracer    *tracer
+	output    Output
 
 	queuedReports []wire.NodeReport
 }
 
-// NewCore returns a member that starts from what its disk held.
+// NewCore returns a core that starts from the state restored from disk.
 func NewCore(now kernel.Instant, settings Settings, storage replica.Storage, restored raft.Restored) (*Core, error) {
 	state := store.New(settings.Mechanisms.Store)
 	if restored.Snapshot.Index > 0 && len(restored.Snapshot.Data) > 0 {
@@ -161,23 +165,24 @@
 	core.replica.Node = raft.NewNode(now, settings.Raft, restored)
 	core.replica.Applied = restored.Snapshot.Index
 	core.leases = newLeaseTable(core)
-	core.founding = newFounding(settings)
+	core.bootstrap = newGroupBootstrap(settings)
 	return core, nil
 }
 
-// Failed returns the error of the disk that stopped this member, or nil.
+// Failed returns the storage error that stopped this member, or nil.
 func (c *Core) Failed() error { return c.replica.Failed }
 
-// Store returns the replicated state as far as this member has applied it.
+// Store returns the replicated state up to the last entry that this member applied.
 func (c *Core) Store() *store.Store { return c.store }
 
-// Raft returns the replicated log's core, for status reports.
+// Raft returns the Raft node, for status reports.
 func (c *Core) Raft() *raft.Node { return c.replica.Node }
 
-// IsLeader reports whether this member leads.
+// IsLeader reports whether this member is the Raft leader.
 func (c *Core) IsLeader() bool { return c.replica.Node.Role() == raft.Leader }
 
-// CanRead reports whether this member can answer a linearizable read now.
+// CanRead reports whether this member can serve a linearizable read now: it holds the
+// leader lease and has applied all committed entries.
 func (c *Core) CanRead(now kernel.Instant) bool {
 	if c.settings.Mechanisms.NoLeaderLease {
 		return c.IsLeader()
@@ -185,12 +190,12 @@
 	return c.replica.Failed == nil && c.replica.Node.HasLease(now) && c.replica.Applied >= c.replica.Node.Commit()
 }
 
-// Tick lets time pass. It is called at least ten times a second.
+// Tick advances the core to now. It must be called at least ten times a second.
 func (c *Core) Tick(now kernel.Instant) Output {
 	if c.replica.Failed != nil {
 		return Output{}
 	}
-	c.tickFounding(now)
+	c.tickBootstrap(now)
 	c.replica.Node.Tick(now)
 	c.replica.Flush(now)
 	if c.IsLeader() {
@@ -198,7 +203,7 @@
 	}
 	c.forwardReports(now)
 	c.replica.Flush(now)
-	return c.take()
+	return c.takeOutput()
 }
 
 // HandleMemberFrame handles a frame from another control member.
@@ -211,7 +216,7 @@
 		message, err := raft.DecodeMessage(frame.Payload)
 		if err != nil || message.From != from {
 			c.log(eventlog.BadFrame, "peer", from, "err", err)
-			return c.take()
+			return c.takeOutput()
 		}
 		c.replica.Node.Step(now, message)
 	case wire.FrameHello:
@@ -224,7 +229,7 @@
 		c.receiveSignals(now, frame)
 	}
 	c.replica.Flush(now)
-	return c.take()
+	return c.takeOutput()
 }
 
 func (c *Core) receiveReports(now kernel.Instant, from raft.MemberID, frame wire.Frame) {
@@ -256,15 +261,15 @@
 		c.log(eventlog.BadFrame, "err", err)
 		return
 	}
-	c.spreadSignals(now, signals)
+	c.distributeSignals(now, signals)
 }
 
-// Propose appends a command to the replicated log. The outcome follows later
-// under the token, or at once when this member does not lead.
+// Propose appends a command to the replicated log. The outcome carries the token; it
+// is part of this output when the proposal is rejected, and of a later one otherwise.
 func (c *Core) Propose(now kernel.Instant, token Token, command store.Command) Output {
 	c.propose(now, token, command)
 	c.replica.Flush(now)
-	return c.take()
+	return c.takeOutput()
 }
 
 func (c *Core) propose(now kernel.Instant, token Token, command store.Command) {
@@ -286,16 +291,16 @@
 	c.pending[index] = pendingProposal{token: token, term: term}
 }
 
-// ProposeMembership starts a change by one control member.
+// ProposeMembership proposes a membership that differs by one control member.
 func (c *Core) ProposeMembership(now kernel.Instant, token Token, next raft.Membership) Output {
 	index, term, err := c.replica.Node.ProposeMembership(now, next)
 	if err != nil {
 		c.output.Outcomes = append(c.output.Outcomes, Outcome{Token: token, Err: err})
-		return c.take()
+		return c.takeOutput()
 	}
 	c.pending[index] = pendingProposal{token: token, term: term}
 	c.replica.Flush(now)
-	return c.take()
+	return c.takeOutput()
 }
 
 func (c *Core) log(event eventlog.ID, fields ...any) {
@@ -310,7 +315,7 @@
 	c.output.Nodes = append(c.output.Nodes, NodeMessage{Connection: to, Frame: frame})
 }
 
-func (c *Core) take() Output {
+func (c *Core) takeOutput() Output {
 	output := c.output
 	c.output = Output{}
 	return output
@@ -344,7 +349,7 @@
 	c.store = state
 	c.output.Applied = true
 	c.log(eventlog.SnapshotInstalled, "index", snapshot.Index, "revision", state.Revision())
-	c.spreadConfig()
+	c.distributeConfig()
 	return nil
 }
 
@@ -359,7 +364,7 @@
 		result = c.store.Apply(command)
 		c.afterApply(now, command, result)
 	}
-	c.resolve(entry, result)
+	c.resolveProposal(entry, result)
 	return nil
 }
 
@@ -369,19 +374,19 @@
 		return
 	}
 	if c.IsLeader() {
-		c.tracer.accepted(now, result.Revision)
+		c.tracer.recordAccepted(now, result.Revision)
 	}
 	if change, ok := command.Body.(*beamdoorv1.ViewChange); ok {
 		view := c.store.View(change.Cell)
-		c.leases.noteView(now, view)
+		c.leases.viewApplied(now, view)
 		c.log(eventlog.ViewChanged, "cell", change.Cell, "view", view.Number, "members", len(view.Members), "revision", result.Revision)
 	}
-	c.spreadConfig()
+	c.distributeConfig()
 }
 
-func (c *Core) resolve(entry raft.Entry, result store.Result) {
-	proposal, waiting := c.pending[entry.Index]
-	if !waiting {
+func (c *Core) resolveProposal(entry raft.Entry, result store.Result) {
+	proposal, known := c.pending[entry.Index]
+	if !known {
 		return
 	}
 	delete(c.pending, entry.Index)
@@ -390,7 +395,7 @@
 		outcome.Result.Revision = c.store.Revision()
 	}
 	if proposal.term != entry.Term {
-		outcome.Err = steperror.New("control.propose", "", "another leader's entry took this place")
+		outcome.Err = steperror.New("control.propose", "", "the log entry was replaced by another leader's")
 	}
 	c.output.Outcomes = append(c.output.Outcomes, outcome)
 }
@@ -398,11 +403,11 @@
 // RoleChanged implements replica.Host.
 func (c *Core) RoleChanged(now kernel.Instant, before raft.Role) {
 	if before == raft.Leader {
-		c.failPending(steperror.New("control.propose", "", "leadership was lost before the write was committed"))
+		c.failPending(steperror.New("control.propose", "", "this member lost leadership before the write was committed"))
 	}
 	c.log(eventlog.RoleChanged, "role", c.replica.Role, "term", c.replica.Term, "leader", c.replica.Node.Leader())
 	if c.replica.Role == raft.Leader {
-		c.leases.takeOver(now)
+		c.leases.reset(now)
 		c.tracer.reset()
 	}
 }
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -14,72 +14,71 @@
 )
 
 const (
-	// helloInterval is the time between two introductions.
+	// helloInterval is the time between two hello frames.
 	helloInterval = 300 * time.Millisecond
-	// helloLifetime is how long an introduction counts.
-	helloLifetime = 2 * time.Second
+	// helloTTL is how long a received hello stays valid.
+	helloTTL = 2 * time.Second
 )
 
-// introduction is what was last heard from a member by a hello.
-type introduction struct {
-	hello wire.Hello
-	at    kernel.Instant
+// receivedHello is the last hello frame from a member.
+type receivedHello struct {
+	hello      wire.Hello
+	receivedAt kernel.Instant
 }
 
-// founding brings a member with an empty data folder into a group. The group
-// is founded only once every founder has said that its folder is empty too:
-// a member that lost its disk would otherwise found a second group, with
-// founders of its own name.
-type founding struct {
-	founders  []*beamdoorv1.Member
-	contacts  []raft.MemberID
-	heard     map[raft.MemberID]introduction
-	nextHello kernel.Instant
-	refused   bool
+// groupBootstrap holds the state for creating a group. A group is created only after
+// every initial member has reported an empty data folder: otherwise a member that lost
+// its disk could create a second group with the same members.
+type groupBootstrap struct {
+	initialMembers []*beamdoorv1.Member
+	seedMembers    []raft.MemberID
+	hellos         map[raft.MemberID]receivedHello
+	nextHello      kernel.Instant
+	refusalLogged  bool
 }
 
-func newFounding(settings Settings) *founding {
-	return &founding{
-		founders: settings.InitialMembers,
-		contacts: settings.SeedMembers,
-		heard:    map[raft.MemberID]introduction{},
+func newGroupBootstrap(settings Settings) *groupBootstrap {
+	return &groupBootstrap{
+		initialMembers: settings.InitialMembers,
+		seedMembers:    settings.SeedMembers,
+		hellos:         map[raft.MemberID]receivedHello{},
 	}
 }
 
-// isEmpty reports whether this member belongs to no group yet.
-func (c *Core) isEmpty() bool { return c.replica.Node.Restored().Snapshot.Index == 0 }
+// isUninitialized reports whether this member belongs to no group yet.
+func (c *Core) isUninitialized() bool { return c.replica.Node.Restored().Snapshot.Index == 0 }
 
-func (c *Core) hello() wire.Frame {
-	return wire.HelloFrame(wire.Hello{Identity: c.settings.Raft.Identity, Empty: c.isEmpty()})
+func (c *Core) helloFrame() wire.Frame {
+	return wire.HelloFrame(wire.Hello{Identity: c.settings.Raft.Identity, Empty: c.isUninitialized()})
 }
 
-// tickFounding introduces a member that belongs to no group, and founds one
-// when it is the founder with the lowest ID and all others are ready.
-func (c *Core) tickFounding(now kernel.Instant) {
-	if !c.isEmpty() || now < c.founding.nextHello {
+// tickBootstrap sends hello frames while this member belongs to no group. The initial
+// member with the lowest ID creates the group once all others are ready.
+func (c *Core) tickBootstrap(now kernel.Instant) {
+	if !c.isUninitialized() || now < c.bootstrap.nextHello {
 		return
 	}
-	c.founding.nextHello = now.Add(helloInterval)
-	for _, id := range c.founding.contacts {
+	c.bootstrap.nextHello = now.Add(helloInterval)
+	for _, id := range c.bootstrap.seedMembers {
 		if id != c.settings.Raft.ID {
-			c.sendMember(id, c.hello())
+			c.sendMember(id, c.helloFrame())
 		}
 	}
-	if identities := c.founding.ready(now, c.settings.Raft); identities != nil {
-		c.found(now, identities)
+	if identities := c.bootstrap.allIdentities(now, c.settings.Raft); identities != nil {
+		c.bootstrapGroup(now, identities)
 	}
 }
 
-// ready returns the identities of all founders once each has introduced itself
-// lately with an empty folder, and nil before or when it is not this member's
-// part to found the group.
-func (f *founding) ready(now kernel.Instant, self raft.Settings) map[raft.MemberID]uint64 {
-	if len(f.founders) == 0 {
+// allIdentities returns the identities of all initial members once each has sent a
+// recent hello with an empty folder. It returns nil before that, and on members other
+// than the one with the lowest ID.
+func (b *groupBootstrap) allIdentities(now kernel.Instant, self raft.Settings) map[raft.MemberID]uint64 {
+	if len(b.initialMembers) == 0 {
 		return nil
 	}
 	identities := map[raft.MemberID]uint64{}
-	for _, founder := range f.founders {
-		id := raft.MemberID(founder.Id)
+	for _, member := range b.initialMembers {
+		id := raft.MemberID(member.Id)
 		if id < self.ID {
 			return nil
 		}
@@ -87,18 +86,18 @@
 			identities[id] = self.Identity
 			continue
 		}
-		from, known := f.heard[id]
-		if !known || !from.hello.Empty || now.Sub(from.at) > helloLifetime {
+		received, known := b.hellos[id]
+		if !known || !received.hello.Empty || now.Sub(received.receivedAt) > helloTTL {
 			return nil
 		}
-		identities[id] = from.hello.Identity
+		identities[id] = received.hello.Identity
 	}
 	return identities
 }
 
-// found makes the first state of a group and begins with it.
-func (c *Core) found(now kernel.Instant, identities map[raft.MemberID]uint64) {
-	restored, err := firstState(c.founding.founders, identities)
+// bootstrapGroup writes the initial state of a new group to disk and starts from it.
+func (c *Core) bootstrapGroup(now kernel.Instant, identities map[raft.MemberID]uint64) {
+	restored, err := initialState(c.bootstrap.initialMembers, identities)
 	if err != nil {
 		c.replica.Stop(err)
 		return
@@ -119,11 +118,11 @@
 	c.log(eventlog.GroupFounded, "members", len(identities))
 }
 
-// firstState returns what the disk of the first member of a group holds: a
-// snapshot with the first membership and the members' addresses.
-func firstState(founders []*beamdoorv1.Member, identities map[raft.MemberID]uint64) (raft.Restored, error) {
+// initialState returns the initial state of a group: a snapshot with the membership and
+// the members' addresses.
+func initialState(initialMembers []*beamdoorv1.Member, identities map[raft.MemberID]uint64) (raft.Restored, error) {
 	state := store.New(store.Options{})
-	for _, member := range founders {
+	for _, member := range initialMembers {
 		state.Apply(store.Command{
 			Kind: store.CommandSetMember,
 			Body: &beamdoorv1.ChangeMemberRequest{
@@ -140,49 +139,49 @@
 	return raft.Restored{Snapshot: raft.Snapshot{Index: 1, Membership: membership, Data: data}}, nil
 }
 
-// receiveHello notes an introduction and answers a member that might found a
-// second group.
+// receiveHello records a hello frame. It replies to an uninitialized member, so that it
+// doesn't create a second group.
 func (c *Core) receiveHello(now kernel.Instant, from raft.MemberID, frame wire.Frame) {
 	hello, err := wire.DecodeHello(frame.Payload)
 	if err != nil {
 		c.log(eventlog.BadFrame, "peer", from, "err", err)
 		return
 	}
-	c.founding.heard[from] = introduction{hello: hello, at: now}
-	if hello.Empty && !c.isEmpty() {
-		c.sendMember(from, c.hello())
+	c.bootstrap.hellos[from] = receivedHello{hello: hello, receivedAt: now}
+	if hello.Empty && !c.isUninitialized() {
+		c.sendMember(from, c.helloFrame())
 	}
-	if !hello.Empty && c.isEmpty() && len(c.founding.founders) > 0 && !c.founding.refused {
-		c.founding.refused = true
+	if !hello.Empty && c.isUninitialized() && len(c.bootstrap.initialMembers) > 0 && !c.bootstrap.refusalLogged {
+		c.bootstrap.refusalLogged = true
 		c.log(eventlog.FoundingRefused, "member", from)
 	}
 }
 
-// LearnerIdentity returns the identity of a member that has introduced itself
-// and belongs to no group yet.
+// LearnerIdentity returns the identity of a member that has sent a recent hello and
+// belongs to no group yet.
 func (c *Core) LearnerIdentity(now kernel.Instant, id raft.MemberID) (uint64, bool) {
-	from, known := c.founding.heard[id]
-	if !known || !from.hello.Empty || now.Sub(from.at) > helloLifetime {
+	received, known := c.bootstrap.hellos[id]
+	if !known || !received.hello.Empty || now.Sub(received.receivedAt) > helloTTL {
 		return 0, false
 	}
-	return from.hello.Identity, true
+	return received.hello.Identity, true
 }
 
-// withLearner returns the membership with a new learner. The learner must be
-// running, since the membership names the identity of its data folder.
-func (c *Core) withLearner(now kernel.Instant, id raft.MemberID) (raft.Membership, error) {
+// membershipWithLearner returns the membership with an additional learner. The learner
+// must be running, since the membership contains the identity of its data folder.
+func (c *Core) membershipWithLearner(now kernel.Instant, id raft.MemberID) (raft.Membership, error) {
 	const step = "control.add_learner"
 	membership := c.replica.Node.Membership()
 	if membership.Contains(id) {
 		return membership, nil
 	}
 	if id <= membership.Highest {
-		reason := fmt.Sprintf("member.id: %d has been used before; the next free one is %d", id, membership.Highest+1)
+		reason := fmt.Sprintf("member.id: %d was used before; the next unused ID is %d", id, membership.Highest+1)
 		return raft.Membership{}, steperror.New(step, "", reason)
 	}
-	identity, heard := c.LearnerIdentity(now, id)
-	if !heard {
-		reason := fmt.Sprintf("member.id: %d has not introduced itself; start it with an empty data folder and this group's members first", id)
+	identity, known := c.LearnerIdentity(now, id)
+	if !known {
+		reason := fmt.Sprintf("member.id: no hello received from member %d; start it first, with an empty data folder and the members of this group", id)
 		return raft.Membership{}, steperror.New(step, "", reason)
 	}
 	return membership.AddLearner(id, identity), nil
--- a/internal/control/judge.go
+++ b/internal/control/judge.go
@@ -13,70 +13,70 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// deadAfter is the number of missed reports in a row after which a target is
-// held for dead.
-const deadAfter = 4
+// missedReportsUntilDead is the number of consecutive missed reports after which a
+// target counts as dead.
+const missedReportsUntilDead = 4
 
-// judgeRecord is what the judge knows of one target.
-type judgeRecord struct {
-	service  *beamdoorv1.Service
-	target   *beamdoorv1.Target
-	report   *beamdoorv1.LoadResponse
-	reported kernel.Instant
-	failures int
-	verdict  policy.Verdict
-	alive    bool
-	// run identifies the run of the target's process, 0 while it is not known.
-	run uint32
-	// restarted says that the balancers have to hear of another run.
+// targetRecord is the evaluator's state for one target.
+type targetRecord struct {
+	service       *beamdoorv1.Service
+	target        *beamdoorv1.Target
+	report        *beamdoorv1.LoadResponse
+	reportedAt    kernel.Instant
+	missedReports int
+	verdict       policy.Verdict
+	alive         bool
+	// runID identifies the target's current process. It is 0 while unknown.
+	runID uint32
+	// restarted is set until a new runID has been published to the balancers.
 	restarted bool
-	// judged says that there was evidence for a verdict since this member
-	// began to lead; until then the former leader's verdict stays in force.
-	judged bool
+	// evaluated is set once this member, as the leader, has a verdict. Until then the
+	// balancers keep the verdict of the former leader.
+	evaluated bool
 }
 
-// firstVerdict is in force until there is evidence.
-var firstVerdict = policy.Verdict{Weight: 128}
+// defaultVerdict applies before the first evaluation.
+var defaultVerdict = policy.Verdict{Weight: 128}
 
-// hasEvidence reports whether the target has answered or been missed for long
-// enough, or is not asked at all.
-func (r *judgeRecord) hasEvidence() bool {
-	return r.report != nil || r.failures >= deadAfter || r.target.Admin == ""
+// hasEvidence reports whether there is data for a verdict: a load report, enough missed
+// reports, or a target that isn't probed.
+func (r *targetRecord) hasEvidence() bool {
+	return r.report != nil || r.missedReports >= missedReportsUntilDead || r.target.Admin == ""
 }
 
-// TargetEvaluator turns the targets' load reports into verdicts by the operators'
-// policies. It is deterministic; the prober and the simulator feed it.
+// TargetEvaluator derives a verdict on each target from its load reports and the
+// policies of its service. It is deterministic and not safe for concurrent use.
 type TargetEvaluator struct {
-	records map[uint32]*judgeRecord
+	records map[uint32]*targetRecord
 	events  []LogEvent
 }
 
-// NewTargetEvaluator returns a judge that has heard of no target.
+// NewTargetEvaluator returns an evaluator without targets.
 func NewTargetEvaluator() *TargetEvaluator {
-	return &TargetEvaluator{records: map[uint32]*judgeRecord{}}
+	return &TargetEvaluator{records: map[uint32]*targetRecord{}}
 }
 
-// programs are the compiled policies of one service.
-type programs struct {
+// compiledPolicies holds the compiled policies of one service.
+type compiledPolicies struct {
 	sharing *policy.Program
 	health  *policy.Program
 	err     error
 }
 
-// Policies are the compiled policies of all services.
-type Policies map[string]programs
+// Policies holds the compiled policies by service name.
+type Policies map[string]compiledPolicies
 
-// CompilePolicies compiles the policies that the services name, each once.
+// CompilePolicies compiles the policies that the services refer to, each once.
 func CompilePolicies(services []*beamdoorv1.Service, stored []*beamdoorv1.Policy) Policies {
-	library := policyLibrary{sources: map[string]string{}, compiled: map[string]compiledProgram{}}
-	for _, own := range stored {
-		library.sources[own.Name] = own.Source
+	cache := policyCache{sources: map[string]string{}, compiled: map[string]compiledProgram{}}
+	for _, custom := range stored {
+		cache.sources[custom.Name] = custom.Source
 	}
 	policies := Policies{}
 	for _, service := range services {
-		sharing := library.compile(service.SharingPolicy)
-		health := library.compile(service.HealthPolicy)
-		policies[service.Name] = programs{
+		sharing := cache.compile(service.SharingPolicy)
+		health := cache.compile(service.HealthPolicy)
+		policies[service.Name] = compiledPolicies{
 			sharing: sharing.program,
 			health:  health.program,
 			err:     errors.Join(sharing.err, health.err),
@@ -85,8 +85,8 @@
 	return policies
 }
 
-// policyLibrary compiles each program once.
-type policyLibrary struct {
+// policyCache compiles policies and caches the results by name.
+type policyCache struct {
 	sources  map[string]string
 	compiled map[string]compiledProgram
 }
@@ -96,73 +96,73 @@
 	err     error
 }
 
-func (l *policyLibrary) compile(name string) compiledProgram {
-	if known, done := l.compiled[name]; done {
-		return known
+func (c *policyCache) compile(name string) compiledProgram {
+	if cached, found := c.compiled[name]; found {
+		return cached
 	}
 	var result compiledProgram
-	source, stored := l.sources[name]
+	source, stored := c.sources[name]
 	if !stored {
 		source, result.err = policy.Builtin(name)
 	}
 	if result.err == nil {
 		result.program, result.err = policy.Compile(name, source)
 	}
-	l.compiled[name] = result
+	c.compiled[name] = result
 	return result
 }
 
-// SetServices follows the configuration.
-func (j *TargetEvaluator) SetServices(now kernel.Instant, services []*beamdoorv1.Service) {
-	current := map[uint32]*judgeRecord{}
+// SetServices replaces the configuration. Targets that remain keep their state.
+func (e *TargetEvaluator) SetServices(now kernel.Instant, services []*beamdoorv1.Service) {
+	current := map[uint32]*targetRecord{}
 	for _, service := range services {
 		for _, target := range service.Targets {
-			record := j.records[target.Id]
+			record := e.records[target.Id]
 			if record == nil {
-				record = &judgeRecord{alive: true, reported: now, verdict: firstVerdict}
+				record = &targetRecord{alive: true, reportedAt: now, verdict: defaultVerdict}
 			}
 			record.service = service
 			record.target = target
 			current[target.Id] = record
 		}
 	}
-	j.records = current
+	e.records = current
 }
 
-// RecordReport notes the load report of a target.
-func (j *TargetEvaluator) RecordReport(now kernel.Instant, targetID uint32, report *beamdoorv1.LoadResponse) {
-	record := j.records[targetID]
+// RecordReport records a target's load report.
+func (e *TargetEvaluator) RecordReport(now kernel.Instant, targetID uint32, report *beamdoorv1.LoadResponse) {
+	record := e.records[targetID]
 	if record == nil {
 		return
 	}
-	record.failures = 0
+	record.missedReports = 0
 	record.report = report
-	record.reported = now
-	if run := foldRun(report.Run); run != 0 && run != record.run {
-		record.run = run
+	record.reportedAt = now
+	if run := foldRunID(report.Run); run != 0 && run != record.runID {
+		record.runID = run
 		record.restarted = true
 	}
 }
 
-// foldRun shortens the identifier of a run to what signals carry.
-func foldRun(run uint64) uint32 { return uint32(run) ^ uint32(run>>32) }
+// foldRunID folds a run ID to the 32 bits that signals carry.
+func foldRunID(run uint64) uint32 { return uint32(run) ^ uint32(run>>32) }
 
-// RecordMissedReport notes that a target did not report in time.
-func (j *TargetEvaluator) RecordMissedReport(targetID uint32) {
-	if record := j.records[targetID]; record != nil {
-		record.failures++
+// RecordMissedReport records that a target sent no report in time.
+func (e *TargetEvaluator) RecordMissedReport(targetID uint32) {
+	if record := e.records[targetID]; record != nil {
+		record.missedReports++
 	}
 }
 
-func (r *judgeRecord) sample(now kernel.Instant) policy.Sample {
+func (r *targetRecord) sample(now kernel.Instant) policy.Sample {
 	sample := policy.Sample{
 		Name:      r.target.Name,
 		Zone:      r.target.Zone,
 		Slots:     r.target.Slots,
 		Capacity:  r.target.Connections,
 		ColdStart: time.Duration(r.service.GetLimits().GetColdStartMs()) * time.Millisecond,
-		Age:       now.Sub(r.reported),
-		Failures:  r.failures,
+		Age:       now.Sub(r.reportedAt),
+		Failures:  r.missedReports,
 		Ready:     true,
 		Uptime:    time.Hour,
 	}
@@ -177,26 +177,27 @@
 	return sample
 }
 
-// uptime returns how long the target's process runs by now, in milliseconds.
-func (r *judgeRecord) uptime(now kernel.Instant) uint32 {
+// uptime returns the uptime of the target's process at now, in milliseconds.
+func (r *targetRecord) uptime(now kernel.Instant) uint32 {
 	if r.report == nil {
 		return 0
 	}
-	return addMilliseconds(uint32(min(r.report.UptimeMs, math.MaxUint32)), now.Sub(r.reported))
+	return addMilliseconds(uint32(min(r.report.UptimeMs, math.MaxUint32)), now.Sub(r.reportedAt))
 }
 
-// addMilliseconds adds a duration and stays within the type.
+// addMilliseconds adds a duration to a number of milliseconds and saturates at the
+// maximum of uint32.
 func addMilliseconds(milliseconds uint32, passed time.Duration) uint32 {
 	return uint32(min(int64(milliseconds)+passed.Milliseconds(), math.MaxUint32))
 }
 
-// Evaluate runs the policies and returns, for each cell in which a verdict
-// changed, the verdicts on its targets, with the events to log.
-func (j *TargetEvaluator) Evaluate(now kernel.Instant, services []*beamdoorv1.Service, policies Policies) (map[uint32][]wire.TargetSignal, []LogEvent) {
-	j.events = nil
+// Evaluate runs the policies. It returns the signals of all evaluated targets for each
+// cell in which a verdict changed, and the events to log.
+func (e *TargetEvaluator) Evaluate(now kernel.Instant, services []*beamdoorv1.Service, policies Policies) (map[uint32][]wire.TargetSignal, []LogEvent) {
+	e.events = nil
 	changed := map[uint32]bool{}
 	for _, service := range services {
-		if j.judgeService(now, service, policies[service.Name]) {
+		if e.evaluateService(now, service, policies[service.Name]) {
 			changed[service.Cell] = true
 		}
 	}
@@ -206,48 +207,50 @@
 			continue
 		}
 		for _, target := range service.Targets {
-			record := j.records[target.Id]
-			if !record.judged {
+			record := e.records[target.Id]
+			if !record.evaluated {
 				continue
 			}
-			signal := wire.TargetSignal{TargetID: target.Id, Weight: record.verdict.Weight, Alive: record.alive, Run: record.run}
+			signal := wire.TargetSignal{TargetID: target.Id, Weight: record.verdict.Weight, Alive: record.alive, Run: record.runID}
 			signal.UptimeMilliseconds = record.uptime(now)
 			signals[service.Cell] = append(signals[service.Cell], signal)
 		}
 	}
-	return signals, j.events
+	return signals, e.events
 }
 
-// judgeService judges one service's targets. When most of them seem dead at
-// once, the fault is more likely on this side, and none is held for dead.
-func (j *TargetEvaluator) judgeService(now kernel.Instant, service *beamdoorv1.Service, compiled programs) bool {
+// evaluateService evaluates the targets of one service and reports whether any verdict
+// changed. When more than half of them seem dead, the prober is more likely to be at
+// fault, and all count as alive.
+func (e *TargetEvaluator) evaluateService(now kernel.Instant, service *beamdoorv1.Service, compiled compiledPolicies) bool {
 	dead := 0
 	for _, target := range service.Targets {
-		if j.records[target.Id].failures >= deadAfter {
+		if e.records[target.Id].missedReports >= missedReportsUntilDead {
 			dead++
 		}
 	}
-	trusted := 2*dead <= len(service.Targets)
+	plausible := 2*dead <= len(service.Targets)
 	changed := false
 	for _, target := range service.Targets {
-		record := j.records[target.Id]
+		record := e.records[target.Id]
 		if !record.hasEvidence() {
 			continue
 		}
-		verdict := j.evaluate(now, record, compiled)
-		alive := record.failures < deadAfter || !trusted
-		if verdict != record.verdict || alive != record.alive || !record.judged || record.restarted {
+		verdict := e.evaluateTarget(now, record, compiled)
+		alive := record.missedReports < missedReportsUntilDead || !plausible
+		if verdict != record.verdict || alive != record.alive || !record.evaluated || record.restarted {
 			changed = true
-			record.judged = true
+			record.evaluated = true
 			record.restarted = false
-			j.noteVerdict(record, verdict, alive)
+			e.setVerdict(record, verdict, alive)
 		}
 	}
 	return changed
 }
 
-// evaluate runs the programs; when they fail, the last verdict stays in force.
-func (j *TargetEvaluator) evaluate(now kernel.Instant, record *judgeRecord, compiled programs) policy.Verdict {
+// evaluateTarget runs the policies on one target. It keeps the last verdict when they
+// fail.
+func (e *TargetEvaluator) evaluateTarget(now kernel.Instant, record *targetRecord, compiled compiledPolicies) policy.Verdict {
 	err := compiled.err
 	if err == nil {
 		var verdict policy.Verdict
@@ -255,49 +258,49 @@
 			return verdict
 		}
 	}
-	j.log(eventlog.PolicyFailed, "service", record.service.Name, "target", record.target.Name, "err", err)
+	e.log(eventlog.PolicyFailed, "service", record.service.Name, "target", record.target.Name, "err", err)
 	return record.verdict
 }
 
-func (j *TargetEvaluator) noteVerdict(record *judgeRecord, verdict policy.Verdict, alive bool) {
+func (e *TargetEvaluator) setVerdict(record *targetRecord, verdict policy.Verdict, alive bool) {
 	if verdict.Alone != record.verdict.Alone || alive != record.alive {
-		j.log(eventlog.TargetVerdict, "service", record.service.Name, "target", record.target.Name,
+		e.log(eventlog.TargetVerdict, "service", record.service.Name, "target", record.target.Name,
 			"weight", verdict.Weight, "alive", alive, "reason", verdict.Reason)
 	}
 	record.verdict = verdict
 	record.alive = alive
 }
 
-func (j *TargetEvaluator) log(event eventlog.ID, fields ...any) {
-	j.events = append(j.events, LogEvent{Event: event, Fields: fields})
+func (e *TargetEvaluator) log(event eventlog.ID, fields ...any) {
+	e.events = append(e.events, LogEvent{Event: event, Fields: fields})
 }
 
-// Status returns the verdicts in order of service and target.
-func (j *TargetEvaluator) Status() []*beamdoorv1.TargetStatus {
-	var list []*beamdoorv1.TargetStatus
-	for _, record := range j.records {
-		firing := record.service.SharingPolicy
+// Status returns the verdicts sorted by service and target.
+func (e *TargetEvaluator) Status() []*beamdoorv1.TargetStatus {
+	var statuses []*beamdoorv1.TargetStatus
+	for _, record := range e.records {
+		policyName := record.service.SharingPolicy
 		if record.verdict.Reason != "" {
-			firing = record.service.HealthPolicy
+			policyName = record.service.HealthPolicy
 		}
 		reason := record.verdict.Reason
 		if record.target.Draining && reason == "" {
 			reason = "draining"
 		}
-		list = append(list, &beamdoorv1.TargetStatus{
+		statuses = append(statuses, &beamdoorv1.TargetStatus{
 			Service: record.service.Name,
 			Target:  record.target.Name,
 			Weight:  uint32(record.verdict.Weight),
 			Alive:   record.alive,
 			Reason:  reason,
-			Policy:  firing,
+			Policy:  policyName,
 		})
 	}
-	sort.Slice(list, func(a, b int) bool {
-		if list[a].Service != list[b].Service {
-			return list[a].Service < list[b].Service
+	sort.Slice(statuses, func(a, b int) bool {
+		if statuses[a].Service != statuses[b].Service {
+			return statuses[a].Service < statuses[b].Service
 		}
-		return list[a].Target < list[b].Target
+		return statuses[a].Target < statuses[b].Target
 	})
-	return list
+	return statuses
 }
--- a/internal/control/judge_test.go
+++ b/internal/control/judge_test.go
@@ -13,104 +13,105 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// judged is a judge of one service with four targets.
-type judged struct {
+// evaluatorFixture is an evaluator of one service with four targets.
+type evaluatorFixture struct {
 	*TargetEvaluator
 	now      kernel.Instant
 	services []*beamdoorv1.Service
 	policies []*beamdoorv1.Policy
 }
 
-func newJudged() *judged {
+func newEvaluatorFixture() *evaluatorFixture {
 	service := &beamdoorv1.Service{Name: "s", Cell: 1, SharingPolicy: "builtin/even", HealthPolicy: "builtin/health"}
 	for id := uint32(1); id <= 4; id++ {
 		service.Targets = append(service.Targets, &beamdoorv1.Target{Id: id, Name: fmt.Sprintf("t%d", id), Admin: "a", Slots: 2})
 	}
-	j := &judged{TargetEvaluator: NewTargetEvaluator(), services: []*beamdoorv1.Service{service}}
-	j.SetServices(0, j.services)
-	return j
+	f := &evaluatorFixture{TargetEvaluator: NewTargetEvaluator(), services: []*beamdoorv1.Service{service}}
+	f.SetServices(0, f.services)
+	return f
 }
 
-func (j *judged) report(id uint32, report *beamdoorv1.LoadResponse) {
-	j.RecordReport(j.now, id, report)
+func (f *evaluatorFixture) report(id uint32, report *beamdoorv1.LoadResponse) {
+	f.RecordReport(f.now, id, report)
 }
 
-// verdicts returns the signals of the cell by target, or nil without a change.
-func (j *judged) verdicts() map[uint32]wire.TargetSignal {
-	j.now = j.now.Add(time.Second)
-	changed, _ := j.TargetEvaluator.Evaluate(j.now, j.services, CompilePolicies(j.services, j.policies))
+// evaluateNext evaluates after one second. It returns the signals by target ID, or nil if
+// nothing changed.
+func (f *evaluatorFixture) evaluateNext() map[uint32]wire.TargetSignal {
+	f.now = f.now.Add(time.Second)
+	changed, _ := f.TargetEvaluator.Evaluate(f.now, f.services, CompilePolicies(f.services, f.policies))
 	if changed[1] == nil {
 		return nil
 	}
-	found := map[uint32]wire.TargetSignal{}
+	signals := map[uint32]wire.TargetSignal{}
 	for _, signal := range changed[1] {
-		found[signal.TargetID] = signal
+		signals[signal.TargetID] = signal
 	}
-	return found
+	return signals
 }
 
-func ready(run uint64) *beamdoorv1.LoadResponse {
+func readyReport(run uint64) *beamdoorv1.LoadResponse {
 	return &beamdoorv1.LoadResponse{Ready: true, UptimeMs: 60_000, Run: run}
 }
 
-func TestNoVerdictWithoutEvidence(t *testing.T) {
-	j := newJudged()
-	assert.Nil(t, j.verdicts(), "a new leader does not undo what the former one said")
-	j.report(1, ready(1))
-	got := j.verdicts()
-	assert.Len(t, got, 1)
-	assert.True(t, got[1].Alive)
-	assert.Nil(t, j.verdicts(), "only changes are spread")
+func TestEvaluateReturnsNoSignalsWithoutReports(t *testing.T) {
+	f := newEvaluatorFixture()
+	assert.Nil(t, f.evaluateNext(), "a new leader keeps the verdicts of the former one")
+	f.report(1, readyReport(1))
+	signals := f.evaluateNext()
+	assert.Len(t, signals, 1)
+	assert.True(t, signals[1].Alive)
+	assert.Nil(t, f.evaluateNext(), "only changes are published")
 }
 
-func TestDeadTargetAndMassDeath(t *testing.T) {
-	j := newJudged()
+func TestTargetsStayAliveWhenMostMissReports(t *testing.T) {
+	f := newEvaluatorFixture()
 	for id := uint32(1); id <= 4; id++ {
-		j.report(id, ready(1))
+		f.report(id, readyReport(1))
 	}
-	j.verdicts()
-	for range deadAfter {
-		j.RecordMissedReport(1)
+	f.evaluateNext()
+	for range missedReportsUntilDead {
+		f.RecordMissedReport(1)
 	}
-	assert.False(t, j.verdicts()[1].Alive)
-	for range deadAfter {
-		j.RecordMissedReport(2)
-		j.RecordMissedReport(3)
+	assert.False(t, f.evaluateNext()[1].Alive)
+	for range missedReportsUntilDead {
+		f.RecordMissedReport(2)
+		f.RecordMissedReport(3)
 	}
-	got := j.verdicts()
-	assert.True(t, got[1].Alive, "when most seem dead the fault is on this side")
-	assert.True(t, got[2].Alive)
-	assert.Zero(t, got[2].Weight, "yet they get no new flows")
+	signals := f.evaluateNext()
+	assert.True(t, signals[1].Alive, "all targets count as alive when most miss reports")
+	assert.True(t, signals[2].Alive)
+	assert.Zero(t, signals[2].Weight, "targets that miss reports get no new flows")
 }
 
-func TestRestartOfATargetIsSpread(t *testing.T) {
-	j := newJudged()
-	j.report(1, ready(7))
-	before := j.verdicts()[1].Run
-	j.report(1, ready(7))
-	assert.Nil(t, j.verdicts())
-	j.report(1, ready(8))
-	after := j.verdicts()[1].Run
+func TestTargetRestartIsPublished(t *testing.T) {
+	f := newEvaluatorFixture()
+	f.report(1, readyReport(7))
+	before := f.evaluateNext()[1].Run
+	f.report(1, readyReport(7))
+	assert.Nil(t, f.evaluateNext())
+	f.report(1, readyReport(8))
+	after := f.evaluateNext()[1].Run
 	assert.NotZero(t, before)
 	assert.NotEqual(t, before, after)
 }
 
-func TestFailingPolicyKeepsTheLastVerdict(t *testing.T) {
-	j := newJudged()
-	j.report(1, ready(1))
-	weight := j.verdicts()[1].Weight
+func TestFailingPolicyKeepsLastVerdict(t *testing.T) {
+	f := newEvaluatorFixture()
+	f.report(1, readyReport(1))
+	weight := f.evaluateNext()[1].Weight
 	require.NotZero(t, weight)
-	j.services[0].SharingPolicy = "mine"
-	j.policies = []*beamdoorv1.Policy{{Name: "mine", Source: "def weight(target):\n    return target.nothing\n"}}
-	j.report(1, ready(1))
-	assert.Nil(t, j.verdicts())
-	assert.Equal(t, uint32(weight), j.Status()[0].Weight)
+	f.services[0].SharingPolicy = "custom"
+	f.policies = []*beamdoorv1.Policy{{Name: "custom", Source: "def weight(target):\n    return target.nothing\n"}}
+	f.report(1, readyReport(1))
+	assert.Nil(t, f.evaluateNext())
+	assert.Equal(t, uint32(weight), f.Status()[0].Weight)
 }
 
-func TestStatusShowsDraining(t *testing.T) {
-	j := newJudged()
-	j.services[0].Targets[0].Draining = true
-	j.report(1, ready(1))
-	j.verdicts()
-	assert.Equal(t, "draining", j.Status()[0].Reason)
+func TestStatusShowsDrainingTarget(t *testing.T) {
+	f := newEvaluatorFixture()
+	f.services[0].Targets[0].Draining = true
+	f.report(1, readyReport(1))
+	f.evaluateNext()
+	assert.Equal(t, "draining", f.Status()[0].Reason)
 }
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -12,10 +12,10 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// leaseRecord is what the leader knows of one run of a balancer.
+// leaseRecord is the leader's state for one balancer process.
 type leaseRecord struct {
 	report wire.NodeReport
-	// memberID is its number in the view, which changes when it joins anew.
+	// memberID is its ID in the view. It changes when the balancer rejoins.
 	memberID    uint32
 	expires     kernel.Instant
 	lastSeen    kernel.Instant
@@ -23,44 +23,44 @@
 	behind      bool
 }
 
-// cellRecord paces the changes of a cell's view.
+// cellRecord tracks the pending and the last view change of a cell.
 type cellRecord struct {
-	changing    bool
-	changingAt  kernel.Instant
-	lastChange  kernel.Instant
-	firstReport kernel.Instant
-	seen        bool
+	changePending    bool
+	changeProposedAt kernel.Instant
+	lastChangeAt     kernel.Instant
+	firstReportAt    kernel.Instant
+	hasReport        bool
 }
 
-// leaseTable is the leader's record of leases. It is soft state: a new leader
-// assumes that every balancer in a view holds a full lease.
+// leaseTable holds the leader's leases. It isn't replicated: a new leader assumes that
+// every balancer in a view holds a full lease.
 type leaseTable struct {
 	core    *Core
 	records map[uint64]*leaseRecord
-	// outside holds by cell the balancers that report and are in no view.
-	outside map[uint32]map[uint64]*leaseRecord
-	cells   map[uint32]*cellRecord
-	// floor is the earliest end of any lease that a former leader granted, or
-	// that this one may have missed to renew while it was stopped.
-	floor    kernel.Instant
-	lastTick kernel.Instant
+	// candidates holds, by cell and nonce, the balancers that report but are in no view.
+	candidates map[uint32]map[uint64]*leaseRecord
+	cells      map[uint32]*cellRecord
+	// minExpiry is the earliest time at which any lease is considered expired. It covers
+	// leases granted by a former leader and reports unread while this process was suspended.
+	minExpiry kernel.Instant
+	lastTick  kernel.Instant
 }
 
 func newLeaseTable(core *Core) *leaseTable {
 	return &leaseTable{
-		core:    core,
-		records: map[uint64]*leaseRecord{},
-		outside: map[uint32]map[uint64]*leaseRecord{},
-		cells:   map[uint32]*cellRecord{},
+		core:       core,
+		records:    map[uint64]*leaseRecord{},
+		candidates: map[uint32]map[uint64]*leaseRecord{},
+		cells:      map[uint32]*cellRecord{},
 	}
 }
 
-// takeOver starts afresh after an election.
-func (t *leaseTable) takeOver(now kernel.Instant) {
+// reset clears the table after this member was elected leader.
+func (t *leaseTable) reset(now kernel.Instant) {
 	t.records = map[uint64]*leaseRecord{}
-	t.outside = map[uint32]map[uint64]*leaseRecord{}
+	t.candidates = map[uint32]map[uint64]*leaseRecord{}
 	t.cells = map[uint32]*cellRecord{}
-	t.floor = now.Add(t.core.settings.Lease + t.core.settings.LeaseMargin)
+	t.minExpiry = now.Add(t.core.settings.Lease + t.core.settings.LeaseMargin)
 	t.lastTick = now
 }
 
@@ -73,16 +73,16 @@
 	return record
 }
 
-// receive handles reports and returns the grants that answer them.
+// receive processes reports and returns a grant for each.
 func (t *leaseTable) receive(now kernel.Instant, reports []wire.NodeReport) []wire.Grant {
 	grants := make([]wire.Grant, 0, len(reports))
 	for _, report := range reports {
-		grants = append(grants, t.receiveOne(now, report))
+		grants = append(grants, t.receiveReport(now, report))
 	}
 	return grants
 }
 
-func (t *leaseTable) receiveOne(now kernel.Instant, report wire.NodeReport) wire.Grant {
+func (t *leaseTable) receiveReport(now kernel.Instant, report wire.NodeReport) wire.Grant {
 	record, known := t.records[report.Nonce]
 	if !known {
 		record = &leaseRecord{}
@@ -94,9 +94,9 @@
 	record.report = report
 	record.lastSeen = now
 	cell := t.cell(report.Cell)
-	if !cell.seen {
-		cell.seen = true
-		cell.firstReport = now
+	if !cell.hasReport {
+		cell.hasReport = true
+		cell.firstReportAt = now
 	}
 	return t.grant(now, record)
 }
@@ -112,15 +112,15 @@
 	}
 	member := memberByNonce(state.View(report.Cell), report.Nonce)
 	if member == nil {
-		t.noteOutside(record)
+		t.addCandidate(record)
 		return grant
 	}
-	delete(t.outside[report.Cell], report.Nonce)
+	delete(t.candidates[report.Cell], report.Nonce)
 	grant.ID = member.Id
 	record.memberID = member.Id
-	t.noteLag(now, record, grant.CellRevision)
-	t.core.tracer.confirmed(now, report.Cell, member.Name, report.Applied)
-	if !t.core.CanRead(now) || t.lags(now, record) {
+	t.updateLag(now, record, grant.CellRevision)
+	t.core.tracer.recordConfirmed(now, report.Cell, member.Name, report.Applied)
+	if !t.core.CanRead(now) || t.isLagging(now, record) {
 		return grant
 	}
 	record.expires = now.Add(t.core.settings.Lease)
@@ -128,15 +128,15 @@
 	return grant
 }
 
-func (t *leaseTable) noteOutside(record *leaseRecord) {
+func (t *leaseTable) addCandidate(record *leaseRecord) {
 	cell := record.report.Cell
-	if t.outside[cell] == nil {
-		t.outside[cell] = map[uint64]*leaseRecord{}
+	if t.candidates[cell] == nil {
+		t.candidates[cell] = map[uint64]*leaseRecord{}
 	}
-	t.outside[cell][record.report.Nonce] = record
+	t.candidates[cell][record.report.Nonce] = record
 }
 
-func (t *leaseTable) noteLag(now kernel.Instant, record *leaseRecord, cellRevision uint64) {
+func (t *leaseTable) updateLag(now kernel.Instant, record *leaseRecord, cellRevision uint64) {
 	behind := record.report.Applied < cellRevision
 	if behind && !record.behind {
 		record.behindSince = now
@@ -144,9 +144,9 @@
 	record.behind = behind
 }
 
-// lags reports whether the balancer has been behind for so long that it must
-// not go on giving new work by its old configuration.
-func (t *leaseTable) lags(now kernel.Instant, record *leaseRecord) bool {
+// isLagging reports whether the balancer has been behind its cell's configuration for
+// longer than LagLimit. Its lease isn't renewed then, so that it stops using the old one.
+func (t *leaseTable) isLagging(now kernel.Instant, record *leaseRecord) bool {
 	return record.behind && now.Sub(record.behindSince) > t.core.settings.LagLimit
 }
 
@@ -159,10 +159,10 @@
 	return nil
 }
 
-// noteView gives each new member of a view the time to ask for its first
-// lease before it is held for silent.
-func (t *leaseTable) noteView(now kernel.Instant, view *beamdoorv1.View) {
-	t.cell(view.Cell).changing = false
+// viewApplied treats each new member of a view as holding a full lease, so that it
+// has time to request its first one.
+func (t *leaseTable) viewApplied(now kernel.Instant, view *beamdoorv1.View) {
+	t.cell(view.Cell).changePending = false
 	for _, member := range view.Members {
 		record, known := t.records[member.Nonce]
 		if known && record.memberID != member.Id {
@@ -172,58 +172,59 @@
 	}
 }
 
-// expiry returns the end of the lease that a member of a view may hold.
-func (t *leaseTable) expiry(member *beamdoorv1.Balancer) kernel.Instant {
-	end := t.floor
+// leaseExpiry returns the latest time at which a lease of a view member can expire.
+func (t *leaseTable) leaseExpiry(member *beamdoorv1.Balancer) kernel.Instant {
+	end := t.minExpiry
 	if record, known := t.records[member.Nonce]; known && record.expires > end {
 		end = record.expires
 	}
 	return end
 }
 
-// tick proposes the next view of each cell that needs one.
+// tick proposes the next view change of each cell that needs one.
 func (t *leaseTable) tick(now kernel.Instant) {
-	t.noteStall(now)
+	t.detectStall(now)
 	if !t.core.CanRead(now) {
 		return
 	}
-	t.dropSilent(now)
+	t.removeSilent(now)
 	for _, number := range t.cellNumbers() {
 		cell := t.cell(number)
-		if cell.changing && now.Sub(cell.changingAt) < t.core.settings.Lease {
+		if cell.changePending && now.Sub(cell.changeProposedAt) < t.core.settings.Lease {
 			continue
 		}
 		change := t.nextChange(now, number, cell)
 		if change == nil {
-			cell.changing = false
+			cell.changePending = false
 			continue
 		}
-		cell.changing = true
-		cell.changingAt = now
-		cell.lastChange = now
+		cell.changePending = true
+		cell.changeProposedAt = now
+		cell.lastChangeAt = now
 		t.core.propose(now, 0, store.Command{Kind: store.CommandChangeView, Body: change})
 	}
 }
 
-// stallLimit is the longest time between two ticks of a process that runs.
+// stallLimit is the longest interval between ticks that isn't treated as a suspension.
 const stallLimit = 500 * time.Millisecond
 
-// noteStall finds out whether this process was stopped. The reports of that
-// time wait unread, so the balancers' silence says nothing about them.
-func (t *leaseTable) noteStall(now kernel.Instant) {
+// detectStall extends all leases after this process was suspended: reports sent in the
+// meantime are still unread, so the balancers' silence is no sign of failure.
+func (t *leaseTable) detectStall(now kernel.Instant) {
 	if now.Sub(t.lastTick) > stallLimit && !t.core.settings.Mechanisms.NoStallCheck {
-		t.floor = max(t.floor, now.Add(t.core.settings.Lease))
+		t.minExpiry = max(t.minExpiry, now.Add(t.core.settings.Lease))
 		t.core.log(eventlog.LeaderStalled, "stopped_for", now.Sub(t.lastTick))
 	}
 	t.lastTick = now
 }
 
-// dropSilent forgets balancers that are in no view and no longer report.
-func (t *leaseTable) dropSilent(now kernel.Instant) {
+// removeSilent deletes the records of balancers that sent no report for four lease
+// periods.
+func (t *leaseTable) removeSilent(now kernel.Instant) {
 	for nonce, record := range t.records {
 		if now.Sub(record.lastSeen) > 4*t.core.settings.Lease {
 			delete(t.records, nonce)
-			delete(t.outside[record.report.Cell], nonce)
+			delete(t.candidates[record.report.Cell], nonce)
 		}
 	}
 }
@@ -242,8 +243,8 @@
 	return numbers
 }
 
-// nextChange returns the change that the cell needs now, or nil: the dead go
-// at once, planned changes one at a time after the view has settled.
+// nextChange returns the next change of the cell's view, or nil. Expired members are
+// removed at once; planned changes are made one at a time, after the view has settled.
 func (t *leaseTable) nextChange(now kernel.Instant, number uint32, cell *cellRecord) *beamdoorv1.ViewChange {
 	view := t.core.store.View(number)
 	change := &beamdoorv1.ViewChange{Cell: number, BaseNumber: view.GetNumber()}
@@ -252,10 +253,10 @@
 		return change
 	}
 	if view == nil {
-		return t.foundingChange(now, number, cell, change)
+		return t.initialViewChange(now, number, cell, change)
 	}
 	planned := t.plannedChange(now, view, change)
-	if planned == nil || !t.settled(now, view, cell) {
+	if planned == nil || !t.isSettled(now, view, cell) {
 		return nil
 	}
 	return planned
@@ -272,18 +273,20 @@
 }
 
 func (t *leaseTable) hasExpired(now kernel.Instant, member *beamdoorv1.Balancer) bool {
-	end := t.expiry(member).Add(t.core.settings.LeaseMargin)
+	end := t.leaseExpiry(member).Add(t.core.settings.LeaseMargin)
 	if t.core.settings.Mechanisms.NoLeaseWait {
-		end = t.expiry(member).Add(-t.core.settings.Lease / 2)
+		end = t.leaseExpiry(member).Add(-t.core.settings.Lease / 2)
 	}
 	return end.Before(now)
 }
 
-func (t *leaseTable) foundingChange(now kernel.Instant, number uint32, cell *cellRecord, change *beamdoorv1.ViewChange) *beamdoorv1.ViewChange {
-	if now.Sub(cell.firstReport) < t.core.settings.InitialViewDelay {
+// initialViewChange adds all join candidates to the first view of a cell, once
+// InitialViewDelay has passed.
+func (t *leaseTable) initialViewChange(now kernel.Instant, number uint32, cell *cellRecord, change *beamdoorv1.ViewChange) *beamdoorv1.ViewChange {
+	if now.Sub(cell.firstReportAt) < t.core.settings.InitialViewDelay {
 		return nil
 	}
-	for _, record := range t.joiners(now, number) {
+	for _, record := range t.joinCandidates(now, number) {
 		change.Added = append(change.Added, newMember(record))
 	}
 	if len(change.Added) == 0 {
@@ -292,10 +295,10 @@
 	return change
 }
 
-// settled reports whether every live member has handed over what the newest
-// view took from it, or the wait for it has been too long.
-func (t *leaseTable) settled(now kernel.Instant, view *beamdoorv1.View, cell *cellRecord) bool {
-	if now.Sub(cell.lastChange) > t.core.settings.SettleTimeout {
+// isSettled reports whether every member of the view has handed over the flows that
+// the view reassigned, or SettleTimeout has passed since the last change.
+func (t *leaseTable) isSettled(now kernel.Instant, view *beamdoorv1.View, cell *cellRecord) bool {
+	if now.Sub(cell.lastChangeAt) > t.core.settings.SettleTimeout {
 		return true
 	}
 	for _, member := range view.Members {
@@ -307,6 +310,8 @@
 	return true
 }
 
+// plannedChange removes a leaving member, marks a member as leaving or adds a joining
+// one, in this order. It returns nil when there is nothing to change.
 func (t *leaseTable) plannedChange(now kernel.Instant, view *beamdoorv1.View, change *beamdoorv1.ViewChange) *beamdoorv1.ViewChange {
 	for _, member := range view.Members {
 		if member.State == beamdoorv1.BalancerState_BALANCER_STATE_LEAVING {
@@ -321,10 +326,10 @@
 		}
 	}
 	if len(view.Members) == 0 {
-		return t.restartChange(now, view, change)
+		return t.refillChange(now, view, change)
 	}
-	for _, record := range t.joiners(now, view.Cell) {
-		if !t.addressTaken(view, record) {
+	for _, record := range t.joinCandidates(now, view.Cell) {
+		if !t.addressInUse(view, record) {
 			change.Added = []*beamdoorv1.Balancer{newMember(record)}
 			return change
 		}
@@ -332,9 +337,9 @@
 	return nil
 }
 
-// restartChange adds all that report to a view that has lost every member.
-func (t *leaseTable) restartChange(now kernel.Instant, view *beamdoorv1.View, change *beamdoorv1.ViewChange) *beamdoorv1.ViewChange {
-	for _, record := range t.joiners(now, view.Cell) {
+// refillChange adds all join candidates to a view without members.
+func (t *leaseTable) refillChange(now kernel.Instant, view *beamdoorv1.View, change *beamdoorv1.ViewChange) *beamdoorv1.ViewChange {
+	for _, record := range t.joinCandidates(now, view.Cell) {
 		change.Added = append(change.Added, newMember(record))
 	}
 	if len(change.Added) == 0 {
@@ -343,9 +348,9 @@
 	return change
 }
 
-// addressTaken reports whether an earlier run with the same address is still
-// in the view; it must expire first.
-func (t *leaseTable) addressTaken(view *beamdoorv1.View, record *leaseRecord) bool {
+// addressInUse reports whether the view still contains a member with the same peer
+// address, such as an earlier process of the same balancer.
+func (t *leaseTable) addressInUse(view *beamdoorv1.View, record *leaseRecord) bool {
 	for _, member := range view.Members {
 		if member.Peer == record.report.Introduction.Peer {
 			return true
@@ -354,25 +359,25 @@
 	return false
 }
 
-// joiners returns the balancers of a cell that still report but are in no
-// view, in order of their names.
-func (t *leaseTable) joiners(now kernel.Instant, number uint32) []*leaseRecord {
-	var list []*leaseRecord
+// joinCandidates returns the balancers of a cell that report but are in no view,
+// sorted by name.
+func (t *leaseTable) joinCandidates(now kernel.Instant, number uint32) []*leaseRecord {
+	var candidates []*leaseRecord
 	view := t.core.store.View(number)
-	for _, record := range t.outside[number] {
+	for _, record := range t.candidates[number] {
 		report := record.report
 		silent := now.Sub(record.lastSeen) > t.core.settings.Lease/2
 		if report.Introduction == nil || report.Leaving || silent {
 			continue
 		}
 		if memberByNonce(view, report.Nonce) == nil {
-			list = append(list, record)
+			candidates = append(candidates, record)
 		}
 	}
-	sort.Slice(list, func(a, b int) bool {
-		return list[a].report.Introduction.Name < list[b].report.Introduction.Name
+	sort.Slice(candidates, func(a, b int) bool {
+		return candidates[a].report.Introduction.Name < candidates[b].report.Introduction.Name
 	})
-	return list
+	return candidates
 }
 
 func newMember(record *leaseRecord) *beamdoorv1.Balancer {
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metrics are the Prometheus metrics of a control member.
+// metrics holds the Prometheus metrics of a control member.
 type metrics struct {
 	registry    *prometheus.Registry
 	revision    prometheus.Gauge
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -12,37 +12,36 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// connectedNode is a balancer connected to this member.
+// connectedNode is the state of a balancer connected to this member.
 type connectedNode struct {
-	connection ConnectionID
-	nonce      uint64
-	cell       uint32
-	sent       uint64
-	known      bool
-	// reported is the revision in the last report, and repeats how often it
-	// came while a newer one had been sent.
-	reported uint64
-	repeats  int
+	connection   ConnectionID
+	nonce        uint64
+	cell         uint32
+	sentRevision uint64
+	initialized  bool
+	// reportedRevision is the revision in the last report. staleReports counts the
+	// reports that repeated it although a newer revision had been sent.
+	reportedRevision uint64
+	staleReports     int
 }
 
-// nodeTable holds the balancers connected to this member, by connection, by
-// nonce and by cell.
+// nodeTable indexes the connected balancers by connection, nonce and cell.
 type nodeTable struct {
 	byConnection map[ConnectionID]*connectedNode
 	byNonce      map[uint64]*connectedNode
 	byCell       map[uint32]map[ConnectionID]*connectedNode
-	// signals are the newest of each cell, and signalsAt when they came.
-	signals   map[uint32]wire.Signals
-	signalsAt map[uint32]kernel.Instant
+	// signals holds the latest signals by cell, and signalsReceivedAt their arrival.
+	signals           map[uint32]wire.Signals
+	signalsReceivedAt map[uint32]kernel.Instant
 }
 
 func newNodeTable() *nodeTable {
 	return &nodeTable{
-		byConnection: map[ConnectionID]*connectedNode{},
-		byNonce:      map[uint64]*connectedNode{},
-		byCell:       map[uint32]map[ConnectionID]*connectedNode{},
-		signals:      map[uint32]wire.Signals{},
-		signalsAt:    map[uint32]kernel.Instant{},
+		byConnection:      map[ConnectionID]*connectedNode{},
+		byNonce:           map[uint64]*connectedNode{},
+		byCell:            map[uint32]map[ConnectionID]*connectedNode{},
+		signals:           map[uint32]wire.Signals{},
+		signalsReceivedAt: map[uint32]kernel.Instant{},
 	}
 }
 
@@ -84,62 +83,62 @@
 	report := wire.DecodeNodeReport(decoder)
 	if err := decoder.Err("control.report"); err != nil {
 		c.log(eventlog.BadFrame, "connection", connection, "err", err)
-		return c.take()
+		return c.takeOutput()
 	}
 	node := c.nodes.add(connection, report)
-	if !node.known {
-		node.known = true
-		node.sent = report.Applied
+	if !node.initialized {
+		node.initialized = true
+		node.sentRevision = report.Applied
 		c.sendSignals(now, node)
 	}
-	node.noteReport(report.Applied)
+	node.recordReport(report.Applied)
 	c.sendConfig(node)
 	if c.IsLeader() {
 		c.deliverGrants(c.leases.receive(now, []wire.NodeReport{report}))
 	} else {
 		c.queuedReports = append(c.queuedReports, report)
-		c.answerWithoutLeader(report)
+		c.reportNoLeader(report)
 	}
 	c.replica.Flush(now)
-	return c.take()
+	return c.takeOutput()
 }
 
-// answerWithoutLeader tells a balancer that this member runs but knows no
-// leader, so that the balancer does not change to another member in vain.
-func (c *Core) answerWithoutLeader(report wire.NodeReport) {
+// reportNoLeader sends an empty grant when this member knows no leader, so that the
+// balancer doesn't switch to another member at once because a reply is missing.
+func (c *Core) reportNoLeader(report wire.NodeReport) {
 	if c.replica.Node.Leader() != raft.NoMember {
 		return
 	}
 	c.deliverGrants([]wire.Grant{{Nonce: report.Nonce, Sequence: report.Sequence}})
 }
 
-// resendAfter is the number of reports with an old revision after which the
+// staleReportsBeforeResend is the number of stale reports after which the
 // configuration is sent again.
-const resendAfter = 4
+const staleReportsBeforeResend = 4
 
-// noteReport finds out whether a configuration that was sent has got lost.
-func (n *connectedNode) noteReport(applied uint64) {
-	n.sent = max(n.sent, applied)
-	if applied != n.reported || applied >= n.sent {
-		n.reported = applied
-		n.repeats = 0
+// recordReport detects a lost configuration frame and schedules a retransmission.
+func (n *connectedNode) recordReport(applied uint64) {
+	n.sentRevision = max(n.sentRevision, applied)
+	if applied != n.reportedRevision || applied >= n.sentRevision {
+		n.reportedRevision = applied
+		n.staleReports = 0
 		return
 	}
-	n.repeats++
-	if n.repeats >= resendAfter {
-		n.sent = applied
-		n.repeats = 0
+	n.staleReports++
+	if n.staleReports >= staleReportsBeforeResend {
+		n.sentRevision = applied
+		n.staleReports = 0
 	}
 }
 
-// NodeDisconnected forgets a balancer's connection.
+// NodeDisconnected removes a balancer's closed connection.
 func (c *Core) NodeDisconnected(connection ConnectionID) { c.nodes.remove(connection) }
 
 // ConnectedNodes returns the number of balancers connected to this member.
 func (c *Core) ConnectedNodes() int { return len(c.nodes.byConnection) }
 
-// forwardReports passes the reports of connected balancers on to the leader,
-// many in one frame.
+// forwardReports sends the queued reports to the leader in one frame. Without a leader
+// they are dropped.
 func (c *Core) forwardReports(now kernel.Instant) {
 	if len(c.queuedReports) == 0 {
 		return
@@ -163,23 +162,23 @@
 	}
 }
 
-// inOrder returns connections in the order in which they were opened.
-func inOrder(nodes map[ConnectionID]*connectedNode) []*connectedNode {
-	list := make([]*connectedNode, 0, len(nodes))
+// sortByConnection returns the nodes in the order in which they connected.
+func sortByConnection(nodes map[ConnectionID]*connectedNode) []*connectedNode {
+	sorted := make([]*connectedNode, 0, len(nodes))
 	for _, id := range slices.Sorted(maps.Keys(nodes)) {
-		list = append(list, nodes[id])
+		sorted = append(sorted, nodes[id])
 	}
-	return list
+	return sorted
 }
 
-// spreadConfig sends each connected balancer what changed in its cell.
-func (c *Core) spreadConfig() {
+// distributeConfig sends each connected balancer the configuration changes of its cell.
+func (c *Core) distributeConfig() {
 	for _, cell := range slices.Sorted(maps.Keys(c.nodes.byCell)) {
 		nodes := c.nodes.byCell[cell]
 		newest := c.store.CellRevision(cell)
 		frames := map[uint64]wire.Frame{}
-		for _, node := range inOrder(nodes) {
-			if node.sent < newest {
+		for _, node := range sortByConnection(nodes) {
+			if node.sentRevision < newest {
 				c.sendConfigFrame(node, frames)
 			}
 		}
@@ -187,33 +186,33 @@
 }
 
 func (c *Core) sendConfig(node *connectedNode) {
-	if node.sent < c.store.CellRevision(node.cell) {
+	if node.sentRevision < c.store.CellRevision(node.cell) {
 		c.sendConfigFrame(node, map[uint64]wire.Frame{})
 	}
 }
 
-// sendConfigFrame sends the difference to what the node has; nodes with the
-// same revision share one encoding.
+// sendConfigFrame sends the changes since the revision last sent to the node. Nodes
+// with the same revision share the frame, which frames caches by revision.
 func (c *Core) sendConfigFrame(node *connectedNode, frames map[uint64]wire.Frame) {
-	frame, made := frames[node.sent]
-	if !made {
-		payload, err := proto.Marshal(c.store.CellConfig(node.cell, node.sent))
+	frame, cached := frames[node.sentRevision]
+	if !cached {
+		payload, err := proto.Marshal(c.store.CellConfig(node.cell, node.sentRevision))
 		if err != nil {
 			c.log(eventlog.BadFrame, "err", err)
 			return
 		}
 		frame = wire.Frame{Kind: wire.FrameConfig, Payload: payload}
-		frames[node.sent] = frame
+		frames[node.sentRevision] = frame
 	}
-	node.sent = c.store.Revision()
+	node.sentRevision = c.store.Revision()
 	c.sendNode(node.connection, frame)
 }
 
-// PublishSignals spreads new verdicts on the targets of a cell; only a leader
-// calls it.
+// PublishSignals sends the verdicts on a cell's targets to all members and connected
+// balancers. It does nothing unless this member leads.
 func (c *Core) PublishSignals(now kernel.Instant, cell uint32, targets []wire.TargetSignal) Output {
 	if !c.IsLeader() {
-		return c.take()
+		return c.takeOutput()
 	}
 	previous := c.nodes.signals[cell]
 	signals := wire.Signals{
@@ -228,11 +227,13 @@
 			c.sendMember(memberID(member.Id), frame)
 		}
 	}
-	c.spreadSignals(now, signals)
-	return c.take()
+	c.distributeSignals(now, signals)
+	return c.takeOutput()
 }
 
-func (c *Core) spreadSignals(now kernel.Instant, signals wire.Signals) {
+// distributeSignals stores signals that are newer than the stored ones and sends them
+// to the connected balancers of the cell.
+func (c *Core) distributeSignals(now kernel.Instant, signals wire.Signals) {
 	previous := c.nodes.signals[signals.Cell]
 	older := signals.Term < previous.Term
 	older = older || signals.Term == previous.Term && signals.Sequence <= previous.Sequence
@@ -240,21 +241,21 @@
 		return
 	}
 	c.nodes.signals[signals.Cell] = signals
-	c.nodes.signalsAt[signals.Cell] = now
+	c.nodes.signalsReceivedAt[signals.Cell] = now
 	frame := wire.SignalsFrame(signals)
-	for _, node := range inOrder(c.nodes.byCell[signals.Cell]) {
+	for _, node := range sortByConnection(c.nodes.byCell[signals.Cell]) {
 		c.sendNode(node.connection, frame)
 	}
 }
 
-// sendSignals brings a balancer that has just connected the verdicts of its
-// cell, with uptimes that have grown since.
+// sendSignals sends the stored signals to a balancer that has just connected, with the
+// uptimes advanced to now.
 func (c *Core) sendSignals(now kernel.Instant, node *connectedNode) {
 	signals, known := c.nodes.signals[node.cell]
 	if !known {
 		return
 	}
-	passed := now.Sub(c.nodes.signalsAt[node.cell])
+	passed := now.Sub(c.nodes.signalsReceivedAt[node.cell])
 	signals.Targets = slices.Clone(signals.Targets)
 	for i := range signals.Targets {
 		signals.Targets[i].UptimeMilliseconds = addMilliseconds(signals.Targets[i].UptimeMilliseconds, passed)
--- a/internal/control/prober.go
+++ b/internal/control/prober.go
@@ -21,8 +21,8 @@
 	probeWorkers  = 32
 )
 
-// prober asks the targets for their load while this member leads, and has a
-// Judge turn the answers into verdicts.
+// prober polls the load of all targets while this member leads, and evaluates the
+// responses.
 type prober struct {
 	process  *Process
 	client   *http.Client
@@ -30,16 +30,16 @@
 	services []*beamdoorv1.Service
 	policies Policies
 
-	mutex sync.Mutex
-	judge *TargetEvaluator
+	mutex     sync.Mutex
+	evaluator *TargetEvaluator
 }
 
 func newProber(process *Process) *prober {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, MaxIdleConns: 0}
 	return &prober{
-		process: process,
-		client:  &http.Client{Timeout: probeTimeout, Transport: transport},
-		judge:   NewTargetEvaluator(),
+		process:   process,
+		client:    &http.Client{Timeout: probeTimeout, Transport: transport},
+		evaluator: NewTargetEvaluator(),
 	}
 }
 
@@ -49,15 +49,15 @@
 	for {
 		select {
 		case <-ticker.C:
-			p.round()
+			p.probeRound()
 		case <-p.process.stopped:
 			return
 		}
 	}
 }
 
-// round probes every target once and spreads what changed.
-func (p *prober) round() {
+// probeRound probes every target once and submits the changed signals to the core.
+func (p *prober) probeRound() {
 	ctx, cancel := context.WithTimeout(context.Background(), probeInterval)
 	defer cancel()
 	if !p.refresh(ctx) {
@@ -65,7 +65,7 @@
 	}
 	p.probeAll()
 	p.mutex.Lock()
-	changed, events := p.judge.Evaluate(p.process.now(), p.services, p.policies)
+	changed, events := p.evaluator.Evaluate(p.process.now(), p.services, p.policies)
 	p.mutex.Unlock()
 	for _, event := range events {
 		p.process.logger.Event(event.Event, event.Fields...)
@@ -75,26 +75,26 @@
 	}
 }
 
-// refresh follows the configuration. It returns false while this member does
-// not lead; the judge then starts afresh.
+// refresh loads the current configuration. It returns false and resets the evaluator
+// while this member doesn't lead.
 func (p *prober) refresh(ctx context.Context) bool {
 	var services []*beamdoorv1.Service
 	var policies []*beamdoorv1.Policy
-	leads := false
+	leading := false
 	revision := p.revision
-	err := p.process.ask(ctx, func(core *Core, now kernel.Instant) {
-		leads = core.IsLeader() && core.CanRead(now)
-		if !leads || core.Store().Revision() == revision {
+	err := p.process.query(ctx, func(core *Core, now kernel.Instant) {
+		leading = core.IsLeader() && core.CanRead(now)
+		if !leading || core.Store().Revision() == revision {
 			return
 		}
 		revision = core.Store().Revision()
-		services = snapshotServices(core.Store())
-		for _, own := range core.Store().Policies() {
-			policies = append(policies, proto.CloneOf(own))
+		services = cloneServices(core.Store())
+		for _, custom := range core.Store().Policies() {
+			policies = append(policies, proto.CloneOf(custom))
 		}
 	})
-	if err != nil || !leads {
-		p.forget()
+	if err != nil || !leading {
+		p.reset()
 		return false
 	}
 	if revision != p.revision {
@@ -102,20 +102,20 @@
 		p.services = services
 		p.policies = CompilePolicies(services, policies)
 		p.mutex.Lock()
-		p.judge.SetServices(p.process.now(), services)
+		p.evaluator.SetServices(p.process.now(), services)
 		p.mutex.Unlock()
 	}
 	return true
 }
 
-func (p *prober) forget() {
+func (p *prober) reset() {
 	p.revision = 0
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.judge = NewTargetEvaluator()
+	p.evaluator = NewTargetEvaluator()
 }
 
-// probeAll asks all targets, a bounded number at a time.
+// probeAll probes all targets with a fixed number of workers.
 func (p *prober) probeAll() {
 	var targets []*beamdoorv1.Target
 	for _, service := range p.services {
@@ -135,13 +135,13 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			p.probeQueue(work)
+			p.runWorker(work)
 		}()
 	}
 	group.Wait()
 }
 
-func (p *prober) probeQueue(work *ring.Ring[*beamdoorv1.Target]) {
+func (p *prober) runWorker(work *ring.Ring[*beamdoorv1.Target]) {
 	for {
 		target, open := work.Pop()
 		if !open {
@@ -159,15 +159,15 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if err != nil {
-		p.judge.RecordMissedReport(target.Id)
+		p.evaluator.RecordMissedReport(target.Id)
 		return
 	}
-	p.judge.RecordReport(p.process.now(), target.Id, response.Msg)
+	p.evaluator.RecordReport(p.process.now(), target.Id, response.Msg)
 }
 
-// status returns the verdicts in order of service and target.
+// status returns the verdicts sorted by service and target.
 func (p *prober) status() []*beamdoorv1.TargetStatus {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.judge.Status()
+	return p.evaluator.Status()
 }
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -28,39 +28,40 @@
 	inputBatch     = 256
 )
 
-// input is a typed message for the goroutine that owns the core.
+// input is a message for the goroutine that owns the core.
 type input interface {
 	handle(p *Process, now kernel.Instant) Output
 }
 
-// Process runs a control member: one goroutine owns the core, others have one
-// duty each and reach it through a bounded ring.
+// Process runs a control member. One goroutine owns the core; the others send it inputs
+// through a bounded ring buffer.
 type Process struct {
-	settings *settings.Control
-	logger   *eventlog.Logger
-	core     *Core
-	log      *wal.Log
-	started  time.Time
-	inputs   *ring.Ring[input]
-	members  map[raft.MemberID]*memberLink
-	nodes    map[ConnectionID]*ring.Ring[wire.Frame]
-	waiting  map[Token]chan Outcome
-	token    Token
-	watchers map[chan struct{}]bool
-	metrics  *metrics
-	prober   *prober
-
-	mutex     sync.Mutex
-	nextConn  ConnectionID
-	listeners []net.Listener
-	server    *http.Server
-	failure   error
-	group     sync.WaitGroup
-	stopped   chan struct{}
-	stopOnce  sync.Once
-}
-
-// OpenProcess opens the data folder and prepares a member. Nothing listens yet.
+	settings       *settings.Control
+	logger         *eventlog.Logger
+	core           *Core
+	log            *wal.Log
+	started        time.Time
+	inputs         *ring.Ring[input]
+	members        map[raft.MemberID]*memberLink
+	nodes          map[ConnectionID]*ring.Ring[wire.Frame]
+	outcomeWaiters map[Token]chan Outcome
+	lastToken      Token
+	watchers       map[chan struct{}]bool
+	metrics        *metrics
+	prober         *prober
+
+	mutex          sync.Mutex
+	lastConnection ConnectionID
+	listeners      []net.Listener
+	server         *http.Server
+	failure        error
+	group          sync.WaitGroup
+	stopped        chan struct{}
+	stopOnce       sync.Once
+}
+
+// OpenProcess opens the data folder and creates a member. It opens no sockets; Run
+// does.
 func OpenProcess(loaded *settings.Control, core Settings, logger *eventlog.Logger) (*Process, error) {
 	folder, err := wal.OpenFolder(loaded.DataFolder)
 	if err != nil {
@@ -79,29 +80,30 @@
 	}
 	core.Raft.ID = raft.MemberID(loaded.ID)
 	core.Raft.Identity = identity
-	core.InitialMembers = founders(loaded)
-	core.SeedMembers = contacts(loaded)
+	core.InitialMembers = initialMembers(loaded)
+	core.SeedMembers = seedMembers(loaded)
 	core.Raft.Random = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	process := &Process{
-		settings: loaded,
-		logger:   logger,
-		log:      log,
-		started:  time.Now(),
-		inputs:   ring.New[input](inputCapacity),
-		members:  map[raft.MemberID]*memberLink{},
-		nodes:    map[ConnectionID]*ring.Ring[wire.Frame]{},
-		waiting:  map[Token]chan Outcome{},
-		watchers: map[chan struct{}]bool{},
-		metrics:  newMetrics(),
-		stopped:  make(chan struct{}),
+		settings:       loaded,
+		logger:         logger,
+		log:            log,
+		started:        time.Now(),
+		inputs:         ring.New[input](inputCapacity),
+		members:        map[raft.MemberID]*memberLink{},
+		nodes:          map[ConnectionID]*ring.Ring[wire.Frame]{},
+		outcomeWaiters: map[Token]chan Outcome{},
+		watchers:       map[chan struct{}]bool{},
+		metrics:        newMetrics(),
+		stopped:        make(chan struct{}),
 	}
 	process.core, err = NewCore(process.now(), core, log, restored)
 	process.prober = newProber(process)
 	return process, err
 }
 
-// founders returns the members of a group that is to be founded.
-func founders(loaded *settings.Control) []*beamdoorv1.Member {
+// initialMembers returns the members of a new group, or nil unless the settings ask for
+// a bootstrap.
+func initialMembers(loaded *settings.Control) []*beamdoorv1.Member {
 	if !loaded.Bootstrap {
 		return nil
 	}
@@ -117,7 +119,7 @@
 	return members
 }
 
-func contacts(loaded *settings.Control) []raft.MemberID {
+func seedMembers(loaded *settings.Control) []raft.MemberID {
 	var ids []raft.MemberID
 	for _, member := range loaded.Members {
 		ids = append(ids, raft.MemberID(member.ID))
@@ -125,10 +127,10 @@
 	return ids
 }
 
-// now returns the time on this process's monotonic clock.
+// now returns the monotonic time since the process started.
 func (p *Process) now() kernel.Instant { return kernel.Instant(time.Since(p.started)) }
 
-// Run serves until the context ends or the disk fails.
+// Run serves until the context is cancelled or the storage fails.
 func (p *Process) Run(ctx context.Context) error {
 	if err := p.listen(); err != nil {
 		return err
@@ -148,11 +150,11 @@
 	return p.failure
 }
 
-func (p *Process) spawn(duty func()) {
+func (p *Process) spawn(task func()) {
 	p.group.Add(1)
 	go func() {
 		defer p.group.Done()
-		duty()
+		task()
 	}()
 }
 
@@ -169,7 +171,7 @@
 	p.inputs.Close()
 }
 
-// runTicker feeds the passing of time to the core.
+// runTicker sends a tick to the core at every tickInterval.
 func (p *Process) runTicker() {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -183,9 +185,10 @@
 	}
 }
 
-// runCore owns the core until the ring is closed.
+// runCore applies inputs to the core until the ring is closed or the storage fails. No
+// other goroutine accesses the core.
 func (p *Process) runCore() {
-	defer p.closeLinks()
+	defer p.closeQueues()
 	var batch []input
 	for {
 		var open bool
@@ -193,8 +196,8 @@
 		if !open {
 			break
 		}
-		for _, message := range batch {
-			p.dispatch(message.handle(p, p.now()))
+		for _, item := range batch {
+			p.dispatch(item.handle(p, p.now()))
 		}
 		if err := p.core.Failed(); err != nil {
 			p.failure = err
@@ -202,13 +205,13 @@
 			break
 		}
 	}
-	for token, answer := range p.waiting {
+	for token, answer := range p.outcomeWaiters {
 		answer <- Outcome{Token: token, Err: steperror.New("control.propose", "", "the member is stopping")}
 	}
 	_ = p.log.Close()
 }
 
-// dispatch carries out what the core wants done.
+// dispatch sends the messages, delivers the outcomes and logs the events of an output.
 func (p *Process) dispatch(output Output) {
 	for _, message := range output.Members {
 		p.sendMember(message)
@@ -220,8 +223,8 @@
 		}
 	}
 	for _, outcome := range output.Outcomes {
-		if answer, known := p.waiting[outcome.Token]; known {
-			delete(p.waiting, outcome.Token)
+		if answer, known := p.outcomeWaiters[outcome.Token]; known {
+			delete(p.outcomeWaiters, outcome.Token)
 			answer <- outcome
 		}
 	}
@@ -229,12 +232,12 @@
 		p.logger.Event(event.Event, event.Fields...)
 	}
 	if output.Applied {
-		p.wakeWatchers()
+		p.notifyWatchers()
 	}
 	p.metrics.observe(p.core)
 }
 
-func (p *Process) wakeWatchers() {
+func (p *Process) notifyWatchers() {
 	for watcher := range p.watchers {
 		select {
 		case watcher <- struct{}{}:
@@ -265,19 +268,19 @@
 	return p.core.HandleNodeFrame(now, n.connection, n.frame)
 }
 
-type nodeOpened struct {
+type nodeConnectedInput struct {
 	connection ConnectionID
 	queue      *ring.Ring[wire.Frame]
 }
 
-func (n nodeOpened) handle(p *Process, _ kernel.Instant) Output {
+func (n nodeConnectedInput) handle(p *Process, _ kernel.Instant) Output {
 	p.nodes[n.connection] = n.queue
 	return Output{}
 }
 
-type nodeClosed struct{ connection ConnectionID }
+type nodeDisconnectedInput struct{ connection ConnectionID }
 
-func (n nodeClosed) handle(p *Process, _ kernel.Instant) Output {
+func (n nodeDisconnectedInput) handle(p *Process, _ kernel.Instant) Output {
 	p.core.NodeDisconnected(n.connection)
 	delete(p.nodes, n.connection)
 	return Output{}
@@ -289,9 +292,9 @@
 }
 
 func (i proposeInput) handle(p *Process, now kernel.Instant) Output {
-	p.token++
-	p.waiting[p.token] = i.answer
-	return p.core.Propose(now, p.token, i.command)
+	p.lastToken++
+	p.outcomeWaiters[p.lastToken] = i.answer
+	return p.core.Propose(now, p.lastToken, i.command)
 }
 
 type membershipInput struct {
@@ -300,13 +303,13 @@
 }
 
 func (i membershipInput) handle(p *Process, now kernel.Instant) Output {
-	p.token++
-	p.waiting[p.token] = i.answer
+	p.lastToken++
+	p.outcomeWaiters[p.lastToken] = i.answer
 	next, err := i.change(now, p.core)
 	if err != nil {
-		return Output{Outcomes: []Outcome{{Token: p.token, Err: err}}}
+		return Output{Outcomes: []Outcome{{Token: p.lastToken, Err: err}}}
 	}
-	return p.core.ProposeMembership(now, p.token, next)
+	return p.core.ProposeMembership(now, p.lastToken, next)
 }
 
 type signalsInput struct {
@@ -332,13 +335,13 @@
 	return Output{}
 }
 
-// query runs a function on the goroutine that owns the core.
-type query struct {
+// queryInput calls a function on the goroutine that owns the core.
+type queryInput struct {
 	run  func(core *Core, now kernel.Instant)
 	done chan struct{}
 }
 
-func (q query) handle(p *Process, now kernel.Instant) Output {
+func (q queryInput) handle(p *Process, now kernel.Instant) Output {
 	q.run(p.core, now)
 	close(q.done)
 	return Output{}
@@ -346,14 +349,14 @@
 
 var errStopping = errors.New("the member is stopping")
 
-// ask runs a function with the core and waits for it.
-func (p *Process) ask(ctx context.Context, run func(core *Core, now kernel.Instant)) error {
-	question := query{run: run, done: make(chan struct{})}
-	if !p.inputs.TryPush(question) {
-		return steperror.New("control.ask", "", "the member is overloaded or stopping")
+// query calls run on the goroutine that owns the core and waits until it returns.
+func (p *Process) query(ctx context.Context, run func(core *Core, now kernel.Instant)) error {
+	request := queryInput{run: run, done: make(chan struct{})}
+	if !p.inputs.TryPush(request) {
+		return steperror.New("control.ask", "", "the input queue is full or closed: the member is overloaded or stopping")
 	}
 	select {
-	case <-question.done:
+	case <-request.done:
 		return nil
 	case <-ctx.Done():
 		return steperror.Wrap("control.ask", "", ctx.Err())
@@ -362,10 +365,10 @@
 	}
 }
 
-// submit pushes an input that has an answer, and waits for the outcome.
-func (p *Process) submit(ctx context.Context, message input, answer chan Outcome) (store.Result, error) {
-	if !p.inputs.TryPush(message) {
-		return store.Result{}, steperror.New("control.submit", "", "the member is overloaded or stopping")
+// submit queues an input and waits for the outcome of its proposal.
+func (p *Process) submit(ctx context.Context, item input, answer chan Outcome) (store.Result, error) {
+	if !p.inputs.TryPush(item) {
+		return store.Result{}, steperror.New("control.submit", "", "the input queue is full or closed: the member is overloaded or stopping")
 	}
 	select {
 	case outcome := <-answer:
@@ -375,7 +378,7 @@
 	}
 }
 
-// propose submits a command to the replicated log.
+// propose proposes a command and waits until it is applied.
 func (p *Process) propose(ctx context.Context, command store.Command) (store.Result, error) {
 	answer := make(chan Outcome, 1)
 	command.UnixMilliseconds = time.Now().UnixMilli()
--- a/internal/control/restore.go
+++ b/internal/control/restore.go
@@ -10,13 +10,14 @@
 	"github.com/beamdoor/beamdoor/internal/wal"
 )
 
-// restoreTerm is the term of a restored group: later than that of any leader
-// whose verdicts a balancer may remember.
+// restoreTerm is the Raft term of a restored group. It exceeds the term of any signals
+// that balancers may still hold.
 const restoreTerm = 1 << 20
 
-// RestoreFolder fills an empty data folder with a backup, as the first and only
-// member of a new group. It returns the revision of the restored state.
-func RestoreFolder(files wal.FileSystem, draw func() uint64, first *beamdoorv1.Member, backup []byte) (uint64, error) {
+// RestoreFolder initializes an empty data folder from a backup, with first as the only
+// member of a new group. It returns the revision of the restored state. The function
+// random generates the identity of the folder.
+func RestoreFolder(files wal.FileSystem, random func() uint64, first *beamdoorv1.Member, backup []byte) (uint64, error) {
 	const step = "control.restore_folder"
 	names, err := files.List()
 	if err != nil {
@@ -34,7 +35,7 @@
 	if err != nil {
 		return 0, steperror.Wrap(step, "", err)
 	}
-	identity, err := wal.LoadIdentity(files, draw)
+	identity, err := wal.LoadIdentity(files, random)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/control/restore_test.go
+++ b/internal/control/restore_test.go
@@ -18,7 +18,7 @@
 
 func newDisk() *disk.Disk { return disk.New(rand.New(rand.NewPCG(1, 1))) }
 
-func backup(t *testing.T) []byte {
+func encodedBackup(t *testing.T) []byte {
 	state := store.New(store.Options{})
 	state.Apply(store.Command{Kind: store.CommandApply, Body: &beamdoorv1.ApplyRequest{
 		RequestId: make([]byte, store.RequestIDSize),
@@ -29,8 +29,8 @@
 	return data
 }
 
-// boot starts a core from a disk.
-func boot(t *testing.T, files wal.FileSystem, id raft.MemberID, founders []*beamdoorv1.Member) *Core {
+// startCore starts a core from the state on a disk.
+func startCore(t *testing.T, files wal.FileSystem, id raft.MemberID, members []*beamdoorv1.Member) *Core {
 	identity, err := wal.LoadIdentity(files, rand.Uint64)
 	require.NoError(t, err)
 	log, restored, _, err := wal.Open(files)
@@ -39,20 +39,20 @@
 	settings.Raft.ID = id
 	settings.Raft.Identity = identity
 	settings.Raft.Random = rand.New(rand.NewPCG(uint64(id), 1))
-	settings.InitialMembers = founders
+	settings.InitialMembers = members
 	settings.SeedMembers = []raft.MemberID{1, 2, 3}
 	core, err := NewCore(0, settings, log, restored)
 	require.NoError(t, err)
 	return core
 }
 
-func TestRestoredFolderLeadsAloneWithNewerRevisions(t *testing.T) {
+func TestRestoredFolderStartsSingleMemberGroup(t *testing.T) {
 	files := newDisk()
-	first := &beamdoorv1.Member{Id: 11, Peer: "p", Nodes: "n", Admin: "a"}
-	revision, err := RestoreFolder(files, rand.Uint64, first, backup(t))
+	member := &beamdoorv1.Member{Id: 11, Peer: "p", Nodes: "n", Admin: "a"}
+	revision, err := RestoreFolder(files, rand.Uint64, member, encodedBackup(t))
 	require.NoError(t, err)
 	files.Crash()
-	core := boot(t, files, 11, nil)
+	core := startCore(t, files, 11, nil)
 	var now kernel.Instant
 	for range 100 {
 		now = now.Add(50 * time.Millisecond)
@@ -61,16 +61,16 @@
 	assert.True(t, core.CanRead(now))
 	assert.Equal(t, revision, core.Store().Revision())
 	assert.NotNil(t, core.Store().Service("a"))
-	assert.Zero(t, core.Store().CellConfig(1, 5).BaseRevision, "balancers get everything anew")
-	_, err = RestoreFolder(files, rand.Uint64, first, backup(t))
+	assert.Zero(t, core.Store().CellConfig(1, 5).BaseRevision, "balancers receive the full configuration")
+	_, err = RestoreFolder(files, rand.Uint64, member, encodedBackup(t))
 	assert.ErrorContains(t, err, "not empty")
-	_, err = RestoreFolder(newDisk(), rand.Uint64, first, []byte("rubbish"))
+	_, err = RestoreFolder(newDisk(), rand.Uint64, member, []byte("invalid"))
 	assert.Error(t, err)
 }
 
-// pass runs cores that reach each other at once.
-func pass(cores map[raft.MemberID]*Core, now *kernel.Instant, length time.Duration) {
-	for end := now.Add(length); *now < end; *now = now.Add(50 * time.Millisecond) {
+// runCores advances the cores by a duration and delivers their messages without delay.
+func runCores(cores map[raft.MemberID]*Core, now *kernel.Instant, duration time.Duration) {
+	for end := now.Add(duration); *now < end; *now = now.Add(50 * time.Millisecond) {
 		for id := raft.MemberID(1); id <= 3; id++ {
 			if core := cores[id]; core != nil {
 				deliver(cores, *now, id, core.Tick(*now))
@@ -87,11 +87,11 @@
 	}
 }
 
-func founderList() []*beamdoorv1.Member {
+func threeMembers() []*beamdoorv1.Member {
 	return []*beamdoorv1.Member{{Id: 1, Peer: "1"}, {Id: 2, Peer: "2"}, {Id: 3, Peer: "3"}}
 }
 
-func TestGroupIsFoundedOnlyByAllFoundersTogether(t *testing.T) {
+func TestBootstrapRequiresAllInitialMembers(t *testing.T) {
 	cores := map[raft.MemberID]*Core{}
 	disks := map[raft.MemberID]*disk.Disk{}
 	var now kernel.Instant
@@ -99,12 +99,12 @@
 		disks[id] = newDisk()
 	}
 	for id := raft.MemberID(1); id <= 2; id++ {
-		cores[id] = boot(t, disks[id], id, founderList())
+		cores[id] = startCore(t, disks[id], id, threeMembers())
 	}
-	pass(cores, &now, 5*time.Second)
-	assert.True(t, cores[1].isEmpty(), "one founder is missing")
-	cores[3] = boot(t, disks[3], 3, founderList())
-	pass(cores, &now, 5*time.Second)
+	runCores(cores, &now, 5*time.Second)
+	assert.True(t, cores[1].isUninitialized(), "one initial member is missing")
+	cores[3] = startCore(t, disks[3], 3, threeMembers())
+	runCores(cores, &now, 5*time.Second)
 	leaders := 0
 	for _, core := range cores {
 		assert.Len(t, core.Raft().Membership().Voters, 3)
@@ -115,12 +115,12 @@
 	assert.Equal(t, 1, leaders)
 
 	disks[1].Wipe()
-	cores[1] = boot(t, disks[1], 1, founderList())
+	cores[1] = startCore(t, disks[1], 1, threeMembers())
 	delete(cores, 3)
-	pass(cores, &now, 10*time.Second)
-	assert.False(t, cores[1].IsLeader(), "a founder that lost its disk founds no second group")
-	assert.False(t, cores[2].IsLeader(), "and its vote does not count")
-	cores[3] = boot(t, disks[3], 3, founderList())
-	pass(cores, &now, 10*time.Second)
+	runCores(cores, &now, 10*time.Second)
+	assert.False(t, cores[1].IsLeader(), "a member that lost its disk creates no second group")
+	assert.False(t, cores[2].IsLeader(), "the vote of a member that lost its disk does not count")
+	cores[3] = startCore(t, disks[3], 3, threeMembers())
+	runCores(cores, &now, 10*time.Second)
 	assert.True(t, cores[2].IsLeader() || cores[3].IsLeader())
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -13,51 +13,50 @@
 
 func memberID(id uint32) raft.MemberID { return raft.MemberID(id) }
 
-// traceLimit is the number of revisions whose spread is remembered.
-const traceLimit = 256
+// maxTraces is the number of recent revisions that have a trace.
+const maxTraces = 256
 
-// revisionTrace is the spread of one revision.
+// revisionTrace records when each balancer confirmed a revision.
 type revisionTrace struct {
-	revision  uint64
-	accepted  kernel.Instant
-	confirmed map[string]time.Duration
+	revision   uint64
+	acceptedAt kernel.Instant
+	delays     map[string]time.Duration
 }
 
-// tracer remembers when each balancer confirmed the newest revisions. It is
-// the leader's soft state.
+// tracer holds the traces of the latest revisions. They are kept by the leader only and
+// aren't replicated.
 type tracer struct {
 	traces []*revisionTrace
-	// newest is the highest revision that a balancer has confirmed.
-	newest map[string]uint64
+	// confirmedRevisions holds the highest confirmed revision by balancer name.
+	confirmedRevisions map[string]uint64
 }
 
-func newTracer() *tracer { return &tracer{newest: map[string]uint64{}} }
+func newTracer() *tracer { return &tracer{confirmedRevisions: map[string]uint64{}} }
 
 func (t *tracer) reset() { *t = *newTracer() }
 
-func (t *tracer) accepted(now kernel.Instant, revision uint64) {
-	trace := &revisionTrace{revision: revision, accepted: now, confirmed: map[string]time.Duration{}}
+func (t *tracer) recordAccepted(now kernel.Instant, revision uint64) {
+	trace := &revisionTrace{revision: revision, acceptedAt: now, delays: map[string]time.Duration{}}
 	t.traces = append(t.traces, trace)
-	if len(t.traces) > traceLimit {
+	if len(t.traces) > maxTraces {
 		t.traces = t.traces[1:]
 	}
 }
 
-// confirmed notes that a balancer has applied a revision, and with it all
-// earlier ones.
-func (t *tracer) confirmed(now kernel.Instant, cell uint32, name string, applied uint64) {
-	before := t.newest[name]
-	if applied <= before {
+// recordConfirmed records that a balancer has applied a revision and all earlier ones.
+func (t *tracer) recordConfirmed(now kernel.Instant, cell uint32, name string, applied uint64) {
+	previous := t.confirmedRevisions[name]
+	if applied <= previous {
 		return
 	}
-	t.newest[name] = applied
+	t.confirmedRevisions[name] = applied
 	for i := len(t.traces) - 1; i >= 0; i-- {
 		trace := t.traces[i]
-		if trace.revision <= before {
+		if trace.revision <= previous {
 			return
 		}
 		if trace.revision <= applied {
-			trace.confirmed[name] = now.Sub(trace.accepted)
+			trace.delays[name] = now.Sub(trace.acceptedAt)
 		}
 	}
 }
@@ -71,8 +70,8 @@
 	return nil
 }
 
-// Trace returns when each balancer confirmed a revision. It is nil when the
-// revision is not remembered.
+// Trace returns the delay with which each balancer confirmed a revision. It returns nil
+// when there is no trace of the revision.
 func (c *Core) Trace(now kernel.Instant, revision uint64) *beamdoorv1.TraceResponse {
 	trace := c.tracer.find(revision)
 	if trace == nil {
@@ -81,9 +80,9 @@
 	response := &beamdoorv1.TraceResponse{Revision: revision, Complete: true}
 	for _, view := range c.store.Views() {
 		for _, member := range view.Members {
-			delay, confirmed := trace.confirmed[member.Name]
-			fenced := c.leases.expiry(member).Before(now)
-			response.Complete = response.Complete && (confirmed || fenced)
+			delay, confirmed := trace.delays[member.Name]
+			expired := c.leases.leaseExpiry(member).Before(now)
+			response.Complete = response.Complete && (confirmed || expired)
 			response.Entries = append(response.Entries, &beamdoorv1.TraceEntry{
 				Balancer: member.Name,
 				DelayUs:  delay.Microseconds(),
@@ -94,8 +93,9 @@
 	return response
 }
 
-// InForceRevision returns the newest revision that every balancer with a lease has
-// confirmed.
+// InForceRevision returns the newest revision that every balancer with a lease granted
+// by this leader has confirmed. It returns 0 while a balancer that hasn't reported to
+// this leader may hold a lease of a former one.
 func (c *Core) InForceRevision(now kernel.Instant) uint64 {
 	newest := c.store.Revision()
 	for _, view := range c.store.Views() {
@@ -104,7 +104,7 @@
 			switch {
 			case known && record.expires > now:
 				newest = min(newest, record.report.Applied)
-			case !known && c.leases.floor > now:
+			case !known && c.leases.minExpiry > now:
 				newest = 0
 			}
 		}
@@ -112,7 +112,7 @@
 	return newest
 }
 
-// Status returns the members and balancers as this member knows them.
+// Status returns the members, and on the leader also the balancers.
 func (c *Core) Status(now kernel.Instant) *beamdoorv1.StatusResponse {
 	response := &beamdoorv1.StatusResponse{
 		Revision:    c.store.Revision(),
@@ -123,10 +123,10 @@
 	}
 	membership := c.replica.Node.Membership()
 	for _, member := range c.store.Members() {
-		shown := proto.CloneOf(member)
-		shown.Learner = !membership.IsVoter(memberID(member.Id))
+		clone := proto.CloneOf(member)
+		clone.Learner = !membership.IsVoter(memberID(member.Id))
 		response.Members = append(response.Members, &beamdoorv1.MemberStatus{
-			Member:     shown,
+			Member:     clone,
 			Leader:     c.replica.Node.Leader() == memberID(member.Id),
 			MatchIndex: c.replica.Node.Match(memberID(member.Id)),
 		})
@@ -140,7 +140,7 @@
 }
 
 func (c *Core) balancerStatus(now kernel.Instant) []*beamdoorv1.BalancerStatus {
-	var list []*beamdoorv1.BalancerStatus
+	var statuses []*beamdoorv1.BalancerStatus
 	for _, view := range c.store.Views() {
 		for _, member := range view.Members {
 			status := &beamdoorv1.BalancerStatus{Balancer: member}
@@ -149,9 +149,9 @@
 				status.View = record.report.View
 				status.LeaseLeftMs = max(0, record.expires.Sub(now).Milliseconds())
 			}
-			list = append(list, status)
+			statuses = append(statuses, status)
 		}
 	}
-	sort.Slice(list, func(a, b int) bool { return list[a].Balancer.Name < list[b].Balancer.Name })
-	return list
+	sort.Slice(statuses, func(a, b int) bool { return statuses[a].Balancer.Name < statuses[b].Balancer.Name })
+	return statuses
 }
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	dialTimeout  = time.Second
-	dialBackoff  = 200 * time.Millisecond
-	writeTimeout = 2 * time.Second
-	readBuffer   = 64 << 10
+	dialTimeout    = time.Second
+	dialBackoff    = 200 * time.Millisecond
+	writeTimeout   = 2 * time.Second
+	readBufferSize = 64 << 10
 )
 
-// memberLink is the outgoing connection to another control member. Frames
-// that find no room are dropped; the replicated log sends again.
+// memberLink is the outgoing connection to another control member. Frames that exceed
+// its queue are dropped; Raft retransmits them.
 type memberLink struct {
 	id    raft.MemberID
 	queue *ring.Ring[wire.Frame]
 }
 
-// sendMember queues a frame on the link to a member, which starts at the
-// first use. A frame for a member without a known address is dropped.
+// sendMember queues a frame for a member and opens the link on first use. It drops a
+// frame for a member whose address is unknown.
 func (p *Process) sendMember(message MemberMessage) {
-	link := p.link(message.To)
+	link := p.linkTo(message.To)
 	if link == nil {
 		return
 	}
@@ -38,7 +38,7 @@
 	p.metrics.memberBytes.Add(float64(wire.FrameSize(message.Frame)))
 }
 
-func (p *Process) link(id raft.MemberID) *memberLink {
+func (p *Process) linkTo(id raft.MemberID) *memberLink {
 	if existing, known := p.members[id]; known {
 		return existing
 	}
@@ -52,8 +52,8 @@
 	return link
 }
 
-// peerAddress returns a member's address from the replicated state, or from
-// the settings while that does not have it yet.
+// peerAddress returns a member's address from the replicated state, or else from the
+// settings.
 func (p *Process) peerAddress(id raft.MemberID) string {
 	for _, member := range p.core.Store().Members() {
 		if member.Id == uint32(id) {
@@ -68,7 +68,7 @@
 	return ""
 }
 
-func (p *Process) closeLinks() {
+func (p *Process) closeQueues() {
 	for _, link := range p.members {
 		link.queue.Close()
 	}
@@ -77,7 +77,7 @@
 	}
 }
 
-// runLink writes the frames of one link and reconnects when it breaks.
+// runLink writes the frames of a link and reconnects after an error.
 func (p *Process) runLink(link *memberLink, address string) {
 	var connection net.Conn
 	defer func() {
@@ -112,8 +112,8 @@
 	}
 }
 
-// dialMember opens a connection and introduces this member. It returns nil
-// after a pause when the other one cannot be reached.
+// dialMember connects to a member and sends the ID of this one. If the dial fails, it
+// waits for dialBackoff and returns nil.
 func (p *Process) dialMember(id raft.MemberID, address string) net.Conn {
 	connection, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -122,8 +122,8 @@
 	}
 	var encoder wire.Encoder
 	encoder.Uint32(p.settings.ID)
-	hello := wire.AppendFrame(nil, wire.Frame{Kind: wire.FrameRaft, Payload: encoder.Buffer})
-	if _, err := connection.Write(hello); err != nil {
+	handshake := wire.AppendFrame(nil, wire.Frame{Kind: wire.FrameRaft, Payload: encoder.Buffer})
+	if _, err := connection.Write(handshake); err != nil {
 		_ = connection.Close()
 		return nil
 	}
@@ -131,13 +131,13 @@
 	return connection
 }
 
-// listen opens the addresses for members, balancers and operators.
+// listen opens the sockets for members, balancers and the admin API.
 func (p *Process) listen() error {
 	self := p.settings.Self()
-	if err := p.accept(self.Peer, p.readMember); err != nil {
+	if err := p.acceptConnections(self.Peer, p.readMember); err != nil {
 		return err
 	}
-	if err := p.accept(self.Nodes, p.serveNode); err != nil {
+	if err := p.acceptConnections(self.Nodes, p.serveNode); err != nil {
 		return err
 	}
 	listener, err := net.Listen("tcp", self.Admin)
@@ -149,8 +149,9 @@
 	return nil
 }
 
-// accept serves each connection to an address in a goroutine of its own.
-func (p *Process) accept(address string, serve func(net.Conn)) error {
+// acceptConnections listens on an address and serves each connection in its own
+// goroutine.
+func (p *Process) acceptConnections(address string, serve func(net.Conn)) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return steperror.Wrap("control.listen", address, err)
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// closeOnStop closes a connection when the process stops.
+// closeOnStop closes a connection when the process stops or done is closed.
 func (p *Process) closeOnStop(connection net.Conn, done chan struct{}) {
 	select {
 	case <-p.stopped:
@@ -179,20 +180,20 @@
 	_ = connection.Close()
 }
 
-// readMember reads the frames of another member.
+// readMember reads the frames of another member, which begin with its ID.
 func (p *Process) readMember(connection net.Conn) {
 	done := make(chan struct{})
 	defer close(done)
 	go p.closeOnStop(connection, done)
-	reader := bufio.NewReaderSize(connection, readBuffer)
-	hello, err := wire.ReadFrame(reader)
+	reader := bufio.NewReaderSize(connection, readBufferSize)
+	handshake, err := wire.ReadFrame(reader)
 	if err != nil {
 		return
 	}
-	decoder := wire.NewDecoder(hello.Payload)
+	decoder := wire.NewDecoder(handshake.Payload)
 	from := raft.MemberID(decoder.Uint32())
 	if decoder.Err("control.hello") != nil {
-		p.logger.Event(eventlog.BadFrame, "peer", connection.RemoteAddr(), "reason", "hello is malformed")
+		p.logger.Event(eventlog.BadFrame, "peer", connection.RemoteAddr(), "reason", "malformed member ID")
 		return
 	}
 	for {
@@ -204,18 +205,18 @@
 	}
 }
 
-// serveNode serves a balancer: this goroutine reads, another one writes.
+// serveNode reads the frames of a balancer; writeNode writes to it in another goroutine.
 func (p *Process) serveNode(connection net.Conn) {
 	p.mutex.Lock()
-	p.nextConn++
-	id := p.nextConn
+	p.lastConnection++
+	id := p.lastConnection
 	p.mutex.Unlock()
 	queue := ring.New[wire.Frame](outputCapacity)
 	done := make(chan struct{})
 	defer close(done)
 	go p.closeOnStop(connection, done)
 	go p.writeNode(connection, queue)
-	p.inputs.Push(nodeOpened{connection: id, queue: queue})
+	p.inputs.Push(nodeConnectedInput{connection: id, queue: queue})
 	reader := bufio.NewReader(connection)
 	for {
 		frame, err := wire.ReadFrame(reader)
@@ -227,7 +228,7 @@
 		}
 	}
 	queue.Close()
-	p.inputs.Push(nodeClosed{connection: id})
+	p.inputs.Push(nodeDisconnectedInput{connection: id})
 }
 
 func (p *Process) writeNode(connection net.Conn, queue *ring.Ring[wire.Frame]) {
