--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -93,9 +93,9 @@
 	return response
 }
 
-// InForceRevision returns the newest revision that every balancer with a lease granted
-// by this leader has confirmed. It returns 0 while a balancer that hasn't reported to
-// this leader may hold a lease of a former one.
+// InForceRevision returns the newest revision that every balancer with a recorded,
+// unexpired lease has confirmed. It returns 0 while a view member without a record may
+// still hold a lease of a former leader.
 func (c *Core) InForceRevision(now kernel.Instant) uint64 {
 	newest := c.store.Revision()
 	for _, view := range c.store.Views() {
