--- a/internal/directory/check.go
+++ b/internal/directory/check.go
@@ -10,8 +10,8 @@
 // all. The zero value holds none.
 type Check struct{ problems Problems }
 
-// That notes a mistake unless a value is as it must be.
-func (c *Check) That(right bool, field string, value any, reason string) {
+// Require notes a mistake unless a value is as it must be.
+func (c *Check) Require(right bool, field string, value any, reason string) {
 	if !right {
 		c.Add(NewProblem(field, value, reason))
 	}
@@ -23,7 +23,7 @@
 // IP notes a mistake when a value is no IP number.
 func (c *Check) IP(field, value string) {
 	_, err := netip.ParseAddr(value)
-	c.That(err == nil, field, value, "must be an IP number")
+	c.Require(err == nil, field, value, "must be an IP number")
 }
 
 // Add notes what another check returned. A field is named once: what follows from
--- a/internal/directory/check_test.go
+++ b/internal/directory/check_test.go
@@ -11,16 +11,16 @@
 func TestACheckNamesEveryMistakeInOrder(t *testing.T) {
 	var check Check
 	require.NoError(t, check.Err())
-	check.That(true, "name", "a", "must not be empty")
+	check.Require(true, "name", "a", "must not be empty")
 	check.Add(nil)
 	require.NoError(t, check.Err())
-	check.That(false, "name", `""`, "must not be empty")
+	check.Require(false, "name", `""`, "must not be empty")
 	check.IP("ip", "here")
 	check.IP("other", "10.0.0.1")
 	check.Address("listen", "10.0.0.1")
 	var inner Check
-	inner.That(false, "losses.machines", -1, "must not be below 0")
-	inner.That(false, "losses.zones", -2, "must not be below 0")
+	inner.Require(false, "losses.machines", -1, "must not be below 0")
+	inner.Require(false, "losses.zones", -2, "must not be below 0")
 	check.Add(inner.Err())
 	check.Add(errors.New("odd"))
 	assert.EqualError(t, check.Err(), `name: "": must not be empty
@@ -36,7 +36,7 @@
 
 func TestACheckNamesAFieldOnce(t *testing.T) {
 	var check Check
-	check.That(false, "ip", 5, "must be a text")
+	check.Require(false, "ip", 5, "must be a text")
 	check.IP("ip", "")
 	assert.EqualError(t, check.Err(), "ip: 5: must be a text")
 }
--- a/internal/directory/codec.go
+++ b/internal/directory/codec.go
@@ -109,7 +109,7 @@
 // it end before, as those of earlier programs do; a start follows a warm-up, which is
 // empty where the target has none, and a version follows a start.
 func encodeTargetDetails(encoder *wire.Encoder, target Target) {
-	if target.Warmup == nil && target.Born == 0 && target.Version == "" {
+	if target.Warmup == nil && target.StartTime == 0 && target.Version == "" {
 		return
 	}
 	var warmup Warmup
@@ -117,8 +117,8 @@
 		warmup = *target.Warmup
 	}
 	encodeWarmup(encoder, warmup)
-	if target.Born > 0 || target.Version != "" {
-		encoder.Uint64(target.Born)
+	if target.StartTime > 0 || target.Version != "" {
+		encoder.Uint64(target.StartTime)
 	}
 	if target.Version != "" {
 		encoder.String(target.Version)
@@ -129,11 +129,11 @@
 	if !decoder.HasMore() {
 		return
 	}
-	if warmup := decodeWarmup(decoder); warmup.Left > 0 {
+	if warmup := decodeWarmup(decoder); warmup.Remaining > 0 {
 		target.Warmup = &warmup
 	}
 	if decoder.HasMore() {
-		target.Born = decoder.Uint64()
+		target.StartTime = decoder.Uint64()
 	}
 	if decoder.HasMore() {
 		target.Version = decoder.String()
--- a/internal/directory/command.go
+++ b/internal/directory/command.go
@@ -99,12 +99,12 @@
 	CodeDone Code = iota
 	// CodeConflict means that another edit or order came first; nothing was changed.
 	CodeConflict
-	// CodeUnknown means that the target is not registered, or that the version has no
+	// CodeNotFound means that the target is not registered, or that the version has no
 	// targets; nothing was changed.
-	CodeUnknown
-	// CodeTaken means that the target's address is that of another one that was heard
+	CodeNotFound
+	// CodeAddressInUse means that the target's address is that of another one that was heard
 	// lately; nothing was changed.
-	CodeTaken
+	CodeAddressInUse
 	// CodeOutdated means that the word is that of a start of the target that a later
 	// one has replaced; nothing was changed.
 	CodeOutdated
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -57,7 +57,7 @@
 				s = restored
 			}
 			if rapid.Bool().Draw(t, "look") {
-				update, err := DecodeUpdate(EncodeUpdate(s.Since(seen)))
+				update, err := DecodeUpdate(EncodeUpdate(s.UpdateSince(seen)))
 				require.NoError(t, err)
 				for _, evacuation := range update.Evacuations {
 					held[evacuation.Zone] = evacuation.Active
--- a/internal/directory/model.go
+++ b/internal/directory/model.go
@@ -110,8 +110,8 @@
 type Target struct {
 	// ID is the name that the target gave itself, and Born when it started in Unix
 	// milliseconds; see Start.
-	ID   string
-	Born uint64
+	ID        string
+	StartTime uint64
 	// Number is the target's number in forwarded packets.
 	Number  uint64
 	Token   Token
--- a/internal/directory/outcomes.go
+++ b/internal/directory/outcomes.go
@@ -44,10 +44,10 @@
 	encoder.Uint32(uint32(len(list)))
 	for _, counted := range list {
 		encoder.Uint32(uint32(counted.Token))
-		encoder.Small(counted.Answered)
-		encoder.Small(counted.Unanswered)
-		encoder.Small(counted.Short)
-		encoder.Small(counted.Slow)
+		encoder.CompactUint32(counted.Answered)
+		encoder.CompactUint32(counted.Unanswered)
+		encoder.CompactUint32(counted.Short)
+		encoder.CompactUint32(counted.Slow)
 	}
 }
 
@@ -57,10 +57,10 @@
 	for count := decoder.Count(smallestOutcomes); count > 0; count-- {
 		list = append(list, Outcomes{
 			Token:      Token(decoder.Uint32()),
-			Answered:   decoder.Small(),
-			Unanswered: decoder.Small(),
-			Short:      decoder.Small(),
-			Slow:       decoder.Small(),
+			Answered:   decoder.CompactUint32(),
+			Unanswered: decoder.CompactUint32(),
+			Short:      decoder.CompactUint32(),
+			Slow:       decoder.CompactUint32(),
 		})
 	}
 	return list
--- a/internal/directory/registration.go
+++ b/internal/directory/registration.go
@@ -19,13 +19,13 @@
 // wrote it may be no target, so nothing of it is used.
 func (t Target) Validate() error {
 	var check Check
-	check.That(t.Service != "", "service", `""`, "must not be empty")
-	check.That(t.Address.IsValid(), "address", t.Address, "must be an IP number and a port")
-	check.That(t.Zone != "", "zone", `""`, "must not be empty")
-	check.That(t.Slots > 0 && t.Slots <= maxSlots, "slots", t.Slots, fmt.Sprintf("must be from 1 to %d", maxSlots))
-	check.That(t.State == TargetReady || t.State == TargetDraining, "state", t.State, "is not one that a target can be in")
-	check.That(t.Warmup == nil || t.Warmup.Left <= maxCold, "warmup", t.Warmup, fmt.Sprintf("must be at most %v", maxCold))
-	check.That(len(t.Version) <= maxVersion, "version", t.Version, fmt.Sprintf("must have at most %d bytes", maxVersion))
+	check.Require(t.Service != "", "service", `""`, "must not be empty")
+	check.Require(t.Address.IsValid(), "address", t.Address, "must be an IP number and a port")
+	check.Require(t.Zone != "", "zone", `""`, "must not be empty")
+	check.Require(t.Slots > 0 && t.Slots <= maxSlots, "slots", t.Slots, fmt.Sprintf("must be from 1 to %d", maxSlots))
+	check.Require(t.State == TargetReady || t.State == TargetDraining, "state", t.State, "is not one that a target can be in")
+	check.Require(t.Warmup == nil || t.Warmup.Remaining <= maxCold, "warmup", t.Warmup, fmt.Sprintf("must be at most %v", maxCold))
+	check.Require(len(t.Version) <= maxVersion, "version", t.Version, fmt.Sprintf("must have at most %d bytes", maxVersion))
 	check.Add(t.Start().Validate())
 	return check.Err()
 }
--- a/internal/directory/remembered.go
+++ b/internal/directory/remembered.go
@@ -20,12 +20,12 @@
 	if remembered.Configuration.Version > 0 {
 		encodeConfiguration(&encoder, remembered.Configuration.bare())
 	}
-	return wire.Pack(encoder.Buffer)
+	return wire.Compress(encoder.Buffer)
 }
 
 // DecodeRemembered reads what a disk remembers.
 func DecodeRemembered(data []byte) (Remembered, error) {
-	unpacked, err := wire.Unpack(data)
+	unpacked, err := wire.Decompress(data)
 	if err != nil {
 		return Remembered{}, err
 	}
--- a/internal/directory/start_test.go
+++ b/internal/directory/start_test.go
@@ -17,7 +17,7 @@
 
 // run is a target that starts again under its ID.
 func run(born uint64, place, service, zone string, state TargetState) Target {
-	return Target{ID: "i-1", Born: born, Number: 1, Service: service, Zone: zone, Address: netip.MustParseAddrPort(place), Slots: 2, State: state}
+	return Target{ID: "i-1", StartTime: born, Number: 1, Service: service, Zone: zone, Address: netip.MustParseAddrPort(place), Slots: 2, State: state}
 }
 
 // A restart at any stage of the start before, at the same or another place, heard of
@@ -65,7 +65,7 @@
 	earlier.State = late
 	assert.Equal(t, CodeOutdated, s.Apply(3, Command{Kind: CommandPutTarget, Target: earlier}).Code)
 	assert.Equal(t, uint64(2), s.Revision(), "a late word changes nothing")
-	if earlier.Born > 0 {
+	if earlier.StartTime > 0 {
 		assert.Equal(t, CodeDone, s.Apply(4, Command{Kind: CommandEndTarget, Target: earlier}).Code)
 		assert.Equal(t, uint64(2), s.Revision(), "nor does a late farewell")
 	}
@@ -91,23 +91,23 @@
 	over, known := s.TargetByToken(before.Token)
 	require.True(t, known)
 	assert.Equal(t, TargetEnded, over.State)
-	holder, _ := s.Holder(later.Address)
+	holder, _ := s.TargetByAddress(later.Address)
 	assert.Equal(t, later.Start(), holder.Start())
-	if holder, held := s.Holder(before.Address); held && before.Address != later.Address {
+	if holder, held := s.TargetByAddress(before.Address); held && before.Address != later.Address {
 		assert.Equal(t, TargetEnded, holder.State)
 	}
 }
 
 func TestTheOrderOfStarts(t *testing.T) {
-	at := func(born uint64) Start { return Start{ID: "i-1", Born: born} }
+	at := func(born uint64) Start { return Start{ID: "i-1", StartTime: born} }
 	assert.True(t, at(1).IsBefore(at(2)))
 	assert.False(t, at(2).IsBefore(at(1)))
 	assert.False(t, at(2).IsBefore(at(2)), "the same millisecond is the same start")
 	assert.True(t, at(0).IsBefore(at(1)), "one that is not told comes first")
 	assert.False(t, at(0).IsBefore(at(0)))
-	assert.False(t, at(1).IsBefore(Start{ID: "i-2", Born: 2}), "other targets have no order")
-	assert.Error(t, at(MaxBorn+1).Validate())
-	assert.NoError(t, at(MaxBorn).Validate())
+	assert.False(t, at(1).IsBefore(Start{ID: "i-2", StartTime: 2}), "other targets have no order")
+	assert.Error(t, at(MaxStartTime+1).Validate())
+	assert.NoError(t, at(MaxStartTime).Validate())
 }
 
 func TestAFarewellWithoutAStartEndsTheLatest(t *testing.T) {
@@ -122,7 +122,7 @@
 func TestAFarewellOfAStartThatNeverRegisteredEndsTheOneBefore(t *testing.T) {
 	s := New()
 	s.Apply(1, Command{Kind: CommandPutTarget, Target: run(firstBorn, "10.0.0.1:1", "one", "north", TargetReady)})
-	assert.Equal(t, CodeDone, s.Apply(2, Command{Kind: CommandEndTarget, Target: Target{ID: "i-1", Born: secondBorn}}).Code)
+	assert.Equal(t, CodeDone, s.Apply(2, Command{Kind: CommandEndTarget, Target: Target{ID: "i-1", StartTime: secondBorn}}).Code)
 	latest, _ := s.Target("i-1")
 	assert.Equal(t, TargetEnded, latest.State)
 }
@@ -193,7 +193,7 @@
 				require.NoError(t, err)
 			}
 			if rapid.Bool().Draw(t, "update") {
-				update, err := DecodeUpdate(EncodeUpdate(s.Since(nodeAt)))
+				update, err := DecodeUpdate(EncodeUpdate(s.UpdateSince(nodeAt)))
 				require.NoError(t, err)
 				for _, target := range update.Targets {
 					node[target.Token] = target
@@ -209,17 +209,17 @@
 func drawWord(t *rapid.T) Target {
 	number := rapid.IntRange(1, 3).Draw(t, "target")
 	target := Target{
-		ID:      fmt.Sprint("i-", number),
-		Born:    rapid.Uint64Range(0, 3).Draw(t, "born"),
-		Number:  uint64(number),
-		Service: rapid.SampledFrom([]string{"one", "two"}).Draw(t, "service"),
-		Zone:    rapid.SampledFrom([]string{"north", "south"}).Draw(t, "zone"),
-		Address: netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(1, 3).Draw(t, "address"))),
-		Slots:   2,
-		State:   rapid.SampledFrom([]TargetState{TargetReady, TargetDraining}).Draw(t, "state"),
+		ID:        fmt.Sprint("i-", number),
+		StartTime: rapid.Uint64Range(0, 3).Draw(t, "born"),
+		Number:    uint64(number),
+		Service:   rapid.SampledFrom([]string{"one", "two"}).Draw(t, "service"),
+		Zone:      rapid.SampledFrom([]string{"north", "south"}).Draw(t, "zone"),
+		Address:   netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:1", rapid.IntRange(1, 3).Draw(t, "address"))),
+		Slots:     2,
+		State:     rapid.SampledFrom([]TargetState{TargetReady, TargetDraining}).Draw(t, "state"),
 	}
 	if rapid.Bool().Draw(t, "cold") {
-		target.Warmup = &Warmup{Left: 1500 * 1e6}
+		target.Warmup = &Warmup{Remaining: 1500 * 1e6}
 	}
 	return target
 }
@@ -228,17 +228,17 @@
 func expect(latest map[string]registered, word Target, leaves bool) {
 	known, exists := latest[word.ID]
 	switch {
-	case leaves && !exists, leaves && word.Born > 0 && word.Born < known.born, !leaves && exists && word.Born < known.born:
+	case leaves && !exists, leaves && word.StartTime > 0 && word.StartTime < known.born, !leaves && exists && word.StartTime < known.born:
 		return
 	case leaves:
-		if known.state == TargetDraining || word.Born > known.born {
+		if known.state == TargetDraining || word.StartTime > known.born {
 			known.state = TargetEnded
 		}
 		known.state = max(known.state, TargetLeaving)
-	case exists && word.Born == known.born:
+	case exists && word.StartTime == known.born:
 		known.state = max(known.state, word.State)
 	default:
-		known = registered{born: word.Born, state: word.State, address: word.Address}
+		known = registered{born: word.StartTime, state: word.State, address: word.Address}
 		for id, other := range latest {
 			if other.address == word.Address {
 				other.state = TargetEnded
@@ -254,14 +254,14 @@
 	for _, target := range s.Targets() {
 		require.False(t, tokens[target.Token], "two starts share a token")
 		tokens[target.Token] = true
-		if target.Born < latest[target.ID].born {
+		if target.StartTime < latest[target.ID].born {
 			require.Equal(t, TargetEnded, target.State, "an earlier start lives")
 		}
 	}
 	for id, want := range latest {
 		target, known := s.Target(id)
 		require.True(t, known)
-		require.Equal(t, []any{want.born, want.state, want.address}, []any{target.Born, target.State, target.Address}, id)
+		require.Equal(t, []any{want.born, want.state, want.address}, []any{target.StartTime, target.State, target.Address}, id)
 	}
 }
 
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -112,7 +112,7 @@
 		list = append(list, *target)
 	}
 	slices.SortFunc(list, func(a, b Target) int {
-		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born))
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.StartTime, b.StartTime))
 	})
 	return list
 }
@@ -233,8 +233,8 @@
 	}
 }
 
-// Holder returns the target that registered last at an address.
-func (s *State) Holder(address netip.AddrPort) (Target, bool) {
+// TargetByAddress returns the target that registered last at an address.
+func (s *State) TargetByAddress(address netip.AddrPort) (Target, bool) {
 	holder, held := s.addresses[address]
 	if !held {
 		return Target{}, false
@@ -301,8 +301,8 @@
 	target, known := s.targets[start.ID]
 	switch {
 	case !known:
-		return CodeUnknown
-	case start.Born > 0 && start.IsBefore(target.Start()):
+		return CodeNotFound
+	case start.StartTime > 0 && start.IsBefore(target.Start()):
 		// It has ended: a later start is registered.
 		return CodeDone
 	case target.Start().IsBefore(start):
--- a/internal/directory/state_test.go
+++ b/internal/directory/state_test.go
@@ -53,7 +53,7 @@
 			assert.Equal(t, test.want, target.State)
 		})
 	}
-	assert.Equal(t, CodeUnknown, New().Apply(1, end("nobody")).Code)
+	assert.Equal(t, CodeNotFound, New().Apply(1, end("nobody")).Code)
 }
 
 func TestTokensAreNeverShared(t *testing.T) {
@@ -157,7 +157,7 @@
 			if rapid.IntRange(0, 3).Draw(t, "look") > 0 {
 				continue
 			}
-			update, err := DecodeUpdate(EncodeUpdate(s.Since(revision)))
+			update, err := DecodeUpdate(EncodeUpdate(s.UpdateSince(revision)))
 			require.NoError(t, err)
 			revision = update.Revision
 			for _, target := range update.Targets {
@@ -188,7 +188,7 @@
 	s := New()
 	s.Apply(1, register("a", "10.0.0.1:1", TargetReady))
 	f.Add(s.Encode())
-	f.Add(EncodeUpdate(s.Since(0)))
+	f.Add(EncodeUpdate(s.UpdateSince(0)))
 	f.Add(EncodeCommand(register("a", "10.0.0.1:1", TargetReady)))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		_, _ = Decode(data)
@@ -214,12 +214,12 @@
 	second.Routes = append(slices.Clone(first.Routes), Route{Name: "r2", Annotation: text})
 	require.Equal(t, CodeDone, s.Apply(2, publish(s, second)).Code)
 	for _, revision := range []uint64{0, 1} {
-		assert.Less(t, len(EncodeUpdate(s.Since(revision))), len(text))
+		assert.Less(t, len(EncodeUpdate(s.UpdateSince(revision))), len(text))
 	}
-	node, fits := s.Since(1).Edits[0].Apply(first)
+	node, fits := s.UpdateSince(1).Edits[0].Apply(first)
 	require.True(t, fits)
 	assert.Len(t, node.Routes, 2)
-	assert.Equal(t, time.Second, s.Since(0).Configuration.Routes[0].Timeout)
+	assert.Equal(t, time.Second, s.UpdateSince(0).Configuration.Routes[0].Timeout)
 	assert.Equal(t, text, s.Configuration().Routes[0].Annotation, "operators read back what they sent")
 	assert.Equal(t, text, s.Configuration().Services[0].Annotation)
 	decoded, err := Decode(s.Encode())
@@ -253,7 +253,7 @@
 		})
 	}
 	s.Apply(targets+1, publish(s, configuration))
-	whole := EncodeUpdate(s.Since(0))
+	whole := EncodeUpdate(s.UpdateSince(0))
 	assert.Less(t, len(whole), budget)
 	assert.Less(t, len(EncodeRemembered(Remembered{Targets: list})), budget)
 	update, err := DecodeUpdate(whole)
--- a/internal/directory/targetlist.go
+++ b/internal/directory/targetlist.go
@@ -68,7 +68,7 @@
 // out: it is hardly shorter in any other form, however well it is compressed.
 func encodeListed(encoder *wire.Encoder, table *nameTable, target Target) {
 	flags := uint8(target.State)
-	if target.HasOwnToken() {
+	if target.HasDerivedToken() {
 		flags |= flagOwnToken
 	}
 	number, inID := NumberInID(target.ID)
@@ -78,13 +78,13 @@
 	if target.Warmup != nil {
 		flags |= flagWarmup
 	}
-	if target.Born > 0 {
+	if target.StartTime > 0 {
 		flags |= flagBorn
 	}
 	encoder.Uint8(flags)
 	encoder.String(target.ID)
-	if target.Born > 0 {
-		encoder.Uint64(target.Born)
+	if target.StartTime > 0 {
+		encoder.Uint64(target.StartTime)
 	}
 	if flags&flagNumberInID == 0 {
 		encoder.Uint64(target.Number)
@@ -107,7 +107,7 @@
 	flags := decoder.Uint8()
 	target := Target{State: TargetState(flags & stateMask), ID: decoder.String()}
 	if flags&flagBorn != 0 {
-		target.Born = decoder.Uint64()
+		target.StartTime = decoder.Uint64()
 	}
 	target.Token = target.Start().token()
 	target.Number, _ = NumberInID(target.ID)
--- a/internal/directory/targetorder.go
+++ b/internal/directory/targetorder.go
@@ -61,7 +61,7 @@
 func (s *State) orderTarget(position uint64, order TargetOrder) Code {
 	target, exists := s.targets[order.ID]
 	if !exists || target.State == TargetEnded || order.Rule >= targetRuleCount {
-		return CodeUnknown
+		return CodeNotFound
 	}
 	known := s.targetOrders[order.ID]
 	if known.Rule == order.Rule && (order.Rule != RuleJudged || known.Revision > order.Revision) {
--- a/internal/directory/targetorder_test.go
+++ b/internal/directory/targetorder_test.go
@@ -29,8 +29,8 @@
 			[]Code{CodeDone, CodeDone, CodeDone}, RuleJudged},
 		{"a late copy of the end", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleJudged, 2), orderTarget("a", RuleEjected, 3), orderTarget("a", RuleJudged, 2)},
 			[]Code{CodeDone, CodeDone, CodeDone, CodeConflict}, RuleEjected},
-		{"not known", []Command{orderTarget("b", RuleEjected, 0)}, []Code{CodeUnknown}, RuleJudged},
-		{"no such rule", []Command{orderTarget("a", targetRuleCount, 0)}, []Code{CodeUnknown}, RuleJudged},
+		{"not known", []Command{orderTarget("b", RuleEjected, 0)}, []Code{CodeNotFound}, RuleJudged},
+		{"no such rule", []Command{orderTarget("a", targetRuleCount, 0)}, []Code{CodeNotFound}, RuleJudged},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -65,7 +65,7 @@
 			require.Len(t, s.TargetOrders(), 1)
 			s.Apply(4, end)
 			assert.Empty(t, s.TargetOrders())
-			assert.Equal(t, CodeUnknown, s.Apply(5, orderTarget("a", RuleExempt, 0)).Code)
+			assert.Equal(t, CodeNotFound, s.Apply(5, orderTarget("a", RuleExempt, 0)).Code)
 		})
 	}
 }
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -22,9 +22,9 @@
 	Evacuations []Evacuation
 }
 
-// Since returns what changed after a revision, for a node; 0 asks for all. Text
+// UpdateSince returns what changed after a revision, for a node; 0 asks for all. Text
 // that is kept for operators is left out.
-func (s *State) Since(revision uint64) Update {
+func (s *State) UpdateSince(revision uint64) Update {
 	update := Update{Revision: s.revision}
 	if s.configRevision > revision {
 		s.addConfiguration(&update, revision)
@@ -88,7 +88,7 @@
 	encodeTargets(&encoder, update.Targets)
 	EncodeMembers(&encoder, update.Members)
 	encodeEvacuations(&encoder, update.Evacuations)
-	return wire.Pack(encoder.Buffer)
+	return wire.Compress(encoder.Buffer)
 }
 
 // smallestEdit is the size in bytes of an edit without content.
@@ -96,7 +96,7 @@
 
 // DecodeUpdate reads an update.
 func DecodeUpdate(data []byte) (Update, error) {
-	unpacked, err := wire.Unpack(data)
+	unpacked, err := wire.Decompress(data)
 	if err != nil {
 		return Update{}, err
 	}
--- a/internal/directory/verdicts.go
+++ b/internal/directory/verdicts.go
@@ -24,12 +24,12 @@
 
 // Equal reports whether two verdicts say the same.
 func (v Verdicts) Equal(other Verdicts) bool {
-	return slices.Equal(v.Suspects, other.Suspects) && v.IsAsUrgentAs(other)
+	return slices.Equal(v.Suspects, other.Suspects) && v.EqualIgnoringSuspects(other)
 }
 
-// IsAsUrgentAs reports whether verdicts are the same in what nodes must hear at once.
+// EqualIgnoringSuspects reports whether verdicts are the same in what nodes must hear at once.
 // Targets that are only suspected can wait: their list may be long and change often.
-func (v Verdicts) IsAsUrgentAs(other Verdicts) bool {
+func (v Verdicts) EqualIgnoringSuspects(other Verdicts) bool {
 	return slices.Equal(v.Lost, other.Lost) && slices.Equal(v.AvoidedZones, other.AvoidedZones) &&
 		slices.Equal(v.Ejected, other.Ejected) && slices.Equal(v.Probation, other.Probation)
 }
--- a/internal/directory/versionorder.go
+++ b/internal/directory/versionorder.go
@@ -68,7 +68,7 @@
 // that was given before the newest order about the version is refused.
 func (s *State) orderVersion(position uint64, order VersionOrder) Code {
 	if !s.hasVersion(order.ServiceVersion) || order.Rule >= versionRuleCount {
-		return CodeUnknown
+		return CodeNotFound
 	}
 	known := s.versionOrders[order.ServiceVersion]
 	if known.Rule == order.Rule {
--- a/internal/directory/versionorder_test.go
+++ b/internal/directory/versionorder_test.go
@@ -26,13 +26,13 @@
 
 func TestCommandsCarryVersions(t *testing.T) {
 	for _, born := range []uint64{0, firstBorn} {
-		for _, warmup := range []*Warmup{nil, {Left: 1000}} {
+		for _, warmup := range []*Warmup{nil, {Remaining: 1000}} {
 			command := registerVersion("1", "v2")
-			command.Target.Born = born
+			command.Target.StartTime = born
 			command.Target.Warmup = warmup
 			decoded := again(t, command)
 			assert.Equal(t, "v2", decoded.Target.Version)
-			assert.Equal(t, born, decoded.Target.Born)
+			assert.Equal(t, born, decoded.Target.StartTime)
 		}
 	}
 	plain := EncodeCommand(registerVersion("1", ""))
@@ -53,9 +53,9 @@
 		{"released after held", []Command{orderVersion("v2", VersionHeld, 0), orderVersion("v2", VersionReleased, 10)}, []Code{CodeDone, CodeDone}, VersionReleased},
 		{"a late copy", []Command{orderVersion("v2", VersionHeld, 0), orderVersion("v2", VersionReleased, 10), orderVersion("v2", VersionHeld, 0)},
 			[]Code{CodeDone, CodeDone, CodeConflict}, VersionReleased},
-		{"of no target", []Command{orderVersion("v3", VersionHeld, 0)}, []Code{CodeUnknown}, VersionJudged},
-		{"of none stated", []Command{orderVersion("", VersionHeld, 0)}, []Code{CodeUnknown}, VersionJudged},
-		{"no such rule", []Command{orderVersion("v2", versionRuleCount, 0)}, []Code{CodeUnknown}, VersionJudged},
+		{"of no target", []Command{orderVersion("v3", VersionHeld, 0)}, []Code{CodeNotFound}, VersionJudged},
+		{"of none stated", []Command{orderVersion("", VersionHeld, 0)}, []Code{CodeNotFound}, VersionJudged},
+		{"no such rule", []Command{orderVersion("v2", versionRuleCount, 0)}, []Code{CodeNotFound}, VersionJudged},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 	}
 	data, before := s.Encode(), plain.Encode()
 	require.Equal(t, before, data[:len(before)])
-	assert.Equal(t, EncodeUpdate(plain.Since(0)), EncodeUpdate(s.Since(0)), "nodes are not told")
+	assert.Equal(t, EncodeUpdate(plain.UpdateSince(0)), EncodeUpdate(s.UpdateSince(0)), "nodes are not told")
 	restored, err := Decode(before)
 	require.NoError(t, err)
 	assert.Equal(t, plain.Targets(), restored.Targets())
--- a/internal/directory/warmup.go
+++ b/internal/directory/warmup.go
@@ -13,14 +13,14 @@
 // share: so the sum over all nodes is bounded, also when some are cut off and know
 // nothing of the others.
 type Warmup struct {
-	// Left is how long the target was still to be cold when its member wrote this.
+	// Remaining is how long the target was still to be cold when its member wrote this.
 	// It is kept in whole milliseconds.
-	Left time.Duration
+	Remaining time.Duration
 	// Budget is the number of new flows that the target bears in a second; 0 where
 	// none is stated. Then any node may send it flows.
 	Budget uint32
-	// Stewards are the nodes that share the budget, by NodeKey.
-	Stewards []uint32
+	// AssignedNodes are the nodes that share the budget, by NodeKey.
+	AssignedNodes []uint32
 }
 
 // NodeKey returns the key of a node among the stewards of a target.
@@ -32,9 +32,9 @@
 	if w.Budget == 0 {
 		return 0, false
 	}
-	for _, steward := range w.Stewards {
+	for _, steward := range w.AssignedNodes {
 		if steward == node {
-			return w.Budget / uint32(len(w.Stewards)), true
+			return w.Budget / uint32(len(w.AssignedNodes)), true
 		}
 	}
 	return 0, true
@@ -44,18 +44,18 @@
 const stewardSize = 4
 
 func encodeWarmup(encoder *wire.Encoder, warmup Warmup) {
-	encoder.Uint32(uint32(warmup.Left.Milliseconds()))
+	encoder.Uint32(uint32(warmup.Remaining.Milliseconds()))
 	encoder.Uint32(warmup.Budget)
-	encoder.Uint32(uint32(len(warmup.Stewards)))
-	for _, steward := range warmup.Stewards {
+	encoder.Uint32(uint32(len(warmup.AssignedNodes)))
+	for _, steward := range warmup.AssignedNodes {
 		encoder.Uint32(steward)
 	}
 }
 
 func decodeWarmup(decoder *wire.Decoder) Warmup {
-	warmup := Warmup{Left: time.Duration(decoder.Uint32()) * time.Millisecond, Budget: decoder.Uint32()}
+	warmup := Warmup{Remaining: time.Duration(decoder.Uint32()) * time.Millisecond, Budget: decoder.Uint32()}
 	for count := decoder.Count(stewardSize); count > 0; count-- {
-		warmup.Stewards = append(warmup.Stewards, decoder.Uint32())
+		warmup.AssignedNodes = append(warmup.AssignedNodes, decoder.Uint32())
 	}
 	return warmup
 }
--- a/internal/edge/frames.go
+++ b/internal/edge/frames.go
@@ -17,7 +17,7 @@
 		return s.receiveUpdate(frame.Payload)
 	case wire.FrameRemembered:
 		return s.receiveRemembered(frame.Payload)
-	case wire.FrameAlive:
+	case wire.FrameKeepalive:
 		return s.receiveAlive(frame.Payload)
 	case wire.FrameRoom:
 		return s.receiveRoom(frame.Payload)
--- a/internal/heartbeat/cache.go
+++ b/internal/heartbeat/cache.go
@@ -39,11 +39,11 @@
 	for _, target := range targets {
 		known, exists := c.targets[target.ID]
 		switch {
-		case exists && target.Born < known.born:
+		case exists && target.StartTime < known.born:
 		case target.State == directory.TargetEnded:
 			delete(c.targets, target.ID)
 		default:
-			c.targets[target.ID] = registration{born: target.Born, token: target.Token, state: target.State}
+			c.targets[target.ID] = registration{born: target.StartTime, token: target.Token, state: target.State}
 		}
 	}
 }
@@ -61,7 +61,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	known, registered := c.targets[start.ID]
-	if !registered || known.born != start.Born || known.state < state {
+	if !registered || known.born != start.StartTime || known.state < state {
 		return false
 	}
 	c.acknowledged[known.token] = true
--- a/internal/heartbeat/heartbeat_test.go
+++ b/internal/heartbeat/heartbeat_test.go
@@ -103,8 +103,8 @@
 
 func TestHeartbeatsOfEarlierStartAreNotAcknowledged(t *testing.T) {
 	cache := NewCache()
-	first := directory.Target{ID: "i-1", Born: 10, Token: 7, State: directory.TargetDraining}
-	later := directory.Target{ID: "i-1", Born: 20, Token: 8, State: directory.TargetReady}
+	first := directory.Target{ID: "i-1", StartTime: 10, Token: 7, State: directory.TargetDraining}
+	later := directory.Target{ID: "i-1", StartTime: 20, Token: 8, State: directory.TargetReady}
 	cache.Update([]directory.Target{first})
 	assert.False(t, cache.Acknowledge(later.Start(), directory.TargetReady), "not registered yet")
 	ended := first
--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -33,8 +33,8 @@
 	return buffer.Bytes()
 }
 
-// Rest returns the members but for those that are named, as the text of one object.
-func Rest(members map[string]json.RawMessage, except ...string) ([]byte, error) {
+// Omit returns the members but for those that are named, as the text of one object.
+func Omit(members map[string]json.RawMessage, except ...string) ([]byte, error) {
 	rest := maps.Clone(members)
 	for _, name := range except {
 		delete(rest, name)
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -25,7 +25,7 @@
 
 func TestRestAndMerge(t *testing.T) {
 	members := map[string]json.RawMessage{"version": json.RawMessage("7"), "note": json.RawMessage(`{"a":1}`)}
-	rest, err := Rest(members, "version")
+	rest, err := Omit(members, "version")
 	require.NoError(t, err)
 	assert.JSONEq(t, `{"note":{"a":1}}`, string(rest))
 	assert.Len(t, members, 2, "the members stay")
--- a/internal/lab/fleetsim/edge.go
+++ b/internal/lab/fleetsim/edge.go
@@ -268,7 +268,7 @@
 		e.update(frame.Payload)
 	case wire.FrameRemembered:
 		e.remember(frame.Payload)
-	case wire.FrameAlive:
+	case wire.FrameKeepalive:
 		alive, err := registry.DecodeKeepalive(frame.Payload)
 		if err != nil {
 			panic(err)
--- a/internal/lab/fleetsim/target.go
+++ b/internal/lab/fleetsim/target.go
@@ -81,7 +81,7 @@
 		ID: t.id, Number: uint64(t.number), Service: t.service, Zone: t.zone, Address: t.address, Slots: 2, State: t.state,
 	}
 	if left := t.coldUntil.Sub(t.world.now); left > 0 {
-		described.Warmup = &directory.Warmup{Left: left}
+		described.Warmup = &directory.Warmup{Remaining: left}
 	}
 	return described
 }
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -209,8 +209,8 @@
 	return listener, steperror.Wrap("peerlink.listen", address, err)
 }
 
-// Limit makes an accepted connection notice a silent peer.
-func Limit(connection net.Conn) {
+// SetUserTimeout makes an accepted connection notice a silent peer.
+func SetUserTimeout(connection net.Conn) {
 	raw, ok := connection.(syscall.Conn)
 	if !ok {
 		return
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -60,10 +60,10 @@
 	opened := make(chan error, 1)
 	links := New(func(_ string, err error) { opened <- err })
 	defer links.Close()
-	links.Send(listener.Addr().String(), wire.Frame{Kind: wire.FrameAlive, Payload: []byte("hello")})
+	links.Send(listener.Addr().String(), wire.Frame{Kind: wire.FrameKeepalive, Payload: []byte("hello")})
 	connection, err := listener.Accept()
 	require.NoError(t, err)
-	Limit(connection)
+	SetUserTimeout(connection)
 	frame, err := wire.ReadFrame(connection)
 	require.NoError(t, err)
 	assert.Equal(t, "hello", string(frame.Payload))
@@ -73,7 +73,7 @@
 
 func TestALinkToNobodyDropsFrames(t *testing.T) {
 	links := New(func(string, error) {})
-	links.Send("127.0.0.1:1", wire.Frame{Kind: wire.FrameAlive})
+	links.Send("127.0.0.1:1", wire.Frame{Kind: wire.FrameKeepalive})
 	links.Close()
-	links.Send("127.0.0.1:1", wire.Frame{Kind: wire.FrameAlive})
+	links.Send("127.0.0.1:1", wire.Frame{Kind: wire.FrameKeepalive})
 }
--- a/internal/registry/addressconflict.go
+++ b/internal/registry/addressconflict.go
@@ -29,12 +29,12 @@
 	if registered && !known.Start().IsBefore(command.Target.Start()) {
 		return false
 	}
-	holder, held := c.state.Holder(command.Target.Address)
+	holder, held := c.state.TargetByAddress(command.Target.Address)
 	if !held || holder.State > directory.TargetDraining || holder.ID == command.Target.ID {
 		return false
 	}
 	holdTime := addressHoldTime
-	if command.Target.Born > 0 && command.Target.Born < holder.Born {
+	if command.Target.StartTime > 0 && command.Target.StartTime < holder.StartTime {
 		// The process started before the holder, so the request is most likely delayed.
 		holdTime = max(holdTime, c.settings.SuspectAfter)
 	}
--- a/internal/registry/addressconflict_test.go
+++ b/internal/registry/addressconflict_test.go
@@ -42,7 +42,7 @@
 			for range 3 {
 				outcome := c.register(c.machines[address(1+member)], putTarget("i-late", contestedAddress, directory.TargetReady))
 				require.NoError(t, outcome.Err)
-				assert.Equal(t, directory.CodeTaken, outcome.Result.Code, "after %v", after)
+				assert.Equal(t, directory.CodeAddressInUse, outcome.Result.Code, "after %v", after)
 			}
 			c.run(time.Second)
 			for _, m := range c.machines {
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -93,7 +93,7 @@
 	switch {
 	case err != nil:
 		return "", err
-	case result.Code == directory.CodeTaken:
+	case result.Code == directory.CodeAddressInUse:
 		return "", errAddressTaken
 	case result.Code == directory.CodeOutdated:
 		return "", outdatedStartError(heartbeat.Target)
@@ -136,10 +136,10 @@
 	return slices.Contains(p.settings.Zones, zone) || core.State().HasZone(zone)
 }
 
-// EndTarget marks a target as ended at its own request. A start without Born refers to the
+// EndTarget marks a target as ended at its own request. A start without StartTime refers to the
 // latest one.
 func (p *Process) EndTarget(ctx context.Context, start directory.Start) error {
-	target := directory.Target{ID: start.ID, Born: start.Born}
+	target := directory.Target{ID: start.ID, StartTime: start.StartTime}
 	_, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
 		return core.Submit(now, directory.Command{Kind: directory.CommandEndTarget, Target: target})
 	})
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -202,7 +202,7 @@
 		remembered, err := directory.DecodeRemembered(frame.Payload)
 		require.NoError(c, err)
 		m.remembered = append(m.remembered, remembered)
-	case wire.FrameAlive:
+	case wire.FrameKeepalive:
 		alive, err := DecodeKeepalive(frame.Payload)
 		require.NoError(c, err)
 		m.keepalive = alive
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -307,7 +307,7 @@
 		err = c.receiveJoinReply(now, frame.Payload)
 	case wire.FrameForward, wire.FrameReadIndex:
 		err = c.receiveForward(now, frame.Payload)
-	case wire.FrameForwarded:
+	case wire.FrameForwardReply:
 		err = c.receiveForwarded(frame.Payload)
 	case wire.FrameLiveness:
 		err = c.receiveLiveness(now, frame.Payload)
--- a/internal/registry/host.go
+++ b/internal/registry/host.go
@@ -77,7 +77,7 @@
 			"routes", len(c.state.Configuration().Routes))
 	case directory.CommandPutTarget, directory.CommandEndTarget:
 		target, _ := c.state.Target(command.Target.ID)
-		c.logEvent(eventlog.TargetStage, "target", target.ID, "born", target.Born, "token", target.Token, "service", target.Service,
+		c.logEvent(eventlog.TargetStage, "target", target.ID, "born", target.StartTime, "token", target.Token, "service", target.Service,
 			"address", target.Address, "state", target.State, "revision", result.Revision)
 	case directory.CommandEvacuate:
 		c.logEvent(eventlog.EvacuationInForce, "zone", command.Evacuation.Zone, "active", command.Evacuation.Active, "revision", result.Revision)
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -81,7 +81,7 @@
 		require.True(t, known)
 		assert.Equal(t, directory.TargetReady, successor.State)
 		assert.NotContains(t, m.core.liveness.verdicts.Lost, successor.Token)
-		for _, target := range m.core.State().Since(0).Targets {
+		for _, target := range m.core.State().UpdateSince(0).Targets {
 			if target.ID == next {
 				assert.Equal(t, "10.1.1.1:1", target.Address.String())
 			} else {
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -101,7 +101,7 @@
 	encoder.Uint64(uint64(f.Ticket))
 	encoder.Uint8(uint8(f.Result.Code))
 	encoder.Uint64(f.Result.Revision)
-	return wire.Frame{Kind: wire.FrameForwarded, Payload: encoder.Buffer}
+	return wire.Frame{Kind: wire.FrameForwardReply, Payload: encoder.Buffer}
 }
 
 func decodeForwarded(payload []byte) (forwarded, error) {
@@ -191,7 +191,7 @@
 	encoder.Uint32(uint32(k.Leaderless.Milliseconds()))
 	k.Verdicts.Encode(&encoder)
 	encoder.Bool(k.Unchanged)
-	return wire.Frame{Kind: wire.FrameAlive, Payload: encoder.Buffer}
+	return wire.Frame{Kind: wire.FrameKeepalive, Payload: encoder.Buffer}
 }
 
 // DecodeKeepalive decodes the payload of a keepalive frame.
--- a/internal/registry/nodes.go
+++ b/internal/registry/nodes.go
@@ -124,7 +124,7 @@
 }
 
 func (c *Core) encodeSince(now kernel.Instant, revision uint64) []byte {
-	return directory.EncodeUpdate(c.adjustWarmups(now, c.state.Since(revision)))
+	return directory.EncodeUpdate(c.adjustWarmups(now, c.state.UpdateSince(revision)))
 }
 
 // initialState caches the encoded whole state for nodes without state.
@@ -168,7 +168,7 @@
 	node := c.nodes[connection]
 	current := c.IsCurrent(now)
 	verdicts := c.liveness.verdicts.Verdicts
-	changed := node.current != current || !verdicts.IsAsUrgentAs(node.verdicts)
+	changed := node.current != current || !verdicts.EqualIgnoringSuspects(node.verdicts)
 	if now.Before(node.nextKeepalive) && !changed {
 		return
 	}
--- a/internal/registry/nodes_test.go
+++ b/internal/registry/nodes_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	core.sendKeepalive(now, connection)
 	for _, sent := range core.takeOutput().Nodes {
-		if sent.Connection != connection || sent.Frame.Kind != wire.FrameAlive {
+		if sent.Connection != connection || sent.Frame.Kind != wire.FrameKeepalive {
 			continue
 		}
 		keepalive, err := DecodeKeepalive(sent.Frame.Payload)
--- a/internal/registry/outliers.go
+++ b/internal/registry/outliers.go
@@ -253,7 +253,7 @@
 	for _, report := range reports {
 		encoder.Uint32(uint32(report.Token))
 		for _, number := range []uint32{report.Answered, report.Unanswered, report.Short, report.Slow, report.FailingNodes, report.RecentFailures, report.TopFailures} {
-			encoder.Small(number)
+			encoder.CompactUint32(number)
 		}
 		if report.TopFailures > 0 {
 			encoder.Uint32(report.TopNode)
@@ -266,7 +266,7 @@
 	for count := decoder.Count(smallestReport); count > 0; count-- {
 		report := outlier.Report{Outcomes: directory.Outcomes{Token: directory.Token(decoder.Uint32())}}
 		for _, number := range []*uint32{&report.Answered, &report.Unanswered, &report.Short, &report.Slow, &report.FailingNodes, &report.RecentFailures, &report.TopFailures} {
-			*number = decoder.Small()
+			*number = decoder.CompactUint32()
 		}
 		if report.TopFailures > 0 {
 			report.TopNode = decoder.Uint32()
--- a/internal/registry/persistedstate_test.go
+++ b/internal/registry/persistedstate_test.go
@@ -190,14 +190,14 @@
 
 func TestRememberedTargetsWithoutNewFlowsAreLeaving(t *testing.T) {
 	cold := putTarget("cold", "10.1.1.1:1", directory.TargetReady)
-	cold.Target.Warmup = &directory.Warmup{Left: time.Second, Budget: 2, Stewards: []uint32{1}}
+	cold.Target.Warmup = &directory.Warmup{Remaining: time.Second, Budget: 2, AssignedNodes: []uint32{1}}
 	spared := putTarget("spared", "10.1.1.2:1", directory.TargetReady)
-	spared.Target.Warmup = &directory.Warmup{Left: time.Second}
+	spared.Target.Warmup = &directory.Warmup{Remaining: time.Second}
 	far := putTarget("far", "10.1.1.3:1", directory.TargetReady)
 	far.Target.Zone = "far"
 	back := putTarget("back", "10.1.1.4:1", directory.TargetReady)
 	back.Target.Zone = "back"
-	budget := []directory.ServiceWarmup{{Service: "booking", Warmup: directory.Warmup{Left: time.Second, Budget: 1}}}
+	budget := []directory.ServiceWarmup{{Service: "booking", Warmup: directory.Warmup{Remaining: time.Second, Budget: 1}}}
 	commands := []directory.Command{
 		putTarget("warm", "10.1.1.5:1", directory.TargetReady),
 		putTarget("ejected", "10.1.1.6:1", directory.TargetReady),
--- a/internal/registry/registration.go
+++ b/internal/registry/registration.go
@@ -37,7 +37,7 @@
 
 // outdatedStartError rejects a report of a start that has been superseded.
 func outdatedStartError(target directory.Target) error {
-	return directory.NewProblem("born", target.Born, "a later start of "+target.ID+" is registered")
+	return directory.NewProblem("born", target.StartTime, "a later start of "+target.ID+" is registered")
 }
 
 // checkService rejects a target whose service is not in the configuration, so that it
--- a/internal/registry/remembered.go
+++ b/internal/registry/remembered.go
@@ -78,7 +78,7 @@
 func (s *persistedState) targets() []directory.Target {
 	var targets []directory.Target
 	s.state.EachTarget(func(target *directory.Target) {
-		if target.State == directory.TargetEnded || !target.HasOwnToken() {
+		if target.State == directory.TargetEnded || !target.HasDerivedToken() {
 			return
 		}
 		reported := *target
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -105,7 +105,7 @@
 		return
 	}
 	if c.isAddressTaken(now, req.command) {
-		c.recordResult(req.ticket, directory.Result{Code: directory.CodeTaken})
+		c.recordResult(req.ticket, directory.Result{Code: directory.CodeAddressInUse})
 		return
 	}
 	index, term, err := c.replica.Node.Propose(now, req.command)
--- a/internal/registry/speeds_test.go
+++ b/internal/registry/speeds_test.go
@@ -122,7 +122,7 @@
 	old := b.targets[2]
 	command := putTarget(old.ID, old.Address.String(), directory.TargetReady)
 	command.Target.Zone = old.Zone
-	command.Target.Born = 1
+	command.Target.StartTime = 1
 	require.NoError(t, b.submit(b.leader, command).Err)
 	started, _ := b.leader.core.State().Target(old.ID)
 	require.NotEqual(t, old.Token, started.Token)
--- a/internal/registry/start_test.go
+++ b/internal/registry/start_test.go
@@ -17,7 +17,7 @@
 // startCommand registers a start of the target i-1.
 func startCommand(born uint64, at string, state directory.TargetState) directory.Command {
 	command := putTarget("i-1", at, state)
-	command.Target.Born = born
+	command.Target.StartTime = born
 	return command
 }
 
@@ -82,7 +82,7 @@
 		latest, known := m.core.State().Target("i-1")
 		require.True(t, known)
 		assert.Equal(t, []any{uint64(bornLater), directory.TargetReady, netip.MustParseAddrPort(wantAddress)},
-			[]any{latest.Born, latest.State, latest.Address})
+			[]any{latest.StartTime, latest.State, latest.Address})
 		previous, known := m.core.State().TargetByToken(first.Token)
 		require.True(t, known)
 		assert.Equal(t, directory.TargetEnded, previous.State)
@@ -96,7 +96,7 @@
 	require.NoError(t, c.submit(leader, startCommand(bornFirst, "10.1.1.1:1", directory.TargetReady)).Err)
 	require.NoError(t, c.submit(leader, putTarget("i-2", "10.1.1.2:1", directory.TargetReady)).Err)
 	c.run(livenessInterval)
-	assert.Equal(t, directory.CodeTaken, c.register(leader, startCommand(bornLater, "10.1.1.2:1", directory.TargetReady)).Result.Code)
+	assert.Equal(t, directory.CodeAddressInUse, c.register(leader, startCommand(bornLater, "10.1.1.2:1", directory.TargetReady)).Result.Code)
 	assert.Equal(t, directory.CodeDone, c.register(leader, startCommand(bornLater, "10.1.1.1:1", directory.TargetReady)).Result.Code,
 		"a new start may keep its own address")
 }
@@ -109,7 +109,7 @@
 		after time.Duration
 		want  directory.Code
 	}{
-		{bornFirst, 2500 * time.Millisecond, directory.CodeTaken},
+		{bornFirst, 2500 * time.Millisecond, directory.CodeAddressInUse},
 		{bornFirst, 4 * time.Second, directory.CodeDone},
 		{bornLater + 1, 2500 * time.Millisecond, directory.CodeDone},
 		{0, 2500 * time.Millisecond, directory.CodeDone},
@@ -119,7 +119,7 @@
 		require.NoError(t, c.submit(leader, startCommand(bornLater, "10.1.1.1:1", directory.TargetReady)).Err)
 		c.run(test.after)
 		claim := putTarget("i-2", "10.1.1.1:1", directory.TargetReady)
-		claim.Target.Born = test.born
+		claim.Target.StartTime = test.born
 		assert.Equal(t, test.want, c.register(leader, claim).Result.Code, "born %d, after %v", test.born, test.after)
 	}
 }
--- a/internal/registry/startfaults_test.go
+++ b/internal/registry/startfaults_test.go
@@ -71,7 +71,7 @@
 	case choice < 4 || !exists:
 		r.lastBorn += uint64(1 + r.random.IntN(3))
 		target = putTarget(id, fmt.Sprintf("10.1.1.%d:1", 1+r.random.IntN(3)), directory.TargetReady).Target
-		target.Born = r.lastBorn
+		target.StartTime = r.lastBorn
 	case choice == 4:
 		target.State = directory.TargetDraining
 	case choice == 5:
@@ -94,7 +94,7 @@
 			remaining = append(remaining, submitted)
 		case done && sameRun && outcome.Err == nil && outcome.Result.Code == directory.CodeDone:
 			known := r.acknowledged[submitted.command.Target.ID]
-			if submitted.command.Kind == directory.CommandPutTarget && (known.Born < submitted.command.Target.Born || known.Born == submitted.command.Target.Born && known.State < submitted.command.Target.State) {
+			if submitted.command.Kind == directory.CommandPutTarget && (known.StartTime < submitted.command.Target.StartTime || known.StartTime == submitted.command.Target.StartTime && known.State < submitted.command.Target.State) {
 				r.acknowledged[submitted.command.Target.ID] = submitted.command.Target
 			}
 		}
@@ -107,14 +107,14 @@
 	for id, acknowledged := range r.acknowledged {
 		latest, known := m.core.State().Target(id)
 		require.True(r, known, "%s: %s is missing; %s", m.address, id, context)
-		require.GreaterOrEqual(r, latest.Born, acknowledged.Born, "%s: an acknowledged start of %s was lost; %s", m.address, id, context)
-		if latest.Born == acknowledged.Born {
+		require.GreaterOrEqual(r, latest.StartTime, acknowledged.StartTime, "%s: an acknowledged start of %s was lost; %s", m.address, id, context)
+		if latest.StartTime == acknowledged.StartTime {
 			require.GreaterOrEqual(r, latest.State, acknowledged.State, "%s: %s; %s", m.address, id, context)
 		}
 	}
 	for _, target := range m.core.State().Targets() {
 		latest, _ := m.core.State().Target(target.ID)
-		if target.Born < latest.Born {
+		if target.StartTime < latest.StartTime {
 			require.Equal(r, directory.TargetEnded, target.State, "%s: an earlier start of %s has not ended; %s", m.address, target.ID, context)
 		}
 	}
--- a/internal/registry/streams.go
+++ b/internal/registry/streams.go
@@ -19,7 +19,7 @@
 		if err != nil {
 			return
 		}
-		peerlink.Limit(connection)
+		peerlink.SetUserTimeout(connection)
 		go p.serve(connection)
 	}
 }
--- a/internal/registry/targetorder.go
+++ b/internal/registry/targetorder.go
@@ -65,7 +65,7 @@
 	})
 	switch {
 	case err != nil:
-	case result.Code == directory.CodeUnknown:
+	case result.Code == directory.CodeNotFound:
 		problem := &directory.Problem{Field: "target", Reason: fmt.Sprintf("%q is not known or has ended", id)}
 		p.logger.Event(eventlog.TargetOrderRefused, "target", id, "rule", rule, "reason", problem)
 		return problem
--- a/internal/registry/tolerance.go
+++ b/internal/registry/tolerance.go
@@ -17,8 +17,8 @@
 // the tolerance in the settings.
 func (t Tolerance) Validate(field string) error {
 	var check directory.Check
-	check.That(t.Machines >= 0, field+".machines", t.Machines, "must not be below 0")
-	check.That(t.Zones >= 0, field+".zones", t.Zones, "must not be below 0")
+	check.Require(t.Machines >= 0, field+".machines", t.Machines, "must not be below 0")
+	check.Require(t.Zones >= 0, field+".zones", t.Zones, "must not be below 0")
 	return check.Err()
 }
 
--- a/internal/registry/uploads_test.go
+++ b/internal/registry/uploads_test.go
@@ -120,7 +120,7 @@
 	settings.Name = fmt.Sprint("edge-", number)
 	settings.Random = b.random
 	node := &uploadNode{core: steer.New(settings), connection: ConnectionID(100 + number), drained: b.moment}
-	require.True(b, node.core.Update(b.moment, b.leader.core.State().Since(0)))
+	require.True(b, node.core.Update(b.moment, b.leader.core.State().UpdateSince(0)))
 	b.apply(b.follower, b.follower.core.Subscribe(b.now, node.connection, Subscribe{Node: settings.Name}))
 	b.nodes = append(b.nodes, node)
 	b.after(time.Duration(b.random.Int64N(int64(livenessInterval))), func() { b.report(node) })
--- a/internal/registry/versionorder.go
+++ b/internal/registry/versionorder.go
@@ -64,7 +64,7 @@
 	fields := []any{"service", version.Service, "version", version.Version, "rule", rule}
 	switch {
 	case err != nil:
-	case result.Code == directory.CodeUnknown:
+	case result.Code == directory.CodeNotFound:
 		problem := &directory.Problem{Field: "version", Reason: fmt.Sprintf("%q of service %q has no targets", version.Version, version.Service)}
 		p.logger.Event(eventlog.VersionOrderRefused, append(fields, "reason", problem)...)
 		return problem
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -79,7 +79,7 @@
 		return
 	}
 	if len(w.since) >= w.sweepAt {
-		maps.DeleteFunc(w.since, func(_ directory.Token, at kernel.Instant) bool { return now.Sub(at) > target.Warmup.Left })
+		maps.DeleteFunc(w.since, func(_ directory.Token, at kernel.Instant) bool { return now.Sub(at) > target.Warmup.Remaining })
 		// Twice what is left: where a whole fleet is cold at once, looking at all with
 		// each of them grew with the square of the fleet.
 		w.sweepAt = max(leastWarmups, 2*len(w.since))
@@ -93,7 +93,7 @@
 	if !noted {
 		since = w.readAt
 	}
-	return target.Warmup.Left - now.Sub(since)
+	return target.Warmup.Remaining - now.Sub(since)
 }
 
 // leftIn returns how much longer the targets of a zone that was taken back are cold.
@@ -102,7 +102,7 @@
 	if !noted {
 		since = w.readAt
 	}
-	return warmup.Left - now.Sub(since)
+	return warmup.Remaining - now.Sub(since)
 }
 
 // recordWarmup enters what a command has just made cold.
@@ -128,17 +128,17 @@
 			continue
 		}
 		warmup := *target.Warmup
-		warmup.Left = c.warmups.leftOf(now, target)
+		warmup.Remaining = c.warmups.leftOf(now, target)
 		update.Targets[position].Warmup = &warmup
-		if warmup.Left <= 0 {
+		if warmup.Remaining <= 0 {
 			update.Targets[position].Warmup = nil
 		}
 	}
 	for position, evacuation := range update.Evacuations {
 		var warmups []directory.ServiceWarmup
 		for _, known := range evacuation.Warmups {
-			known.Warmup.Left = c.warmups.leftIn(now, evacuation.Zone, known.Warmup)
-			if known.Warmup.Left > 0 {
+			known.Warmup.Remaining = c.warmups.leftIn(now, evacuation.Zone, known.Warmup)
+			if known.Warmup.Remaining > 0 {
 				warmups = append(warmups, known)
 			}
 		}
@@ -149,8 +149,8 @@
 
 // newWarmup returns the warm-up of a target that is cold, with its budget and stewards.
 func (c *Core) newWarmup(target directory.Target) *directory.Warmup {
-	warmup := directory.Warmup{Left: target.Warmup.Left, Budget: c.budget(c.warmthOf(target.Service))}
-	warmup.Stewards = c.stewards(target.ID, warmup.Budget, maxStewards)
+	warmup := directory.Warmup{Remaining: target.Warmup.Remaining, Budget: c.budget(c.warmthOf(target.Service))}
+	warmup.AssignedNodes = c.stewards(target.ID, warmup.Budget, maxStewards)
 	return &warmup
 }
 
@@ -177,8 +177,8 @@
 		if warmth.Time <= 0 {
 			continue
 		}
-		warmup := directory.Warmup{Left: warmth.Time, Budget: c.budget(warmth)}
-		warmup.Stewards = c.stewards(order.Zone, warmup.Budget, maxZoneStewards)
+		warmup := directory.Warmup{Remaining: warmth.Time, Budget: c.budget(warmth)}
+		warmup.AssignedNodes = c.stewards(order.Zone, warmup.Budget, maxZoneStewards)
 		order.Warmups = append(order.Warmups, directory.ServiceWarmup{Service: service, Warmup: warmup})
 	}
 	return order
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -58,19 +58,19 @@
 	c := newCluster(t, 1, 3)
 	leader := withNodes(c, 10)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
-	command.Target.Warmup = &directory.Warmup{Left: time.Second}
+	command.Target.Warmup = &directory.Warmup{Remaining: time.Second}
 	command.Target.Warmup = leader.core.newWarmup(command.Target)
 	require.Equal(t, uint32(3), command.Target.Warmup.Budget)
-	require.Len(t, command.Target.Warmup.Stewards, 3)
+	require.Len(t, command.Target.Warmup.AssignedNodes, 3)
 	require.NoError(t, c.submit(leader, command).Err)
-	first := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
+	first := leader.core.adjustWarmups(c.now, leader.core.State().UpdateSince(0))
 	require.NotNil(t, first.Targets[0].Warmup)
-	assert.LessOrEqual(t, first.Targets[0].Warmup.Left, time.Second)
+	assert.LessOrEqual(t, first.Targets[0].Warmup.Remaining, time.Second)
 	c.run(500 * time.Millisecond)
-	later := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
-	assert.Less(t, later.Targets[0].Warmup.Left, 600*time.Millisecond, "a node counts from when it is told")
+	later := leader.core.adjustWarmups(c.now, leader.core.State().UpdateSince(0))
+	assert.Less(t, later.Targets[0].Warmup.Remaining, 600*time.Millisecond, "a node counts from when it is told")
 	c.run(time.Second)
-	assert.Nil(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Targets[0].Warmup, "it is warm")
+	assert.Nil(t, leader.core.adjustWarmups(c.now, leader.core.State().UpdateSince(0)).Targets[0].Warmup, "it is warm")
 }
 
 // A member that has just started does not know how old the registrations on its disk
@@ -79,7 +79,7 @@
 	c := newCluster(t, 1, 3)
 	leader := withNodes(c, 4)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
-	command.Target.Warmup = &directory.Warmup{Left: 2 * time.Second}
+	command.Target.Warmup = &directory.Warmup{Remaining: 2 * time.Second}
 	require.NoError(t, c.submit(leader, command).Err)
 	c.run(500 * time.Millisecond)
 	for _, name := range c.names() {
@@ -89,9 +89,9 @@
 		c.start(name)
 	}
 	core := c.waitForLeader().core
-	require.NotNil(t, core.adjustWarmups(c.now, core.State().Since(0)).Targets[0].Warmup)
+	require.NotNil(t, core.adjustWarmups(c.now, core.State().UpdateSince(0)).Targets[0].Warmup)
 	c.run(2 * time.Second)
-	assert.Nil(t, core.adjustWarmups(c.now, core.State().Since(0)).Targets[0].Warmup)
+	assert.Nil(t, core.adjustWarmups(c.now, core.State().UpdateSince(0)).Targets[0].Warmup)
 }
 
 func TestAZoneThatIsTakenBackTellsTheWarmUpOfItsServices(t *testing.T) {
@@ -104,14 +104,14 @@
 	base := leader.core.State().Evacuation("north").Revision
 	order := leader.core.takeBack(directory.Evacuation{Zone: "north", Revision: base})
 	require.NoError(t, c.submit(leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order}).Err)
-	update := leader.core.adjustWarmups(c.now, leader.core.State().Since(0))
+	update := leader.core.adjustWarmups(c.now, leader.core.State().UpdateSince(0))
 	require.Len(t, update.Evacuations, 1)
 	warmup, known := update.Evacuations[0].Warmup("booking")
 	require.True(t, known)
 	assert.Equal(t, uint32(3), warmup.Budget)
-	assert.Len(t, warmup.Stewards, 3)
+	assert.Len(t, warmup.AssignedNodes, 3)
 	c.run(3 * time.Second)
-	assert.Empty(t, leader.core.adjustWarmups(c.now, leader.core.State().Since(0)).Evacuations[0].Warmups)
+	assert.Empty(t, leader.core.adjustWarmups(c.now, leader.core.State().UpdateSince(0)).Evacuations[0].Warmups)
 }
 
 func TestTheTableOfColdTargetsForgetsWarmOnes(t *testing.T) {
@@ -119,7 +119,7 @@
 	table := newWarmupTable(now)
 	for token := range directory.Token(10 * leastWarmups) {
 		now = now.Add(10 * time.Millisecond)
-		table.note(now, directory.Target{Token: token, Warmup: &directory.Warmup{Left: time.Second}})
+		table.note(now, directory.Target{Token: token, Warmup: &directory.Warmup{Remaining: time.Second}})
 		require.LessOrEqual(t, len(table.since), leastWarmups+1)
 	}
 }
@@ -133,7 +133,7 @@
 	sweeps := 0
 	for token := range directory.Token(targets) {
 		before := table.sweepAt
-		table.note(now, directory.Target{Token: token, Warmup: &directory.Warmup{Left: time.Minute}})
+		table.note(now, directory.Target{Token: token, Warmup: &directory.Warmup{Remaining: time.Minute}})
 		if table.sweepAt != before {
 			sweeps++
 		}
@@ -154,7 +154,7 @@
 	m := c.machines[name]
 	require.False(t, m.core.IsCurrent(c.now))
 	cold := putTarget("i-1", "10.1.1.1:1", directory.TargetReady).Target
-	cold.Warmup = &directory.Warmup{Left: 2 * time.Second}
+	cold.Warmup = &directory.Warmup{Remaining: 2 * time.Second}
 	_, _, err := m.core.Register(c.now, cold)
 	assert.ErrorIs(t, err, errNotCurrent)
 	warm := putTarget("i-2", "10.1.1.2:1", directory.TargetReady).Target
--- a/internal/routing/backup.go
+++ b/internal/routing/backup.go
@@ -44,7 +44,7 @@
 	if packet.View != r.table.view.number || owners.backup != r.id || owners.primary != packet.From {
 		r.counters.OldViewRefused++
 		if packet.View < r.table.view.number {
-			r.sendControlPacket(packet.From, wire.PeerPacket{Kind: wire.PeerViewIs})
+			r.sendControlPacket(packet.From, wire.PeerPacket{Kind: wire.PeerNewerView})
 		}
 		return false
 	}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -344,7 +344,7 @@
 		r.receiveHandover(packet)
 	case wire.PeerHandoverReply:
 		r.receiveHandoverReply(packet)
-	case wire.PeerViewIs:
+	case wire.PeerNewerView:
 		r.nextReport = r.now
 	}
 	return r.actions
--- a/internal/steer/core_test.go
+++ b/internal/steer/core_test.go
@@ -39,7 +39,7 @@
 func (b *coreFixture) apply(now kernel.Instant, command directory.Command) {
 	b.position++
 	b.state.Apply(b.position, command)
-	require.True(b, b.core.Update(now, b.state.Since(b.core.Revision())))
+	require.True(b, b.core.Update(now, b.state.UpdateSince(b.core.Revision())))
 }
 
 func (b *coreFixture) publish(now kernel.Instant, version uint64, routes ...directory.Route) {
@@ -232,13 +232,13 @@
 
 func TestStaleAndMismatchedUpdatesAreIgnored(t *testing.T) {
 	b := newBookingFixture(t)
-	first := b.state.Since(0)
+	first := b.state.UpdateSince(0)
 	b.publish(start, 2, route("r", otherAddress, directory.Backend{Service: "booking", Weight: 1}))
 	b.publish(start, 3, route("r", bookingAddress, directory.Backend{Service: "booking", Weight: 1}))
 	assert.True(t, b.core.Update(start, first))
 	assert.Equal(t, uint64(3), b.core.Version())
 	fresh := New(b.core.settings)
-	assert.False(t, fresh.Update(start, b.state.Since(2)), "an edit without its base version")
+	assert.False(t, fresh.Update(start, b.state.UpdateSince(2)), "an edit without its base version")
 	assert.Equal(t, uint64(0), fresh.Revision())
 }
 
@@ -389,7 +389,7 @@
 		b := newBookingFixture(t)
 		register := func(startedAt uint64, address string, state directory.TargetState) directory.Target {
 			b.apply(start, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
-				ID: "i-1", Born: startedAt, Service: "booking", Zone: "north", Slots: 2, State: state, Address: netip.MustParseAddrPort(address),
+				ID: "i-1", StartTime: startedAt, Service: "booking", Zone: "north", Slots: 2, State: state, Address: netip.MustParseAddrPort(address),
 			}})
 			target, _ := b.state.Target("i-1")
 			return target
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -70,6 +70,6 @@
 	b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
 	b.setEvacuated(start, "north", true)
 	fresh := New(b.core.settings)
-	assert.True(t, fresh.Update(start, b.state.Since(0)))
+	assert.True(t, fresh.Update(start, b.state.UpdateSince(0)))
 	assert.Equal(t, "i-2", fresh.Decide(start, opening(1, 0)).Target.ID)
 }
--- a/internal/steer/remembered_test.go
+++ b/internal/steer/remembered_test.go
@@ -43,7 +43,7 @@
 	confirmed, _ := state.Target("i-1")
 	b.core.ApplyRemembered(start, directory.Remembered{Targets: []directory.Target{confirmed, rememberedTarget("i-7", 7)}}, rememberedUntil)
 	b.core.Decide(start, flowPacket(1, 7, 1))
-	require.True(t, b.core.Update(start, state.Since(0)))
+	require.True(t, b.core.Update(start, state.UpdateSince(0)))
 	assert.Equal(t, ReasonUnknownToken, b.core.Decide(start, flowPacket(1, 7, 2)).Reason)
 	assert.Equal(t, ActionForward, b.core.Decide(start, flowPacket(2, confirmed.Token, 1)).Action)
 	assert.Len(t, b.core.services["booking"], 1)
--- a/internal/steer/rememberedconfig_test.go
+++ b/internal/steer/rememberedconfig_test.go
@@ -79,7 +79,7 @@
 	b := newFixture(t)
 	state := directory.New()
 	cold := rememberedTarget("i-1", 0)
-	cold.Warmup = &directory.Warmup{Left: time.Minute, Budget: 4}
+	cold.Warmup = &directory.Warmup{Remaining: time.Minute, Budget: 4}
 	state.Apply(1, directory.Command{Kind: directory.CommandPutTarget, Target: cold})
 	next := rememberedConfiguration(5)
 	state.Apply(2, directory.Command{Kind: directory.CommandPublish, Edit: directory.Difference(directory.Configuration{}, next)})
@@ -87,7 +87,7 @@
 	remembered := confirmed
 	remembered.Warmup = nil
 	b.core.ApplyRemembered(start, newRemembered(4, remembered, rememberedTarget("i-7", 7)), rememberedUntil)
-	require.True(t, b.core.Update(start, state.Since(0)))
+	require.True(t, b.core.Update(start, state.UpdateSince(0)))
 	assert.False(t, b.core.UsesRemembered())
 	assert.Equal(t, uint64(5), b.core.Version())
 	assert.Len(t, b.core.services["booking"], 1)
@@ -102,6 +102,6 @@
 	b.core.ApplyRemembered(start, newRemembered(9, rememberedTarget("i-7", 7)), rememberedUntil)
 	state := directory.New()
 	state.Apply(1, directory.Command{Kind: directory.CommandPublish, Edit: directory.Difference(directory.Configuration{}, rememberedConfiguration(5))})
-	require.True(t, b.core.Update(start, state.Since(0)))
+	require.True(t, b.core.Update(start, state.UpdateSince(0)))
 	assert.Equal(t, uint64(9), b.core.Version())
 }
--- a/internal/steer/speeds_test.go
+++ b/internal/steer/speeds_test.go
@@ -203,7 +203,7 @@
 	assert.Equal(t, 1.0, entry.relativeTime(b.now.Add(relativeTimeLifetime+1)))
 	old := entry.target
 	b.apply(b.now, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
-		ID: old.ID, Born: 1, Service: old.Service, Zone: old.Zone, Slots: old.Slots, State: old.State, Address: old.Address,
+		ID: old.ID, StartTime: 1, Service: old.Service, Zone: old.Zone, Slots: old.Slots, State: old.State, Address: old.Address,
 	}})
 	started, known := b.state.Target(old.ID)
 	require.True(t, known)
@@ -266,7 +266,7 @@
 				zone := map[bool]string{true: "north", false: "south"}[number < each]
 				address := fmt.Sprintf("10.0.0.%d:1", number+1)
 				if slices.Contains(test.cold, id) {
-					tokens[id] = b.coldTarget(start, id, zone, address, directory.Warmup{Left: time.Hour}).Token
+					tokens[id] = b.coldTarget(start, id, zone, address, directory.Warmup{Remaining: time.Hour}).Token
 				} else {
 					tokens[id] = b.target(start, id, "booking", zone, address, directory.TargetReady).Token
 				}
--- a/internal/steer/warmup.go
+++ b/internal/steer/warmup.go
@@ -26,7 +26,7 @@
 
 func (c *Core) newWarmupState(now kernel.Instant, warmup directory.Warmup) *warmupState {
 	share, bounded := warmup.Share(c.nodeKey)
-	return &warmupState{since: now, until: now.Add(warmup.Left), share: share, bounded: bounded}
+	return &warmupState{since: now, until: now.Add(warmup.Remaining), share: share, bounded: bounded}
 }
 
 // remaining returns the fraction of the warm-up that is left, from 1 to 0.
--- a/internal/steer/warmup_test.go
+++ b/internal/steer/warmup_test.go
@@ -28,7 +28,7 @@
 func TestShareOfColdTargetGrows(t *testing.T) {
 	b := newBookingFixture(t)
 	b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
-	b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
+	b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Remaining: 2 * time.Second})
 	counts := map[int]int{}
 	const flowsEach = 400
 	port := uint16(0)
@@ -52,7 +52,7 @@
 
 func TestColdTargetServesWhenAlone(t *testing.T) {
 	b := newBookingFixture(t)
-	cold := b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Left: 2 * time.Second})
+	cold := b.coldTarget(start, "i-2", "north", "10.0.0.2:1", directory.Warmup{Remaining: 2 * time.Second})
 	assert.Equal(t, cold.ID, b.core.Decide(start, opening(1, 0)).Target.ID, "no budget is set")
 }
 
@@ -62,7 +62,7 @@
 	b.core.nodeKey = directory.NodeKey("me")
 	now := start.Add(2 * budgetWindow)
 	b.coldTarget(start.Add(-time.Hour), "i-2", "north", "10.0.0.2:1", directory.Warmup{
-		Left: 2 * time.Hour, Budget: 1, Stewards: []uint32{directory.NodeKey("me")},
+		Remaining: 2 * time.Hour, Budget: 1, AssignedNodes: []uint32{directory.NodeKey("me")},
 	})
 	assert.Equal(t, ActionForward, b.core.Decide(now, opening(1, 0)).Action)
 	decision := b.core.Decide(now, opening(2, 0))
@@ -71,7 +71,7 @@
 	assert.Equal(t, ActionForward, b.core.Decide(now.Add(budgetWindow), opening(3, 0)).Action)
 	b.core.nodeKey = directory.NodeKey("other")
 	b.coldTarget(start, "i-3", "north", "10.0.0.3:1", directory.Warmup{
-		Left: time.Hour, Budget: 1, Stewards: []uint32{directory.NodeKey("me")},
+		Remaining: time.Hour, Budget: 1, AssignedNodes: []uint32{directory.NodeKey("me")},
 	})
 	assert.Equal(t, ReasonCold, b.core.Decide(now, opening(4, 0)).Reason, "a node that is not a steward sends nothing")
 }
@@ -82,7 +82,7 @@
 	b.target(start, "i-2", "booking", "south", "10.0.0.2:1", directory.TargetReady)
 	b.setEvacuated(start, "north", true)
 	order := directory.Evacuation{Zone: "north", Revision: b.state.Evacuation("north").Revision, Warmups: []directory.ServiceWarmup{
-		{Service: "booking", Warmup: directory.Warmup{Left: 2 * time.Second}},
+		{Service: "booking", Warmup: directory.Warmup{Remaining: 2 * time.Second}},
 	}}
 	b.apply(start, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
 	assert.Equal(t, "i-2", b.core.Decide(start, opening(1, 0)).Target.ID)
@@ -100,15 +100,15 @@
 	b.core.nodeKey = directory.NodeKey("me")
 	b.setEvacuated(start, "north", true)
 	order := directory.Evacuation{Zone: "north", Revision: b.state.Evacuation("north").Revision, Warmups: []directory.ServiceWarmup{
-		{Service: "booking", Warmup: directory.Warmup{Left: time.Hour, Budget: 2, Stewards: []uint32{directory.NodeKey("me")}}},
+		{Service: "booking", Warmup: directory.Warmup{Remaining: time.Hour, Budget: 2, AssignedNodes: []uint32{directory.NodeKey("me")}}},
 	}}
 	b.apply(start, directory.Command{Kind: directory.CommandEvacuate, Evacuation: order})
 	b.coldTarget(start, "i-1", "north", "10.0.0.1:1", directory.Warmup{
-		Left: time.Hour, Budget: 2, Stewards: []uint32{directory.NodeKey("other")},
+		Remaining: time.Hour, Budget: 2, AssignedNodes: []uint32{directory.NodeKey("other")},
 	})
 	fresh := New(b.core.settings)
 	fresh.nodeKey = directory.NodeKey("me")
-	require.True(t, fresh.Update(start, b.state.Since(0)))
+	require.True(t, fresh.Update(start, b.state.UpdateSince(0)))
 	assert.Equal(t, ReasonCold, fresh.Decide(start.Add(2*budgetWindow), opening(1, 0)).Reason)
 }
 
@@ -152,9 +152,9 @@
 
 // register registers a warming target with some of the nodes as its stewards.
 func (r *coldSimulation) register(position uint64) {
-	warmup := directory.Warmup{Left: coldLeft, Budget: r.budget}
+	warmup := directory.Warmup{Remaining: coldLeft, Budget: r.budget}
 	for _, number := range r.random.Perm(coldNodes)[:min(int(r.budget), 4)] {
-		warmup.Stewards = append(warmup.Stewards, directory.NodeKey(fmt.Sprint("node-", number)))
+		warmup.AssignedNodes = append(warmup.AssignedNodes, directory.NodeKey(fmt.Sprint("node-", number)))
 	}
 	r.state.Apply(position, directory.Command{Kind: directory.CommandPutTarget, Target: directory.Target{
 		ID: fmt.Sprint("i-", position), Service: "booking", Slots: 2, State: directory.TargetReady, Warmup: &warmup,
@@ -180,7 +180,7 @@
 				r.nodes[number] = r.newNode(number)
 				continue
 			case chance < 100:
-				node.Update(now, r.state.Since(node.Revision()))
+				node.Update(now, r.state.UpdateSince(node.Revision()))
 			}
 			for range r.random.IntN(flowsPerStep + 1) {
 				port++
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -45,8 +45,8 @@
 // escape is the byte that a longer field follows.
 const escape = 255
 
-// Small appends a number that is mostly small: one byte, or five from 255 on.
-func (e *Encoder) Small(value uint32) {
+// CompactUint32 appends a number that is mostly small: one byte, or five from 255 on.
+func (e *Encoder) CompactUint32(value uint32) {
 	if value < escape {
 		e.Uint8(uint8(value))
 		return
@@ -129,8 +129,8 @@
 	return binary.BigEndian.Uint32(part)
 }
 
-// Small reads a number that is mostly small.
-func (d *Decoder) Small() uint32 {
+// CompactUint32 reads a number that is mostly small.
+func (d *Decoder) CompactUint32() uint32 {
 	if first := d.Uint8(); first < escape {
 		return uint32(first)
 	}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -35,8 +35,8 @@
 	FrameJoinReply
 	// FrameForward holds a command that a member passes on to the leader.
 	FrameForward
-	// FrameForwarded holds the outcome of a forwarded command or read.
-	FrameForwarded
+	// FrameForwardReply holds the outcome of a forwarded command or read.
+	FrameForwardReply
 	// FrameReadIndex asks the leader for the position that a read must see.
 	FrameReadIndex
 	// FrameLiveness holds the targets that a member or the leader heard from.
@@ -47,8 +47,8 @@
 	FrameUpdate
 	// FrameEvidence holds what a node has seen of targets.
 	FrameEvidence
-	// FrameAlive tells a node that its member is up and whether it is current.
-	FrameAlive
+	// FrameKeepalive tells a node that its member is up and whether it is current.
+	FrameKeepalive
 	// FrameRemembered holds the targets that a member's disk knows of before
 	// the member has learned what is committed.
 	FrameRemembered
@@ -75,8 +75,8 @@
 var frameNames = [...]string{
 	FrameRaft: "raft", FrameReports: "reports", FrameGrants: "grants", FrameSignals: "signals", FrameReport: "report",
 	FrameGrant: "grant", FrameConfig: "config", FrameHello: "hello", FrameJoin: "join", FrameJoinReply: "join_reply",
-	FrameForward: "forward", FrameForwarded: "forwarded", FrameReadIndex: "read_index", FrameLiveness: "liveness",
-	FrameSubscribe: "subscribe", FrameUpdate: "update", FrameEvidence: "evidence", FrameAlive: "alive",
+	FrameForward: "forward", FrameForwardReply: "forwarded", FrameReadIndex: "read_index", FrameLiveness: "liveness",
+	FrameSubscribe: "subscribe", FrameUpdate: "update", FrameEvidence: "evidence", FrameKeepalive: "alive",
 	FrameRemembered: "remembered", FrameReferral: "referral", FrameOrder: "order", FrameOrderReply: "order_reply", FrameAnnouncement: "announcement",
 	FrameEcho: "echo", FrameRoom: "room", FrameSpeeds: "speeds", FrameRoster: "roster",
 }
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -30,10 +30,10 @@
 	return deflater
 }}
 
-// Pack returns a payload in the form in which it travels: compressed when that
+// Compress returns a payload in the form in which it travels: compressed when that
 // makes it shorter. A whole state of 600 targets shrinks to about a third, and
 // nodes have links of 2 Mbit/s.
-func Pack(payload []byte) []byte {
+func Compress(payload []byte) []byte {
 	if len(payload) < packLimit {
 		return append([]byte{packedPlain}, payload...)
 	}
@@ -53,8 +53,8 @@
 	return buffer.Bytes()
 }
 
-// Unpack returns the payload that Pack was given.
-func Unpack(packed []byte) ([]byte, error) {
+// Decompress returns the payload that Pack was given.
+func Decompress(packed []byte) ([]byte, error) {
 	const step = "wire.unpack"
 	if len(packed) == 0 {
 		return nil, steperror.New(step, "", "the payload is empty")
--- a/internal/wire/pack_test.go
+++ b/internal/wire/pack_test.go
@@ -23,9 +23,9 @@
 	}
 	for name, payload := range cases {
 		t.Run(name, func(t *testing.T) {
-			packed := Pack(payload)
+			packed := Compress(payload)
 			assert.LessOrEqual(t, len(packed), len(payload)+1)
-			unpacked, err := Unpack(packed)
+			unpacked, err := Decompress(packed)
 			require.NoError(t, err)
 			assert.Equal(t, payload, append([]byte{}, unpacked...))
 		})
@@ -33,7 +33,7 @@
 }
 
 func TestBadPackedPayloadsAreRefused(t *testing.T) {
-	long := Pack(bytes.Repeat([]byte("x"), 4*packLimit))
+	long := Compress(bytes.Repeat([]byte("x"), 4*packLimit))
 	cases := map[string]struct {
 		packed  []byte
 		problem string
@@ -42,11 +42,11 @@
 		"unknown":     {[]byte{9, 1}, "unknown way"},
 		"cut short":   {long[:len(long)-3], "EOF"},
 		"no deflate":  {[]byte{packedDeflate, 0xff, 0xff}, "corrupt"},
-		"far too big": {Pack(make([]byte, MaxBytes+10)), "too large"},
+		"far too big": {Compress(make([]byte, MaxBytes+10)), "too large"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := Unpack(test.packed)
+			_, err := Decompress(test.packed)
 			assert.ErrorContains(t, err, test.problem)
 		})
 	}
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -26,8 +26,8 @@
 	PeerHandover
 	// PeerHandoverReply confirms a PeerHandover.
 	PeerHandoverReply
-	// PeerViewIs tells the sender of an old view the number of the newer one.
-	PeerViewIs
+	// PeerNewerView tells the sender of an old view the number of the newer one.
+	PeerNewerView
 	// PeerProbe asks whether a balancer answers, and PeerProbeReply says so.
 	PeerProbe
 	PeerProbeReply
