--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -79,7 +79,7 @@
 		return
 	}
 	if len(w.startedAt) >= w.nextSweepSize {
-		maps.DeleteFunc(w.startedAt, func(_ directory.Token, at kernel.Instant) bool { return now.Sub(at) > target.Warmup.Left })
+		maps.DeleteFunc(w.startedAt, func(_ directory.Token, at kernel.Instant) bool { return now.Sub(at) > target.Warmup.Remaining })
 		// Doubling the size keeps the total cost linear when a whole fleet starts cold.
 		w.nextSweepSize = max(minWarmupSweep, 2*len(w.startedAt))
 	}
@@ -92,7 +92,7 @@
 	if !noted {
 		since = w.loadedAt
 	}
-	return target.Warmup.Left - now.Sub(since)
+	return target.Warmup.Remaining - now.Sub(since)
 }
 
 // remainingInZone returns how much longer the targets of a zone whose evacuation ended are
@@ -102,7 +102,7 @@
 	if !noted {
 		since = w.loadedAt
 	}
-	return warmup.Left - now.Sub(since)
+	return warmup.Remaining - now.Sub(since)
 }
 
 // recordWarmup starts the clock of the warm-ups that a command has just started.
@@ -128,17 +128,17 @@
 			continue
 		}
 		warmup := *target.Warmup
-		warmup.Left = c.warmups.remaining(now, target)
+		warmup.Remaining = c.warmups.remaining(now, target)
 		update.Targets[position].Warmup = &warmup
-		if warmup.Left <= 0 {
+		if warmup.Remaining <= 0 {
 			update.Targets[position].Warmup = nil
 		}
 	}
 	for position, evacuation := range update.Evacuations {
 		var warmups []directory.ServiceWarmup
 		for _, known := range evacuation.Warmups {
-			known.Warmup.Left = c.warmups.remainingInZone(now, evacuation.Zone, known.Warmup)
-			if known.Warmup.Left > 0 {
+			known.Warmup.Remaining = c.warmups.remainingInZone(now, evacuation.Zone, known.Warmup)
+			if known.Warmup.Remaining > 0 {
 				warmups = append(warmups, known)
 			}
 		}
@@ -149,8 +149,8 @@
 
 // newWarmup returns the warm-up of a cold target with its budget and stewards.
 func (c *Core) newWarmup(target directory.Target) *directory.Warmup {
-	warmup := directory.Warmup{Left: target.Warmup.Left, Budget: c.budget(c.warmupConfig(target.Service))}
-	warmup.Stewards = c.stewards(target.ID, warmup.Budget, maxStewards)
+	warmup := directory.Warmup{Remaining: target.Warmup.Remaining, Budget: c.budget(c.warmupConfig(target.Service))}
+	warmup.AssignedNodes = c.stewards(target.ID, warmup.Budget, maxStewards)
 	return &warmup
 }
 
@@ -178,8 +178,8 @@
 		if config.Time <= 0 {
 			continue
 		}
-		warmup := directory.Warmup{Left: config.Time, Budget: c.budget(config)}
-		warmup.Stewards = c.stewards(evacuation.Zone, warmup.Budget, maxZoneStewards)
+		warmup := directory.Warmup{Remaining: config.Time, Budget: c.budget(config)}
+		warmup.AssignedNodes = c.stewards(evacuation.Zone, warmup.Budget, maxZoneStewards)
 		evacuation.Warmups = append(evacuation.Warmups, directory.ServiceWarmup{Service: service, Warmup: warmup})
 	}
 	return evacuation
