--- a/internal/lab/fleetsim/member.go
+++ b/internal/lab/fleetsim/member.go
@@ -104,7 +104,7 @@
 		settings.LostZones = 1
 	}
 	settings.WarmupLimits = registry.WarmupLimits{Factor: 1}
-	settings.WarmthOf = func(directory.Service) (registry.WarmupConfig, error) {
+	settings.WarmupOf = func(directory.Service) (registry.WarmupConfig, error) {
 		return registry.WarmupConfig{Time: flowrules.ColdTime, Rate: flowrules.ColdRate}, nil
 	}
 	settings.Seeds = m.world.seeds()
--- a/internal/registry/settings.go
+++ b/internal/registry/settings.go
@@ -36,8 +36,8 @@
 	// LostAfter is the minimum silence after which a target with unanswered flows can be
 	// marked as lost.
 	LostAfter time.Duration
-	// WarmthOf returns the configured warm-up of a service's cold targets; nil without any.
-	WarmthOf     func(service directory.Service) (WarmupConfig, error)
+	// WarmupOf returns the configured warm-up of a service's cold targets; nil without any.
+	WarmupOf     func(service directory.Service) (WarmupConfig, error)
 	WarmupLimits WarmupLimits
 	// SnapshotEntries is the log length that triggers compaction.
 	SnapshotEntries int
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -187,14 +187,14 @@
 
 // warmupConfig returns the warm-up configuration of a service.
 func (c *Core) warmupConfig(name string) WarmupConfig {
-	if c.settings.WarmthOf == nil {
+	if c.settings.WarmupOf == nil {
 		return WarmupConfig{}
 	}
 	for _, service := range c.state.Configuration().Services {
 		if service.Name != name {
 			continue
 		}
-		config, err := c.settings.WarmthOf(service)
+		config, err := c.settings.WarmupOf(service)
 		if err != nil {
 			c.logEvent(eventlog.WarmthUnreadable, "service", name, "err", err)
 			return WarmupConfig{}
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -42,7 +42,7 @@
 func leaderWithNodes(c *cluster, nodes int) *machine {
 	leader := c.waitForLeader()
 	leader.core.settings.WarmupLimits = WarmupLimits{Factor: 1.5, Slack: 5}
-	leader.core.settings.WarmthOf = func(directory.Service) (WarmupConfig, error) {
+	leader.core.settings.WarmupOf = func(directory.Service) (WarmupConfig, error) {
 		return WarmupConfig{Time: 2 * time.Second, Rate: 3}, nil
 	}
 	next := directory.Configuration{Version: 1, Services: []directory.Service{{Name: "booking"}}}
