--- a/internal/edge/bounds.go
+++ b/internal/edge/bounds.go
@@ -8,9 +8,10 @@
 	"github.com/beamdoor/beamdoor/internal/strength"
 )
 
-// waitlistCapacity returns the waitlist capacity for a node of the given strength.
-func waitlistCapacity(stated strength.Resources) int {
-	return stated.MaxQueuedPackets(maxWaitlist, maxDatagram)
+// waitlistCapacity returns maxWaitlist, or less if the node has too little memory for as
+// many packets.
+func waitlistCapacity(resources strength.Resources) int {
+	return resources.MaxQueuedPackets(maxWaitlist, maxDatagram)
 }
 
 // Connections returns the limit on HTTP connections.
@@ -24,7 +25,7 @@
 	p.inputs.Push(strengthInput{strength: next.Strength})
 }
 
-// strengthInput changes the strength of the machine.
+// strengthInput applies the limits that follow from a changed strength.
 type strengthInput struct{ strength strength.Resources }
 
 func (i strengthInput) handle(p *Process, _ kernel.Instant) {
@@ -34,9 +35,9 @@
 }
 
 // logLimits logs the limits derived from the strength.
-func (p *Process) logLimits(stated strength.Resources) {
-	p.logger.Event(eventlog.BoundsSet, "strength", stated, "flows", stated.MaxFlows(p.maxFlows, steer.FlowBytes),
-		"waiting", waitlistCapacity(stated), "connections", stated.MaxConnections())
+func (p *Process) logLimits(resources strength.Resources) {
+	p.logger.Event(eventlog.BoundsSet, "strength", resources, "flows", resources.MaxFlows(p.maxFlows, steer.FlowBytes),
+		"waiting", waitlistCapacity(resources), "connections", resources.MaxConnections())
 }
 
 // reportUntrackedFlows counts and logs the flows that exceeded the flow limit. They are
--- a/internal/edge/frames.go
+++ b/internal/edge/frames.go
@@ -39,7 +39,8 @@
 	return s.follower.ApplyReferral(referral.Members)
 }
 
-// receiveRemembered handles the targets a member has read from disk before it is current.
+// receiveRemembered handles the targets that a member, not yet current, has read from its
+// disk.
 func (s *subscriber) receiveRemembered(payload []byte) error {
 	remembered, err := directory.DecodeRemembered(payload)
 	if err == nil {
@@ -79,8 +80,8 @@
 	if err != nil {
 		return err
 	}
-	presence := steer.MemberStatus{Current: alive.Current, Empty: alive.Empty, Leaderless: alive.Leaderless}
-	if err := s.follower.HandleStatus(s.process.now(), presence, s.revision == 0); err != nil {
+	status := steer.MemberStatus{Current: alive.Current, Empty: alive.Empty, Leaderless: alive.Leaderless}
+	if err := s.follower.HandleStatus(s.process.now(), status, s.revision == 0); err != nil {
 		return err
 	}
 	if !alive.Current {
@@ -94,7 +95,8 @@
 	return nil
 }
 
-// recordCurrent records that the member is current, and the duration of a preceding gap.
+// recordCurrent records that the member is current. If it was not for longer than
+// maxCurrentGap before, it also records the duration of the gap.
 func (s *subscriber) recordCurrent() {
 	now := time.Now()
 	before := s.lastCurrentAt.Swap(&now)
--- a/internal/edge/linkevents.go
+++ b/internal/edge/linkevents.go
@@ -12,7 +12,7 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// reducedRateRatio is the ratio of the learned to the configured rate below which the
+// reducedRateRatio is the ratio of the estimated to the configured rate below which the
 // link is reported as narrower. Smaller reductions may be due to random loss.
 const reducedRateRatio = 0.8
 
@@ -20,13 +20,13 @@
 func (s *sender) recordSent(now kernel.Instant, sent egress.SentDatagram) {
 	s.process.metrics.linkSent.Add(float64(sent.Size))
 	s.linkUse.usage.RecordSent(sent.Size)
-	s.learner.RecordSent(now, sent)
+	s.estimator.RecordSent(now, sent)
 }
 
 // recordReceived records the size of a received datagram, including all headers.
 func (s *sender) recordReceived(now kernel.Instant, size int) {
 	s.linkUse.usage.RecordReceived(size)
-	s.learner.RecordReceived(now, size)
+	s.estimator.RecordReceived(now, size)
 }
 
 // recordArrived records a packet of an open flow.
@@ -41,7 +41,7 @@
 	if packet.Reset {
 		return
 	}
-	s.learner.RecordPacket(now, egress.ReceivedPacket{
+	s.estimator.RecordPacket(now, egress.ReceivedPacket{
 		Flow:         packet.Flow,
 		Sequence:     packet.Sequence,
 		Acknowledged: packet.Acknowledged,
@@ -57,7 +57,7 @@
 	s.process.logger.Sampled(eventlog.SocketFailed, "step", "edge.write", "peer", address, "err", err)
 	s.process.core.RecordDrop(now, flow)
 	if errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.EAGAIN) {
-		s.learner.RecordWriteError(now)
+		s.estimator.RecordWriteError(now)
 	}
 }
 
@@ -108,16 +108,16 @@
 // updateRate updates the rate metrics and logs when the link becomes narrower than
 // configured or recovers.
 func (s *sender) updateRate(now kernel.Instant) {
-	rate, stated := s.learner.Rate(now), s.learner.ConfiguredRate()
+	rate, configured := s.estimator.Rate(now), s.estimator.ConfiguredRate()
 	s.process.metrics.linkRate.Set(rate)
-	s.process.metrics.linkReductions.Add(float64(s.learner.Reductions() - s.reductions))
-	s.reductions = s.learner.Reductions()
+	s.process.metrics.linkReductions.Add(float64(s.estimator.Reductions() - s.reductions))
+	s.reductions = s.estimator.Reductions()
 	switch {
-	case !s.belowStated && rate < reducedRateRatio*stated:
-		s.belowStated = true
-		s.process.logger.Event(eventlog.LinkNarrower, "rate", rate, "stated", stated, "reductions", s.reductions)
-	case s.belowStated && rate >= stated:
-		s.belowStated = false
+	case !s.belowConfigured && rate < reducedRateRatio*configured:
+		s.belowConfigured = true
+		s.process.logger.Event(eventlog.LinkNarrower, "rate", rate, "stated", configured, "reductions", s.reductions)
+	case s.belowConfigured && rate >= configured:
+		s.belowConfigured = false
 		s.process.logger.Event(eventlog.LinkAsStated, "rate", rate, "reductions", s.reductions)
 	}
 }
--- a/internal/edge/linkrate_test.go
+++ b/internal/edge/linkrate_test.go
@@ -49,11 +49,11 @@
 }
 
 // sendData passes a data packet to the node.
-func (n *manualNode) sendData(now kernel.Instant, port uint16, position, acknowledged uint32) {
+func (n *manualNode) sendData(now kernel.Instant, port uint16, sequence, acknowledged uint32) {
 	n.handlePacket(now, steer.Packet{
 		Flow:  steer.FlowKey{Caller: plainCaller(port), Virtual: plainRoute},
-		Token: plainToken, Sequence: position, Acknowledged: acknowledged, Size: windowData,
-	}, plainDatagram(port, position, 0, windowData))
+		Token: plainToken, Sequence: sequence, Acknowledged: acknowledged, Size: windowData,
+	}, plainDatagram(port, sequence, 0, windowData))
 	n.sender.flush(now.Add(time.Second / 100))
 }
 
@@ -88,7 +88,7 @@
 	assert.NotContains(t, log.String(), "link_narrower")
 	now := node.retransmit(4)
 	node.sender.tick(now)
-	assert.Less(t, node.sender.scheduler.Rate(now), node.sender.learner.ConfiguredRate())
+	assert.Less(t, node.sender.scheduler.Rate(now), node.sender.estimator.ConfiguredRate())
 	assert.Contains(t, log.String(), "link_narrower")
 	node.sender.tick(now.Add(time.Minute))
 	assert.Contains(t, log.String(), "link_as_stated")
@@ -108,7 +108,7 @@
 	}
 	now := node.retransmit(flows)
 	require.Equal(t, flows, failures)
-	assert.InDelta(t, node.sender.learner.ConfiguredRate(), node.sender.learner.Rate(now), 0)
+	assert.InDelta(t, node.sender.estimator.ConfiguredRate(), node.sender.estimator.Rate(now), 0)
 }
 
 func TestOnlyFullSocketQueueLowersLinkRate(t *testing.T) {
@@ -119,7 +119,7 @@
 			node.sendData(node.now(), port, 1, 1)
 		}
 		later := node.now().Add(100 * time.Millisecond)
-		assert.Equal(t, lowers, node.sender.learner.Rate(later) < node.sender.learner.ConfiguredRate(), "%v", cause)
+		assert.Equal(t, lowers, node.sender.estimator.Rate(later) < node.sender.estimator.ConfiguredRate(), "%v", cause)
 	}
 }
 
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// metrics are the metrics of a node.
+// metrics holds the metrics that a node exports.
 type metrics struct {
 	set        *hosting.Metrics
 	decisions  []prometheus.Counter
--- a/internal/edge/packets.go
+++ b/internal/edge/packets.go
@@ -122,7 +122,8 @@
 	}
 }
 
-// refuseFlow resets a new flow that would be served sooner by another node.
+// refuseFlow resets a new flow that admission control has refused for lack of room on the
+// link.
 func (p *Process) refuseFlow(now kernel.Instant, packet steer.Packet, reason egress.DecisionReason) {
 	p.metrics.linkRefused.Inc()
 	p.sendReset(now, packet)
--- a/internal/edge/prober.go
+++ b/internal/edge/prober.go
@@ -60,7 +60,8 @@
 	})
 }
 
-// enqueue requests probes of targets. The core receives the outcome of each.
+// enqueue requests probes of targets. The core receives the outcome of each, ProbeUnknown
+// if the queue is full.
 func (p *prober) enqueue(targets []directory.Target) {
 	for _, target := range targets {
 		if !p.queue.TryPush(target) {
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	// inputCapacity is the number of queued inputs, at most 4 MB of datagrams.
+	// inputCapacity is the maximum number of queued inputs, at most 4 MB of datagrams.
 	inputCapacity = 2048
 	// inputBatch is the number of inputs handled between two flushes of the sender. It is
 	// small enough that queued datagrams leave on time while the ring is full.
@@ -35,7 +35,7 @@
 	reportInterval = 100 * time.Millisecond
 	// reportsPerSweep is the number of reports between two sweeps of idle flows.
 	reportsPerSweep = 10
-	// reportsPerHeartbeats is the number of reports per report of acknowledged
+	// reportsPerHeartbeats is the number of reports of which one includes the acknowledged
 	// heartbeats.
 	reportsPerHeartbeats = 5
 	// maxHeartbeatStateAge is the maximum age of the node's state at which it
@@ -161,12 +161,13 @@
 	}
 }
 
-// errNotAcknowledged rejects a heartbeat that only a member may acknowledge.
+// errNotAcknowledged is returned for a heartbeat that only a member may acknowledge.
 var errNotAcknowledged = steperror.New("edge.beat", "", "the node does not know that what the heartbeat says holds")
 
-// HandleHeartbeat handles a heartbeat of a target. It succeeds if the heartbeat agrees with the
-// committed state and the node's state is fresh. Otherwise it returns the address of the
-// followed member, or "", to which the heartbeat should be sent.
+// HandleHeartbeat handles a heartbeat of a target. It succeeds if the heartbeat agrees with
+// the committed state and the node's state is fresh. Otherwise it returns an error and the
+// address of the followed member, to which the heartbeat should be sent, or "" if there is
+// none.
 func (p *Process) HandleHeartbeat(_ context.Context, beat registry.Heartbeat) (address string, err error) {
 	fresh := !p.draining.Load() && p.subscriber.stateAge() <= maxHeartbeatStateAge
 	acknowledged := fresh && p.heartbeats.Acknowledge(beat.Target.Start(), beat.Target.State)
--- a/internal/edge/release.go
+++ b/internal/edge/release.go
@@ -7,7 +7,8 @@
 	"github.com/beamdoor/beamdoor/internal/steer"
 )
 
-// startRelease starts releasing the waitlist unless it is empty or being released.
+// startRelease starts releasing the packets on the waitlist unless it is empty or they are
+// being released already.
 func (p *Process) startRelease() {
 	if p.waitlist.isEmpty() || p.releaseRunning {
 		return
@@ -51,7 +52,8 @@
 	i.more <- p.releaseRunning
 }
 
-// waitLimit returns how long the caller of a flow waits.
+// waitLimit returns how long the caller of a flow waits: its route's timeout, at most
+// callerTimeout.
 func (p *Process) waitLimit(flow steer.FlowKey) time.Duration {
 	if limit := p.core.Timeout(flow); limit > 0 {
 		return min(limit, callerTimeout)
--- a/internal/edge/room.go
+++ b/internal/edge/room.go
@@ -13,8 +13,8 @@
 // refusingPeriod is the time after its last refusal for which a node counts as refusing.
 const refusingPeriod = room.ReportInterval
 
-// linkUse tracks the use of the node's own link and what members report of other nodes.
-// It is owned by the goroutine that owns the core.
+// linkUse tracks the use of the node's own link and what members report of the links of
+// other nodes. It is owned by the goroutine that owns the core.
 type linkUse struct {
 	usage egress.LinkUsage
 	// inShare and outShare are the used shares at the last tick.
@@ -24,17 +24,17 @@
 	// after.
 	refusedAt kernel.Instant
 	refusing  bool
-	// lastSent is the latest status sent to the member, at lastSentAt.
+	// lastSent is the latest link report sent to the member, at lastSentAt.
 	lastSent   room.LinkReport
 	lastSentAt kernel.Instant
-	// peersKnown is set while the state of other nodes is fresh.
+	// peersKnown is set while what is known of other nodes is fresh.
 	peersKnown bool
 	// refusedShare is the share of new flows to refuse because of the link's use.
 	refusedShare egress.RefusalFraction
 }
 
-// status returns the node's link status.
-func (u *linkUse) status(load egress.LinkLoad) room.LinkReport {
+// linkReport returns the current report on the node's link.
+func (u *linkUse) linkReport(load egress.LinkLoad) room.LinkReport {
 	return room.LinkReport{
 		Rate:       uint32(min(load.ConfiguredRate, math.MaxUint32)),
 		InPercent:  percent(u.inShare),
@@ -46,24 +46,24 @@
 
 func percent(share float64) uint8 { return uint8(min(max(share, 0)*100, 100)) }
 
-// nextStatus returns the status to send, if one is due: when it has changed or must be
-// repeated, but at most once per room.Interval.
-func (u *linkUse) nextStatus(now kernel.Instant, load egress.LinkLoad) (room.LinkReport, bool) {
-	status := u.status(load)
+// nextLinkReport returns the link report to send, if one is due: when it has changed or
+// must be repeated, but at most once per room.ReportInterval.
+func (u *linkUse) nextLinkReport(now kernel.Instant, load egress.LinkLoad) (room.LinkReport, bool) {
+	report := u.linkReport(load)
 	since := now.Sub(u.lastSentAt)
-	if since < room.ReportInterval || status == u.lastSent && since < room.RepeatInterval {
+	if since < room.ReportInterval || report == u.lastSent && since < room.RepeatInterval {
 		return room.LinkReport{}, false
 	}
-	u.lastSent = status
+	u.lastSent = report
 	u.lastSentAt = now
-	return status, true
+	return report, true
 }
 
-// updateLinkUse measures the link's use and sends the status when due.
+// updateLinkUse measures the link's use and sends a link report when due.
 func (p *Process) updateLinkUse(now kernel.Instant) {
 	u := &p.sender.linkUse
 	u.usage.Tick()
-	u.inShare, u.outShare = u.usage.Utilization(p.sender.learner.Rate(now))
+	u.inShare, u.outShare = u.usage.Utilization(p.sender.estimator.Rate(now))
 	u.peersKnown = u.peers.IsCurrent(now)
 	u.refusedShare.Update(p.sender.load(now), reportInterval)
 	p.updateRefusing(now)
@@ -72,12 +72,12 @@
 	if load.ConfiguredRate <= 0 {
 		return
 	}
-	if status, due := u.nextStatus(now, load); due {
-		p.subscriber.sendFrame(room.Message{Report: &status}.Frame())
+	if report, due := u.nextLinkReport(now, load); due {
+		p.subscriber.sendFrame(room.Message{Report: &report}.Frame())
 	}
 }
 
-// updateRefusing logs when the node starts or stops refusing new flows.
+// updateRefusing updates whether the node counts as refusing new flows and logs a change.
 func (p *Process) updateRefusing(now kernel.Instant) {
 	u := &p.sender.linkUse
 	refusing := u.refusedAt > 0 && now.Sub(u.refusedAt) < refusingPeriod
@@ -87,15 +87,15 @@
 	u.refusing = refusing
 	load := p.sender.load(now)
 	if refusing {
-		sum := u.peers.Summary()
+		summary := u.peers.Summary()
 		p.logger.Event(eventlog.NodeRefuses, "in", u.inShare, "out", u.outShare, "wait", load.ExpectedWait(), "offered", load.RetryWait,
-			"known", load.PeersKnown, "nodes", sum.Nodes(), "refusing", sum.RefusingNodes)
+			"known", load.PeersKnown, "nodes", summary.Nodes(), "refusing", summary.RefusingNodes)
 		return
 	}
 	p.logger.Event(eventlog.NodeTakesAll, "in", u.inShare, "out", u.outShare, "wait", load.ExpectedWait())
 }
 
-// receiveRoom handles the link status of other nodes.
+// receiveRoom handles what a member reports of the links of other nodes.
 func (s *subscriber) receiveRoom(payload []byte) error {
 	message, err := room.Decode(payload)
 	if err == nil {
--- a/internal/edge/room_test.go
+++ b/internal/edge/room_test.go
@@ -41,22 +41,22 @@
 // useLink advances the time while a share of the link is used.
 func (n *linkUseNode) useLink(duration time.Duration, use float64) {
 	for end := n.now.Add(duration); n.now < end; n.now = n.now.Add(reportInterval) {
-		n.sender.recordReceived(n.now, int(use*n.sender.learner.ConfiguredRate()*reportInterval.Seconds()))
+		n.sender.recordReceived(n.now, int(use*n.sender.estimator.ConfiguredRate()*reportInterval.Seconds()))
 		n.updateLinkUse(n.now)
 	}
 }
 
-func (n *linkUseNode) sentStatuses(t *testing.T) []room.LinkReport {
-	var statuses []room.LinkReport
+func (n *linkUseNode) sentLinkReports(t *testing.T) []room.LinkReport {
+	var reports []room.LinkReport
 	n.sentFrames.Close()
 	for {
 		frame, open := n.sentFrames.Pop()
 		if !open {
-			return statuses
+			return reports
 		}
 		message, err := room.Decode(frame.Payload)
 		require.NoError(t, err)
-		statuses = append(statuses, *message.Report)
+		reports = append(reports, *message.Report)
 	}
 }
 
@@ -64,10 +64,10 @@
 	n := newLinkUseNode(t, &strings.Builder{})
 	n.useLink(4*time.Second, 0.5)
 	n.useLink(20*time.Second, 0)
-	statuses := n.sentStatuses(t)
-	assert.LessOrEqual(t, len(statuses), 4+2+10+1)
-	assert.Equal(t, uint8(50), statuses[1].InPercent)
-	assert.Zero(t, statuses[len(statuses)-1].InPercent)
+	reports := n.sentLinkReports(t)
+	assert.LessOrEqual(t, len(reports), 4+2+10+1)
+	assert.Equal(t, uint8(50), reports[1].InPercent)
+	assert.Zero(t, reports[len(reports)-1].InPercent)
 }
 
 func TestBusyNodeRefusesWhilePeersAreIdle(t *testing.T) {
@@ -116,11 +116,11 @@
 
 func TestUnlimitedLinkHoldsAndSendsNothing(t *testing.T) {
 	n := newLinkUseNode(t, &strings.Builder{})
-	n.sender.learner = egress.NewRateEstimator(0)
+	n.sender.estimator = egress.NewRateEstimator(0)
 	n.useLink(5*time.Second, 1)
 	for port := range uint16(20) {
 		n.sendOpening(n.now, 3000+port)
 	}
 	assert.Zero(t, n.sender.heldOpenings.Len())
-	assert.Empty(t, n.sentStatuses(t))
+	assert.Empty(t, n.sentLinkReports(t))
 }
--- a/internal/edge/sender.go
+++ b/internal/edge/sender.go
@@ -30,12 +30,12 @@
 	armed      bool
 	wakeAt     kernel.Instant
 	congestion egress.CongestionDetector
-	// learner estimates the current rate of the link.
-	learner   *egress.RateEstimator
+	// estimator estimates the rate that the link currently carries.
+	estimator *egress.RateEstimator
 	admission *egress.AdmissionController
-	// belowStated is set while the link is reported as narrower than configured.
-	belowStated bool
-	reductions  uint64
+	// belowConfigured is set while the link is reported as narrower than configured.
+	belowConfigured bool
+	reductions      uint64
 	// longestWait is the longest queueing time since the last tick.
 	longestWait  time.Duration
 	heldOpenings egress.HeldOpenings
@@ -48,8 +48,8 @@
 		scheduler: egress.New(egress.WithLink(settings.Link), egress.WithMemoryLimit(settings.Strength.Memory)),
 	}
 	s.scheduler.OnDrop = s.handleDropped
-	s.learner = egress.NewRateEstimator(s.scheduler.Rate(process.now()))
-	s.scheduler.Rate = s.learner.Rate
+	s.estimator = egress.NewRateEstimator(s.scheduler.Rate(process.now()))
+	s.scheduler.Rate = s.estimator.Rate
 	s.admission = egress.NewAdmissionController()
 	s.transmit = s.writeToSocket
 	return s
@@ -213,8 +213,8 @@
 // load returns the load of the link and of its peers for admission control.
 func (s *sender) load(now kernel.Instant) egress.LinkLoad {
 	return egress.LinkLoad{
-		Rate:            s.learner.Rate(now),
-		ConfiguredRate:  s.learner.ConfiguredRate(),
+		Rate:            s.estimator.Rate(now),
+		ConfiguredRate:  s.estimator.ConfiguredRate(),
 		QueuedBytes:     float64(s.scheduler.Bytes()),
 		HeldUploads:     s.heldOpenings.Len(),
 		Utilization:     max(s.linkUse.inShare, s.linkUse.outShare),
@@ -227,7 +227,7 @@
 // admit decides on a new flow and holds its opening packet if necessary.
 func (s *sender) admit(now kernel.Instant, packet steer.Packet, datagram []byte) egress.Decision {
 	route := s.process.core.Route(packet.Flow)
-	if route == nil || s.learner.ConfiguredRate() <= 0 {
+	if route == nil || s.estimator.ConfiguredRate() <= 0 {
 		return egress.Decision{}
 	}
 	decision := s.admission.Decide(now, packet.Flow, *route, s.load(now))
@@ -244,8 +244,8 @@
 	return decision
 }
 
-// releaseHeld dispatches the held flows that fit the link now or have reached their
-// limit.
+// releaseHeld dispatches the held flows that fit the link now or have been held for their
+// maximum time.
 func (s *sender) releaseHeld(now kernel.Instant) {
 	if s.heldOpenings.Len() == 0 {
 		return
@@ -262,7 +262,7 @@
 	}
 }
 
-// dispatchHeld dispatches a held flow.
+// dispatchHeld admits a held flow and dispatches its opening packet.
 func (s *sender) dispatchHeld(now kernel.Instant, held *egress.HeldOpening) {
 	if route := s.process.core.Route(held.Packet.Flow); route != nil {
 		s.admission.RecordAccepted(now, held.Packet.Flow, *route)
--- a/internal/edge/speeds.go
+++ b/internal/edge/speeds.go
@@ -7,15 +7,15 @@
 )
 
 // relativeTimeBuckets are the upper bounds of the relative response times in the metrics.
-// Larger ones are counted without a bound.
+// Targets above the last are counted in one more bucket.
 var relativeTimeBuckets = []float64{0.5, 0.7, 0.9, 1.1, 1.4, 2, 4}
 
 // sweepsPerRelativeTimes is the number of sweeps between two updates of these metrics,
 // which visit every target.
 const sweepsPerRelativeTimes = 10
 
-// sendSpeeds sends the targets' response times to the member. They are dropped if there
-// is none, since they are repeated later.
+// sendSpeeds sends the targets' response times to the followed member. They are dropped if
+// there is none or its queue is full, since they are repeated later.
 func (s *subscriber) sendSpeeds(updates []speed.Report) {
 	if len(updates) == 0 {
 		return
@@ -27,7 +27,7 @@
 	}
 }
 
-// receiveSpeeds handles the leader's response times of targets.
+// receiveSpeeds handles the targets' response times as published by the leader.
 func (s *subscriber) receiveSpeeds(payload []byte) error {
 	message, err := speed.Decode(payload)
 	if err == nil {
--- a/internal/edge/subscriber.go
+++ b/internal/edge/subscriber.go
@@ -85,11 +85,11 @@
 }
 
 // setStrength changes the strength, which is sent with the next report.
-func (s *subscriber) setStrength(stated strength.Resources) {
+func (s *subscriber) setStrength(resources strength.Resources) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.strengthPending = s.strengthPending || stated != s.strength
-	s.strength = stated
+	s.strengthPending = s.strengthPending || resources != s.strength
+	s.strength = resources
 }
 
 // strengthToSend returns the strength for a subscription, which also sends it.
@@ -123,7 +123,8 @@
 }
 
 // connect connects to members in order, overlapping the attempts, and returns the first
-// connection. It returns nil once the process stops.
+// connection. It records each member it tries as failed, and the connected one last, so
+// that the others come first next time. It returns nil once the process stops.
 func (s *subscriber) connect(ctx context.Context) (net.Conn, directory.Member) {
 	tried := map[string]directory.Member{}
 	var order []directory.Member
--- a/internal/edge/updates.go
+++ b/internal/edge/updates.go
@@ -105,14 +105,14 @@
 	reasonCurrent = "current"
 )
 
-// verdictsInput applies the members' verdicts on targets.
+// verdictsInput applies the members' verdicts on targets and resets the flows of lost ones.
 type verdictsInput struct{ verdicts directory.Verdicts }
 
 func (i verdictsInput) handle(p *Process, now kernel.Instant) {
 	p.resetFlows(now, p.core.ApplyVerdicts(i.verdicts), steer.ReasonLost)
 }
 
-// resetFlows resets ended flows, each identified by one of its packets.
+// resetFlows resets flows, each identified by one of its packets.
 func (p *Process) resetFlows(now kernel.Instant, packets []steer.Packet, reason steer.Reason) {
 	for _, packet := range packets {
 		p.sendReset(now, packet)
--- a/internal/edge/waitlist.go
+++ b/internal/edge/waitlist.go
@@ -15,8 +15,8 @@
 	maxWaitlist = 1024
 	// callerTimeout is how long a caller waits for its flow to open before it gives up.
 	callerTimeout = 1400 * time.Millisecond
-	// defaultSendLimit is the age up to which a packet counts as on time if its route has
-	// no objective: the caller has not retransmitted yet.
+	// defaultSendLimit is the age up to which a packet counts as on time if its route is
+	// unknown or has no objective: the caller has not retransmitted yet.
 	defaultSendLimit = 200 * time.Millisecond
 	// serviceAllowance is the part of an objective reserved for the target: twice the
 	// usual service time plus the round trip.
@@ -46,7 +46,7 @@
 	urgency uint8
 	// classified is set once the route is known.
 	classified bool
-	// removed is set once the packet is no longer waiting. It stays in the order until
+	// removed is set once the packet is no longer waiting. It may stay in the order until
 	// expire.
 	removed bool
 }
--- a/internal/heartbeat/distributor.go
+++ b/internal/heartbeat/distributor.go
@@ -15,13 +15,14 @@
 // countWindow is the interval over which heartbeats are counted.
 const countWindow = time.Second
 
-// reassignTime is how long a target that returns from its assigned address is remembered:
-// many heartbeat intervals, so that an unreachable member costs few calls, but short
-// enough that traffic between zones does not add up.
+// reassignTime is the minimum time for which an assignment is remembered, so that a target
+// that returns stays with the member or is assigned another node. It spans many heartbeat
+// intervals, so that an unreachable member costs few calls, but is short enough that
+// traffic between zones does not add up.
 const reassignTime = 15 * time.Second
 
-// maxNodesTried is the number of nodes that a returning target is assigned in turn. The
-// cost of an assignment grows with it.
+// maxNodesTried is the maximum number of nodes that a returning target is assigned in
+// turn. The cost of an assignment grows with it.
 const maxNodesTried = 8
 
 // maxAssignments bounds the target IDs recorded per reassignTime, since clients choose
@@ -49,7 +50,8 @@
 	// sentToMember and sentToNode record the recent assignments.
 	sentToMember, sentToNode assignments
 	windowStart              time.Time
-	// current and last are the heartbeats in the current window and in the one before.
+	// current and last are the numbers of heartbeats in the current window and in the one
+	// before.
 	current, last int
 }
 
@@ -186,9 +188,9 @@
 	}
 }
 
-// Assign counts a heartbeat of a target and returns the address for its next ones: a
-// member or a node of its zone, or "" if the target stays with this member. A target that
-// returns from a node is assigned the next one.
+// Assign counts a heartbeat of a target and returns the address for its next ones: that of
+// a member or a node, or "" if the target stays with this member. Nodes of the target's
+// zone are preferred. A target that returns from a node is assigned the next one.
 func (d *Distributor) Assign(zone, id string) string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -215,8 +217,8 @@
 }
 
 // memberFor returns the address of a member of the target's zone. It returns "" for
-// targets of the member's own zone and for those that returned, since their calls failed
-// there.
+// targets of the own zone, and for those recently assigned: they have returned because
+// their calls to that member failed.
 func (d *Distributor) memberFor(now time.Time, zone, id string) string {
 	members := d.members[zone]
 	if zone == d.zone || len(members.addresses) == 0 {
--- a/internal/linkhealth/linkhealth.go
+++ b/internal/linkhealth/linkhealth.go
@@ -1,6 +1,6 @@
-// Package linkhealth decides when a balancer should switch to another control member. A
-// member may be silent, or it may answer while it has lost contact with the leader, in
-// which case the balancers would lose their leases.
+// Package linkhealth decides when a balancer should switch to another control member: when
+// the member is silent, or when it answers but has lost contact with the leader, so that
+// the balancer's lease would expire.
 package linkhealth
 
 import (
--- a/internal/outlier/bench_test.go
+++ b/internal/outlier/bench_test.go
@@ -12,14 +12,14 @@
 
 const benchTargets = 3000
 
-// BenchmarkDecide measures one decision for 3,000 targets of two services, each with ten
-// exchanges a second.
+// BenchmarkDecide measures one decision, with the reports before it, for 3,000 targets of
+// two services, each target with ten exchanges a second.
 func BenchmarkDecide(b *testing.B) {
 	benchmarkDecide(b, "v1", func(int) Report { return Report{Outcomes: directory.Outcomes{Answered: 1}} })
 }
 
-// BenchmarkDecideDuringRelease is the same with half of the targets on a new version and
-// a failure rate of 1 %.
+// BenchmarkDecideDuringRelease is BenchmarkDecide with half of the targets on a new
+// version and a failure rate of 1 %.
 func BenchmarkDecideDuringRelease(b *testing.B) {
 	benchmarkDecide(b, "v2", func(int) Report {
 		if rand.IntN(100) == 0 {
@@ -29,7 +29,8 @@
 	})
 }
 
-// BenchmarkDecideWithSuspects is the same with more failing targets than may be ejected.
+// BenchmarkDecideWithSuspects is BenchmarkDecide with more failing targets than may be
+// ejected.
 func BenchmarkDecideWithSuspects(b *testing.B) {
 	benchmarkDecide(b, "v1", func(number int) Report {
 		if number%5 < 2 {
@@ -55,9 +56,9 @@
 	for b.Loop() {
 		now = now.Add(100 * time.Millisecond)
 		for number, target := range targets {
-			noted := report(number)
-			noted.Token = target.Token
-			detector.AddReport(now, "member", noted)
+			current := report(number)
+			current.Token = target.Token
+			detector.AddReport(now, "member", current)
 		}
 		detector.Decide(now, targets)
 	}
--- a/internal/outlier/contemporaries.go
+++ b/internal/outlier/contemporaries.go
@@ -12,8 +12,8 @@
 // over the same period already show it.
 type concurrentCounts struct {
 	sums suffixSums
-	// worst holds the targets whose failures are capped: as many as may be ejected, so
-	// that they do not distort the comparison.
+	// worst holds the targets with the highest failure rates, as many as may be ejected.
+	// Their failures are capped so that they do not distort the comparison.
 	worst map[*targetRecord]bool
 }
 
@@ -54,12 +54,13 @@
 }
 
 // baselineFor returns the failure rate expected of a target: the baseline or the failure
-// rate of the other targets over the same period, whichever is higher. One failure is
-// added so that few exchanges do not make a target a suspect.
+// rate of the other targets over the same period, whichever is higher. One failed exchange
+// is added to the counts of the others, so that their rate is high while they have had few
+// exchanges.
 func (c *concurrentCounts) baselineFor(rec *targetRecord, baseline float64) baselineFunc {
-	limited := failureCap(c.worst[rec])
+	capFailures := failureCap(c.worst[rec])
 	return func(suffix Count, buckets int) float64 {
-		others := c.sums[buckets-1].Sub(limited(suffix))
+		others := c.sums[buckets-1].Sub(capFailures(suffix))
 		return max(baseline, others.Add(Count{Exchanges: 1, Failures: 1}).FailureRate())
 	}
 }
--- a/internal/outlier/detector_test.go
+++ b/internal/outlier/detector_test.go
@@ -165,11 +165,11 @@
 // The median time to eject a failing target stays within the limit for its failure rate.
 func TestFailingTargetIsEjectedPromptly(t *testing.T) {
 	cases := []struct {
-		name  string
-		share float64
-		limit time.Duration
+		name        string
+		failureRate float64
+		limit       time.Duration
 	}{
-		{"all fail", 1, 600 * time.Millisecond},
+		{"100 % fail", 1, 600 * time.Millisecond},
 		{"50 % fail", 0.5, 2 * time.Second},
 		{"40 % fail", 0.4, 3 * time.Second},
 	}
@@ -181,7 +181,7 @@
 				f.run(5 * time.Second)
 				f.failureRate = func(target, _ int) float64 {
 					if target == 4 {
-						return test.share
+						return test.failureRate
 					}
 					return 0.005
 				}
--- a/internal/outlier/falsealarm_test.go
+++ b/internal/outlier/falsealarm_test.go
@@ -15,7 +15,7 @@
 			f := newFleet(seed, 40, 80)
 			f.failureRate = func(int, int) float64 { return rate }
 			f.run(40 * time.Second)
-			assert.Empty(t, f.ejections(), "share %v, seed %d", rate, seed)
+			assert.Empty(t, f.ejections(), "rate %v, seed %d", rate, seed)
 			exchanges += f.rate * 40 * 40
 		}
 		assert.Greater(t, exchanges, 1e5)
--- a/internal/outlier/judge.go
+++ b/internal/outlier/judge.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// ejectedShareDivisor limits the ejected targets of a service to
-	// 1/ejectedShareDivisor, so that the others get at most half as much load again. A
-	// service with fewer targets has none ejected.
+	// ejectedShareDivisor limits the targets of a service that are ejected or on probation
+	// to 1/ejectedShareDivisor, so that the others get at most half as much load again. A
+	// service with fewer targets than ejectedShareDivisor has none ejected.
 	ejectedShareDivisor = 3
-	// zoneShareDivisor limits the ejected targets of a zone to 1/zoneShareDivisor, but at
-	// least one: when a whole zone fails, the network path to it is the likelier cause.
+	// zoneShareDivisor limits them within a zone to 1/zoneShareDivisor, or to one target if
+	// that is more: when a whole zone fails, the network path to it is the likelier cause.
+	// The limit does not apply to a service in a single zone.
 	zoneShareDivisor = 2
 )
 
@@ -57,7 +58,7 @@
 	FailingNodes uint32
 	// Baseline is the failure rate expected of a healthy target of the service.
 	Baseline float64
-	// Hold is the minimum duration of the ejection.
+	// Hold is the time from the ejection to the probation.
 	Hold time.Duration
 }
 
@@ -74,8 +75,7 @@
 	records map[directory.Token]*targetRecord
 	// versions holds the versions of services with more than one.
 	versions map[directory.ServiceVersion]*versionRecord
-	// trialRecords holds the counts of targets selected for the trial of an ejected
-	// version.
+	// trialRecords holds the counts of the targets that are on trial for their version.
 	trialRecords map[directory.Token]*targetRecord
 	// restored holds the targets ejected or on probation at the previous leader, until
 	// the first decision.
@@ -125,8 +125,8 @@
 	return rec
 }
 
-// Decide updates the stages of the targets and returns the result. Records of targets
-// that are not listed are deleted.
+// Decide updates the stages of the targets and versions and returns the result. Records
+// of targets that are not listed are deleted.
 func (d *Detector) Decide(now kernel.Instant, targets []Target) Decision {
 	var decision Decision
 	kept := make(map[directory.Token]*targetRecord, len(d.records))
@@ -199,8 +199,9 @@
 	}
 }
 
-// baseline returns the baseline of a service, over the whole window or over the newest
-// buckets, whichever is higher, so that a failure with a common cause counts at once.
+// baseline returns the baseline of a service over the whole window or over the newest
+// buckets, whichever is higher, so that failures with a common cause raise it at once. It
+// returns false if no target may be ejected by it.
 func (d *Detector) baseline(now kernel.Instant, targets []Target) (float64, bool) {
 	var whole, recent []Count
 	d.eachActive(targets, func(rec *targetRecord) {
--- a/internal/outlier/oracle_test.go
+++ b/internal/outlier/oracle_test.go
@@ -13,7 +13,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// fault is a failing target as known to the oracle.
+// fault is the fault of one target, as known to the oracle.
 type fault struct {
 	failureRate float64
 	// since and until delimit the fault; until is 0 while it lasts.
@@ -95,7 +95,7 @@
 	}
 	known, exists := o.faults[change.Token]
 	if !exists || known.until != 0 && o.now.Sub(known.until) > recoveryGrace {
-		// A single failure on probation may start a second, longer ejection.
+		// A healthy target on probation may be ejected again, for longer, after one failure.
 		if change.Hold > minHold {
 			return
 		}
--- a/internal/outlier/orders.go
+++ b/internal/outlier/orders.go
@@ -28,7 +28,8 @@
 	return true
 }
 
-// reinstate makes a target active and clears its counts and ejection history.
+// reinstate readmits a target that is ejected or on probation, and clears its counts and
+// ejection history.
 func (d *Detector) reinstate(now kernel.Instant, target Target) {
 	rec, exists := d.records[target.Token]
 	if !exists || rec.stage == active {
--- a/internal/outlier/ratio.go
+++ b/internal/outlier/ratio.go
@@ -39,9 +39,8 @@
 // LikelihoodRatio runs a sequential likelihood ratio test over the suffixes of the
 // window. Like Page's CUSUM it detects a change that began at any time within the window,
 // with at least exchangesPerFalseAlarm exchanges between two false alarms on average. It
-// returns the highest ratio and the count that produced it.
-//
-// No more than limit failures of each suffix are counted.
+// returns the highest log-likelihood ratio and the count that produced it. At most limit
+// failures of each suffix are counted.
 func LikelihoodRatio(window *Window, baselineOf baselineFunc, limit uint32) (highest float64, peak Count) {
 	if window.total.Failures == 0 {
 		return 0, Count{}
--- a/internal/outlier/record.go
+++ b/internal/outlier/record.go
@@ -25,7 +25,7 @@
 	ejectionState
 	// clearedAt is when the window was last cleared, or 0 if never.
 	clearedAt kernel.Instant
-	// probationCount counts the exchanges since the probation began.
+	// probationCount counts the exchanges since the latest probation began.
 	probationCount Count
 	// ejectionCount is the count for which the target was ejected, or zero if unknown.
 	ejectionCount Count
@@ -46,8 +46,8 @@
 	}
 }
 
-// independentFailures returns the number of failures to count and the number of nodes
-// that saw failures.
+// independentFailures returns the maximum number of failures that count as evidence and
+// the number of nodes that saw failures.
 func (r *targetRecord) independentFailures(now kernel.Instant) (failures, nodes uint32) {
 	if len(r.spreads) == 0 {
 		return 0, 0
@@ -81,7 +81,8 @@
 	clear(r.spreads)
 }
 
-// hasFullWindow reports whether the window was not cleared within its own duration.
+// hasFullWindow reports whether the window has not been cleared during the last
+// WindowTime.
 func (r *targetRecord) hasFullWindow(now kernel.Instant) bool {
 	return r.clearedAt == 0 || now.Sub(r.clearedAt) >= WindowTime
 }
--- a/internal/outlier/share.go
+++ b/internal/outlier/share.go
@@ -15,9 +15,9 @@
 	count    Count
 }
 
-// ejectWorst ejects failing targets in the order of their evidence, within the limits for
-// the service and its zones. Only the eligible targets can be ejected, but the limits
-// apply to all.
+// ejectWorst ejects failing targets, those with the strongest evidence first, within the
+// limits for the service and its zones. Only the eligible targets can be ejected, but the
+// limits apply to all.
 func (d *Detector) ejectWorst(now kernel.Instant, targets, eligible []Target, baseline float64, decision *Decision) {
 	ejectedCount := 0
 	zoneSizes, zoneEjected := map[string]int{}, map[string]int{}
@@ -55,7 +55,7 @@
 
 // suspects returns the eligible targets that are failing both by the baseline and compared
 // with the other targets over the same period. The second comparison is made only for
-// targets that fail the first.
+// targets that are failing by the first.
 func (d *Detector) suspects(now kernel.Instant, targets, eligible []Target, baseline float64) []suspect {
 	var suspects []suspect
 	var concurrent *concurrentCounts
--- a/internal/outlier/spread.go
+++ b/internal/outlier/spread.go
@@ -15,8 +15,9 @@
 
 // failureSpread aggregates the distribution of failures over nodes for some targets.
 type failureSpread struct {
-	nodes, failures, members uint32
-	// byTopNode sums the failures by the node that saw the most in each member's report.
+	nodes, failures, reports uint32
+	// byTopNode holds, for each node that saw the most failures in some report, the sum of
+	// those failures.
 	byTopNode map[uint32]uint32
 }
 
@@ -29,23 +30,23 @@
 			delete(rec.spreads, from)
 			continue
 		}
-		s.members++
+		s.reports++
 		s.nodes += report.nodes
 		s.failures += report.failures
 		s.byTopNode[report.topNode] += report.topFailures
 	}
 }
 
-// independentFailures returns the number of failures to count and the number of nodes
-// that saw failures. The failures of the node that saw the most count as one, since a
-// single node may have a local or network fault. A node that changed members is counted
-// once.
+// independentFailures returns the number of failures that count as evidence and the number
+// of nodes that saw failures. The failures of the node that saw the most count as one,
+// since a single node may have a local or network fault. A node that saw the most in
+// several reports, such as one that changed members, is counted once.
 func (s *failureSpread) independentFailures() (failures, nodes uint32) {
 	var topFailures uint32
 	for _, count := range s.byTopNode {
 		topFailures = max(topFailures, count)
 	}
-	nodes = s.nodes - min(s.nodes, s.members-uint32(len(s.byTopNode)))
+	nodes = s.nodes - min(s.nodes, s.reports-uint32(len(s.byTopNode)))
 	if nodes < 2 || topFailures >= s.failures {
 		return 0, nodes
 	}
--- a/internal/outlier/standing.go
+++ b/internal/outlier/standing.go
@@ -10,7 +10,7 @@
 type stage uint8
 
 const (
-	// active receives new flows without restriction.
+	// active means that new flows are placed without restriction.
 	active stage = iota
 	ejected
 	onProbation
@@ -58,7 +58,7 @@
 	return hold
 }
 
-// enterProbation ends an ejection.
+// enterProbation ends an ejection and starts the probation.
 func (s *ejectionState) enterProbation(now kernel.Instant) {
 	s.stage = onProbation
 	s.until = now.Add(maxProbation)
--- a/internal/outlier/version.go
+++ b/internal/outlier/version.go
@@ -12,17 +12,18 @@
 
 // A version of a service's software is compared with the versions that registered before
 // it, in the same zones over the same period. One with a significantly higher failure
-// rate is ejected, provided that the remaining targets have enough capacity; later some
-// of its targets are tried again.
+// rate is ejected, provided that the remaining targets have enough capacity. Later it is
+// on probation, also called its trial, while some of its targets receive flows again. A
+// version that is ejected or on probation is held.
 const (
-	// capacityDivisor is the fraction of a service's slots, 1/capacityDivisor, that must
-	// remain while a version is ejected.
+	// capacityDivisor sets the fraction of a service's slots, 1/capacityDivisor, that must
+	// remain available while a version is held.
 	capacityDivisor = 2
 	// minTargets is the minimum number of targets needed to evaluate a version: with a
 	// single one, a failure of the target cannot be told from one of the version.
 	minTargets = 2
-	// trialDivisor is the fraction of an ejected version's targets, 1/trialDivisor, that
-	// are tried at once, and minTrialTargets their minimum number.
+	// trialDivisor sets the fraction of a version's targets, 1/trialDivisor, that are in
+	// its trial, and minTrialTargets their minimum number.
 	trialDivisor    = 10
 	minTrialTargets = 3
 )
@@ -65,7 +66,8 @@
 	Baseline float64
 	// Targets is the number of the version's targets.
 	Targets int
-	// Hold is the minimum duration of the ejection.
+	// Hold is the time from the ejection until the trial may start. It does not apply to
+	// an ejection by an operator's order.
 	Hold time.Duration
 }
 
@@ -78,7 +80,7 @@
 	registeredAt uint64
 	// ejectionCount is the count for which the version was ejected.
 	ejectionCount Count
-	// byOperator is set while an operator's order keeps the version ejected.
+	// byOperator is set while an operator's order holds the version.
 	byOperator bool
 	// trialCount is the number of trials so far. trialTargets holds the counts of the
 	// targets in the current trial.
@@ -119,8 +121,8 @@
 	})
 }
 
-// needsVersionCheck reports whether a service has several versions, or one that is
-// ejected or subject to an order.
+// needsVersionCheck reports whether a service has several versions, or one that is held
+// or subject to an order.
 func (d *Detector) needsVersionCheck(targets []Target) bool {
 	first := ""
 	for _, target := range targets {
@@ -156,7 +158,8 @@
 	}
 }
 
-// HeldVersions returns the number of versions that are ejected or on probation.
+// HeldVersions returns the number of versions that are held, that is, ejected or on
+// probation.
 func (d *Detector) HeldVersions() int {
 	held := 0
 	for _, known := range d.versions {
@@ -171,16 +174,16 @@
 // evaluated individually.
 func (d *Detector) decideVersions(now kernel.Instant, targets []Target, decision *Decision) []Target {
 	groups := d.versionGroups(now, targets)
-	isHeld := false
+	anyHeld := false
 	for position, group := range groups {
 		if change := d.advanceVersion(now, targets, groups, position); change != nil {
 			change.ServiceVersion, change.Targets = group.name, len(group.targets)
 			decision.Versions = append(decision.Versions, *change)
 		}
-		isHeld = isHeld || group.stage != active
+		anyHeld = anyHeld || group.stage != active
 		group.appendTo(decision)
 	}
-	if !isHeld {
+	if !anyHeld {
 		return targets
 	}
 	return slices.DeleteFunc(targets, func(target Target) bool {
@@ -189,13 +192,13 @@
 	})
 }
 
-// holds reports whether the version's stage applies to a target. An order for an
-// individual target takes precedence.
+// holds reports whether a target is held with its version. An order for an individual
+// target takes precedence.
 func (v *versionRecord) holds(target Target) bool {
 	return v.stage != active && target.Order.Rule == directory.RuleJudged
 }
 
-// appendTo adds the targets of a version that is not active to the decision.
+// appendTo adds the targets of a held version to the decision.
 func (g *versionGroup) appendTo(decision *Decision) {
 	if g.stage == active {
 		return
@@ -232,9 +235,9 @@
 		}
 		return d.checkVersion(now, group, older)
 	case len(groups) == 1:
-		return d.releaseVersion(now, group, NoOtherVersion)
+		return d.readmitVersion(now, group, NoOtherVersion)
 	case !hasCapacity:
-		return d.releaseVersion(now, group, InsufficientCapacity)
+		return d.readmitVersion(now, group, InsufficientCapacity)
 	case group.stage == ejected && now >= group.until:
 		return group.startTrial(now)
 	case group.stage == onProbation:
@@ -243,10 +246,10 @@
 	return nil
 }
 
-// hasCapacityWithout reports whether the active versions have enough slots without the
-// given one.
+// hasCapacityWithout reports whether enough slots remain without those of the given
+// version and of the held ones.
 func hasCapacityWithout(group *versionGroup, groups []*versionGroup, targets []Target) bool {
-	var all, out uint64
+	var all, unavailable uint64
 	for _, target := range targets {
 		all += uint64(target.Slots)
 	}
@@ -255,10 +258,10 @@
 			continue
 		}
 		for _, target := range other.targets {
-			out += uint64(target.Slots)
+			unavailable += uint64(target.Slots)
 		}
 	}
-	return (all-out)*capacityDivisor >= all
+	return (all-unavailable)*capacityDivisor >= all
 }
 
 // applyVersionOrder applies the operator's rule for a version, whatever capacity remains.
@@ -267,14 +270,14 @@
 	group.byOperator = hold
 	switch {
 	case hold && group.stage == active:
-		return d.holdVersion(now, group, VersionChange{Cause: OperatorOrder})
+		return d.ejectVersion(now, group, VersionChange{Cause: OperatorOrder})
 	case hold:
 		group.stage = ejected
 		group.trialTargets = nil
 		return nil
 	case group.stage != active:
 		group.ejections = 0
-		return d.releaseVersion(now, group, OperatorOrder)
+		return d.readmitVersion(now, group, OperatorOrder)
 	}
 	return nil
 }
@@ -282,30 +285,30 @@
 // checkVersion ejects a version that fails more often than the earlier ones.
 func (d *Detector) checkVersion(now kernel.Instant, group *versionGroup, older []Target) *VersionChange {
 	if d.wasHeldBefore(group) {
-		return d.holdVersion(now, group, VersionChange{Cause: HeldByPreviousLeader})
+		return d.ejectVersion(now, group, VersionChange{Cause: HeldByPreviousLeader})
 	}
 	evidence, peak := d.versionEvidence(now, group.targets, older)
 	if evidence < alarmThreshold {
 		return nil
 	}
 	group.ejectionCount = peak
-	return d.holdVersion(now, group, VersionChange{Cause: HighFailureRate, Count: peak, Baseline: d.windowBaseline(now, older)})
+	return d.ejectVersion(now, group, VersionChange{Cause: HighFailureRate, Count: peak, Baseline: d.windowBaseline(now, older)})
 }
 
-// wasHeldBefore reports whether the previous leader had ejected the version. Some of its
+// wasHeldBefore reports whether the version was held at the previous leader. Some of its
 // targets may have registered since.
 func (d *Detector) wasHeldBefore(group *versionGroup) bool {
-	out := 0
+	restored := 0
 	for _, target := range group.targets {
 		if d.restored[target.Token] {
-			out++
+			restored++
 		}
 	}
-	return len(group.targets) >= minTargets && len(group.targets)-out <= len(group.targets)/trimDivisor
+	return len(group.targets) >= minTargets && len(group.targets)-restored <= len(group.targets)/trimDivisor
 }
 
-// holdVersion ejects the targets of a version.
-func (d *Detector) holdVersion(now kernel.Instant, group *versionGroup, change VersionChange) *VersionChange {
+// ejectVersion ejects a version and returns the change, completed from the given one.
+func (d *Detector) ejectVersion(now kernel.Instant, group *versionGroup, change VersionChange) *VersionChange {
 	d.forgetTargets(group)
 	change.Kind = Ejected
 	change.Hold = group.eject(now)
@@ -313,8 +316,8 @@
 	return &change
 }
 
-// releaseVersion makes a version active.
-func (d *Detector) releaseVersion(now kernel.Instant, group *versionGroup, cause VersionCause) *VersionChange {
+// readmitVersion makes a held version active.
+func (d *Detector) readmitVersion(now kernel.Instant, group *versionGroup, cause VersionCause) *VersionChange {
 	change := VersionChange{Kind: Readmitted, Cause: cause, Count: group.probation(now).count}
 	d.forgetTargets(group)
 	group.readmit(now)
@@ -332,8 +335,8 @@
 	}
 }
 
-// startTrial selects some of the version's targets for probation, different ones for each
-// trial. Targets that are warming up are not selected.
+// startTrial starts a trial with some of the version's targets, the next ones in turn for
+// each trial. Targets that are warming up or have an order of their own are not selected.
 func (g *versionGroup) startTrial(now kernel.Instant) *VersionChange {
 	var warm []Target
 	for _, target := range g.targets {
@@ -362,11 +365,11 @@
 	switch {
 	case comparable && result.stillFails(baseline), now >= group.until && result.likelyFails(baseline):
 		group.ejectionCount = group.ejectionCount.Add(result.count)
-		return d.holdVersion(now, group, VersionChange{Cause: HighFailureRate, Count: result.count, Baseline: baseline})
+		return d.ejectVersion(now, group, VersionChange{Cause: HighFailureRate, Count: result.count, Baseline: baseline})
 	case comparable && result.hasRecovered(baseline):
-		return d.releaseVersion(now, group, Recovered)
+		return d.readmitVersion(now, group, Recovered)
 	case now >= group.until:
-		return d.releaseVersion(now, group, Inconclusive)
+		return d.readmitVersion(now, group, Inconclusive)
 	}
 	return nil
 }
--- a/internal/outlier/version_test.go
+++ b/internal/outlier/version_test.go
@@ -50,13 +50,13 @@
 	}
 }
 
-// changeTexts returns the recorded version changes as formatted by changeText.
+// changeTexts returns the recorded version changes in the format of changeText.
 func (r *release) changeTexts() []string {
-	var words []string
+	var texts []string
 	for _, change := range r.versionChanges {
-		words = append(words, fmt.Sprintf("%s %d %d", change.Version, change.Kind, change.Cause))
+		texts = append(texts, fmt.Sprintf("%s %d %d", change.Version, change.Kind, change.Cause))
 	}
-	return words
+	return texts
 }
 
 // targetsByStage returns how many of a version's targets are active and on probation.
@@ -87,15 +87,15 @@
 
 // A failing version is held while the old one has enough capacity, and no target of the
 // old version is ejected.
-func TestFailingReleaseIsHeldAtEachStage(t *testing.T) {
+func TestFailingVersionIsHeldDuringRelease(t *testing.T) {
 	for _, rate := range []float64{1, 0.5, 0.3} {
-		for _, stage := range []int{2, 4, 6} {
-			t.Run(fmt.Sprintf("%d of 12 with failure rate %v", stage, rate), func(t *testing.T) {
+		for _, replaced := range []int{2, 4, 6} {
+			t.Run(fmt.Sprintf("%d of 12 with failure rate %v", replaced, rate), func(t *testing.T) {
 				var times []time.Duration
 				for seed := range uint64(30) {
 					r := newRelease(seed, 12)
 					r.failureRates["v2"] = rate
-					r.replaceRange(0, stage, "v2")
+					r.replaceRange(0, replaced, "v2")
 					begin := r.now
 					for len(r.versionChanges) == 0 && r.now.Sub(begin) < 20*time.Second {
 						r.runRecorded(bucketDuration)
@@ -110,7 +110,7 @@
 					active, onTrial := r.targetsByStage("v2")
 					require.Zero(t, active+onTrial, "seed %d", seed)
 					active, _ = r.targetsByStage("v1")
-					require.Equal(t, 12-stage, active, "seed %d", seed)
+					require.Equal(t, 12-replaced, active, "seed %d", seed)
 					r.runRecorded(30 * time.Second)
 					active, onTrial = r.targetsByStage("v2")
 					require.Zero(t, active, "seed %d", seed)
--- a/internal/outlier/versionevidence.go
+++ b/internal/outlier/versionevidence.go
@@ -16,9 +16,9 @@
 // suffixSums holds the summed counts of some targets for each suffix of the window.
 type suffixSums [windowBuckets]Count
 
-func (s *suffixSums) add(rec *targetRecord, limited func(suffix Count) Count) {
+func (s *suffixSums) add(rec *targetRecord, capFailures func(suffix Count) Count) {
 	rec.window.eachSuffix(func(suffix Count, buckets int) bool {
-		s[buckets-1] = s[buckets-1].Add(limited(suffix))
+		s[buckets-1] = s[buckets-1].Add(capFailures(suffix))
 		return true
 	})
 }
@@ -57,7 +57,7 @@
 }
 
 // compareZones sums the counts of the newer and older targets by zone. It returns nil if
-// the newer ones cannot be found failing.
+// there is no evidence against the newer ones: too few are warm, or none had a failure.
 func (d *Detector) compareZones(now kernel.Instant, newer, older []Target) []*zoneComparison {
 	warm := d.warmTargets(now, newer)
 	if len(warm) < minTargets || !slices.ContainsFunc(warm, func(target warmTarget) bool { return target.record.window.total.Failures > 0 }) {
@@ -80,8 +80,8 @@
 		zone.spread.add(now, target.record)
 	}
 	for _, target := range d.warmTargets(now, older) {
-		// A window cleared at an ejection lacks the failures before it, which would make
-		// the older version look better than the newer one with the same failures.
+		// A window that was cleared at the start of a probation lacks the failures before
+		// it, which would make the older version look better than it is.
 		if zone, known := zones[target.zone]; known && target.record.hasFullWindow(now) {
 			zone.older.add(target.record, failureCap(false))
 		}
@@ -89,13 +89,14 @@
 	return inOrder
 }
 
-// warmTarget is a target whose exchanges are evidence for its version.
+// warmTarget is a target whose exchanges are evidence about its version.
 type warmTarget struct {
 	record *targetRecord
 	zone   string
 }
 
-// warmTargets returns the targets with exchanges that are not warming up.
+// warmTargets returns the targets that have exchanges in the window, are not warming up
+// and have no order of their own.
 func (d *Detector) warmTargets(now kernel.Instant, targets []Target) []warmTarget {
 	var warm []warmTarget
 	for _, target := range targets {
@@ -119,7 +120,7 @@
 	return baseFailureRate + baselineFactor*older.Add(Count{Exchanges: 1, Failures: 1}).FailureRate()
 }
 
-// windowBaseline returns the version baseline over the whole window.
+// windowBaseline returns the version baseline over the whole window and all zones.
 func (d *Detector) windowBaseline(now kernel.Instant, older []Target) float64 {
 	var sum Count
 	for _, warm := range d.warmTargets(now, older) {
@@ -128,8 +129,8 @@
 	return versionBaseline(sum)
 }
 
-// probation returns the results of the trial, with the failures of the worst targets
-// capped.
+// probation returns the results of the trial. The failures of the worst targets are
+// capped, and only independent failures count.
 func (g *versionGroup) probation(now kernel.Instant) probation {
 	var records []*targetRecord
 	spread := newFailureSpread()
--- a/internal/outlier/versionproperty_test.go
+++ b/internal/outlier/versionproperty_test.go
@@ -74,13 +74,13 @@
 	return order
 }
 
-// Failures that no version causes hold none at any stage of a release or its rollback.
+// Failures that no version causes hold none at any point of a release or its rollback.
 func TestHealthyVersionsAreNotHeld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &release{fleet: newFleet(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 40).Draw(t, "targets"), rapid.IntRange(8, 100).Draw(t, "nodes"))}
 		r.rate = rapid.Float64Range(1, 30).Draw(t, "rate")
 		backgroundRate := rapid.Float64Range(0, 0.01).Draw(t, "background rate")
-		coldFor := time.Duration(rapid.IntRange(0, 6).Draw(t, "warm-up")) * time.Second
+		warmupTime := time.Duration(rapid.IntRange(0, 6).Draw(t, "warm-up")) * time.Second
 		warmAt := map[directory.Token]kernel.Instant{}
 		var current disturbance
 		r.failureRate = func(position, node int) float64 {
@@ -112,7 +112,7 @@
 				next := min(len(order), done+rapid.IntRange(1, len(order)).Draw(t, "stage"))
 				for _, position := range order[done:next] {
 					r.replace(position, version)
-					warmAt[r.targets[position].Token] = r.now.Add(coldFor)
+					warmAt[r.targets[position].Token] = r.now.Add(warmupTime)
 				}
 				done = next
 				run(time.Duration(rapid.IntRange(1, 8).Draw(t, "pause")) * time.Second)
--- a/internal/outlier/window.go
+++ b/internal/outlier/window.go
@@ -19,7 +19,8 @@
 	recentBuckets = 10
 )
 
-// Window holds the counts of one target over the last WindowTime.
+// Window holds the counts of one target over the last WindowTime, in buckets. A suffix of
+// the window is any number of its newest buckets.
 type Window struct {
 	buckets [windowBuckets]Count
 	// newest is the number of the newest bucket since the clock's epoch.
@@ -67,8 +68,8 @@
 	}
 }
 
-// eachSuffix calls visit with the sums of the newest one, two and more buckets until it
-// returns false.
+// eachSuffix calls visit with the sum and the number of buckets of each suffix, the
+// shortest first, until it returns false.
 func (w *Window) eachSuffix(visit func(suffix Count, buckets int) bool) {
 	var suffix Count
 	for length := range windowBuckets {
