--- a/internal/directory/bare.go
+++ b/internal/directory/bare.go
@@ -1,28 +1,28 @@
 package directory
 
-// Nodes need no text that is kept for operators: it is most of the bytes of a
-// route. The functions of this file leave it out of what nodes get.
+// Nodes do not use annotations, which are most of the bytes of a route. The functions of
+// this file remove them from what is sent to nodes.
 
-func (c Configuration) bare() Configuration {
-	c.Routes = bareRoutes(c.Routes)
-	c.Services = bareServices(c.Services)
+func (c Configuration) withoutAnnotations() Configuration {
+	c.Routes = routesWithoutAnnotations(c.Routes)
+	c.Services = servicesWithoutAnnotations(c.Services)
 	c.Annotation = nil
 	return c
 }
 
-func (e Edit) bare() Edit {
+func (e Edit) withoutAnnotations() Edit {
 	spans := make([]RouteSpan, 0, len(e.Spans))
 	for _, span := range e.Spans {
-		span.Insert = bareRoutes(span.Insert)
+		span.Insert = routesWithoutAnnotations(span.Insert)
 		spans = append(spans, span)
 	}
 	e.Spans = spans
-	e.Services = bareServices(e.Services)
+	e.Services = servicesWithoutAnnotations(e.Services)
 	e.Annotation = nil
 	return e
 }
 
-func bareRoutes(routes []Route) []Route {
+func routesWithoutAnnotations(routes []Route) []Route {
 	list := make([]Route, 0, len(routes))
 	for _, route := range routes {
 		route.Annotation = nil
@@ -31,7 +31,7 @@
 	return list
 }
 
-func bareServices(services []Service) []Service {
+func servicesWithoutAnnotations(services []Service) []Service {
 	list := make([]Service, 0, len(services))
 	for _, service := range services {
 		list = append(list, Service{Name: service.Name})
--- a/internal/directory/check.go
+++ b/internal/directory/check.go
@@ -6,37 +6,37 @@
 	"strings"
 )
 
-// Check collects every mistake that is found, so that one look at a file shows them
-// all. The zero value holds none.
+// Check collects all problems of a value, so that a user sees them in one run. The zero
+// value is empty and ready to use.
 type Check struct{ problems Problems }
 
-// Require notes a mistake unless a value is as it must be.
-func (c *Check) Require(right bool, field string, value any, reason string) {
-	if !right {
+// Require records a problem unless the value is valid.
+func (c *Check) Require(valid bool, field string, value any, reason string) {
+	if !valid {
 		c.Add(NewProblem(field, value, reason))
 	}
 }
 
-// Address notes a mistake when a value is no IP number with a port.
+// Address records a problem unless the value is an IP address with a port.
 func (c *Check) Address(field, value string) { c.Add(CheckAddress(field, value)) }
 
-// IP notes a mistake when a value is no IP number.
+// IP records a problem unless the value is an IP address.
 func (c *Check) IP(field, value string) {
 	_, err := netip.ParseAddr(value)
 	c.Require(err == nil, field, value, "must be an IP number")
 }
 
-// Add notes what another check returned. A field is named once: what follows from
-// its first mistake helps nobody.
+// Add records the problems in an error of another check. Only the first problem of a
+// field is kept, since later ones often follow from it.
 func (c *Check) Add(err error) {
 	for _, problem := range problemsOf(err) {
-		if !c.names(problem.Field) {
+		if !c.hasField(problem.Field) {
 			c.problems = append(c.problems, problem)
 		}
 	}
 }
 
-func (c *Check) names(field string) bool {
+func (c *Check) hasField(field string) bool {
 	for _, problem := range c.problems {
 		if problem.Field == field {
 			return true
@@ -45,7 +45,7 @@
 	return false
 }
 
-// Err returns Problems, or nil when no mistake was found.
+// Err returns the recorded Problems, or nil if there are none.
 func (c *Check) Err() error {
 	if len(c.problems) == 0 {
 		return nil
@@ -53,28 +53,29 @@
 	return c.problems
 }
 
-// problemsOf returns the mistakes in an error; one that is none becomes one.
+// problemsOf returns the problems in an error. An error of another type becomes a problem
+// of the field "unknown".
 func problemsOf(err error) Problems {
-	var many Problems
-	var one *Problem
+	var problems Problems
+	var problem *Problem
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &many):
-		return many
-	case errors.As(err, &one):
-		return Problems{one}
+	case errors.As(err, &problems):
+		return problems
+	case errors.As(err, &problem):
+		return Problems{problem}
 	default:
 		return Problems{{Field: "unknown", Reason: err.Error()}}
 	}
 }
 
-// Problems are several mistakes, in the order in which they were found.
+// Problems is a list of problems in the order in which they were found.
 type Problems []*Problem
 
 var _ error = Problems(nil)
 
-// Error returns one line a mistake.
+// Error returns one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for position, problem := range p {
@@ -83,7 +84,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns each mistake.
+// Unwrap returns the problems as separate errors.
 func (p Problems) Unwrap() []error {
 	errs := make([]error, len(p))
 	for position, problem := range p {
--- a/internal/directory/check_test.go
+++ b/internal/directory/check_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestACheckNamesEveryMistakeInOrder(t *testing.T) {
+func TestCheckCollectsAllProblems(t *testing.T) {
 	var check Check
 	require.NoError(t, check.Err())
 	check.Require(true, "name", "a", "must not be empty")
@@ -34,7 +34,7 @@
 	assert.Equal(t, "name", first.Field)
 }
 
-func TestACheckNamesAFieldOnce(t *testing.T) {
+func TestCheckReportsFieldOnce(t *testing.T) {
 	var check Check
 	check.Require(false, "ip", 5, "must be a text")
 	check.IP("ip", "")
--- a/internal/directory/codec.go
+++ b/internal/directory/codec.go
@@ -6,14 +6,14 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// The smallest encoded sizes in bytes, which bound list lengths when decoding.
+// Minimum encoded sizes in bytes, which limit the lengths of decoded lists.
 const (
-	smallestBackend = 8
-	smallestRoute   = 48
-	smallestService = 8
-	smallestMember  = 20
-	smallestSpan    = 12
-	identitySize    = 8
+	minBackendSize = 8
+	minRouteSize   = 48
+	minServiceSize = 8
+	minMemberSize  = 20
+	minSpanSize    = 12
+	identitySize   = 8
 )
 
 func encodeRoute(encoder *wire.Encoder, route Route) {
@@ -40,7 +40,7 @@
 		Urgency:   decoder.Uint8(),
 		Objective: time.Duration(decoder.Uint64()),
 	}
-	for count := decoder.Count(smallestBackend); count > 0; count-- {
+	for count := decoder.Count(minBackendSize); count > 0; count-- {
 		route.Backends = append(route.Backends, Backend{Service: decoder.String(), Weight: decoder.Uint32()})
 	}
 	route.Annotation = append([]byte(nil), decoder.Bytes()...)
@@ -56,7 +56,7 @@
 
 func decodeRoutes(decoder *wire.Decoder) []Route {
 	var routes []Route
-	for count := decoder.Count(smallestRoute); count > 0; count-- {
+	for count := decoder.Count(minRouteSize); count > 0; count-- {
 		routes = append(routes, decodeRoute(decoder))
 	}
 	return routes
@@ -72,7 +72,7 @@
 
 func decodeServices(decoder *wire.Decoder) []Service {
 	var services []Service
-	for count := decoder.Count(smallestService); count > 0; count-- {
+	for count := decoder.Count(minServiceSize); count > 0; count-- {
 		name := decoder.String()
 		services = append(services, Service{Name: name, Annotation: append([]byte(nil), decoder.Bytes()...)})
 	}
@@ -105,10 +105,9 @@
 	}
 }
 
-// encodeTargetDetails writes what only some targets have. Commands of targets without
-// it end before, as those of earlier programs do; a start follows a warm-up, which is
-// empty where the target has none, and a version follows a start.
-func encodeTargetDetails(encoder *wire.Encoder, target Target) {
+// encodeOptionalFields appends the warm-up, start time and version of a target, up to the
+// last one that is set. Without any of them the encoding is that of earlier releases.
+func encodeOptionalFields(encoder *wire.Encoder, target Target) {
 	if target.Warmup == nil && target.StartTime == 0 && target.Version == "" {
 		return
 	}
@@ -125,7 +124,7 @@
 	}
 }
 
-func decodeTargetDetails(decoder *wire.Decoder, target *Target) {
+func decodeOptionalFields(decoder *wire.Decoder, target *Target) {
 	if !decoder.HasMore() {
 		return
 	}
@@ -164,10 +163,10 @@
 	}
 }
 
-// DecodeMembers reads a list of members.
+// DecodeMembers decodes a list of members.
 func DecodeMembers(decoder *wire.Decoder) []Member {
 	var members []Member
-	for count := decoder.Count(smallestMember); count > 0; count-- {
+	for count := decoder.Count(minMemberSize); count > 0; count-- {
 		members = append(members, decodeMember(decoder))
 	}
 	return members
--- a/internal/directory/command.go
+++ b/internal/directory/command.go
@@ -5,27 +5,28 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// CommandKind tells what a command of the replicated log does.
+// CommandKind is the type of a command in the replicated log.
 type CommandKind uint8
 
-// The kinds of commands. All may be repeated without harm.
+// The kinds of commands. All of them are safe to apply more than once.
 const (
 	// CommandPublish edits the configuration.
 	CommandPublish CommandKind = iota + 1
-	// CommandPutTarget registers a target, or moves a known one to a later stage.
+	// CommandPutTarget registers a target, or moves a registered one to a later state.
 	CommandPutTarget
-	// CommandEndTarget notes that the target named by its ID ends.
+	// CommandEndTarget marks the target with the given ID as leaving or ended.
 	CommandEndTarget
-	// CommandAddMember adds a control member under the next free number.
+	// CommandAddMember adds a control member with the next free ID.
 	CommandAddMember
 	// CommandRemoveMember removes a control member.
 	CommandRemoveMember
-	// CommandEvacuate begins or ends the evacuation of a zone.
+	// CommandEvacuate starts or ends the evacuation of a zone.
 	CommandEvacuate
-	// CommandOrderTarget says whether a target is judged, ejected or exempt.
+	// CommandOrderTarget sets the operator's rule for a target: judged, ejected or
+	// exempt.
 	CommandOrderTarget
-	// CommandOrderVersion says whether a version of a service is judged, held or
-	// released.
+	// CommandOrderVersion sets the operator's rule for a version of a service: judged,
+	// held or released.
 	CommandOrderVersion
 )
 
@@ -42,7 +43,7 @@
 	VersionOrder VersionOrder
 }
 
-// EncodeCommand returns the bytes of a command for the log.
+// EncodeCommand encodes a command for the log.
 func EncodeCommand(command Command) []byte {
 	var encoder wire.Encoder
 	encoder.Uint8(uint8(command.Kind))
@@ -51,7 +52,7 @@
 		encodeEdit(&encoder, command.Edit)
 	case CommandPutTarget, CommandEndTarget:
 		encodeTarget(&encoder, command.Target)
-		encodeTargetDetails(&encoder, command.Target)
+		encodeOptionalFields(&encoder, command.Target)
 	case CommandAddMember, CommandRemoveMember:
 		encodeMember(&encoder, command.Member)
 	case CommandEvacuate:
@@ -64,7 +65,7 @@
 	return encoder.Buffer
 }
 
-// DecodeCommand reads a command from the log.
+// DecodeCommand decodes a command from the log.
 func DecodeCommand(data []byte) (Command, error) {
 	const step = "directory.decode_command"
 	decoder := wire.NewDecoder(data)
@@ -74,7 +75,7 @@
 		command.Edit = decodeEdit(decoder)
 	case CommandPutTarget, CommandEndTarget:
 		command.Target = decodeTarget(decoder)
-		decodeTargetDetails(decoder, &command.Target)
+		decodeOptionalFields(decoder, &command.Target)
 	case CommandAddMember, CommandRemoveMember:
 		command.Member = decodeMember(decoder)
 	case CommandEvacuate:
@@ -89,28 +90,28 @@
 	return command, decoder.Err(step)
 }
 
-// Code is the outcome of a command.
+// Code is the result code of a command.
 type Code uint8
 
-// The outcomes of a command.
+// The result codes of commands.
 const (
-	// CodeDone means that the command is part of the state, also when the
-	// state already held what it asks for.
+	// CodeDone means that the state reflects the command, also if it did so before.
 	CodeDone Code = iota
-	// CodeConflict means that another edit or order came first; nothing was changed.
+	// CodeConflict means that another edit or order was applied first; the state is
+	// unchanged.
 	CodeConflict
-	// CodeNotFound means that the target is not registered, or that the version has no
-	// targets; nothing was changed.
+	// CodeNotFound means that the target is not registered, the version has no live
+	// targets or the rule does not exist; the state is unchanged.
 	CodeNotFound
-	// CodeAddressInUse means that the target's address is that of another one that was heard
-	// lately; nothing was changed.
+	// CodeAddressInUse means that the address belongs to another target that was heard
+	// from recently; the state is unchanged.
 	CodeAddressInUse
-	// CodeOutdated means that the word is that of a start of the target that a later
-	// one has replaced; nothing was changed.
+	// CodeOutdated means that the command refers to a start that a later start has
+	// replaced; the state is unchanged.
 	CodeOutdated
 )
 
-// Result is the outcome of a command.
+// Result is the result of a command.
 type Result struct {
 	Code Code
 	// Revision is the log position of the command.
--- a/internal/directory/edit.go
+++ b/internal/directory/edit.go
@@ -7,17 +7,16 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// RouteSpan is one step of an Edit: first Count routes of the base are kept,
-// beginning at From, then Insert follows.
+// RouteSpan is one step of an Edit: it copies Count routes of the base, starting at
+// position From, and then appends the routes in Insert.
 type RouteSpan struct {
 	From   uint32
 	Count  uint32
 	Insert []Route
 }
 
-// Edit turns the configuration of version Base into that of version Version.
-// Only what changed is carried: a storm of changes to a large configuration
-// stays cheap on the wire and on the disk.
+// Edit turns the configuration of version Base into that of version Version. It holds
+// only the changed routes, which keeps updates of large configurations small.
 type Edit struct {
 	Base        uint64
 	Version     uint64
@@ -51,7 +50,7 @@
 	return edit
 }
 
-// keep extends the last span by a route of the base, or begins another one.
+// keep copies a route of the base: it extends the last span or starts another one.
 func (e *Edit) keep(position uint32) {
 	if last := len(e.Spans) - 1; last >= 0 {
 		span := &e.Spans[last]
@@ -71,8 +70,7 @@
 	last.Insert = append(last.Insert, route)
 }
 
-// Apply returns the edited configuration, and false when the edit does not
-// fit the base.
+// Apply returns the edited configuration, or false if the edit does not match the base.
 func (e Edit) Apply(base Configuration) (Configuration, bool) {
 	if base.Version != e.Base {
 		return Configuration{}, false
@@ -115,7 +113,7 @@
 		Version:     decoder.Uint64(),
 		IdleTimeout: time.Duration(decoder.Uint64()),
 	}
-	for count := decoder.Count(smallestSpan); count > 0; count-- {
+	for count := decoder.Count(minSpanSize); count > 0; count-- {
 		span := RouteSpan{From: decoder.Uint32(), Count: decoder.Uint32()}
 		span.Insert = decodeRoutes(decoder)
 		edit.Spans = append(edit.Spans, span)
--- a/internal/directory/evacuation.go
+++ b/internal/directory/evacuation.go
@@ -7,20 +7,19 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Evacuation is an operator's order about a zone. While it is active, no new
-// flow goes to the targets of the zone; open flows stay where they are.
+// Evacuation is an operator's order for a zone. While it is active, the targets of the
+// zone receive no new flows; open flows stay on them.
 type Evacuation struct {
 	Zone   string
 	Active bool
-	// Revision is the log position of the order that made it so. In a command it is
-	// the one that the order was given on: an order that another one has overtaken
-	// changes nothing.
+	// Revision is the log position of the order. In a command it is the revision that the
+	// order is based on; if another order was applied since, the command is rejected.
 	Revision uint64
-	// Warmups are those of the zone's services, in an order that takes the zone back.
+	// Warmups holds the warm-ups of the zone's services if the order ends the evacuation.
 	Warmups []ServiceWarmup
 }
 
-// Warmup returns the warm-up of a service's targets since the zone was taken back.
+// Warmup returns the warm-up of a service's targets after the evacuation.
 func (e Evacuation) Warmup(service string) (Warmup, bool) {
 	for _, known := range e.Warmups {
 		if known.Service == service {
@@ -30,12 +29,10 @@
 	return Warmup{}, false
 }
 
-// Evacuation returns what was last ordered about a zone; all is zero where
-// nothing was.
+// Evacuation returns the last order for a zone, or the zero value if there is none.
 func (s *State) Evacuation(zone string) Evacuation { return s.evacuations[zone] }
 
-// Evacuations returns what was last ordered about each zone, in the order of the
-// zones' names.
+// Evacuations returns the last order for each zone, sorted by zone.
 func (s *State) Evacuations() []Evacuation {
 	list := make([]Evacuation, 0, len(s.evacuations))
 	for _, zone := range slices.Sorted(maps.Keys(s.evacuations)) {
@@ -44,8 +41,7 @@
 	return list
 }
 
-// HasZone reports whether a target that has not ended, or a member, stands in a
-// zone.
+// HasZone reports whether a zone has a member or a target that has not ended.
 func (s *State) HasZone(zone string) bool {
 	for _, target := range s.targets {
 		if target.Zone == zone && target.State != TargetEnded {
@@ -60,9 +56,9 @@
 	return false
 }
 
-// evacuate carries out an order. One that asks for what holds already is done. One
-// that was given before the newest order about its zone is refused: a copy that was
-// held up on its way would undo what was ordered since.
+// evacuate applies an order. An order that matches the current state has no effect. An
+// order based on an older revision is rejected, since a delayed duplicate would undo a
+// later order.
 func (s *State) evacuate(position uint64, order Evacuation) Code {
 	known := s.evacuations[order.Zone]
 	if known.Active == order.Active {
@@ -78,9 +74,8 @@
 	return CodeDone
 }
 
-// smallestEvacuation is the encoded size in bytes of an evacuation of a zone
-// without a name.
-const smallestEvacuation = 17
+// minEvacuationSize is the minimum encoded size of an evacuation in bytes.
+const minEvacuationSize = 17
 
 func encodeEvacuation(encoder *wire.Encoder, evacuation Evacuation) {
 	encoder.String(evacuation.Zone)
@@ -104,7 +99,7 @@
 
 func decodeEvacuations(decoder *wire.Decoder) []Evacuation {
 	var evacuations []Evacuation
-	for count := decoder.Count(smallestEvacuation); count > 0; count-- {
+	for count := decoder.Count(minEvacuationSize); count > 0; count-- {
 		evacuations = append(evacuations, decodeEvacuation(decoder))
 	}
 	return evacuations
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -13,20 +13,20 @@
 	return Command{Kind: CommandEvacuate, Evacuation: Evacuation{Zone: zone, Active: active, Revision: base}}
 }
 
-func TestOrdersAboutAZone(t *testing.T) {
+func TestEvacuationOrders(t *testing.T) {
 	cases := []struct {
 		name   string
 		orders []Command
 		codes  []Code
 		active bool
 	}{
-		{"begun", []Command{evacuate("a", true, 0)}, []Code{CodeDone}, true},
-		{"begun twice", []Command{evacuate("a", true, 0), evacuate("a", true, 0)}, []Code{CodeDone, CodeDone}, true},
-		{"begun and ended", []Command{evacuate("a", true, 0), evacuate("a", false, 1)}, []Code{CodeDone, CodeDone}, false},
-		{"ended and never begun", []Command{evacuate("a", false, 0)}, []Code{CodeDone}, false},
-		{"a late copy of the beginning", []Command{evacuate("a", true, 0), evacuate("a", false, 1), evacuate("a", true, 0)},
+		{"started", []Command{evacuate("a", true, 0)}, []Code{CodeDone}, true},
+		{"started twice", []Command{evacuate("a", true, 0), evacuate("a", true, 0)}, []Code{CodeDone, CodeDone}, true},
+		{"started and ended", []Command{evacuate("a", true, 0), evacuate("a", false, 1)}, []Code{CodeDone, CodeDone}, false},
+		{"ended without a start", []Command{evacuate("a", false, 0)}, []Code{CodeDone}, false},
+		{"delayed duplicate of the start", []Command{evacuate("a", true, 0), evacuate("a", false, 1), evacuate("a", true, 0)},
 			[]Code{CodeDone, CodeDone, CodeConflict}, false},
-		{"a late copy of the end", []Command{evacuate("a", true, 0), evacuate("a", false, 1), evacuate("a", true, 2), evacuate("a", false, 1)},
+		{"delayed duplicate of the end", []Command{evacuate("a", true, 0), evacuate("a", false, 1), evacuate("a", true, 2), evacuate("a", false, 1)},
 			[]Code{CodeDone, CodeDone, CodeDone, CodeConflict}, true},
 		{"another zone", []Command{evacuate("b", true, 0), evacuate("b", false, 1)}, []Code{CodeDone, CodeDone}, false},
 	}
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestUpdatesAndSnapshotsCarryEvacuations(t *testing.T) {
+func TestUpdatesAndSnapshotsIncludeEvacuations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		held := map[string]bool{}
@@ -71,13 +71,12 @@
 	})
 }
 
-// A member that starts with the snapshot of a version that knew no evacuations has
-// none.
-func TestASnapshotWithoutEvacuationsIsRead(t *testing.T) {
+// Earlier releases wrote snapshots without evacuations or target orders.
+func TestDecodeSnapshotWithoutEvacuations(t *testing.T) {
 	s := New()
 	s.Apply(1, register("a", "10.0.0.1:1", TargetReady))
 	data := s.Encode()
-	// The lists of evacuations and of orders about targets are the last ones.
+	// The lists of evacuations and target orders are the last ones.
 	const emptyList = 4
 	for _, missing := range []int{emptyList, 2 * emptyList} {
 		restored, err := Decode(data[:len(data)-missing])
--- a/internal/directory/model.go
+++ b/internal/directory/model.go
@@ -1,7 +1,7 @@
-// Package directory provides the replicated state that token-routed nodes
-// share: the configuration with the highest version, the registered targets
-// and the control members. It is deterministic: the same commands at the same
-// log positions give the same state on every member.
+// Package directory provides the replicated state that token-routed nodes share: the
+// configuration with the highest version, the registered targets and the control members.
+// It is deterministic: the same commands at the same log positions produce the same state
+// on every member.
 package directory
 
 import (
@@ -12,30 +12,29 @@
 	"time"
 )
 
-// Backend is one service that a route sends new flows to.
+// Backend is a service that receives new flows of a route.
 type Backend struct {
 	Service string
-	// Weight is the share of new flows in relation to the other back ends.
+	// Weight is the share of new flows relative to the other backends of the route.
 	Weight uint32
 }
 
-// Route tells where the new flows of one virtual address go.
+// Route maps a virtual address to the services that receive its new flows.
 type Route struct {
 	Name string
-	// Address is the virtual address and port that callers name.
+	// Address is the virtual address and port that callers send to.
 	Address  netip.AddrPort
 	Backends []Backend
 	Timeout  time.Duration
-	// Kind tells whether the requests of the route may be repeated, and which way
-	// their bytes mostly go.
+	// Kind states whether requests may be repeated and in which direction most bytes
+	// flow.
 	Kind RouteKind
-	// Urgency orders the routes when a node or a link can't carry all of them; 0 is
-	// the most urgent one.
+	// Urgency is the priority of the route when a node or a link is overloaded; 0 is the
+	// highest.
 	Urgency uint8
-	// Objective is the time within which the answer is of full use to the caller; 0
-	// states none.
+	// Objective is the response time objective of the route; 0 means none.
 	Objective time.Duration
-	// Annotation is text of the operator that is kept and returned unchanged.
+	// Annotation is operator-defined text that is stored and returned unchanged.
 	Annotation []byte
 }
 
@@ -52,14 +51,15 @@
 	Annotation []byte
 }
 
-// Configuration is what operators submit as a whole. The highest version holds.
+// Configuration is the complete set of routes and services that an operator submits. The
+// highest version is in effect.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
 	Services []Service
-	// IdleTimeout is how long a flow may rest before it may be forgotten.
+	// IdleTimeout is the time after which the state of an idle flow may be dropped.
 	IdleTimeout time.Duration
-	// Annotation is text of the operator that is kept and returned unchanged.
+	// Annotation is operator-defined text that is stored and returned unchanged.
 	Annotation []byte
 }
 
@@ -78,23 +78,23 @@
 	return slices.ContainsFunc(c.Services, func(service Service) bool { return service.Name == name })
 }
 
-// TargetState is the stage of a target's life.
+// TargetState is the lifecycle state of a target.
 type TargetState uint8
 
-// The stages of a target's life, in order; a target never goes back.
+// The lifecycle states in order; a target never returns to an earlier one.
 const (
-	// TargetReady takes new flows.
+	// TargetReady accepts new flows.
 	TargetReady TargetState = iota + 1
-	// TargetDraining keeps its flows and takes no new ones.
+	// TargetDraining keeps its open flows and accepts no new ones.
 	TargetDraining
-	// TargetLeaving has said that it ends without draining first: it keeps
-	// its flows for a time that it does not tell and takes no new ones.
+	// TargetLeaving has announced its end without draining: it accepts no new flows and
+	// keeps the open ones for an unknown time.
 	TargetLeaving
-	// TargetEnded has no flows any more: what still comes for it can be reset.
+	// TargetEnded has no flows left; packets for it may be answered with a reset.
 	TargetEnded
 )
 
-// String returns the stage in lower case.
+// String returns the state in lower case.
 func (s TargetState) String() string {
 	names := [...]string{"unknown", "ready", "draining", "leaving", "ended"}
 	if int(s) >= len(names) {
@@ -103,39 +103,39 @@
 	return names[s]
 }
 
-// Token names one incarnation of a target inside packets. Zero names none.
+// Token identifies one start of a target inside packets. Zero is not a valid token.
 type Token uint32
 
-// Target is one incarnation of a back end: one start of its process.
+// Target is one start of a backend process.
 type Target struct {
-	// ID is the name that the target gave itself, and Born when it started in Unix
-	// milliseconds; see Start.
+	// ID is the name that the target chose, and StartTime is when its process started, in
+	// Unix milliseconds; see Start.
 	ID        string
 	StartTime uint64
-	// Number is the target's number in forwarded packets.
+	// Number identifies the target in forwarded packets.
 	Number  uint64
 	Token   Token
 	Service string
 	Zone    string
 	Address netip.AddrPort
-	// Slots is the number of requests that the target works on at once.
+	// Slots is the number of requests that the target processes concurrently.
 	Slots uint32
 	State TargetState
-	// Revision is the log position of the target's last change.
+	// Revision is the log position of the last change of the target.
 	Revision uint64
-	// Warmup is set on a target that registered while it was cold.
+	// Warmup is set if the target was warming up when it registered.
 	Warmup *Warmup
-	// Version is that of the target's software as the target states it; empty where it
-	// states none. Nodes are not told.
+	// Version is the software version that the target reports, or empty. It is not sent
+	// to nodes.
 	Version string
 }
 
-// Member is a control member and where it is reached.
+// Member is a control member and its address.
 type Member struct {
 	ID uint32
-	// Identity is the random number of the member's data folder.
+	// Identity is the random ID of the member's data directory.
 	Identity uint64
-	// Address is where other members and nodes connect to.
+	// Address is the address that other members and nodes connect to.
 	Address string
 	Zone    string
 }
--- a/internal/directory/outcomes.go
+++ b/internal/directory/outcomes.go
@@ -7,17 +7,17 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Outcomes counts how exchanges with a target ended, as far as nodes can see it.
-// An exchange is data of a caller and what the target did with it.
+// Outcomes counts the results of exchanges with a target as observed by nodes. An
+// exchange is data of a caller and the target's answer to it.
 type Outcomes struct {
 	Token Token
-	// Answered ended as is usual for their route.
+	// Answered exchanges ended as usual for their route.
 	Answered uint32
-	// Unanswered carried data and ended, or fell quiet, with nothing answered.
+	// Unanswered exchanges ended or became idle without any answer to the caller's data.
 	Unanswered uint32
-	// Short ended with an answer far shorter than is usual for their route.
+	// Short exchanges ended with an answer far shorter than usual for their route.
 	Short uint32
-	// Slow took far longer to their first answer than is usual for their route.
+	// Slow exchanges took far longer than usual for their route until the first answer.
 	Slow uint32
 }
 
@@ -30,16 +30,15 @@
 	return o
 }
 
-// SortOutcomes orders counts by their targets.
+// SortOutcomes sorts counts by token.
 func SortOutcomes(list []Outcomes) {
 	slices.SortFunc(list, func(a, b Outcomes) int { return cmp.Compare(a.Token, b.Token) })
 }
 
-// smallestOutcomes is the encoded size of Outcomes in bytes when all counts are small.
-// A node reports some twenty targets a second of the services that it places flows on.
-const smallestOutcomes = 8
+// minOutcomesSize is the minimum encoded size of Outcomes in bytes.
+const minOutcomesSize = 8
 
-// EncodeOutcomes appends the counts of targets.
+// EncodeOutcomes appends a list of outcomes.
 func EncodeOutcomes(encoder *wire.Encoder, list []Outcomes) {
 	encoder.Uint32(uint32(len(list)))
 	for _, counted := range list {
@@ -51,10 +50,10 @@
 	}
 }
 
-// DecodeOutcomes reads the counts of targets.
+// DecodeOutcomes decodes a list of outcomes.
 func DecodeOutcomes(decoder *wire.Decoder) []Outcomes {
 	var list []Outcomes
-	for count := decoder.Count(smallestOutcomes); count > 0; count-- {
+	for count := decoder.Count(minOutcomesSize); count > 0; count-- {
 		list = append(list, Outcomes{
 			Token:      Token(decoder.Uint32()),
 			Answered:   decoder.CompactUint32(),
--- a/internal/directory/outcomes_test.go
+++ b/internal/directory/outcomes_test.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-func TestOutcomesSurviveTheWire(t *testing.T) {
+func TestOutcomesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list []Outcomes
 		count := rapid.Uint32Range(0, math.MaxUint32)
@@ -33,7 +33,7 @@
 	})
 }
 
-func TestOutcomesOfATargetAreEightBytes(t *testing.T) {
+func TestSmallOutcomesUseEightBytes(t *testing.T) {
 	var encoder wire.Encoder
 	EncodeOutcomes(&encoder, nil)
 	empty := len(encoder.Buffer)
@@ -42,7 +42,7 @@
 	assert.Equal(t, 8, len(encoder.Buffer)-empty)
 }
 
-func TestOutcomesCutShortAreRefused(t *testing.T) {
+func TestDecodeTruncatedOutcomes(t *testing.T) {
 	var encoder wire.Encoder
 	EncodeOutcomes(&encoder, []Outcomes{{Token: 7, Answered: 300}})
 	for size := range len(encoder.Buffer) {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestOutcomesAreAddedAndOrderedByTarget(t *testing.T) {
+func TestAddAndSortOutcomes(t *testing.T) {
 	sum := Outcomes{Token: 3, Answered: 1, Short: 2}.Add(Outcomes{Token: 3, Answered: 4, Unanswered: 5, Slow: 6})
 	assert.Equal(t, Outcomes{Token: 3, Answered: 5, Unanswered: 5, Short: 2, Slow: 6}, sum)
 	list := []Outcomes{{Token: 9}, {Token: 2}, {Token: 5}}
--- a/internal/directory/remembered.go
+++ b/internal/directory/remembered.go
@@ -2,28 +2,29 @@
 
 import "github.com/beamdoor/beamdoor/internal/wire"
 
-// Remembered is what the disk of a member tells a node while no member is current.
+// Remembered is the persisted state that a member sends to nodes while no member is
+// current.
 type Remembered struct {
-	// Targets are those that have not ended. The packets of their open flows can follow
-	// them; only those that are ready may get new flows.
+	// Targets are the targets that have not ended. Packets of open flows can be forwarded
+	// to them; only ready targets may receive new flows.
 	Targets []Target
-	// Configuration is the newest one that is known to be committed. Without one, of
-	// version 0, no new flow can be placed.
+	// Configuration is the newest one known to be committed. Version 0 means that there
+	// is none and no new flow can be placed.
 	Configuration Configuration
 }
 
-// EncodeRemembered returns the bytes of what a disk remembers, compressed when they are
-// many. Text that is kept for operators is left out.
+// EncodeRemembered encodes persisted state without annotations and compresses it if it is
+// large.
 func EncodeRemembered(remembered Remembered) []byte {
 	var encoder wire.Encoder
 	encodeTargets(&encoder, remembered.Targets)
 	if remembered.Configuration.Version > 0 {
-		encodeConfiguration(&encoder, remembered.Configuration.bare())
+		encodeConfiguration(&encoder, remembered.Configuration.withoutAnnotations())
 	}
 	return wire.Compress(encoder.Buffer)
 }
 
-// DecodeRemembered reads what a disk remembers.
+// DecodeRemembered decodes persisted state.
 func DecodeRemembered(data []byte) (Remembered, error) {
 	unpacked, err := wire.Decompress(data)
 	if err != nil {
@@ -31,7 +32,7 @@
 	}
 	decoder := wire.NewDecoder(unpacked)
 	remembered := Remembered{Targets: decodeTargets(decoder)}
-	// Members of versions that told targets alone end here.
+	// Members of earlier releases send targets only.
 	if decoder.HasMore() {
 		remembered.Configuration = decodeConfiguration(decoder)
 	}
--- a/internal/directory/routekind.go
+++ b/internal/directory/routekind.go
@@ -1,20 +1,19 @@
 package directory
 
-// RouteKind tells what the requests of a route are like.
+// RouteKind describes the requests of a route.
 type RouteKind uint8
 
 // The kinds of routes.
 const (
-	// RouteUnstated is a route whose kind was not stated. Its requests count as
-	// work that may not be repeated.
+	// RouteUnstated is the default. Requests are treated as not repeatable.
 	RouteUnstated RouteKind = iota
-	// RouteRepeatable holds requests that may run more than once.
+	// RouteRepeatable is for requests that may run more than once.
 	RouteRepeatable
-	// RouteOnce holds requests that may run at most once.
+	// RouteOnce is for requests that must run at most once.
 	RouteOnce
-	// RouteUpload holds requests with long bodies that may run at most once.
+	// RouteUpload is for requests with large bodies that must run at most once.
 	RouteUpload
-	// RouteDownload holds requests with long answers that may run more than once.
+	// RouteDownload is for requests with large answers that may run more than once.
 	RouteDownload
 	routeKindCount
 )
@@ -22,7 +21,7 @@
 // IsRepeatable reports whether the requests of a route may run more than once.
 func (k RouteKind) IsRepeatable() bool { return k == RouteRepeatable || k == RouteDownload }
 
-// String returns the kind as a word for logs and counters.
+// String returns the name of the kind for logs and metrics.
 func (k RouteKind) String() string {
 	names := [...]string{"unstated", "repeatable", "once", "upload", "download"}
 	if int(k) >= len(names) {
--- a/internal/directory/start_test.go
+++ b/internal/directory/start_test.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	firstBorn  = 1_790_000_000_000
-	secondBorn = firstBorn + 5_000
+	firstStart  = 1_790_000_000_000
+	secondStart = firstStart + 5_000
 )
 
-// run is a target that starts again under its ID.
-func run(born uint64, place, service, zone string, state TargetState) Target {
-	return Target{ID: "i-1", StartTime: born, Number: 1, Service: service, Zone: zone, Address: netip.MustParseAddrPort(place), Slots: 2, State: state}
+// restartableTarget returns a target that can restart under its ID.
+func restartableTarget(startTime uint64, address, service, zone string, state TargetState) Target {
+	return Target{ID: "i-1", StartTime: startTime, Number: 1, Service: service, Zone: zone, Address: netip.MustParseAddrPort(address), Slots: 2, State: state}
 }
 
-// A restart at any stage of the start before, at the same or another place, heard of
-// before or after late words of the earlier start, and with a snapshot in between.
-func TestALaterStartReplacesAnEarlierOneForGood(t *testing.T) {
-	stages := []TargetState{TargetReady, TargetDraining, TargetLeaving, TargetEnded}
+// Covers restarts in any state at the same or another address, delayed commands of the
+// earlier start, and a snapshot.
+func TestLaterStartReplacesEarlierStart(t *testing.T) {
+	states := []TargetState{TargetReady, TargetDraining, TargetLeaving, TargetEnded}
 	both := []bool{false, true}
-	for _, stage := range stages {
-		for _, born := range []uint64{0, firstBorn} {
+	for _, state := range states {
+		for _, startTime := range []uint64{0, firstStart} {
 			for _, moves := range both {
 				for _, changesService := range both {
 					for _, changesZone := range both {
-						for _, late := range stages {
-							name := fmt.Sprintf("%v, born %d, moves %v, service %v, zone %v, late %v", stage, born, moves, changesService, changesZone, late)
+						for _, delayedState := range states {
+							name := fmt.Sprintf("%v, start time %d, moves %v, service %v, zone %v, delayed %v", state, startTime, moves, changesService, changesZone, delayedState)
 							t.Run(name, func(t *testing.T) {
-								later := run(secondBorn, "10.0.0.1:1", "one", "north", TargetReady)
+								later := restartableTarget(secondStart, "10.0.0.1:1", "one", "north", TargetReady)
 								if moves {
 									later.Address = netip.MustParseAddrPort("10.0.0.2:1")
 								}
@@ -43,7 +43,7 @@
 								if changesZone {
 									later.Zone = "south"
 								}
-								checkReplaced(t, run(born, "10.0.0.1:1", "one", "north", stage), later, late)
+								checkReplaced(t, restartableTarget(startTime, "10.0.0.1:1", "one", "north", state), later, delayedState)
 							})
 						}
 					}
@@ -53,7 +53,7 @@
 	}
 }
 
-func checkReplaced(t *testing.T, earlier, later Target, late TargetState) {
+func checkReplaced(t *testing.T, earlier, later Target, delayedState TargetState) {
 	t.Helper()
 	s := New()
 	s.Apply(1, Command{Kind: CommandPutTarget, Target: earlier})
@@ -62,12 +62,12 @@
 	require.Equal(t, CodeDone, s.Apply(2, Command{Kind: CommandPutTarget, Target: later}).Code)
 	assertLatest(t, s, before, later)
 
-	earlier.State = late
+	earlier.State = delayedState
 	assert.Equal(t, CodeOutdated, s.Apply(3, Command{Kind: CommandPutTarget, Target: earlier}).Code)
-	assert.Equal(t, uint64(2), s.Revision(), "a late word changes nothing")
+	assert.Equal(t, uint64(2), s.Revision(), "a delayed registration changes nothing")
 	if earlier.StartTime > 0 {
 		assert.Equal(t, CodeDone, s.Apply(4, Command{Kind: CommandEndTarget, Target: earlier}).Code)
-		assert.Equal(t, uint64(2), s.Revision(), "nor does a late farewell")
+		assert.Equal(t, uint64(2), s.Revision(), "a delayed end changes nothing")
 	}
 	assertLatest(t, s, before, later)
 
@@ -79,18 +79,17 @@
 	assert.Equal(t, 1, restored.TargetCount())
 }
 
-// assertLatest checks that the later start serves and that flows of the one before are
-// known to be over.
+// assertLatest checks that the later start is registered and the earlier one has ended.
 func assertLatest(t *testing.T, s *State, before, later Target) {
 	t.Helper()
 	latest, known := s.Target("i-1")
 	require.True(t, known)
-	assert.NotEqual(t, before.Token, latest.Token, "flows of the one never reach the other")
+	assert.NotEqual(t, before.Token, latest.Token, "tokens of two starts must differ")
 	assert.Equal(t, []any{later.Start(), later.Address, later.Service, later.Zone, TargetReady},
 		[]any{latest.Start(), latest.Address, latest.Service, latest.Zone, latest.State})
-	over, known := s.TargetByToken(before.Token)
+	replaced, known := s.TargetByToken(before.Token)
 	require.True(t, known)
-	assert.Equal(t, TargetEnded, over.State)
+	assert.Equal(t, TargetEnded, replaced.State)
 	holder, _ := s.TargetByAddress(later.Address)
 	assert.Equal(t, later.Start(), holder.Start())
 	if holder, held := s.TargetByAddress(before.Address); held && before.Address != later.Address {
@@ -98,96 +97,95 @@
 	}
 }
 
-func TestTheOrderOfStarts(t *testing.T) {
-	at := func(born uint64) Start { return Start{ID: "i-1", StartTime: born} }
+func TestStartOrder(t *testing.T) {
+	at := func(startTime uint64) Start { return Start{ID: "i-1", StartTime: startTime} }
 	assert.True(t, at(1).IsBefore(at(2)))
 	assert.False(t, at(2).IsBefore(at(1)))
-	assert.False(t, at(2).IsBefore(at(2)), "the same millisecond is the same start")
-	assert.True(t, at(0).IsBefore(at(1)), "one that is not told comes first")
+	assert.False(t, at(2).IsBefore(at(2)), "equal start times are the same start")
+	assert.True(t, at(0).IsBefore(at(1)), "an unknown start time comes first")
 	assert.False(t, at(0).IsBefore(at(0)))
-	assert.False(t, at(1).IsBefore(Start{ID: "i-2", StartTime: 2}), "other targets have no order")
+	assert.False(t, at(1).IsBefore(Start{ID: "i-2", StartTime: 2}), "starts of different targets are not ordered")
 	assert.Error(t, at(MaxStartTime+1).Validate())
 	assert.NoError(t, at(MaxStartTime).Validate())
 }
 
-func TestAFarewellWithoutAStartEndsTheLatest(t *testing.T) {
+func TestEndWithoutStartTimeEndsLatestStart(t *testing.T) {
 	s := New()
-	s.Apply(1, Command{Kind: CommandPutTarget, Target: run(firstBorn, "10.0.0.1:1", "one", "north", TargetReady)})
-	s.Apply(2, Command{Kind: CommandPutTarget, Target: run(secondBorn, "10.0.0.1:1", "one", "north", TargetDraining)})
+	s.Apply(1, Command{Kind: CommandPutTarget, Target: restartableTarget(firstStart, "10.0.0.1:1", "one", "north", TargetReady)})
+	s.Apply(2, Command{Kind: CommandPutTarget, Target: restartableTarget(secondStart, "10.0.0.1:1", "one", "north", TargetDraining)})
 	assert.Equal(t, CodeDone, s.Apply(3, end("i-1")).Code)
 	latest, _ := s.Target("i-1")
 	assert.Equal(t, TargetEnded, latest.State)
 }
 
-func TestAFarewellOfAStartThatNeverRegisteredEndsTheOneBefore(t *testing.T) {
+func TestEndOfUnregisteredStartEndsEarlierStart(t *testing.T) {
 	s := New()
-	s.Apply(1, Command{Kind: CommandPutTarget, Target: run(firstBorn, "10.0.0.1:1", "one", "north", TargetReady)})
-	assert.Equal(t, CodeDone, s.Apply(2, Command{Kind: CommandEndTarget, Target: Target{ID: "i-1", StartTime: secondBorn}}).Code)
+	s.Apply(1, Command{Kind: CommandPutTarget, Target: restartableTarget(firstStart, "10.0.0.1:1", "one", "north", TargetReady)})
+	assert.Equal(t, CodeDone, s.Apply(2, Command{Kind: CommandEndTarget, Target: Target{ID: "i-1", StartTime: secondStart}}).Code)
 	latest, _ := s.Target("i-1")
 	assert.Equal(t, TargetEnded, latest.State)
 }
 
-// A release of a large fleet ends more targets than the least that are remembered: all
-// of them are, and none beyond, also after a snapshot.
-func TestAsManyEndedTargetsAreRememberedAsLive(t *testing.T) {
-	const living = 2 * endedLimit
+// A rolling update of a large fleet ends more targets than minEndedLimit.
+func TestEndedLimitGrowsWithLiveTargets(t *testing.T) {
+	const live = 2 * minEndedLimit
 	s := New()
 	position := uint64(0)
 	apply := func(command Command) {
 		position++
 		s.Apply(position, command)
 	}
-	place := func(number int) string { return fmt.Sprintf("10.%d.%d.%d:1", number>>16, number>>8&255, number&255) }
-	for number := range living {
-		apply(register(fmt.Sprint("t", number), place(number), TargetReady))
+	address := func(number int) string { return fmt.Sprintf("10.%d.%d.%d:1", number>>16, number>>8&255, number&255) }
+	for number := range live {
+		apply(register(fmt.Sprint("t", number), address(number), TargetReady))
 	}
-	for number := range living + 10 {
-		apply(register(fmt.Sprint("n", number), place(number%living), TargetReady))
+	for number := range live + 10 {
+		apply(register(fmt.Sprint("n", number), address(number%live), TargetReady))
 	}
-	assert.Equal(t, living, s.TargetCount())
-	// The one that was replaced last had ended before its successor lived.
-	assert.Equal(t, 2*living-1, len(s.tokens))
+	assert.Equal(t, live, s.TargetCount())
+	// The last replaced target ended before its successor was counted as live.
+	assert.Equal(t, 2*live-1, len(s.tokens))
 	_, known := s.Target("t10")
-	assert.False(t, known, "the oldest ones")
+	assert.False(t, known, "the oldest ones are removed")
 	_, known = s.Target("t11")
 	assert.True(t, known)
 	restored, err := Decode(s.Encode())
 	require.NoError(t, err)
 	assert.Equal(t, s.Targets(), restored.Targets())
 	position++
-	next := register("last", place(0), TargetReady)
+	next := register("last", address(0), TargetReady)
 	s.Apply(position, next)
 	restored.Apply(position, next)
-	assert.Equal(t, s.Targets(), restored.Targets(), "both forget the same")
+	assert.Equal(t, s.Targets(), restored.Targets(), "both remove the same targets")
 }
 
-// registered is what the oracle knows of the latest start of a target.
-type registered struct {
-	born    uint64
-	state   TargetState
-	address netip.AddrPort
+// expectedTarget is the expected state of the latest start of a target.
+type expectedTarget struct {
+	startTime uint64
+	state     TargetState
+	address   netip.AddrPort
 }
 
-// TestStartsAgainstAnOracle plays words of targets that start again, in any order, with
-// snapshots, beside a node that follows by updates.
-func TestStartsAgainstAnOracle(t *testing.T) {
+// Compares random registrations and ends, with snapshots and updates to a node, to a
+// simple model.
+func TestStartsAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
-		latest := map[string]registered{}
+		latest := map[string]expectedTarget{}
 		node := map[Token]Target{}
 		nodeAt := uint64(0)
 		for position := uint64(1); position < 60; position++ {
-			word := drawWord(t)
-			command := Command{Kind: CommandPutTarget, Target: word}
-			leaves := rapid.IntRange(0, 5).Draw(t, "leaves") == 0
-			if leaves {
+			target := drawTarget(t)
+			command := Command{Kind: CommandPutTarget, Target: target}
+			ends := rapid.IntRange(0, 5).Draw(t, "ends") == 0
+			if ends {
 				command.Kind = CommandEndTarget
 			}
 			decoded, err := DecodeCommand(EncodeCommand(command))
 			require.NoError(t, err)
 			require.Equal(t, command, decoded)
 			s.Apply(position, decoded)
-			expect(latest, word, leaves)
+			applyToModel(latest, target, ends)
 			if rapid.IntRange(0, 7).Draw(t, "snapshot") == 0 {
 				s, err = Decode(s.Encode())
 				require.NoError(t, err)
@@ -201,16 +199,16 @@
 				nodeAt = update.Revision
 				checkNode(t, s, node)
 			}
-			checkOracle(t, s, latest)
+			checkState(t, s, latest)
 		}
 	})
 }
 
-func drawWord(t *rapid.T) Target {
+func drawTarget(t *rapid.T) Target {
 	number := rapid.IntRange(1, 3).Draw(t, "target")
 	target := Target{
 		ID:        fmt.Sprint("i-", number),
-		StartTime: rapid.Uint64Range(0, 3).Draw(t, "born"),
+		StartTime: rapid.Uint64Range(0, 3).Draw(t, "start time"),
 		Number:    uint64(number),
 		Service:   rapid.SampledFrom([]string{"one", "two"}).Draw(t, "service"),
 		Zone:      rapid.SampledFrom([]string{"north", "south"}).Draw(t, "zone"),
@@ -224,44 +222,44 @@
 	return target
 }
 
-// expect lets the oracle take a word.
-func expect(latest map[string]registered, word Target, leaves bool) {
-	known, exists := latest[word.ID]
+// applyToModel applies a command to the model.
+func applyToModel(latest map[string]expectedTarget, target Target, ends bool) {
+	known, exists := latest[target.ID]
 	switch {
-	case leaves && !exists, leaves && word.StartTime > 0 && word.StartTime < known.born, !leaves && exists && word.StartTime < known.born:
+	case ends && !exists, ends && target.StartTime > 0 && target.StartTime < known.startTime, !ends && exists && target.StartTime < known.startTime:
 		return
-	case leaves:
-		if known.state == TargetDraining || word.StartTime > known.born {
+	case ends:
+		if known.state == TargetDraining || target.StartTime > known.startTime {
 			known.state = TargetEnded
 		}
 		known.state = max(known.state, TargetLeaving)
-	case exists && word.StartTime == known.born:
-		known.state = max(known.state, word.State)
+	case exists && target.StartTime == known.startTime:
+		known.state = max(known.state, target.State)
 	default:
-		known = registered{born: word.StartTime, state: word.State, address: word.Address}
+		known = expectedTarget{startTime: target.StartTime, state: target.State, address: target.Address}
 		for id, other := range latest {
-			if other.address == word.Address {
+			if other.address == target.Address {
 				other.state = TargetEnded
 				latest[id] = other
 			}
 		}
 	}
-	latest[word.ID] = known
+	latest[target.ID] = known
 }
 
-func checkOracle(t *rapid.T, s *State, latest map[string]registered) {
+func checkState(t *rapid.T, s *State, latest map[string]expectedTarget) {
 	tokens := map[Token]bool{}
 	for _, target := range s.Targets() {
 		require.False(t, tokens[target.Token], "two starts share a token")
 		tokens[target.Token] = true
-		if target.StartTime < latest[target.ID].born {
-			require.Equal(t, TargetEnded, target.State, "an earlier start lives")
+		if target.StartTime < latest[target.ID].startTime {
+			require.Equal(t, TargetEnded, target.State, "an earlier start has not ended")
 		}
 	}
 	for id, want := range latest {
 		target, known := s.Target(id)
 		require.True(t, known)
-		require.Equal(t, []any{want.born, want.state, want.address}, []any{target.StartTime, target.State, target.Address}, id)
+		require.Equal(t, []any{want.startTime, want.state, want.address}, []any{target.StartTime, target.State, target.Address}, id)
 	}
 }
 
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -12,59 +12,58 @@
 )
 
 const (
-	// endedLimit is the least number of ended targets that are remembered.
-	endedLimit = 4096
-	// editLimit is the number of edits kept for nodes that are behind.
+	// minEndedLimit is the minimum number of ended targets to keep.
+	minEndedLimit = 4096
+	// editLimit is the number of edits kept for nodes with an older configuration.
 	editLimit = 64
 )
 
-// keptEdit is an edit and the log position at which it took effect.
-type keptEdit struct {
+// appliedEdit is an edit and the log position at which it was applied.
+type appliedEdit struct {
 	revision uint64
 	edit     Edit
 }
 
-// change is a target at the log position of one of its changes.
+// change records that a target changed at a log position.
 type change struct {
 	revision uint64
 	target   *Target
 }
 
-// isLatest reports whether the target has not changed again.
+// isLatest reports whether the target has not changed since.
 func (c change) isLatest() bool { return c.target.Revision == c.revision }
 
-// State is the replicated state. One goroutine owns it.
+// State is the replicated state. It is not safe for concurrent use.
 type State struct {
 	revision       uint64
 	configuration  Configuration
 	configRevision uint64
-	edits          []keptEdit
-	// targets holds the latest start of each target by its ID, and tokens all starts
-	// that are remembered.
+	edits          []appliedEdit
+	// targets holds the latest start of each target by ID, and tokens all known starts.
 	targets map[string]*Target
 	tokens  map[Token]*Target
-	// addresses holds the target that was registered last at each address.
+	// addresses holds the last target registered at each address.
 	addresses map[netip.AddrPort]*Target
-	// changes holds each target at its last change, and some that have changed
-	// again since, in the order of revisions.
+	// changes holds the last change of each target and some outdated changes, sorted by
+	// revision.
 	changes []change
-	// ended are the targets that have ended, in the order of their ends.
+	// ended holds the ended targets, oldest first.
 	ended   []*Target
 	members map[uint32]Member
-	// removed are the identities of members that were removed.
+	// removed holds the identities of removed members.
 	removed        []uint64
 	memberRevision uint64
 	highestMember  uint32
-	// evacuations holds what was last ordered about each zone. It never shrinks.
+	// evacuations holds the last order for each zone. Entries are never removed.
 	evacuations        map[string]Evacuation
 	evacuationRevision uint64
-	// targetOrders holds what was last ordered about each target that has not ended.
+	// targetOrders holds the last order for each target that has not ended.
 	targetOrders map[string]TargetOrder
-	// versionOrders holds what was last ordered about each version that has targets.
+	// versionOrders holds the last order for each version with live targets.
 	versionOrders map[ServiceVersion]VersionOrder
 }
 
-// New returns the empty state.
+// New returns an empty state.
 func New() *State {
 	return &State{
 		targets: map[string]*Target{},
@@ -84,10 +83,10 @@
 // Revision returns the log position of the last change.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Configuration returns the configuration that holds. Version 0 means none.
+// Configuration returns the current configuration. Version 0 means none.
 func (s *State) Configuration() Configuration { return s.configuration }
 
-// Target returns the latest start of a target by its ID.
+// Target returns the latest start of the target with the given ID.
 func (s *State) Target(id string) (Target, bool) {
 	target, known := s.targets[id]
 	if !known {
@@ -96,7 +95,7 @@
 	return *target, true
 }
 
-// TargetByToken returns the target that a token names.
+// TargetByToken returns the target with the given token.
 func (s *State) TargetByToken(token Token) (Target, bool) {
 	target, known := s.tokens[token]
 	if !known {
@@ -105,7 +104,7 @@
 	return *target, true
 }
 
-// Targets returns all remembered targets in the order of their IDs and starts.
+// Targets returns all known targets, including ended ones, sorted by ID and start time.
 func (s *State) Targets() []Target {
 	list := make([]Target, 0, len(s.tokens))
 	for _, target := range s.tokens {
@@ -117,14 +116,14 @@
 	return list
 }
 
-// EachTarget calls a function for all remembered targets, in no fixed order.
+// EachTarget calls a function for each known target in unspecified order.
 func (s *State) EachTarget(visit func(target *Target)) {
 	for _, target := range s.tokens {
 		visit(target)
 	}
 }
 
-// Members returns the control members in the order of their numbers.
+// Members returns the control members, sorted by ID.
 func (s *State) Members() []Member {
 	list := make([]Member, 0, len(s.members))
 	for _, id := range slices.Sorted(maps.Keys(s.members)) {
@@ -133,7 +132,7 @@
 	return list
 }
 
-// Member returns a control member by its number.
+// Member returns the control member with the given ID.
 func (s *State) Member(id uint32) (Member, bool) {
 	member, known := s.members[id]
 	return member, known
@@ -142,7 +141,7 @@
 // MemberRevision returns the log position at which the members last changed.
 func (s *State) MemberRevision() uint64 { return s.memberRevision }
 
-// MemberByIdentity returns the control member with a data folder's identity.
+// MemberByIdentity returns the control member with the given data directory identity.
 func (s *State) MemberByIdentity(identity uint64) (Member, bool) {
 	for _, member := range s.Members() {
 		if member.Identity == identity {
@@ -152,11 +151,11 @@
 	return Member{}, false
 }
 
-// WasRemoved reports whether the member with a data folder's identity was
-// removed from the group.
+// WasRemoved reports whether the member with the given identity was removed from the
+// group.
 func (s *State) WasRemoved(identity uint64) bool { return slices.Contains(s.removed, identity) }
 
-// Apply runs one command at its position in the log.
+// Apply applies the command at a log position.
 func (s *State) Apply(position uint64, command Command) Result {
 	result := Result{Revision: position}
 	switch command.Kind {
@@ -180,8 +179,8 @@
 	return result
 }
 
-// publish puts an edit in force. A version that is not above the one that
-// holds changes nothing and still counts as done.
+// publish applies an edit. An edit to a version that is not newer than the current one
+// has no effect and returns CodeDone.
 func (s *State) publish(position uint64, edit Edit) Code {
 	if edit.Version <= s.configuration.Version {
 		return CodeDone
@@ -193,47 +192,47 @@
 	s.configuration = next
 	s.configRevision = position
 	s.revision = position
-	s.edits = append(s.edits, keptEdit{revision: position, edit: edit})
+	s.edits = append(s.edits, appliedEdit{revision: position, edit: edit})
 	if len(s.edits) > editLimit {
 		s.edits = slices.Clone(s.edits[1:])
 	}
 	return CodeDone
 }
 
-// putTarget registers a target or moves it on to a later stage. A later start of the
-// target, or a new target at its address, shows that the one before has ended.
-func (s *State) putTarget(position uint64, offered Target) Code {
-	known, exists := s.targets[offered.ID]
+// putTarget registers a target or moves it to a later state. A later start of the target
+// or a new target at its address ends the previous one.
+func (s *State) putTarget(position uint64, registration Target) Code {
+	known, exists := s.targets[registration.ID]
 	switch {
 	case !exists:
-	case offered.Start().IsBefore(known.Start()):
+	case registration.Start().IsBefore(known.Start()):
 		return CodeOutdated
-	case known.Start().IsBefore(offered.Start()):
+	case known.Start().IsBefore(registration.Start()):
 		s.advance(position, known, TargetEnded)
 	default:
-		s.advance(position, known, offered.State)
+		s.advance(position, known, registration.State)
 		return CodeDone
 	}
-	if other, taken := s.addresses[offered.Address]; taken {
+	if other, taken := s.addresses[registration.Address]; taken {
 		s.advance(position, other, TargetEnded)
 	}
-	s.register(position, offered)
+	s.register(position, registration)
 	return CodeDone
 }
 
-// register enters a start of a target that is not known yet.
+// register adds a start of a target that is not known yet.
 func (s *State) register(position uint64, target Target) {
-	target.Token = s.freeToken(target.Start())
+	target.Token = s.allocateToken(target.Start())
 	s.targets[target.ID] = &target
 	s.tokens[target.Token] = &target
 	s.addresses[target.Address] = &target
-	s.noteChange(position, &target)
+	s.recordChange(position, &target)
 	if target.State == TargetEnded {
-		s.rememberEnded(&target)
+		s.recordEnded(&target)
 	}
 }
 
-// TargetByAddress returns the target that registered last at an address.
+// TargetByAddress returns the last target registered at an address.
 func (s *State) TargetByAddress(address netip.AddrPort) (Target, bool) {
 	holder, held := s.addresses[address]
 	if !held {
@@ -247,44 +246,44 @@
 		return
 	}
 	target.State = state
-	s.noteChange(position, target)
+	s.recordChange(position, target)
 	if state == TargetEnded {
 		delete(s.targetOrders, target.ID)
 		s.endVersionOrder(target.ServiceVersion())
-		s.rememberEnded(target)
+		s.recordEnded(target)
 	}
 }
 
-// noteChange enters a change into the list that updates are made from, and
-// shortens the list when most of it is out of date.
-func (s *State) noteChange(position uint64, target *Target) {
+// recordChange adds a change to the list that updates are built from, and compacts the
+// list when most of it is outdated.
+func (s *State) recordChange(position uint64, target *Target) {
 	target.Revision = position
 	s.revision = position
 	s.changes = append(s.changes, change{revision: position, target: target})
-	if len(s.changes) > 2*len(s.tokens)+endedLimit {
+	if len(s.changes) > 2*len(s.tokens)+minEndedLimit {
 		s.changes = slices.DeleteFunc(s.changes, func(c change) bool {
 			return s.tokens[c.target.Token] != c.target || !c.isLatest()
 		})
 	}
 }
 
-// EndedLimit returns the number of ended targets that are remembered beside some that
-// live, so that late calls and packets of theirs are known for what they are: as many as
-// live where these are many, since a release ends all of them within minutes.
-func EndedLimit(living int) int { return max(endedLimit, living) }
+// EndedLimit returns the number of ended targets that are kept to recognize their late
+// heartbeats and packets. It grows with the number of live targets, since a rolling
+// update ends all of them within minutes.
+func EndedLimit(live int) int { return max(minEndedLimit, live) }
 
-// rememberEnded remembers a target that has ended, and forgets the oldest ones.
-func (s *State) rememberEnded(target *Target) {
+// recordEnded adds a target to the ended ones and removes the oldest beyond the limit.
+func (s *State) recordEnded(target *Target) {
 	s.ended = append(s.ended, target)
 	for len(s.ended) > EndedLimit(len(s.tokens)-len(s.ended)) {
 		oldest := s.ended[0]
 		s.ended[0] = nil
 		s.ended = s.ended[1:]
-		s.forget(oldest)
+		s.removeTarget(oldest)
 	}
 }
 
-func (s *State) forget(target *Target) {
+func (s *State) removeTarget(target *Target) {
 	delete(s.tokens, target.Token)
 	if s.targets[target.ID] == target {
 		delete(s.targets, target.ID)
@@ -294,19 +293,18 @@
 	}
 }
 
-// endTarget notes that a target ends. One that drained first has no flows
-// any more; one that did not drain keeps its flows for a time. The word of a start
-// that does not tell which one it is counts for the latest.
+// endTarget marks a target as ended if it was draining, and otherwise as leaving, since
+// it may still have flows. A start without a start time refers to the latest one.
 func (s *State) endTarget(position uint64, start Start) Code {
 	target, known := s.targets[start.ID]
 	switch {
 	case !known:
 		return CodeNotFound
 	case start.StartTime > 0 && start.IsBefore(target.Start()):
-		// It has ended: a later start is registered.
+		// A later start is registered, so this one has ended.
 		return CodeDone
 	case target.Start().IsBefore(start):
-		// The start that ends was never registered; the one before it is over.
+		// The ending start was never registered, so the earlier one has ended.
 		s.advance(position, target, TargetEnded)
 	case target.State == TargetDraining:
 		s.advance(position, target, TargetEnded)
@@ -316,8 +314,8 @@
 	return CodeDone
 }
 
-// freeToken returns a token for a start that no remembered start has.
-func (s *State) freeToken(start Start) Token {
+// allocateToken returns a token for a start that no known start uses.
+func (s *State) allocateToken(start Start) Token {
 	token := start.token()
 	for {
 		_, taken := s.tokens[token]
@@ -328,7 +326,7 @@
 	}
 }
 
-// addMember gives a member the next free number, once for each data folder.
+// addMember adds a member with the next free ID, once for each data directory.
 func (s *State) addMember(position uint64, member Member) {
 	if _, known := s.MemberByIdentity(member.Identity); known || s.WasRemoved(member.Identity) {
 		return
@@ -372,7 +370,7 @@
 	return encoder.Buffer
 }
 
-// Decode returns the state of a snapshot.
+// Decode restores the state from a snapshot.
 func Decode(data []byte) (*State, error) {
 	s := New()
 	decoder := wire.NewDecoder(data)
@@ -392,7 +390,7 @@
 		s.changes = append(s.changes, change{revision: kept.Revision, target: kept})
 	}
 	slices.SortStableFunc(s.changes, func(a, b change) int { return cmp.Compare(a.revision, b.revision) })
-	// The IDs of ended targets in their order follow from the targets.
+	// The IDs of ended targets are not used: the list is rebuilt from the changes.
 	_ = decoder.String()
 	for _, c := range s.changes {
 		if c.target.State == TargetEnded {
@@ -407,14 +405,14 @@
 	for count := decoder.Count(identitySize); count > 0; count-- {
 		s.removed = append(s.removed, decoder.Uint64())
 	}
-	// Snapshots of versions that knew no evacuations end here.
+	// Snapshots of releases without evacuations end here.
 	if decoder.HasMore() {
 		for _, evacuation := range decodeEvacuations(decoder) {
 			s.evacuations[evacuation.Zone] = evacuation
 			s.evacuationRevision = max(s.evacuationRevision, evacuation.Revision)
 		}
 	}
-	// And those of versions that knew no orders about targets here.
+	// Snapshots of releases without target orders end here.
 	if decoder.HasMore() {
 		for _, order := range decodeTargetOrders(decoder) {
 			s.targetOrders[order.ID] = order
--- a/internal/directory/state_test.go
+++ b/internal/directory/state_test.go
@@ -24,7 +24,7 @@
 	return Command{Kind: CommandPublish, Edit: Difference(s.Configuration(), next)}
 }
 
-func TestTheLifeOfATarget(t *testing.T) {
+func TestTargetStates(t *testing.T) {
 	const here, there = "10.0.0.1:1", "10.0.0.2:1"
 	cases := []struct {
 		name     string
@@ -33,14 +33,14 @@
 	}{
 		{"registered", []Command{register("a", here, TargetReady)}, TargetReady},
 		{"draining", []Command{register("a", here, TargetReady), register("a", here, TargetDraining)}, TargetDraining},
-		{"first heard of as draining", []Command{register("a", here, TargetDraining)}, TargetDraining},
-		{"a late heartbeat undoes nothing", []Command{register("a", here, TargetDraining), register("a", here, TargetReady)}, TargetDraining},
-		{"drained and gone", []Command{register("a", here, TargetDraining), end("a")}, TargetEnded},
-		{"gone without draining", []Command{register("a", here, TargetReady), end("a")}, TargetLeaving},
-		{"gone twice", []Command{register("a", here, TargetReady), end("a"), end("a")}, TargetLeaving},
-		{"a heartbeat after the end", []Command{register("a", here, TargetDraining), end("a"), register("a", here, TargetReady)}, TargetEnded},
-		{"another one at its address", []Command{register("a", here, TargetReady), register("b", here, TargetReady)}, TargetEnded},
-		{"another one elsewhere", []Command{register("a", here, TargetReady), register("b", there, TargetReady)}, TargetReady},
+		{"registered as draining", []Command{register("a", here, TargetDraining)}, TargetDraining},
+		{"delayed heartbeat", []Command{register("a", here, TargetDraining), register("a", here, TargetReady)}, TargetDraining},
+		{"ended after draining", []Command{register("a", here, TargetDraining), end("a")}, TargetEnded},
+		{"ended without draining", []Command{register("a", here, TargetReady), end("a")}, TargetLeaving},
+		{"ended twice without draining", []Command{register("a", here, TargetReady), end("a"), end("a")}, TargetLeaving},
+		{"heartbeat after the end", []Command{register("a", here, TargetDraining), end("a"), register("a", here, TargetReady)}, TargetEnded},
+		{"another target at its address", []Command{register("a", here, TargetReady), register("b", here, TargetReady)}, TargetEnded},
+		{"another target at another address", []Command{register("a", here, TargetReady), register("b", there, TargetReady)}, TargetReady},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -56,9 +56,9 @@
 	assert.Equal(t, CodeNotFound, New().Apply(1, end("nobody")).Code)
 }
 
-func TestTokensAreNeverShared(t *testing.T) {
+func TestTokensAreUnique(t *testing.T) {
 	s := New()
-	clash := s.freeToken(Start{ID: "a"})
+	clash := s.allocateToken(Start{ID: "a"})
 	s.tokens[clash] = &Target{ID: "other", Token: clash}
 	s.Apply(1, register("a", "10.0.0.1:1", TargetReady))
 	target, _ := s.Target("a")
@@ -66,19 +66,19 @@
 	assert.NotZero(t, target.Token)
 }
 
-func TestEndedTargetsAreForgottenInOrder(t *testing.T) {
+func TestOldestEndedTargetsAreRemoved(t *testing.T) {
 	s := New()
-	for number := range endedLimit + 2 {
+	for number := range minEndedLimit + 2 {
 		s.Apply(uint64(number+1), register(fmt.Sprint("t", number), "10.0.0.1:1", TargetReady))
 	}
 	_, known := s.Target("t0")
-	assert.False(t, known, "the oldest one")
+	assert.False(t, known, "the oldest target is removed")
 	_, known = s.Target("t1")
 	assert.True(t, known)
 	assert.Len(t, s.tokens, len(s.targets))
 }
 
-func TestOnlyHigherVersionsChangeAnything(t *testing.T) {
+func TestPublishIgnoresOldVersions(t *testing.T) {
 	s := New()
 	assert.Equal(t, CodeDone, s.Apply(1, publish(s, Configuration{Version: 7})).Code)
 	stale := publish(s, Configuration{Version: 9})
@@ -92,7 +92,7 @@
 	assert.Equal(t, uint64(2), s.Revision())
 }
 
-func TestMembersHaveOneNumberForEachFolder(t *testing.T) {
+func TestMemberIDIsUniquePerIdentity(t *testing.T) {
 	s := New()
 	s.Apply(1, Command{Kind: CommandAddMember, Member: Member{Identity: 11, Address: "a"}})
 	s.Apply(2, Command{Kind: CommandAddMember, Member: Member{Identity: 22, Address: "b"}})
@@ -101,7 +101,7 @@
 	s.Apply(4, Command{Kind: CommandRemoveMember, Member: Member{ID: 1}})
 	assert.True(t, s.WasRemoved(11))
 	s.Apply(5, Command{Kind: CommandAddMember, Member: Member{Identity: 11, Address: "a"}})
-	assert.Len(t, s.Members(), 1, "a folder that was removed never comes back")
+	assert.Len(t, s.Members(), 1, "a removed identity cannot rejoin")
 	s.Apply(6, Command{Kind: CommandAddMember, Member: Member{Identity: 33, Address: "a"}})
 	member, _ := s.MemberByIdentity(33)
 	assert.Equal(t, uint32(3), member.ID)
@@ -119,7 +119,7 @@
 	return configuration
 }
 
-func TestAnEditTurnsAnyConfigurationIntoAnyOther(t *testing.T) {
+func TestDifferenceAndApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := drawConfiguration(t, 1)
 		next := drawConfiguration(t, 2)
@@ -137,9 +137,9 @@
 	})
 }
 
-// Whatever a node has seen, updates bring it to the same state, and a snapshot
-// holds all of it.
-func TestUpdatesAndSnapshotsCarryTheWholeState(t *testing.T) {
+// Checks what a node learns from updates after random changes, and that snapshots are
+// complete.
+func TestUpdatesAndSnapshotsAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		seen := map[string]TargetState{}
@@ -197,9 +197,8 @@
 	})
 }
 
-// Three quarters of a node's first state were the operator's text of routes; on
-// a link of 2.4 Mbit/s that is 40 ms after a restart of all.
-func TestNodesGetNoTextOfOperators(t *testing.T) {
+// Annotations must not delay the first update of a node on a slow link.
+func TestUpdatesOmitAnnotations(t *testing.T) {
 	s := New()
 	text := []byte(strings.Repeat("operator's text ", 20))
 	first := Configuration{
@@ -220,18 +219,15 @@
 	require.True(t, fits)
 	assert.Len(t, node.Routes, 2)
 	assert.Equal(t, time.Second, s.UpdateSince(0).Configuration.Routes[0].Timeout)
-	assert.Equal(t, text, s.Configuration().Routes[0].Annotation, "operators read back what they sent")
+	assert.Equal(t, text, s.Configuration().Routes[0].Annotation, "the stored configuration keeps annotations")
 	assert.Equal(t, text, s.Configuration().Services[0].Annotation)
 	decoded, err := Decode(s.Encode())
 	require.NoError(t, err)
 	assert.Equal(t, text, decoded.Configuration().Routes[1].Annotation)
 }
 
-// A node's first state of 600 targets and 240 routes took 0.2 s of its link of 2
-// Mbit/s, and the targets that a member's disk remembers 0.12 s before it
-// (swancoast-geo-large trouble-2: half of the nodes were ready 0.3 s after the
-// leader stood).
-func TestAStateOfALargeFleetIsShort(t *testing.T) {
+// The first update of a node must stay small, since it is sent over slow links.
+func TestEncodedSizeOfLargeFleet(t *testing.T) {
 	const targets, routes, budget = 600, 240, 20_000
 	s := New()
 	random := rand.New(rand.NewPCG(1, 1))
--- a/internal/directory/targetlist.go
+++ b/internal/directory/targetlist.go
@@ -8,26 +8,26 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// The smallest encoded sizes in bytes of a name and a target of a list.
+// Minimum encoded sizes in bytes of a name and of a target in a list.
 const (
-	smallestName   = 4
-	smallestListed = 22
+	minNameSize         = 4
+	minListedTargetSize = 22
 )
 
-// The first byte of a listed target holds its state and what its ID tells.
+// The first byte of a listed target holds its state and flags.
 const (
 	stateMask = 0x07
-	// flagOwnToken is set when the token follows from the ID and the start.
-	flagOwnToken = 0x08
-	// flagNumberInID is set when the number is that of the ID's last digits.
+	// flagDerivedToken is set if the token is derived from the ID and the start time.
+	flagDerivedToken = 0x08
+	// flagNumberInID is set if the number equals the last hexadecimal digits of the ID.
 	flagNumberInID = 0x10
-	// flagWarmup is set when the target registered while it was cold.
+	// flagWarmup is set if the target was warming up when it registered.
 	flagWarmup = 0x20
-	// flagBorn is set when the target told when it started.
-	flagBorn = 0x40
+	// flagStartTime is set if the start time is known.
+	flagStartTime = 0x40
 )
 
-// nameTable numbers the names that many targets of a list share.
+// nameTable assigns numbers to the names that the targets of a list share.
 type nameTable struct {
 	names   []string
 	numbers map[string]uint32
@@ -49,9 +49,9 @@
 	}
 }
 
-// encodeTargets writes a list of targets with each name of a service or zone
-// once and addresses at their own length: a node that starts needs all targets
-// over a link of a few Mbit/s.
+// encodeTargets appends a list of targets. Each service or zone name is encoded once and
+// addresses have variable length, since a starting node loads all targets over a slow
+// link.
 func encodeTargets(encoder *wire.Encoder, targets []Target) {
 	table := newNameTable(targets)
 	encoder.Uint32(uint32(len(table.names)))
@@ -60,26 +60,26 @@
 	}
 	encoder.Uint32(uint32(len(targets)))
 	for _, target := range targets {
-		encodeListed(encoder, table, target)
+		encodeListedTarget(encoder, table, target)
 	}
 }
 
-// encodeListed writes one target of a list. What follows from the ID is left
-// out: it is hardly shorter in any other form, however well it is compressed.
-func encodeListed(encoder *wire.Encoder, table *nameTable, target Target) {
+// encodeListedTarget appends one target of a list. It omits a token or number that the
+// decoder can derive from the ID, since these hardly compress.
+func encodeListedTarget(encoder *wire.Encoder, table *nameTable, target Target) {
 	flags := uint8(target.State)
 	if target.HasDerivedToken() {
-		flags |= flagOwnToken
+		flags |= flagDerivedToken
 	}
-	number, inID := NumberInID(target.ID)
-	if inID && number == target.Number {
+	number, hasNumber := NumberInID(target.ID)
+	if hasNumber && number == target.Number {
 		flags |= flagNumberInID
 	}
 	if target.Warmup != nil {
 		flags |= flagWarmup
 	}
 	if target.StartTime > 0 {
-		flags |= flagBorn
+		flags |= flagStartTime
 	}
 	encoder.Uint8(flags)
 	encoder.String(target.ID)
@@ -89,7 +89,7 @@
 	if flags&flagNumberInID == 0 {
 		encoder.Uint64(target.Number)
 	}
-	if flags&flagOwnToken == 0 {
+	if flags&flagDerivedToken == 0 {
 		encoder.Uint32(uint32(target.Token))
 	}
 	encoder.Uint16(uint16(table.numbers[target.Service]))
@@ -102,11 +102,11 @@
 	}
 }
 
-// decodeListed reads one target of a list.
-func decodeListed(decoder *wire.Decoder, name func() string) Target {
+// decodeListedTarget decodes one target of a list.
+func decodeListedTarget(decoder *wire.Decoder, name func() string) Target {
 	flags := decoder.Uint8()
 	target := Target{State: TargetState(flags & stateMask), ID: decoder.String()}
-	if flags&flagBorn != 0 {
+	if flags&flagStartTime != 0 {
 		target.StartTime = decoder.Uint64()
 	}
 	target.Token = target.Start().token()
@@ -114,7 +114,7 @@
 	if flags&flagNumberInID == 0 {
 		target.Number = decoder.Uint64()
 	}
-	if flags&flagOwnToken == 0 {
+	if flags&flagDerivedToken == 0 {
 		target.Token = Token(decoder.Uint32())
 	}
 	target.Service = name()
@@ -132,8 +132,8 @@
 // maxNumberDigits is the number of hexadecimal digits of the largest number.
 const maxNumberDigits = 16
 
-// NumberInID returns the number that the hexadecimal digits at the end of an ID
-// stand for.
+// NumberInID parses the hexadecimal digits after the last hyphen of an ID, or the whole
+// ID if it has no hyphen.
 func NumberInID(id string) (uint64, bool) {
 	digits := id[strings.LastIndexByte(id, '-')+1:]
 	number, err := strconv.ParseUint(digits, 16, 64)
@@ -142,7 +142,7 @@
 
 func decodeTargets(decoder *wire.Decoder) []Target {
 	var names []string
-	for count := decoder.Count(smallestName); count > 0; count-- {
+	for count := decoder.Count(minNameSize); count > 0; count-- {
 		names = append(names, decoder.String())
 	}
 	name := func() string {
@@ -153,13 +153,13 @@
 		return names[number]
 	}
 	var targets []Target
-	for count := decoder.Count(smallestListed); count > 0; count-- {
-		targets = append(targets, decodeListed(decoder, name))
+	for count := decoder.Count(minListedTargetSize); count > 0; count-- {
+		targets = append(targets, decodeListedTarget(decoder, name))
 	}
 	return targets
 }
 
-// Lengths in bytes of addresses in their short form.
+// Lengths in bytes of IP addresses in the short form.
 const (
 	shortIPv4 = 4
 	shortIPv6 = 16
--- a/internal/directory/targetorder.go
+++ b/internal/directory/targetorder.go
@@ -7,21 +7,21 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// TargetRule is what an operator has ordered about a target.
+// TargetRule is an operator's rule for a target.
 type TargetRule uint8
 
-// The rules.
+// The rules for targets.
 const (
-	// RuleJudged leaves it to the members whether the target gets new flows.
+	// RuleJudged lets the members eject and readmit the target.
 	RuleJudged TargetRule = iota
-	// RuleEjected keeps new flows from the target, whatever is seen of it.
+	// RuleEjected keeps new flows away from the target regardless of its health.
 	RuleEjected
-	// RuleExempt keeps the target from being ejected, whatever is seen of it.
+	// RuleExempt prevents the ejection of the target regardless of its health.
 	RuleExempt
 	targetRuleCount
 )
 
-// String returns the rule as a word for operators.
+// String returns the name of the rule as shown to operators.
 func (r TargetRule) String() string {
 	names := [...]string{"judged", "ejected", "exempt"}
 	if int(r) >= len(names) {
@@ -30,23 +30,21 @@
 	return names[r]
 }
 
-// TargetOrder is an operator's order about one incarnation of a target. It ends with
-// the target.
+// TargetOrder is an operator's order for one start of a target. It is deleted when the
+// target ends.
 type TargetOrder struct {
-	// ID is that of the target.
+	// ID is the ID of the target.
 	ID   string
 	Rule TargetRule
-	// Revision is the log position of the order that made it so. In a command it is
-	// the one that the order was given on: an order that another one has overtaken
-	// changes nothing.
+	// Revision is the log position of the order. In a command it is the revision that the
+	// order is based on; if another order was applied since, the command is rejected.
 	Revision uint64
 }
 
-// TargetOrder returns what was last ordered about a target; all is zero where nothing
-// was.
+// TargetOrder returns the last order for a target, or the zero value if there is none.
 func (s *State) TargetOrder(id string) TargetOrder { return s.targetOrders[id] }
 
-// TargetOrders returns what was last ordered about each target, in the order of IDs.
+// TargetOrders returns the last order for each target, sorted by ID.
 func (s *State) TargetOrders() []TargetOrder {
 	list := make([]TargetOrder, 0, len(s.targetOrders))
 	for _, id := range slices.Sorted(maps.Keys(s.targetOrders)) {
@@ -55,9 +53,9 @@
 	return list
 }
 
-// orderTarget carries out an order. One that asks for what holds already is done, and
-// so is a copy of one that gave the target back. One that was given before the newest
-// order about the target is refused.
+// orderTarget applies an order. An order that matches the current rule has no effect,
+// except that RuleJudged at the current revision is recorded again. An order based on
+// another revision is rejected.
 func (s *State) orderTarget(position uint64, order TargetOrder) Code {
 	target, exists := s.targets[order.ID]
 	if !exists || target.State == TargetEnded || order.Rule >= targetRuleCount {
@@ -76,9 +74,8 @@
 	return CodeDone
 }
 
-// smallestTargetOrder is the encoded size in bytes of an order about a target without
-// a name.
-const smallestTargetOrder = 13
+// minTargetOrderSize is the minimum encoded size of a target order in bytes.
+const minTargetOrderSize = 13
 
 func encodeTargetOrder(encoder *wire.Encoder, order TargetOrder) {
 	encoder.String(order.ID)
@@ -99,7 +96,7 @@
 
 func decodeTargetOrders(decoder *wire.Decoder) []TargetOrder {
 	var orders []TargetOrder
-	for count := decoder.Count(smallestTargetOrder); count > 0; count-- {
+	for count := decoder.Count(minTargetOrderSize); count > 0; count-- {
 		orders = append(orders, decodeTargetOrder(decoder))
 	}
 	return orders
--- a/internal/directory/targetorder_test.go
+++ b/internal/directory/targetorder_test.go
@@ -11,8 +11,8 @@
 	return Command{Kind: CommandOrderTarget, TargetOrder: TargetOrder{ID: id, Rule: rule, Revision: base}}
 }
 
-// Each order has the position 2, 3, ...; the target registers at 1.
-func TestOrdersAboutATarget(t *testing.T) {
+// The target registers at position 1; the orders follow from position 2 on.
+func TestTargetOrders(t *testing.T) {
 	cases := []struct {
 		name   string
 		orders []Command
@@ -22,15 +22,15 @@
 		{"ejected", []Command{orderTarget("a", RuleEjected, 0)}, []Code{CodeDone}, RuleEjected},
 		{"ejected twice", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleEjected, 0)}, []Code{CodeDone, CodeDone}, RuleEjected},
 		{"exempt after ejected", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleExempt, 2)}, []Code{CodeDone, CodeDone}, RuleExempt},
-		{"given back", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleJudged, 2)}, []Code{CodeDone, CodeDone}, RuleJudged},
-		{"a late copy of the ejection", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleJudged, 2), orderTarget("a", RuleEjected, 0)},
+		{"restored", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleJudged, 2)}, []Code{CodeDone, CodeDone}, RuleJudged},
+		{"delayed duplicate of the ejection", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleJudged, 2), orderTarget("a", RuleEjected, 0)},
 			[]Code{CodeDone, CodeDone, CodeConflict}, RuleJudged},
-		{"a copy of the end", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleJudged, 2), orderTarget("a", RuleJudged, 2)},
+		{"duplicate of the restoration", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleJudged, 2), orderTarget("a", RuleJudged, 2)},
 			[]Code{CodeDone, CodeDone, CodeDone}, RuleJudged},
-		{"a late copy of the end", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleJudged, 2), orderTarget("a", RuleEjected, 3), orderTarget("a", RuleJudged, 2)},
+		{"delayed duplicate of the restoration", []Command{orderTarget("a", RuleEjected, 0), orderTarget("a", RuleJudged, 2), orderTarget("a", RuleEjected, 3), orderTarget("a", RuleJudged, 2)},
 			[]Code{CodeDone, CodeDone, CodeDone, CodeConflict}, RuleEjected},
-		{"not known", []Command{orderTarget("b", RuleEjected, 0)}, []Code{CodeNotFound}, RuleJudged},
-		{"no such rule", []Command{orderTarget("a", targetRuleCount, 0)}, []Code{CodeNotFound}, RuleJudged},
+		{"unknown target", []Command{orderTarget("b", RuleEjected, 0)}, []Code{CodeNotFound}, RuleJudged},
+		{"unknown rule", []Command{orderTarget("a", targetRuleCount, 0)}, []Code{CodeNotFound}, RuleJudged},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -49,12 +49,12 @@
 	}
 }
 
-// A target that ends takes the orders about it along, however it ends.
-func TestOrdersEndWithTheTarget(t *testing.T) {
+// An order must not outlive its target, however the target ends.
+func TestTargetOrderEndsWithTarget(t *testing.T) {
 	ends := map[string]Command{
-		"its own word":           register("a", "10.0.0.1:1", TargetEnded),
-		"another one's address":  register("b", "10.0.0.1:1", TargetReady),
-		"its end after draining": {Kind: CommandEndTarget, Target: Target{ID: "a"}},
+		"own registration":   register("a", "10.0.0.1:1", TargetEnded),
+		"address reuse":      register("b", "10.0.0.1:1", TargetReady),
+		"end after draining": {Kind: CommandEndTarget, Target: Target{ID: "a"}},
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
--- a/internal/directory/update.go
+++ b/internal/directory/update.go
@@ -6,24 +6,24 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Update brings a node from one revision to a later one. It carries either
-// the edits that the node lacks or the whole configuration.
+// Update brings a node from one revision to a later one. It holds either the missing
+// edits or the whole configuration.
 type Update struct {
 	Revision uint64
-	// Whole is set when Configuration replaces what the node has.
+	// Whole is set if Configuration replaces that of the node.
 	Whole         bool
 	Configuration Configuration
 	Edits         []Edit
-	// Targets are those that changed, with their newest stage.
+	// Targets holds the current state of the targets that changed.
 	Targets []Target
-	// Members is the whole list when it changed, else nil.
+	// Members is the whole list if it changed, else nil.
 	Members []Member
-	// Evacuations is the whole list when it changed, else nil.
+	// Evacuations is the whole list if it changed, else nil.
 	Evacuations []Evacuation
 }
 
-// UpdateSince returns what changed after a revision, for a node; 0 asks for all. Text
-// that is kept for operators is left out.
+// UpdateSince returns the changes after a revision for a node, without annotations.
+// Revision 0 requests the whole state.
 func (s *State) UpdateSince(revision uint64) Update {
 	update := Update{Revision: s.revision}
 	if s.configRevision > revision {
@@ -56,8 +56,8 @@
 	return targets
 }
 
-// addConfiguration adds the edits after a revision when all of them are kept.
-// The edit that the oldest kept one builds on must be known to the node.
+// addConfiguration adds the edits after a revision, or the whole configuration if the
+// base of the oldest of these edits may be newer than what the node has.
 func (s *State) addConfiguration(update *Update, revision uint64) {
 	first := len(s.edits)
 	for first > 0 && s.edits[first-1].revision > revision {
@@ -65,15 +65,15 @@
 	}
 	if first == 0 || revision == 0 {
 		update.Whole = true
-		update.Configuration = s.configuration.bare()
+		update.Configuration = s.configuration.withoutAnnotations()
 		return
 	}
 	for _, kept := range s.edits[first:] {
-		update.Edits = append(update.Edits, kept.edit.bare())
+		update.Edits = append(update.Edits, kept.edit.withoutAnnotations())
 	}
 }
 
-// EncodeUpdate returns the bytes of an update, compressed when it is long.
+// EncodeUpdate encodes an update and compresses it if it is large.
 func EncodeUpdate(update Update) []byte {
 	var encoder wire.Encoder
 	encoder.Uint64(update.Revision)
@@ -91,10 +91,10 @@
 	return wire.Compress(encoder.Buffer)
 }
 
-// smallestEdit is the size in bytes of an edit without content.
-const smallestEdit = 36
+// minEditSize is the minimum encoded size of an edit in bytes.
+const minEditSize = 36
 
-// DecodeUpdate reads an update.
+// DecodeUpdate decodes an update.
 func DecodeUpdate(data []byte) (Update, error) {
 	unpacked, err := wire.Decompress(data)
 	if err != nil {
@@ -105,7 +105,7 @@
 	if update.Whole {
 		update.Configuration = decodeConfiguration(decoder)
 	}
-	for count := decoder.Count(smallestEdit); count > 0; count-- {
+	for count := decoder.Count(minEditSize); count > 0; count-- {
 		update.Edits = append(update.Edits, decodeEdit(decoder))
 	}
 	update.Targets = decodeTargets(decoder)
--- a/internal/directory/validate.go
+++ b/internal/directory/validate.go
@@ -5,7 +5,7 @@
 	"net/netip"
 )
 
-// Validate returns the first mistake in the configuration as a Problem, or nil.
+// Validate returns the first error in the configuration as a Problem, or nil.
 func (c Configuration) Validate() error {
 	if c.Version == 0 {
 		return &Problem{Field: "version", Reason: "must be above 0"}
@@ -22,7 +22,7 @@
 		if owner, taken := owners[route.Address]; taken {
 			return &Problem{
 				Field:  "routes." + route.Name + ".address",
-				Reason: fmt.Sprintf("%s is taken by route %q", route.Address, owner),
+				Reason: fmt.Sprintf("%s is already used by route %q", route.Address, owner),
 			}
 		}
 		owners[route.Address] = route.Name
@@ -38,7 +38,7 @@
 			return nil, &Problem{Field: field, Reason: "must not be empty"}
 		}
 		if names[service.Name] {
-			return nil, &Problem{Field: field, Reason: fmt.Sprintf("%q is there twice", service.Name)}
+			return nil, &Problem{Field: field, Reason: fmt.Sprintf("%q is defined twice", service.Name)}
 		}
 		names[service.Name] = true
 	}
@@ -54,7 +54,7 @@
 		return &Problem{Field: field + ".timeout", Reason: "must be above 0"}
 	}
 	if r.Kind >= routeKindCount {
-		return &Problem{Field: field + ".kind", Reason: fmt.Sprintf("%d is no kind of route", r.Kind)}
+		return &Problem{Field: field + ".kind", Reason: fmt.Sprintf("%d is not a route kind", r.Kind)}
 	}
 	if r.Objective < 0 {
 		return &Problem{Field: field + ".objective", Reason: "must not be below 0"}
--- a/internal/directory/verdicts.go
+++ b/internal/directory/verdicts.go
@@ -6,29 +6,29 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Verdicts are the control members' view of the targets' health.
+// Verdicts is the health of targets and zones as determined by the control members.
 type Verdicts struct {
-	// Suspects are the targets that nobody has heard from lately.
+	// Suspects are the targets that no node has heard from recently.
 	Suspects []Token
-	// Lost are the targets that are held for dead.
+	// Lost are the targets that are considered dead.
 	Lost []Token
-	// AvoidedZones are the zones in which most opening packets found no taker.
+	// AvoidedZones are the zones in which most opening packets were refused.
 	AvoidedZones []string
-	// Ejected are the targets that get no new flows, though they may look well: what
-	// passes shows that they fail their work. Open flows stay where they are.
+	// Ejected are the targets that receive no new flows because outlier detection or an
+	// operator has ejected them. Open flows stay on them.
 	Ejected []Token
-	// Probation are the targets that were ejected and get a few flows of repeatable
-	// work, to see whether they serve again.
+	// Probation are the ejected targets that receive a few repeatable requests to find
+	// out whether they have recovered.
 	Probation []Token
 }
 
-// Equal reports whether two verdicts say the same.
+// Equal reports whether two verdicts are equal.
 func (v Verdicts) Equal(other Verdicts) bool {
 	return slices.Equal(v.Suspects, other.Suspects) && v.EqualIgnoringSuspects(other)
 }
 
-// EqualIgnoringSuspects reports whether verdicts are the same in what nodes must hear at once.
-// Targets that are only suspected can wait: their list may be long and change often.
+// EqualIgnoringSuspects reports whether two verdicts are equal apart from their suspects.
+// Changed suspects need not be sent at once: their list may be long and change often.
 func (v Verdicts) EqualIgnoringSuspects(other Verdicts) bool {
 	return slices.Equal(v.Lost, other.Lost) && slices.Equal(v.AvoidedZones, other.AvoidedZones) &&
 		slices.Equal(v.Ejected, other.Ejected) && slices.Equal(v.Probation, other.Probation)
@@ -43,7 +43,7 @@
 	EncodeTokens(encoder, v.Probation)
 }
 
-// DecodeVerdicts reads verdicts.
+// DecodeVerdicts decodes verdicts.
 func DecodeVerdicts(decoder *wire.Decoder) Verdicts {
 	verdicts := Verdicts{Suspects: DecodeTokens(decoder), Lost: DecodeTokens(decoder)}
 	verdicts.AvoidedZones = DecodeNames(decoder)
@@ -63,7 +63,7 @@
 	}
 }
 
-// DecodeTokens reads a list of tokens.
+// DecodeTokens decodes a list of tokens.
 func DecodeTokens(decoder *wire.Decoder) []Token {
 	var tokens []Token
 	for count := decoder.Count(tokenSize); count > 0; count-- {
@@ -80,10 +80,10 @@
 	}
 }
 
-// DecodeNames reads a list of names.
+// DecodeNames decodes a list of names.
 func DecodeNames(decoder *wire.Decoder) []string {
 	var names []string
-	for count := decoder.Count(smallestName); count > 0; count-- {
+	for count := decoder.Count(minNameSize); count > 0; count-- {
 		names = append(names, decoder.String())
 	}
 	return names
@@ -92,6 +92,6 @@
 // ZoneOpenings counts opening packets to the targets of a zone since the last report.
 type ZoneOpenings struct {
 	Zone string
-	// Opened were taken, and Refused found no taker.
+	// Opened counts the accepted packets and Refused the refused ones.
 	Opened, Refused uint32
 }
--- a/internal/directory/versionorder.go
+++ b/internal/directory/versionorder.go
@@ -8,34 +8,35 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// ServiceVersion names a version of the software of a service's targets.
+// ServiceVersion identifies a software version of a service.
 type ServiceVersion struct{ Service, Version string }
 
-// ServiceVersion returns the version that the target is of.
+// ServiceVersion returns the service and the version of the target.
 func (t Target) ServiceVersion() ServiceVersion {
 	return ServiceVersion{Service: t.Service, Version: t.Version}
 }
 
-// compare orders versions by their services.
+// compare orders by service, then by version.
 func (v ServiceVersion) compare(other ServiceVersion) int {
 	return cmp.Or(cmp.Compare(v.Service, other.Service), cmp.Compare(v.Version, other.Version))
 }
 
-// VersionRule is what an operator has ordered about a version.
+// VersionRule is an operator's rule for a version.
 type VersionRule uint8
 
-// The rules.
+// The rules for versions.
 const (
-	// VersionJudged leaves it to the members whether the version is held.
+	// VersionJudged lets the members hold and release the version.
 	VersionJudged VersionRule = iota
-	// VersionHeld keeps new flows from the version's targets, whatever is seen of them.
+	// VersionHeld keeps new flows away from the version's targets regardless of their
+	// health.
 	VersionHeld
-	// VersionReleased keeps the version from being held, whatever is seen of it.
+	// VersionReleased prevents the version from being held regardless of its health.
 	VersionReleased
 	versionRuleCount
 )
 
-// String returns the rule as a word for operators.
+// String returns the name of the rule as shown to operators.
 func (r VersionRule) String() string {
 	names := [...]string{"judged", "held", "released"}
 	if int(r) >= len(names) {
@@ -44,28 +45,27 @@
 	return names[r]
 }
 
-// VersionOrder is an operator's order about a version of a service. It ends with the
-// last target of the version.
+// VersionOrder is an operator's order for a version of a service. It is deleted when the
+// last target of the version ends.
 type VersionOrder struct {
 	ServiceVersion
 	Rule VersionRule
-	// Revision is as that of a TargetOrder.
+	// Revision has the same meaning as in TargetOrder.
 	Revision uint64
 }
 
-// VersionOrder returns what was last ordered about a version; the rule is VersionJudged
-// where nothing was.
+// VersionOrder returns the last order for a version, or the zero value if there is none.
 func (s *State) VersionOrder(version ServiceVersion) VersionOrder { return s.versionOrders[version] }
 
-// VersionOrders returns what was last ordered about each version, in order.
+// VersionOrders returns the last order for each version, sorted by service and version.
 func (s *State) VersionOrders() []VersionOrder {
 	return slices.SortedFunc(maps.Values(s.versionOrders), func(a, b VersionOrder) int {
 		return a.compare(b.ServiceVersion)
 	})
 }
 
-// orderVersion carries out an order. One that asks for what holds already is done; one
-// that was given before the newest order about the version is refused.
+// orderVersion applies an order. An order that matches the current rule has no effect; an
+// order based on an older revision is rejected.
 func (s *State) orderVersion(position uint64, order VersionOrder) Code {
 	if !s.hasVersion(order.ServiceVersion) || order.Rule >= versionRuleCount {
 		return CodeNotFound
@@ -83,7 +83,7 @@
 	return CodeDone
 }
 
-// hasVersion reports whether a target that states the version has not ended.
+// hasVersion reports whether any target of the version has not ended.
 func (s *State) hasVersion(version ServiceVersion) bool {
 	if version.Version == "" {
 		return false
@@ -96,15 +96,15 @@
 	return false
 }
 
-// endVersionOrder forgets an order once the last target of its version has ended.
+// endVersionOrder deletes an order once the last target of its version has ended.
 func (s *State) endVersionOrder(version ServiceVersion) {
 	if _, ordered := s.versionOrders[version]; ordered && !s.hasVersion(version) {
 		delete(s.versionOrders, version)
 	}
 }
 
-// smallestVersionOrder is the encoded size in bytes of an order without names.
-const smallestVersionOrder = 17
+// minVersionOrderSize is the minimum encoded size of a version order in bytes.
+const minVersionOrderSize = 17
 
 func encodeVersionOrder(encoder *wire.Encoder, order VersionOrder) {
 	encoder.String(order.Service)
@@ -118,9 +118,9 @@
 	return VersionOrder{ServiceVersion: version, Rule: VersionRule(decoder.Uint8()), Revision: decoder.Uint64()}
 }
 
-// encodeVersions ends a snapshot with the versions of the targets, by their places in
-// the list of targets, and with the orders about versions. A program that knows none
-// does not read on so far, and a snapshot without versions ends before.
+// encodeVersions appends the versions of the targets, in the order of the target list,
+// and the version orders to a snapshot. They come last since earlier releases do not read
+// them, and are omitted if no target has a version.
 func (s *State) encodeVersions(encoder *wire.Encoder) {
 	targets := s.Targets()
 	table := &nameTable{numbers: map[string]uint32{}}
@@ -152,7 +152,7 @@
 			targets[position].Version = names[number]
 		}
 	}
-	for count := decoder.Count(smallestVersionOrder); count > 0; count-- {
+	for count := decoder.Count(minVersionOrderSize); count > 0; count-- {
 		order := decodeVersionOrder(decoder)
 		s.versionOrders[order.ServiceVersion] = order
 	}
--- a/internal/directory/versionorder_test.go
+++ b/internal/directory/versionorder_test.go
@@ -18,30 +18,30 @@
 	return Command{Kind: CommandOrderVersion, VersionOrder: VersionOrder{ServiceVersion: ServiceVersion{Service: "s", Version: version}, Rule: rule, Revision: base}}
 }
 
-func again(t *testing.T, command Command) Command {
+func encodeAndDecode(t *testing.T, command Command) Command {
 	decoded, err := DecodeCommand(EncodeCommand(command))
 	require.NoError(t, err)
 	return decoded
 }
 
-func TestCommandsCarryVersions(t *testing.T) {
-	for _, born := range []uint64{0, firstBorn} {
+func TestCommandsIncludeVersions(t *testing.T) {
+	for _, startTime := range []uint64{0, firstStart} {
 		for _, warmup := range []*Warmup{nil, {Remaining: 1000}} {
 			command := registerVersion("1", "v2")
-			command.Target.StartTime = born
+			command.Target.StartTime = startTime
 			command.Target.Warmup = warmup
-			decoded := again(t, command)
+			decoded := encodeAndDecode(t, command)
 			assert.Equal(t, "v2", decoded.Target.Version)
-			assert.Equal(t, born, decoded.Target.StartTime)
+			assert.Equal(t, startTime, decoded.Target.StartTime)
 		}
 	}
 	plain := EncodeCommand(registerVersion("1", ""))
 	withVersion := EncodeCommand(registerVersion("1", "v2"))
-	assert.Equal(t, plain, withVersion[:len(plain)], "a program that knows none reads what it knows")
+	assert.Equal(t, plain, withVersion[:len(plain)], "earlier releases must be able to read the other fields")
 }
 
-// Each order has the position 10, 11, ...; targets of v1 and v2 are registered.
-func TestOrdersAboutAVersion(t *testing.T) {
+// Targets of v1 and v2 are registered; the orders follow from position 10 on.
+func TestVersionOrders(t *testing.T) {
 	cases := []struct {
 		name   string
 		orders []Command
@@ -51,11 +51,11 @@
 		{"held", []Command{orderVersion("v2", VersionHeld, 0)}, []Code{CodeDone}, VersionHeld},
 		{"held twice", []Command{orderVersion("v2", VersionHeld, 0), orderVersion("v2", VersionHeld, 0)}, []Code{CodeDone, CodeDone}, VersionHeld},
 		{"released after held", []Command{orderVersion("v2", VersionHeld, 0), orderVersion("v2", VersionReleased, 10)}, []Code{CodeDone, CodeDone}, VersionReleased},
-		{"a late copy", []Command{orderVersion("v2", VersionHeld, 0), orderVersion("v2", VersionReleased, 10), orderVersion("v2", VersionHeld, 0)},
+		{"delayed duplicate", []Command{orderVersion("v2", VersionHeld, 0), orderVersion("v2", VersionReleased, 10), orderVersion("v2", VersionHeld, 0)},
 			[]Code{CodeDone, CodeDone, CodeConflict}, VersionReleased},
-		{"of no target", []Command{orderVersion("v3", VersionHeld, 0)}, []Code{CodeNotFound}, VersionJudged},
-		{"of none stated", []Command{orderVersion("", VersionHeld, 0)}, []Code{CodeNotFound}, VersionJudged},
-		{"no such rule", []Command{orderVersion("v2", versionRuleCount, 0)}, []Code{CodeNotFound}, VersionJudged},
+		{"version without targets", []Command{orderVersion("v3", VersionHeld, 0)}, []Code{CodeNotFound}, VersionJudged},
+		{"no version", []Command{orderVersion("", VersionHeld, 0)}, []Code{CodeNotFound}, VersionJudged},
+		{"unknown rule", []Command{orderVersion("v2", versionRuleCount, 0)}, []Code{CodeNotFound}, VersionJudged},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 			s.Apply(2, registerVersion("2", "v2"))
 			s.Apply(3, registerVersion("3", ""))
 			for position, order := range test.orders {
-				assert.Equal(t, test.codes[position], s.Apply(uint64(10+position), again(t, order)).Code)
+				assert.Equal(t, test.codes[position], s.Apply(uint64(10+position), encodeAndDecode(t, order)).Code)
 			}
 			assert.Equal(t, test.rule, s.VersionOrder(ServiceVersion{Service: "s", Version: "v2"}).Rule)
 			restored, err := Decode(s.Encode())
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestAnOrderEndsWithTheLastTargetOfItsVersion(t *testing.T) {
+func TestVersionOrderEndsWithLastTarget(t *testing.T) {
 	s := New()
 	s.Apply(1, registerVersion("1", "v2"))
 	s.Apply(2, registerVersion("2", "v2"))
@@ -87,18 +87,18 @@
 	assert.Empty(t, s.VersionOrders())
 }
 
-// Programs that know no versions read lists and snapshots up to where these begin.
-func TestVersionsStandAtTheEndOfASnapshotOnly(t *testing.T) {
+// Earlier releases must be able to read a snapshot up to the versions.
+func TestSnapshotEndsWithVersions(t *testing.T) {
 	s, plain := New(), New()
 	for number := range 300 {
 		id := fmt.Sprint(number % 250)
 		s.Apply(uint64(number+1), registerVersion(id, fmt.Sprint("v", number%3)))
 		plain.Apply(uint64(number+1), registerVersion(id, ""))
 	}
-	data, before := s.Encode(), plain.Encode()
-	require.Equal(t, before, data[:len(before)])
-	assert.Equal(t, EncodeUpdate(plain.UpdateSince(0)), EncodeUpdate(s.UpdateSince(0)), "nodes are not told")
-	restored, err := Decode(before)
+	data, withoutVersions := s.Encode(), plain.Encode()
+	require.Equal(t, withoutVersions, data[:len(withoutVersions)])
+	assert.Equal(t, EncodeUpdate(plain.UpdateSince(0)), EncodeUpdate(s.UpdateSince(0)), "updates contain no versions")
+	restored, err := Decode(withoutVersions)
 	require.NoError(t, err)
 	assert.Equal(t, plain.Targets(), restored.Targets())
 	restored, err = Decode(data)
--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -1,5 +1,4 @@
-// Package jsontext reads JSON objects whose members are partly kept as the text
-// that was sent.
+// Package jsontext decodes JSON objects and keeps some of their members as raw text.
 package jsontext
 
 import (
@@ -10,7 +9,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// Member reads a member that must be there. The error is a directory.Problem with
+// Member decodes a required member of an object. The error is a directory.Problem with
 // the member's name as its field.
 func Member(members map[string]json.RawMessage, name string, value any) error {
 	text, present := members[name]
@@ -23,8 +22,8 @@
 	return nil
 }
 
-// Compact returns the text without blanks between its parts. Text that is no JSON
-// is returned as it is.
+// Compact removes insignificant whitespace from JSON text. Invalid JSON is returned
+// unchanged.
 func Compact(text json.RawMessage) []byte {
 	var buffer bytes.Buffer
 	if err := json.Compact(&buffer, text); err != nil {
@@ -33,18 +32,18 @@
 	return buffer.Bytes()
 }
 
-// Omit returns the members but for those that are named, as the text of one object.
-func Omit(members map[string]json.RawMessage, except ...string) ([]byte, error) {
+// Omit encodes the members as one object, without the named ones.
+func Omit(members map[string]json.RawMessage, names ...string) ([]byte, error) {
 	rest := maps.Clone(members)
-	for _, name := range except {
+	for _, name := range names {
 		delete(rest, name)
 	}
 	return json.Marshal(rest)
 }
 
-// Merge returns the text of an object with the members of a text, which may be
-// empty, and further ones.
-func Merge(text []byte, further map[string]any) ([]byte, error) {
+// Merge encodes an object with the members of a JSON object, which may be empty, and the
+// added ones, which take precedence.
+func Merge(text []byte, added map[string]any) ([]byte, error) {
 	members := map[string]any{}
 	if len(text) > 0 {
 		var rest map[string]json.RawMessage
@@ -55,11 +54,11 @@
 			members[name] = value
 		}
 	}
-	maps.Copy(members, further)
+	maps.Copy(members, added)
 	return json.Marshal(members)
 }
 
-// List returns the text that is kept of each element.
+// List returns the raw text of each element.
 func List[E any](elements []E, text func(element E) []byte) []json.RawMessage {
 	list := make([]json.RawMessage, 0, len(elements))
 	for _, element := range elements {
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -23,12 +23,12 @@
 	assert.Equal(t, "{ no", string(Compact(json.RawMessage("{ no"))))
 }
 
-func TestRestAndMerge(t *testing.T) {
+func TestOmitAndMerge(t *testing.T) {
 	members := map[string]json.RawMessage{"version": json.RawMessage("7"), "note": json.RawMessage(`{"a":1}`)}
 	rest, err := Omit(members, "version")
 	require.NoError(t, err)
 	assert.JSONEq(t, `{"note":{"a":1}}`, string(rest))
-	assert.Len(t, members, 2, "the members stay")
+	assert.Len(t, members, 2, "the argument is unchanged")
 	whole, err := Merge(rest, map[string]any{"version": 8})
 	require.NoError(t, err)
 	assert.JSONEq(t, `{"note":{"a":1},"version":8}`, string(whole))
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,8 +1,6 @@
-// Package kernel provides the base of every deterministic core in the
-// project: time as a value, and a registry in which plug-ins register
-// themselves under a dotted identifier. A core does no input or output, reads
-// no clock and starts no goroutine, so that a process and the simulator can
-// run the very same code.
+// Package kernel provides the basis of the deterministic cores: time values and a
+// registry of plug-ins with dotted identifiers. A core performs no I/O, reads no clock
+// and starts no goroutine, so that processes and the simulator run the same code.
 package kernel
 
 import (
@@ -14,17 +12,17 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// Instant is a point on the monotonic clock of one process, in nanoseconds
-// since an arbitrary start. Instants of two processes do not compare.
+// Instant is a point on the monotonic clock of one process, in nanoseconds since an
+// arbitrary start. Instants of different processes are not comparable.
 type Instant int64
 
-// Add returns the instant a duration later.
+// Add returns the instant i+d.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
 
 // Sub returns the time from other to i.
 func (i Instant) Sub(other Instant) time.Duration { return time.Duration(i - other) }
 
-// Before reports whether i lies before other.
+// Before reports whether i is before other.
 func (i Instant) Before(other Instant) bool { return i < other }
 
 // PluginID is a dotted identifier such as "route.scheme.owner". The part
@@ -40,7 +38,7 @@
 	return string(id[:last])
 }
 
-// Plugin is what every plug-in has in common.
+// Plugin is the common interface of all plug-ins.
 type Plugin interface {
 	// PluginID returns the identifier under which the plug-in is registered.
 	PluginID() PluginID
@@ -48,17 +46,17 @@
 
 // Validator is a plug-in that checks its own settings before use.
 type Validator interface {
-	// Validate returns an error that names the wrong setting.
+	// Validate returns an error that names the invalid setting.
 	Validate() error
 }
 
-// Cleaner is a plug-in that releases what it holds when its core stops.
+// Cleaner is a plug-in that releases resources when its core stops.
 type Cleaner interface {
 	// Cleanup is called once, after the last event.
 	Cleanup()
 }
 
-// Constructor makes a fresh plug-in.
+// Constructor returns a new plug-in.
 type Constructor func() Plugin
 
 var (
@@ -66,8 +64,8 @@
 	registry      = map[PluginID]Constructor{}
 )
 
-// Register adds a plug-in to the registry. It is called from init functions
-// and panics on an empty or repeated identifier, which is a programming error.
+// Register adds a plug-in to the registry. It is called from init functions and panics on
+// an empty or duplicate identifier.
 func Register(constructor Constructor) {
 	id := constructor().PluginID()
 	registryMutex.Lock()
@@ -81,7 +79,7 @@
 	registry[id] = constructor
 }
 
-// New makes and validates the plug-in with the given identifier.
+// New creates and validates the plug-in with the given identifier.
 func New(id PluginID) (Plugin, error) {
 	registryMutex.RLock()
 	constructor, exists := registry[id]
@@ -99,7 +97,7 @@
 	return plugin, nil
 }
 
-// Names returns the identifiers registered in a namespace, in order.
+// Names returns the sorted identifiers of the plug-ins in a namespace.
 func Names(namespace string) []string {
 	registryMutex.RLock()
 	defer registryMutex.RUnlock()
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -31,7 +31,7 @@
 	_, err = New("test.kind.invalid")
 	assert.ErrorContains(t, err, "field x: must be set")
 	_, err = New("test.kind.missing")
-	assert.ErrorContains(t, err, "test.kind.good, test.kind.invalid", "the error names what there is")
+	assert.ErrorContains(t, err, "test.kind.good, test.kind.invalid", "the error lists the registered plug-ins")
 	assert.Panics(t, func() { Register(func() Plugin { return goodPlugin{} }) })
 	assert.Equal(t, "", PluginID("plain").Namespace())
 }
--- a/internal/peerlink/dial_test.go
+++ b/internal/peerlink/dial_test.go
@@ -13,7 +13,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// addresses returns a function that names each address once.
+// addresses returns a function that returns each address once.
 func addresses(list ...string) func() (string, bool) {
 	return func() (string, bool) {
 		if len(list) == 0 {
@@ -25,14 +25,14 @@
 	}
 }
 
-// silentAddress returns an address whose machine says nothing: the queue of
-// its listener is full, so opening packets are dropped.
-func silentAddress(t *testing.T) string {
+// unresponsiveAddress returns the address of a listener whose queue is full, so that the
+// kernel drops SYN packets.
+func unresponsiveAddress(t *testing.T) string {
 	listener, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
 	address := listener.Addr().String()
-	setBacklog(t, listener)
+	setZeroBacklog(t, listener)
 	for range 4 {
 		dialer := net.Dialer{Timeout: 50 * time.Millisecond}
 		connection, err := dialer.Dial("tcp4", address)
@@ -52,21 +52,19 @@
 	return listener.Addr().String()
 }
 
-// After a loss of all power nodes
-// waited 200 ms for each machine that was not up yet, and members as long
-// again before they tried it once more.
-func TestASilentMachineHoldsUpNoOther(t *testing.T) {
-	silent := silentAddress(t)
+// After a power failure, hosts that are still down must not delay connections to others.
+func TestDialFirstSkipsUnresponsiveAddress(t *testing.T) {
+	unresponsive := unresponsiveAddress(t)
 	answering := listen(t)
 	started := time.Now()
-	connection, address, err := DialFirst(t.Context(), addresses(silent, silent, answering))
+	connection, address, err := DialFirst(t.Context(), addresses(unresponsive, unresponsive, answering))
 	require.NoError(t, err)
 	defer func() { _ = connection.Close() }()
 	assert.Equal(t, answering, address)
 	assert.Less(t, time.Since(started), dialTimeout)
 }
 
-func TestTheFirstAddressWinsWhenItAnswers(t *testing.T) {
+func TestDialFirstPrefersFirstAddress(t *testing.T) {
 	first, second := listen(t), listen(t)
 	for range 20 {
 		connection, address, err := DialFirst(t.Context(), addresses(first, second))
@@ -76,7 +74,7 @@
 	}
 }
 
-func TestDialFirstEndsWhenNothingIsLeftOrTheContextEnds(t *testing.T) {
+func TestDialFirstReturnsError(t *testing.T) {
 	_, _, err := DialFirst(t.Context(), addresses())
 	require.ErrorContains(t, err, "no address")
 	listener, err := Listen("127.0.0.1:0")
@@ -91,8 +89,8 @@
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 }
 
-// What has waited for seconds is old when the peer comes back.
-func TestOldFramesAreDroppedWhenALinkOpensLate(t *testing.T) {
+// Frames queued during a long outage are outdated when the peer is back.
+func TestStaleFramesAreDropped(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
@@ -115,17 +113,17 @@
 	assert.Equal(t, "new", string(frame.Payload))
 }
 
-// setBacklog makes the queue of new connections as short as it can be.
-func setBacklog(t *testing.T, listener net.Listener) {
+// setZeroBacklog sets the listen backlog to its minimum.
+func setZeroBacklog(t *testing.T, listener net.Listener) {
 	raw, err := listener.(*net.TCPListener).SyscallConn()
 	require.NoError(t, err)
-	var failure error
-	require.NoError(t, raw.Control(func(descriptor uintptr) { failure = unix.Listen(int(descriptor), 0) }))
-	require.NoError(t, failure)
+	var listenErr error
+	require.NoError(t, raw.Control(func(descriptor uintptr) { listenErr = unix.Listen(int(descriptor), 0) }))
+	require.NoError(t, listenErr)
 }
 
-func TestAHintBeginsTheNextAttemptAtOnce(t *testing.T) {
-	silent, answering := silentAddress(t), listen(t)
+func TestHintStartsNextAttempt(t *testing.T) {
+	unresponsive, answering := unresponsiveAddress(t), listen(t)
 	hints := make(chan struct{}, 1)
 	hinted := false
 	started := time.Now()
@@ -135,7 +133,7 @@
 		}
 		hinted = true
 		hints <- struct{}{}
-		return silent, true
+		return unresponsive, true
 	}, WithHints(hints))
 	require.NoError(t, err)
 	defer func() { _ = connection.Close() }()
--- a/internal/peerlink/echo.go
+++ b/internal/peerlink/echo.go
@@ -11,54 +11,55 @@
 )
 
 const (
-	// echoInterval is the time between two requests for an echo on a link that is in use:
-	// 2 x 5 bytes, and two of them pass before a link is held for silent.
+	// echoInterval is the minimum time between two echo requests on a link in use.
 	echoInterval = 400 * time.Millisecond
-	// echoTimeout is how long an echo may take: as long as sent bytes may stay without an
-	// acknowledgement.
-	echoTimeout = unackedTimeout
+	// echoTimeout is the maximum time until an echo reply; it equals the time that sent
+	// data may stay unacknowledged.
+	echoTimeout = userTimeout
 )
 
-// echoWatch finds links that go silent while something on their way, such as a proxy, still
-// acknowledges what is sent: the system's own limit sees nothing then. The peer answers
-// each request for an echo at once. One that never answered does not know echoes, and is
-// not held for silent.
-type echoWatch struct {
-	mutex    sync.Mutex
-	answered bool
-	// waits is set while a request has no answer, since askedAt.
-	waits   bool
-	askedAt time.Time
+// echoMonitor detects links on which a middlebox, such as a proxy, acknowledges data that
+// no longer reaches the peer, so that the TCP user timeout does not expire. Peers reply
+// to each echo request at once. A peer that has never replied does not support echoes and
+// does not time out.
+type echoMonitor struct {
+	mutex   sync.Mutex
+	replied bool
+	// pending is set while the request sent at requestedAt has no reply.
+	pending     bool
+	requestedAt time.Time
 }
 
-// ask reports whether a request is due, and notes that it is sent.
-func (w *echoWatch) ask(now time.Time) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.waits || now.Sub(w.askedAt) < echoInterval {
+// beginRequest reports whether a request is due and records it as sent.
+func (m *echoMonitor) beginRequest(now time.Time) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.pending || now.Sub(m.requestedAt) < echoInterval {
 		return false
 	}
-	w.waits = true
-	w.askedAt = now
+	m.pending = true
+	m.requestedAt = now
 	return true
 }
 
-// isSilent reports whether a peer that answered before has left a request unanswered.
-func (w *echoWatch) isSilent(now time.Time) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.answered && w.waits && now.Sub(w.askedAt) >= echoTimeout
+// timedOut reports whether a peer that has replied before has left a request without a
+// reply for echoTimeout.
+func (m *echoMonitor) timedOut(now time.Time) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	return m.replied && m.pending && now.Sub(m.requestedAt) >= echoTimeout
 }
 
-func (w *echoWatch) noteAnswer() {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.answered = true
-	w.waits = false
+func (m *echoMonitor) recordReply() {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.replied = true
+	m.pending = false
 }
 
-// read takes the peer's echoes until the connection ends; the writer learns of its end.
-func (w *echoWatch) read(connection net.Conn) {
+// read processes echo replies until the connection ends; the writer detects the end by
+// itself.
+func (m *echoMonitor) read(connection net.Conn) {
 	reader := bufio.NewReader(connection)
 	for {
 		frame, err := wire.ReadFrame(reader)
@@ -66,15 +67,16 @@
 			return
 		}
 		if frame.Kind == wire.FrameEcho {
-			w.noteAnswer()
+			m.recordReply()
 		}
 	}
 }
 
-// errSilent ends a connection whose peer no longer answers.
-var errSilent = steperror.New("peerlink.echo", "", "the peer takes what is sent and answers nothing")
+// errEchoTimeout is reported when a connection is closed because its peer stopped
+// replying.
+var errEchoTimeout = steperror.New("peerlink.echo", "", "the peer acknowledges data but does not reply to echo requests")
 
-// Echo answers a request for an echo.
+// Echo replies to an echo request.
 func Echo(connection net.Conn) error {
 	return Write(connection, wire.AppendFrame(nil, wire.Frame{Kind: wire.FrameEcho}))
 }
--- a/internal/peerlink/echo_test.go
+++ b/internal/peerlink/echo_test.go
@@ -13,7 +13,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// peer takes the frames of links and answers requests for an echo until it is silenced.
+// peer accepts links and replies to echo requests while answers is set.
 type peer struct {
 	listener net.Listener
 	opened   atomic.Int32
@@ -54,7 +54,7 @@
 	}
 }
 
-// sendFor sends a frame each 20 ms until a condition holds or the time is over.
+// sendFor sends a frame every 20 ms until the condition holds or the limit has passed.
 func sendFor(links *Links, p *peer, limit time.Duration, done func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		links.Send(p.listener.Addr().String(), wire.Frame{Kind: wire.FrameRaft})
@@ -68,41 +68,40 @@
 // hangTime is the time after which a test counts as hung.
 const hangTime = 20 * time.Second
 
-// Soak seed 7003: a proxy between two members went silent and still acknowledged what was
-// sent, so that the system's own limit never ended the connection.
-func TestALinkThatGoesSilentThoughItIsAcknowledgedIsOpenedAnew(t *testing.T) {
+// A proxy that acknowledges data but no longer forwards it defeats the TCP user timeout.
+func TestLinkReopensAfterEchoTimeout(t *testing.T) {
 	p := newPeer(t, true)
-	broken := make(chan error, 8)
+	failures := make(chan error, 8)
 	links := New(func(_ string, err error) {
 		if err != nil {
-			broken <- err
+			failures <- err
 		}
 	}, WithEchoes())
 	defer links.Close()
-	require.False(t, sendFor(links, p, 3*echoTimeout/2, func() bool { return p.opened.Load() > 1 }), "while it answers")
+	require.False(t, sendFor(links, p, 3*echoTimeout/2, func() bool { return p.opened.Load() > 1 }), "while the peer replies")
 	p.answers.Store(false)
 	require.True(t, sendFor(links, p, hangTime, func() bool { return p.opened.Load() > 1 }))
-	require.ErrorIs(t, <-broken, errSilent)
+	require.ErrorIs(t, <-failures, errEchoTimeout)
 }
 
-// A member of before echoes never answers: its links stay.
-func TestAPeerThatNeverAnsweredIsNotHeldForSilent(t *testing.T) {
+// Peers of earlier releases do not reply to echo requests.
+func TestPeerWithoutEchoesDoesNotTimeOut(t *testing.T) {
 	p := newPeer(t, false)
 	links := New(func(string, error) {}, WithEchoes())
 	defer links.Close()
 	assert.False(t, sendFor(links, p, 2*echoTimeout, func() bool { return p.opened.Load() > 1 }))
 }
 
-// After a rest of any length the first frame finds the link as it was.
-func TestAPauseOfTheSenderIsNoSilence(t *testing.T) {
-	var watch echoWatch
+// A link that has been idle must not time out on its next frame.
+func TestIdleSenderDoesNotTimeOut(t *testing.T) {
+	var monitor echoMonitor
 	now := time.Unix(1000, 0)
-	require.True(t, watch.ask(now))
-	require.False(t, watch.ask(now.Add(echoInterval)), "one request at a time")
-	watch.noteAnswer()
+	require.True(t, monitor.beginRequest(now))
+	require.False(t, monitor.beginRequest(now.Add(echoInterval)), "one request at a time")
+	monitor.recordReply()
 	later := now.Add(time.Hour)
-	assert.False(t, watch.isSilent(later))
-	assert.True(t, watch.ask(later))
-	assert.False(t, watch.isSilent(later.Add(echoTimeout-time.Millisecond)))
-	assert.True(t, watch.isSilent(later.Add(echoTimeout)))
+	assert.False(t, monitor.timedOut(later))
+	assert.True(t, monitor.beginRequest(later))
+	assert.False(t, monitor.timedOut(later.Add(echoTimeout-time.Millisecond)))
+	assert.True(t, monitor.timedOut(later.Add(echoTimeout)))
 }
--- a/internal/peerlink/peerlink.go
+++ b/internal/peerlink/peerlink.go
@@ -1,7 +1,7 @@
-// Package peerlink provides one-way links between processes: each link is a
-// TCP connection that carries frames to one address, opened when needed and
-// opened anew when it breaks. A frame that finds no room or no connection is
-// dropped; the protocols above send again.
+// Package peerlink provides one-way links between processes. Each link is a TCP
+// connection that sends frames to one address; it is opened on demand and reopened after
+// a failure. Frames are dropped when the queue is full or there is no connection; the
+// protocols above retransmit.
 package peerlink
 
 import (
@@ -22,28 +22,28 @@
 const (
 	queueCapacity = 1024
 	batchLimit    = 64
-	// staleAttempts is the number of attempts to connect after which what has
-	// waited for the link is old and is dropped.
+	// staleAttempts is the number of connection attempts after which queued frames are
+	// dropped as outdated.
 	staleAttempts = 6
 	writeTimeout  = time.Second
-	// partSize is the number of bytes that must be taken within writeTimeout.
-	partSize = 16 << 10
-	// unackedTimeout is how long sent bytes may stay unacknowledged before
-	// the connection is given up: a cut link says nothing.
-	unackedTimeout = time.Second
+	// writeChunkSize is the number of bytes that must be written within writeTimeout.
+	writeChunkSize = 16 << 10
+	// userTimeout is the time that sent data may stay unacknowledged before the
+	// connection fails. It detects interrupted links, which send no reset.
+	userTimeout = time.Second
 )
 
-// Notify is told when a link has opened (nil error) or broken.
+// Notify is called when a link has opened, with a nil error, or has failed.
 type Notify func(address string, err error)
 
-// Option changes a new set of links.
+// Option configures new Links.
 type Option func(l *Links)
 
-// WithEchoes has links ask their peers for echoes, and opens them anew when these stay
-// away; see Echo.
+// WithEchoes makes links send echo requests, and reopens those whose peers stop replying;
+// see Echo.
 func WithEchoes() Option { return func(l *Links) { l.echoes = true } }
 
-// Links are the outgoing links of a process.
+// Links manages the outgoing links of a process.
 type Links struct {
 	notify  Notify
 	echoes  bool
@@ -55,7 +55,7 @@
 	group   sync.WaitGroup
 }
 
-// New returns a set of links without any link yet.
+// New returns Links without any open link.
 func New(notify Notify, opts ...Option) *Links {
 	l := &Links{notify: notify, links: map[string]*ring.Ring[wire.Frame]{}}
 	for _, opt := range opts {
@@ -85,7 +85,7 @@
 	queue.TryPush(frame)
 }
 
-// Close ends all links.
+// Close closes all links.
 func (l *Links) Close() {
 	l.mutex.Lock()
 	l.closed = true
@@ -100,7 +100,7 @@
 // run writes the frames of one link.
 func (l *Links) run(address string, queue *ring.Ring[wire.Frame]) {
 	var connection net.Conn
-	var watch *echoWatch
+	var monitor *echoMonitor
 	defer func() { closeIfOpen(connection) }()
 	var batch []wire.Frame
 	for {
@@ -109,21 +109,21 @@
 		if !open {
 			return
 		}
-		if connection != nil && watch.isSilent(time.Now()) {
-			l.notify(address, errSilent)
+		if connection != nil && monitor.timedOut(time.Now()) {
+			l.notify(address, errEchoTimeout)
 			closeIfOpen(connection)
 			connection = nil
 		}
 		if connection == nil {
-			var late bool
-			connection, late = l.dial(address)
-			watch = l.watch(connection)
-			if late {
+			var stale bool
+			connection, stale = l.dial(address)
+			monitor = l.startMonitor(connection)
+			if stale {
 				queue.Discard()
 				continue
 			}
 		}
-		if l.echoes && watch.ask(time.Now()) {
+		if l.echoes && monitor.beginRequest(time.Now()) {
 			batch = append(batch, wire.Frame{Kind: wire.FrameEcho})
 		}
 		if err := writeFrames(connection, batch); err != nil {
@@ -134,18 +134,19 @@
 	}
 }
 
-// watch begins to watch a new connection, if there is one.
-func (l *Links) watch(connection net.Conn) *echoWatch {
-	watch := &echoWatch{}
+// startMonitor starts to read echo replies from a new connection, if there is one and
+// echoes are enabled.
+func (l *Links) startMonitor(connection net.Conn) *echoMonitor {
+	monitor := &echoMonitor{}
 	if l.echoes && connection != nil {
-		go watch.read(connection)
+		go monitor.read(connection)
 	}
-	return watch
+	return monitor
 }
 
-// dial connects to an address and tells whether that took so long that what
-// has waited meanwhile is old. It returns nil when the links are closed.
-func (l *Links) dial(address string) (connection net.Conn, late bool) {
+// dial connects to an address and reports whether that took so long that queued frames
+// are stale. The connection is nil if the links are closed.
+func (l *Links) dial(address string) (connection net.Conn, stale bool) {
 	attempts := 0
 	connection, _, err := DialFirst(l.context, func() (string, bool) {
 		attempts++
@@ -166,70 +167,72 @@
 	return Write(connection, buffer)
 }
 
-// Write writes bytes to a connection. The time limit holds for each part, so
-// that a large state reaches a peer behind a slow link.
+// Write writes data to a connection. The timeout applies to each chunk, so that large
+// messages can pass a slow link.
 func Write(connection net.Conn, data []byte) error {
 	for len(data) > 0 {
-		part := data[:min(len(data), partSize)]
+		chunk := data[:min(len(data), writeChunkSize)]
 		if err := connection.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return err
 		}
-		if _, err := connection.Write(part); err != nil {
+		if _, err := connection.Write(chunk); err != nil {
 			return err
 		}
-		data = data[len(part):]
+		data = data[len(chunk):]
 	}
 	return nil
 }
 
-// progressReader reads from a connection and gives up only when nothing at all
-// has come for a time.
-type progressReader struct {
+// idleTimeoutReader reads from a connection and fails if no data arrives within a
+// timeout.
+type idleTimeoutReader struct {
 	connection net.Conn
-	silence    func() time.Duration
+	timeout    func() time.Duration
 }
 
-// NewReader returns a reader that fails after a silence of the length that the
-// function returns before each read. A frame that comes slowly is no silence.
-func NewReader(connection net.Conn, silence func() time.Duration) io.Reader {
-	return &progressReader{connection: connection, silence: silence}
+// NewReader returns a reader that fails if no data arrives within the timeout that the
+// function returns before each read. A slow transfer does not fail.
+func NewReader(connection net.Conn, timeout func() time.Duration) io.Reader {
+	return &idleTimeoutReader{connection: connection, timeout: timeout}
 }
 
 // Read implements io.Reader.
-func (r *progressReader) Read(buffer []byte) (int, error) {
-	if err := r.connection.SetReadDeadline(time.Now().Add(r.silence())); err != nil {
+func (r *idleTimeoutReader) Read(buffer []byte) (int, error) {
+	if err := r.connection.SetReadDeadline(time.Now().Add(r.timeout())); err != nil {
 		return 0, err
 	}
 	return r.connection.Read(buffer)
 }
 
-// Listen opens a listener whose connections notice a silent peer.
+// Listen opens a TCP listener. Call SetUserTimeout on accepted connections to detect
+// unresponsive peers.
 func Listen(address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", address)
 	return listener, steperror.Wrap("peerlink.listen", address, err)
 }
 
-// SetUserTimeout makes an accepted connection notice a silent peer.
+// SetUserTimeout limits the time that sent data may stay unacknowledged on an accepted
+// connection.
 func SetUserTimeout(connection net.Conn) {
 	raw, ok := connection.(syscall.Conn)
 	if !ok {
 		return
 	}
 	if control, err := raw.SyscallConn(); err == nil {
-		_ = limitUnacked("", "", control)
+		_ = setUserTimeout("", "", control)
 	}
 }
 
-// limitUnacked bounds the time that sent bytes may stay unacknowledged.
-func limitUnacked(_, _ string, control syscall.RawConn) error {
-	var failure error
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket.
+func setUserTimeout(_, _ string, control syscall.RawConn) error {
+	var socketErr error
 	err := control.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		socketErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return socketErr
 }
 
 func closeIfOpen(connection net.Conn) {
--- a/internal/peerlink/peerlink_test.go
+++ b/internal/peerlink/peerlink_test.go
@@ -13,7 +13,7 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-func pair(t *testing.T) (near, far net.Conn) {
+func connect(t *testing.T) (near, far net.Conn) {
 	listener, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -28,32 +28,31 @@
 	return near, far
 }
 
-// A state of 300 KB takes longer than any single limit over a link of 2 Mbit/s:
-// nodes of a large fleet never got it (300 machines, all killed at once).
-func TestASlowTransferIsNoSilence(t *testing.T) {
-	near, far := pair(t)
-	const silence = 100 * time.Millisecond
+// A large state takes longer than the timeout on a slow link and must still arrive.
+func TestReaderAllowsSlowTransfer(t *testing.T) {
+	near, far := connect(t)
+	const timeout = 100 * time.Millisecond
 	go func() {
 		for range 10 {
 			_, _ = near.Write([]byte("part"))
-			time.Sleep(silence / 3)
+			time.Sleep(timeout / 3)
 		}
 		_ = near.Close()
 	}()
-	data, err := io.ReadAll(NewReader(far, func() time.Duration { return silence }))
+	data, err := io.ReadAll(NewReader(far, func() time.Duration { return timeout }))
 	require.NoError(t, err)
 	assert.Equal(t, bytes.Repeat([]byte("part"), 10), data)
 }
 
-func TestSilenceEndsTheRead(t *testing.T) {
-	_, far := pair(t)
+func TestReaderTimesOut(t *testing.T) {
+	_, far := connect(t)
 	started := time.Now()
 	_, err := NewReader(far, func() time.Duration { return 50 * time.Millisecond }).Read(make([]byte, 1))
 	require.Error(t, err)
 	assert.Less(t, time.Since(started), 2*time.Second)
 }
 
-func TestFramesArriveOverALinkThatIsOpenedWhenNeeded(t *testing.T) {
+func TestSendOpensLink(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -71,7 +70,7 @@
 	_ = connection.Close()
 }
 
-func TestALinkToNobodyDropsFrames(t *testing.T) {
+func TestSendToUnreachablePeer(t *testing.T) {
 	links := New(func(string, error) {})
 	links.Send("127.0.0.1:1", wire.Frame{Kind: wire.FrameKeepalive})
 	links.Close()
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring provides the bounded queue that joins the goroutines of a
-// process. Each goroutine has one duty and reads one ring.
+// Package ring provides the bounded queue that connects the goroutines of a process. Each
+// goroutine reads from one ring.
 package ring
 
 import "sync"
@@ -28,8 +28,8 @@
 	return r
 }
 
-// TryPush appends an item, or counts it as dropped and returns false when
-// the ring is full or closed.
+// TryPush appends an item. If the ring is full or closed, it counts the item as dropped
+// and returns false.
 func (r *Ring[T]) TryPush(item T) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -41,8 +41,8 @@
 	return true
 }
 
-// Push appends an item and waits for room. It returns false once the ring
-// is closed.
+// Push appends an item and blocks while the ring is full. If the ring is closed, it
+// counts the item as dropped and returns false.
 func (r *Ring[T]) Push(item T) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,7 +63,7 @@
 	r.notEmpty.Signal()
 }
 
-// Pop removes the oldest item and waits for one. It returns false when the
+// Pop removes the oldest item and blocks while the ring is empty. It returns false if the
 // ring is closed and empty.
 func (r *Ring[T]) Pop() (T, bool) {
 	r.mutex.Lock()
@@ -83,8 +83,8 @@
 	return item, true
 }
 
-// PopBatch appends up to limit items to batch. It waits for the first item
-// only, and returns false when the ring is closed and empty.
+// PopBatch moves up to limit items to batch. It blocks only for the first item, and
+// returns false if the ring is closed and empty.
 func (r *Ring[T]) PopBatch(batch []T, limit int) ([]T, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -117,7 +117,8 @@
 	return discarded
 }
 
-// Close wakes all waiting goroutines; items already queued can still be popped.
+// Close closes the ring and wakes all waiting goroutines; queued items can still be
+// popped.
 func (r *Ring[T]) Close() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -133,7 +134,7 @@
 	return r.count
 }
 
-// Dropped returns the number of items that found no room.
+// Dropped returns the number of items rejected because the ring was full or closed.
 func (r *Ring[T]) Dropped() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -8,11 +8,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRingKeepsOrderAndBound(t *testing.T) {
+func TestPushAndPop(t *testing.T) {
 	queue := New[int](2)
 	require.True(t, queue.TryPush(1))
 	require.True(t, queue.TryPush(2))
-	assert.False(t, queue.TryPush(3), "a full ring takes nothing")
+	assert.False(t, queue.TryPush(3), "push to a full ring")
 	assert.Equal(t, uint64(1), queue.Dropped())
 	first, open := queue.Pop()
 	assert.True(t, open)
@@ -22,7 +22,7 @@
 	assert.Equal(t, []int{2}, batch)
 }
 
-func TestRingCloseLetsTheRestOut(t *testing.T) {
+func TestPopAfterClose(t *testing.T) {
 	queue := New[int](4)
 	queue.TryPush(1)
 	queue.Close()
@@ -37,7 +37,7 @@
 	assert.False(t, open)
 }
 
-func TestRingPushWaitsForRoom(t *testing.T) {
+func TestPushBlocksWhenFull(t *testing.T) {
 	queue := New[int](1)
 	const items = 1000
 	var producers sync.WaitGroup
--- a/internal/steperror/steperror.go
+++ b/internal/steperror/steperror.go
@@ -1,5 +1,5 @@
-// Package steperror provides the error type of the project: it carries the
-// step that failed and the peer the step was talking to.
+// Package steperror provides an error type that records the step that failed and the peer
+// involved.
 package steperror
 
 import (
@@ -9,11 +9,11 @@
 
 // Error is a failure at a named step.
 type Error struct {
-	// Step names what was being done, for example "wal.append".
+	// Step is the operation that failed, for example "wal.append".
 	Step string
-	// Peer is the address or identity at the other end; empty if there is none.
+	// Peer is the address or identity of the remote end, or empty if there is none.
 	Peer string
-	// Reason says what went wrong in one sentence without a full stop.
+	// Reason describes the failure in one sentence without a full stop.
 	Reason string
 	// Cause is the underlying error, if any.
 	Cause error
@@ -26,7 +26,7 @@
 	return &Error{Step: step, Peer: peer, Reason: reason}
 }
 
-// Wrap returns an Error around a cause, and nil for a nil cause.
+// Wrap returns an Error with a cause, or nil if the cause is nil.
 func Wrap(step, peer string, cause error) error {
 	if cause == nil {
 		return nil
@@ -34,7 +34,7 @@
 	return &Error{Step: step, Peer: peer, Cause: cause}
 }
 
-// Error returns the step, the peer, the reason and the cause in one line.
+// Error formats the step, the peer, the reason and the cause on one line.
 func (e *Error) Error() string {
 	var text strings.Builder
 	text.WriteString(e.Step)
--- a/internal/steperror/steperror_test.go
+++ b/internal/steperror/steperror_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestErrorCarriesStepPeerAndCause(t *testing.T) {
+func TestErrorText(t *testing.T) {
 	cause := errors.New("connection refused")
 	err := Wrap("control.write", "10.0.0.1:7100", cause)
 	assert.EqualError(t, err, "control.write [10.0.0.1:7100]: connection refused")
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,6 +1,5 @@
-// Package wire holds the messages between the system's own processes and
-// their encoding: fixed-size fields in network byte order by encoding/binary,
-// and byte strings behind a length.
+// Package wire defines the messages between the processes of the system and their
+// encoding: fixed-size fields in network byte order and length-prefixed byte strings.
 package wire
 
 import (
@@ -10,7 +9,7 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// MaxBytes bounds one byte string inside a message.
+// MaxBytes is the maximum length of a byte string in a message.
 const MaxBytes = 16 << 20
 
 const addressSize = 18
@@ -42,16 +41,16 @@
 	e.Buffer = binary.BigEndian.AppendUint32(e.Buffer, value)
 }
 
-// escape is the byte that a longer field follows.
-const escape = 255
+// compactEscape precedes a 32-bit field in the compact encoding.
+const compactEscape = 255
 
-// CompactUint32 appends a number that is mostly small: one byte, or five from 255 on.
+// CompactUint32 appends a number in one byte if it is below 255, else in five bytes.
 func (e *Encoder) CompactUint32(value uint32) {
-	if value < escape {
+	if value < compactEscape {
 		e.Uint8(uint8(value))
 		return
 	}
-	e.Uint8(escape)
+	e.Uint8(compactEscape)
 	e.Uint32(value)
 }
 
@@ -60,13 +59,13 @@
 	e.Buffer = binary.BigEndian.AppendUint64(e.Buffer, value)
 }
 
-// Bytes appends a length and the bytes.
+// Bytes appends a length-prefixed byte string.
 func (e *Encoder) Bytes(value []byte) {
 	e.Uint32(uint32(len(value)))
 	e.Buffer = append(e.Buffer, value...)
 }
 
-// String appends a length and the text.
+// String appends a length-prefixed string.
 func (e *Encoder) String(value string) {
 	e.Uint32(uint32(len(value)))
 	e.Buffer = append(e.Buffer, value...)
@@ -79,8 +78,8 @@
 	e.Uint16(value.Port())
 }
 
-// Decoder reads fields from a buffer. After the first failure every read
-// returns a zero value and Err tells what was wrong.
+// Decoder reads fields from a buffer. After the first failure every read returns a zero
+// value and Err returns an error.
 type Decoder struct {
 	buffer []byte
 	failed bool
@@ -129,9 +128,9 @@
 	return binary.BigEndian.Uint32(part)
 }
 
-// CompactUint32 reads a number that is mostly small.
+// CompactUint32 reads a number that Encoder.CompactUint32 has written.
 func (d *Decoder) CompactUint32() uint32 {
-	if first := d.Uint8(); first < escape {
+	if first := d.Uint8(); first < compactEscape {
 		return uint32(first)
 	}
 	return d.Uint32()
@@ -156,7 +155,7 @@
 	return d.take(int(size))
 }
 
-// String reads a text.
+// String reads a string.
 func (d *Decoder) String() string { return string(d.Bytes()) }
 
 // Address reads an IP address and a port.
@@ -169,24 +168,24 @@
 	return netip.AddrPortFrom(ip, binary.BigEndian.Uint16(part[16:]))
 }
 
-// Count reads a list length and fails when the rest of the buffer cannot
-// hold so many items of the given smallest size.
-func (d *Decoder) Count(smallest int) int {
+// Count reads a list length and fails if the remaining buffer cannot hold that many items
+// of the given minimum size.
+func (d *Decoder) Count(minSize int) int {
 	count := int(d.Uint32())
-	if d.failed || count*smallest > len(d.buffer) {
+	if d.failed || count*minSize > len(d.buffer) {
 		d.failed = true
 		return 0
 	}
 	return count
 }
 
-// HasMore reports whether there are bytes that have not been read.
+// HasMore reports whether unread bytes remain.
 func (d *Decoder) HasMore() bool { return !d.failed && len(d.buffer) > 0 }
 
-// Rest returns all bytes not yet read.
+// Rest returns all unread bytes.
 func (d *Decoder) Rest() []byte { return d.take(len(d.buffer)) }
 
-// Err returns an error when a read went past the end.
+// Err returns an error if any read has failed.
 func (d *Decoder) Err(step string) error {
 	if d.failed {
 		return steperror.New(step, "", "message is truncated or a length is out of range")
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -7,19 +7,18 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// FrameKind tells what a frame on a TCP connection holds.
+// FrameKind is the type of a frame on a TCP connection.
 type FrameKind uint8
 
-// The kinds of frames between control members, and between a control member
-// and a balancer.
+// The kinds of frames between control members, balancers, nodes and operators' tools.
 const (
 	// FrameRaft holds a message of the replicated log.
 	FrameRaft FrameKind = iota + 1
-	// FrameReports holds reports that a member passes on to the leader.
+	// FrameReports holds reports that a member forwards to the leader.
 	FrameReports
-	// FrameGrants holds grants that the leader returns through a member.
+	// FrameGrants holds grants that the leader sends through a member.
 	FrameGrants
-	// FrameSignals holds the verdicts on the targets of a cell.
+	// FrameSignals holds the signals of all targets of a cell.
 	FrameSignals
 	// FrameReport holds one report of a balancer.
 	FrameReport
@@ -27,17 +26,17 @@
 	FrameGrant
 	// FrameConfig holds a CellConfig in protobuf.
 	FrameConfig
-	// FrameHello holds the introduction of one control member to another.
+	// FrameHello holds the Hello of one control member to another.
 	FrameHello
-	// FrameJoin asks for membership in a group of registry members.
+	// FrameJoin requests membership in a group of registry members.
 	FrameJoin
-	// FrameJoinReply tells a member its number and the group's members.
+	// FrameJoinReply holds the ID assigned to a member and the members of the group.
 	FrameJoinReply
-	// FrameForward holds a command that a member passes on to the leader.
+	// FrameForward holds a command that a member forwards to the leader.
 	FrameForward
-	// FrameForwardReply holds the outcome of a forwarded command or read.
+	// FrameForwardReply holds the result of a forwarded command or read.
 	FrameForwardReply
-	// FrameReadIndex asks the leader for the position that a read must see.
+	// FrameReadIndex requests the read index from the leader.
 	FrameReadIndex
 	// FrameLiveness holds the targets that a member or the leader heard from.
 	FrameLiveness
@@ -45,30 +44,30 @@
 	FrameSubscribe
 	// FrameUpdate holds an update of the directory for a node.
 	FrameUpdate
-	// FrameEvidence holds what a node has seen of targets.
+	// FrameEvidence holds what a node has observed about targets.
 	FrameEvidence
-	// FrameKeepalive tells a node that its member is up and whether it is current.
+	// FrameKeepalive tells a node that its member is running and whether it is current.
 	FrameKeepalive
-	// FrameRemembered holds the targets that a member's disk knows of before
-	// the member has learned what is committed.
+	// FrameRemembered holds the persisted state of a member that does not yet know what
+	// is committed.
 	FrameRemembered
-	// FrameReferral sends a node that knows only seeds on to other members.
+	// FrameReferral refers a node that knows only seeds to other members.
 	FrameReferral
 	// FrameOrder holds an operator's order to a control member.
 	FrameOrder
-	// FrameOrderReply holds the answer to an order.
+	// FrameOrderReply holds the reply to an order.
 	FrameOrderReply
-	// FrameAnnouncement tells a node, in a datagram, that a member is current and which
-	// members there are.
+	// FrameAnnouncement announces, in a datagram to a node, that a member is current and
+	// which members the group has.
 	FrameAnnouncement
-	// FrameEcho asks a member for the same frame, and is its answer.
+	// FrameEcho is an echo request and also the reply to it.
 	FrameEcho
-	// FrameRoom tells how the links of nodes are used: a node's own word, a member's sum,
-	// or the leader's for all.
+	// FrameRoom holds the load of nodes' links: the report of a node or a summary of a
+	// member or the leader.
 	FrameRoom
-	// FrameSpeeds tells how long targets take, on the same way.
+	// FrameSpeeds holds the speeds of targets: reports to the leader or its results.
 	FrameSpeeds
-	// FrameRoster tells another member where nodes take announcements.
+	// FrameRoster tells another member at which addresses nodes receive announcements.
 	FrameRoster
 )
 
@@ -81,7 +80,7 @@
 	FrameEcho: "echo", FrameRoom: "room", FrameSpeeds: "speeds", FrameRoster: "roster",
 }
 
-// String returns the name of the kind, as metrics give it.
+// String returns the name of the kind as used in metrics.
 func (k FrameKind) String() string {
 	if int(k) >= len(frameNames) || frameNames[k] == "" {
 		return "unknown"
@@ -95,13 +94,14 @@
 	Payload []byte
 }
 
-// frameHeader is the length of kind and payload (4 bytes) and the kind (1 byte).
-const frameHeader = 5
+// frameHeaderSize is the size in bytes of the length (4 bytes) and the kind (1 byte). The
+// length counts the kind and the payload.
+const frameHeaderSize = 5
 
-// FrameSize returns the number of bytes of a frame on the connection.
-func FrameSize(frame Frame) int { return frameHeader + len(frame.Payload) }
+// FrameSize returns the encoded size of a frame in bytes.
+func FrameSize(frame Frame) int { return frameHeaderSize + len(frame.Payload) }
 
-// AppendFrame appends the bytes of a frame.
+// AppendFrame appends an encoded frame.
 func AppendFrame(buffer []byte, frame Frame) []byte {
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(frame.Payload)+1))
 	buffer = append(buffer, byte(frame.Kind))
@@ -111,7 +111,7 @@
 // ReadFrame reads the next frame of a connection.
 func ReadFrame(reader io.Reader) (Frame, error) {
 	const step = "wire.read_frame"
-	var header [frameHeader]byte
+	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
 		return Frame{}, steperror.Wrap(step, "", err)
 	}
@@ -123,19 +123,19 @@
 	if _, err := io.ReadFull(reader, payload); err != nil {
 		return Frame{}, steperror.Wrap(step, "", err)
 	}
-	return Frame{Kind: FrameKind(header[frameHeader-1]), Payload: payload}, nil
+	return Frame{Kind: FrameKind(header[frameHeaderSize-1]), Payload: payload}, nil
 }
 
-// Hello introduces a control member that belongs to no group yet, or answers
-// one.
+// Hello is sent by a control member that belongs to no group, and is also the reply to
+// it.
 type Hello struct {
-	// Identity is the random number of the sender's data folder.
+	// Identity is the random ID of the sender's data directory.
 	Identity uint64
-	// Empty says that the data folder holds no state of a group.
+	// Empty is set if the data directory holds no group state.
 	Empty bool
 }
 
-// HelloFrame returns the frame of an introduction.
+// HelloFrame returns a FrameHello.
 func HelloFrame(hello Hello) Frame {
 	var encoder Encoder
 	encoder.Uint64(hello.Identity)
@@ -143,35 +143,35 @@
 	return Frame{Kind: FrameHello, Payload: encoder.Buffer}
 }
 
-// DecodeHello reads an introduction.
+// DecodeHello decodes the payload of a FrameHello.
 func DecodeHello(payload []byte) (Hello, error) {
 	decoder := NewDecoder(payload)
 	hello := Hello{Identity: decoder.Uint64(), Empty: decoder.Bool()}
 	return hello, decoder.Err("wire.decode_hello")
 }
 
-// ReportFrame returns the frame of one report.
+// ReportFrame returns a FrameReport.
 func ReportFrame(report NodeReport) Frame {
 	var encoder Encoder
 	EncodeNodeReport(&encoder, report)
 	return Frame{Kind: FrameReport, Payload: encoder.Buffer}
 }
 
-// GrantFrame returns the frame of one grant.
+// GrantFrame returns a FrameGrant.
 func GrantFrame(grant Grant) Frame {
 	var encoder Encoder
 	EncodeGrant(&encoder, grant)
 	return Frame{Kind: FrameGrant, Payload: encoder.Buffer}
 }
 
-// SignalsFrame returns the frame of the signals of a cell.
+// SignalsFrame returns a FrameSignals.
 func SignalsFrame(signals Signals) Frame {
 	var encoder Encoder
 	EncodeSignals(&encoder, signals)
 	return Frame{Kind: FrameSignals, Payload: encoder.Buffer}
 }
 
-// ReportsFrame returns the frame of many reports.
+// ReportsFrame returns a FrameReports.
 func ReportsFrame(reports []NodeReport) Frame {
 	var encoder Encoder
 	encoder.Uint32(uint32(len(reports)))
@@ -181,7 +181,7 @@
 	return Frame{Kind: FrameReports, Payload: encoder.Buffer}
 }
 
-// GrantsFrame returns the frame of many grants.
+// GrantsFrame returns a FrameGrants.
 func GrantsFrame(grants []Grant) Frame {
 	var encoder Encoder
 	encoder.Uint32(uint32(len(grants)))
@@ -192,21 +192,21 @@
 }
 
 const (
-	smallestReport = 39
-	grantSize      = 40
+	minReportSize = 39
+	grantSize     = 40
 )
 
-// DecodeReports reads the payload of a FrameReports.
+// DecodeReports decodes the payload of a FrameReports.
 func DecodeReports(payload []byte) ([]NodeReport, error) {
 	decoder := NewDecoder(payload)
 	var reports []NodeReport
-	for count := decoder.Count(smallestReport); count > 0; count-- {
+	for count := decoder.Count(minReportSize); count > 0; count-- {
 		reports = append(reports, DecodeNodeReport(decoder))
 	}
 	return reports, decoder.Err("wire.decode_reports")
 }
 
-// DecodeGrants reads the payload of a FrameGrants.
+// DecodeGrants decodes the payload of a FrameGrants.
 func DecodeGrants(payload []byte) ([]Grant, error) {
 	decoder := NewDecoder(payload)
 	var grants []Grant
--- a/internal/wire/node.go
+++ b/internal/wire/node.go
@@ -1,7 +1,7 @@
 package wire
 
-// NodeReport is the heartbeat of a balancer to the control plane. It renews
-// the lease and confirms the configuration in force.
+// NodeReport is the heartbeat of a balancer to the control plane. It renews the lease and
+// confirms the applied configuration.
 type NodeReport struct {
 	// Nonce identifies this run of the process.
 	Nonce uint64
@@ -10,10 +10,10 @@
 	Applied  uint64
 	View     uint64
 	Cell     uint32
-	// Settled says that the balancer has handed over all that the newest view
-	// took from it and has received all that the view gave to it.
+	// Settled is set if the balancer has completed all handovers that the newest view
+	// requires of it, both outgoing and incoming.
 	Settled bool
-	// Leaving says that the process has been asked to stop.
+	// Leaving is set if the process has been asked to stop.
 	Leaving bool
 	// Introduction is present until the balancer has an ID.
 	Introduction *NodeIntroduction
@@ -45,7 +45,7 @@
 	}
 }
 
-// DecodeNodeReport reads a report.
+// DecodeNodeReport decodes a report.
 func DecodeNodeReport(decoder *Decoder) NodeReport {
 	report := NodeReport{
 		Nonce:    decoder.Uint64(),
@@ -71,13 +71,13 @@
 type Grant struct {
 	Nonce    uint64
 	Sequence uint64
-	// ID is the balancer's number in the view; 0 while it is in none.
+	// ID is the balancer's ID in the view, or 0 if it is in none.
 	ID uint32
-	// LeaseMilliseconds counts from when the balancer sent the report; 0 gives
-	// no lease.
+	// LeaseMilliseconds is the duration of the lease, starting when the balancer sent the
+	// report; 0 grants no lease.
 	LeaseMilliseconds uint32
-	// Revision is the newest revision, and CellRevision the newest that
-	// changed anything in the balancer's cell.
+	// Revision is the newest revision, and CellRevision the newest one that changed the
+	// balancer's cell.
 	Revision     uint64
 	CellRevision uint64
 }
@@ -92,7 +92,7 @@
 	encoder.Uint64(grant.CellRevision)
 }
 
-// DecodeGrant reads a grant.
+// DecodeGrant decodes a grant.
 func DecodeGrant(decoder *Decoder) Grant {
 	return Grant{
 		Nonce:             decoder.Uint64(),
@@ -104,22 +104,22 @@
 	}
 }
 
-// TargetSignal is the verdict on one target.
+// TargetSignal is the weight and liveness of one target.
 type TargetSignal struct {
 	TargetID uint32
-	// Weight shares new flows; 0 gives the target none.
+	// Weight is the target's share of new flows; 0 means none.
 	Weight uint8
-	// Alive is false when the control plane holds the target for dead.
+	// Alive is false if the control plane considers the target dead.
 	Alive bool
-	// Run identifies the run of the target's process; 0 is not known.
+	// Run identifies the run of the target's process; 0 means unknown.
 	Run uint32
 	// UptimeMilliseconds is how long that run has lasted.
 	UptimeMilliseconds uint32
 }
 
-// Signals are the verdicts on all targets of a cell.
+// Signals holds the signals of all targets of a cell.
 type Signals struct {
-	// Term and Sequence order the signals: a later leader's come after.
+	// Term and Sequence order the signals, also across changes of the leader.
 	Term     uint64
 	Sequence uint64
 	Cell     uint32
@@ -143,7 +143,7 @@
 	}
 }
 
-// DecodeSignals reads signals.
+// DecodeSignals decodes signals.
 func DecodeSignals(decoder *Decoder) Signals {
 	signals := Signals{
 		Term:     decoder.Uint64(),
--- a/internal/wire/pack.go
+++ b/internal/wire/pack.go
@@ -9,69 +9,66 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// packLimit is the size in bytes from which a payload is compressed. A shorter
-// one gains less than a packet's head.
-const packLimit = 512
+// minCompressSize is the minimum size in bytes of a payload to compress. For shorter ones
+// the gain is negligible.
+const minCompressSize = 512
 
-// packLevel is the cheapest one: the default level takes twice the time for 4%
-// fewer bytes (a list of 600 targets).
-const packLevel = flate.BestSpeed
+// compressionLevel favors speed, since the default level saves few more bytes.
+const compressionLevel = flate.BestSpeed
 
-// The first byte of a packed payload tells what follows.
+// The first byte of an encoded payload is its format.
 const (
-	packedPlain   = 0
-	packedDeflate = 1
+	formatPlain   = 0
+	formatDeflate = 1
 )
 
-// deflaters are kept: each holds some hundred kilobytes of tables.
-var deflaters = sync.Pool{New: func() any {
-	// The level is a valid one, which is all that the error is about.
-	deflater, _ := flate.NewWriter(io.Discard, packLevel)
+// deflateWriters holds writers for reuse, since each of them has large tables.
+var deflateWriters = sync.Pool{New: func() any {
+	// NewWriter fails only if the level is invalid.
+	deflater, _ := flate.NewWriter(io.Discard, compressionLevel)
 	return deflater
 }}
 
-// Compress returns a payload in the form in which it travels: compressed when that
-// makes it shorter. A whole state of 600 targets shrinks to about a third, and
-// nodes have links of 2 Mbit/s.
+// Compress returns the payload with a format prefix, compressed if that makes it shorter.
 func Compress(payload []byte) []byte {
-	if len(payload) < packLimit {
-		return append([]byte{packedPlain}, payload...)
+	if len(payload) < minCompressSize {
+		return append([]byte{formatPlain}, payload...)
 	}
 	buffer := bytes.NewBuffer(make([]byte, 0, len(payload)/2))
-	buffer.WriteByte(packedDeflate)
-	deflater := deflaters.Get().(*flate.Writer)
-	defer deflaters.Put(deflater)
+	buffer.WriteByte(formatDeflate)
+	deflater := deflateWriters.Get().(*flate.Writer)
+	defer deflateWriters.Put(deflater)
 	deflater.Reset(buffer)
 	_, err := deflater.Write(payload)
 	if err == nil {
 		err = deflater.Close()
 	}
 	if err != nil || buffer.Len() > len(payload) {
-		// A buffer in memory takes all writes: only the length counts here.
-		return append([]byte{packedPlain}, payload...)
+		// Writes to a bytes.Buffer do not fail; only the length matters here.
+		return append([]byte{formatPlain}, payload...)
 	}
 	return buffer.Bytes()
 }
 
-// Decompress returns the payload that Pack was given.
-func Decompress(packed []byte) ([]byte, error) {
+// Decompress returns the payload that was passed to Compress.
+func Decompress(compressed []byte) ([]byte, error) {
 	const step = "wire.unpack"
-	if len(packed) == 0 {
+	if len(compressed) == 0 {
 		return nil, steperror.New(step, "", "the payload is empty")
 	}
-	switch packed[0] {
-	case packedPlain:
-		return packed[1:], nil
-	case packedDeflate:
-		return inflate(packed[1:])
+	switch compressed[0] {
+	case formatPlain:
+		return compressed[1:], nil
+	case formatDeflate:
+		return inflate(compressed[1:])
 	}
-	return nil, steperror.New(step, "", "the payload is packed in an unknown way")
+	return nil, steperror.New(step, "", "the payload has an unknown format")
 }
 
-// inflate expands a compressed payload of at most MaxBytes.
-func inflate(packed []byte) ([]byte, error) {
+// inflate decompresses a payload of at most MaxBytes.
+func inflate(compressed []byte) ([]byte, error) {
 	const step = "wire.unpack"
-	reader := flate.NewReader(bytes.NewReader(packed))
+	reader := flate.NewReader(bytes.NewReader(compressed))
 	payload, err := io.ReadAll(io.LimitReader(reader, MaxBytes+1))
 	if err != nil {
 		return nil, steperror.Wrap(step, "", err)
--- a/internal/wire/pack_test.go
+++ b/internal/wire/pack_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPackedPayloadsComeBackWhole(t *testing.T) {
-	noise := make([]byte, 4*packLimit)
+func TestCompressRoundTrip(t *testing.T) {
+	noise := make([]byte, 4*minCompressSize)
 	for position := range noise {
 		noise[position] = byte(rand.Uint32())
 	}
@@ -19,34 +19,34 @@
 		"short":        []byte("one target"),
 		"long":         bytes.Repeat([]byte("one target of many "), 1000),
 		"not smaller":  noise,
-		"at the limit": make([]byte, packLimit),
+		"at the limit": make([]byte, minCompressSize),
 	}
 	for name, payload := range cases {
 		t.Run(name, func(t *testing.T) {
-			packed := Compress(payload)
-			assert.LessOrEqual(t, len(packed), len(payload)+1)
-			unpacked, err := Decompress(packed)
+			compressed := Compress(payload)
+			assert.LessOrEqual(t, len(compressed), len(payload)+1)
+			decompressed, err := Decompress(compressed)
 			require.NoError(t, err)
-			assert.Equal(t, payload, append([]byte{}, unpacked...))
+			assert.Equal(t, payload, append([]byte{}, decompressed...))
 		})
 	}
 }
 
-func TestBadPackedPayloadsAreRefused(t *testing.T) {
-	long := Compress(bytes.Repeat([]byte("x"), 4*packLimit))
+func TestDecompressInvalidPayload(t *testing.T) {
+	long := Compress(bytes.Repeat([]byte("x"), 4*minCompressSize))
 	cases := map[string]struct {
-		packed  []byte
-		problem string
+		compressed []byte
+		problem    string
 	}{
-		"nothing":     {nil, "empty"},
-		"unknown":     {[]byte{9, 1}, "unknown way"},
-		"cut short":   {long[:len(long)-3], "EOF"},
-		"no deflate":  {[]byte{packedDeflate, 0xff, 0xff}, "corrupt"},
-		"far too big": {Compress(make([]byte, MaxBytes+10)), "too large"},
+		"empty":           {nil, "empty"},
+		"unknown format":  {[]byte{9, 1}, "unknown format"},
+		"truncated":       {long[:len(long)-3], "EOF"},
+		"invalid deflate": {[]byte{formatDeflate, 0xff, 0xff}, "corrupt"},
+		"too large":       {Compress(make([]byte, MaxBytes+10)), "too large"},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := Decompress(test.packed)
+			_, err := Decompress(test.compressed)
 			assert.ErrorContains(t, err, test.problem)
 		})
 	}
--- a/internal/wire/peer.go
+++ b/internal/wire/peer.go
@@ -7,7 +7,7 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// PeerKind tells the purpose of a datagram between balancers.
+// PeerKind is the type of a datagram between balancers.
 type PeerKind uint8
 
 // The kinds of datagrams between balancers.
@@ -16,19 +16,20 @@
 	PeerToPrimary PeerKind = iota + 1
 	// PeerToBackup relays a caller's packet with the primary's decision.
 	PeerToBackup
-	// PeerConsult asks whether anyone knows the flow of a packet.
+	// PeerConsult asks other balancers whether they know the flow of a packet.
 	PeerConsult
-	// PeerConsultReply returns the packet with what was found.
+	// PeerConsultReply returns the packet with the result of the lookup.
 	PeerConsultReply
-	// PeerAnswer copies a target's answer to the primary, and on to the backup.
+	// PeerAnswer copies a target's answer to the primary, which forwards it to the
+	// backup.
 	PeerAnswer
-	// PeerHandover carries records to a new member of a pair.
+	// PeerHandover transfers records to a new member of a pair.
 	PeerHandover
 	// PeerHandoverReply confirms a PeerHandover.
 	PeerHandoverReply
-	// PeerNewerView tells the sender of an old view the number of the newer one.
+	// PeerNewerView tells a sender with an outdated view the number of the newer view.
 	PeerNewerView
-	// PeerProbe asks whether a balancer answers, and PeerProbeReply says so.
+	// PeerProbe checks whether a balancer responds, and PeerProbeReply is the response.
 	PeerProbe
 	PeerProbeReply
 )
@@ -38,16 +39,16 @@
 
 // Flags of datagrams between balancers.
 const (
-	// FlagKnown says that TargetID is the flow's target as far as the sender knows.
+	// FlagKnown means that TargetID is the flow's target as far as the sender knows.
 	FlagKnown PeerFlags = 1 << iota
-	// FlagCovered says that the sender holds all records of the partition.
+	// FlagCovered means that the sender holds all records of the partition.
 	FlagCovered
 	// FlagRefuse asks the backup to record a refusal and to answer "not run".
 	FlagRefuse
 	// FlagUnsafe marks a request that may not be repeated.
 	FlagUnsafe
-	// FlagFinal marks an answer that the primary has passed on to the backup,
-	// or a consultation that was answered with certainty.
+	// FlagFinal marks an answer that the primary has forwarded to the backup, or a
+	// conclusive PeerConsultReply.
 	FlagFinal
 	// FlagRefusal marks an answer by which a target refused a request.
 	FlagRefusal
@@ -72,7 +73,7 @@
 	// RequestKey identifies a request that may not be repeated; in a handover
 	// it is the sequence number.
 	RequestKey uint64
-	// Visited marks the members already consulted, by place in the view.
+	// Visited is a bit set of the balancers already consulted, by position in the view.
 	Visited uint64
 	Caller  netip.AddrPort
 	Payload []byte
@@ -81,7 +82,7 @@
 // PeerHeaderSize is the size of a PeerPacket without its payload, in bytes.
 const PeerHeaderSize = 58
 
-// AppendPeerPacket appends the bytes of a packet.
+// AppendPeerPacket appends an encoded packet.
 func AppendPeerPacket(buffer []byte, packet *PeerPacket) []byte {
 	buffer = append(buffer, byte(packet.Kind), byte(packet.Flags), packet.Hops, packet.Attempt)
 	buffer = binary.BigEndian.AppendUint32(buffer, packet.From)
@@ -96,7 +97,7 @@
 	return append(buffer, packet.Payload...)
 }
 
-// DecodePeerPacket reads a packet; its payload shares the buffer.
+// DecodePeerPacket decodes a packet; its payload shares the buffer.
 func DecodePeerPacket(buffer []byte, packet *PeerPacket) error {
 	if len(buffer) < PeerHeaderSize {
 		return steperror.New("wire.decode_peer", "", "packet is shorter than its header")
@@ -120,11 +121,12 @@
 	return nil
 }
 
-// ForwardTag travels with a packet to a target, which returns it with its
-// answer: it says whose packet it was and where the flow was registered.
+// ForwardTag is sent with a packet to a target, which returns it with its answer. It
+// identifies the service and the target of the packet and the view in which the flow was
+// registered.
 type ForwardTag struct {
 	ServiceID uint32
-	// TargetID is the incarnation of the target; it is never reused.
+	// TargetID identifies one start of the target; it is never reused.
 	TargetID uint32
 	// View is the view in which the flow was registered with its pair.
 	View uint64
@@ -132,10 +134,10 @@
 	RequestKey uint64
 }
 
-// ForwardTagSize is the size of a tag in bytes.
+// ForwardTagSize is the encoded size of a tag in bytes.
 const ForwardTagSize = 24
 
-// AppendForwardTag appends the bytes of a tag.
+// AppendForwardTag appends an encoded tag.
 func AppendForwardTag(buffer []byte, tag ForwardTag) []byte {
 	buffer = binary.BigEndian.AppendUint32(buffer, tag.ServiceID)
 	buffer = binary.BigEndian.AppendUint32(buffer, tag.TargetID)
@@ -143,7 +145,7 @@
 	return binary.BigEndian.AppendUint64(buffer, tag.RequestKey)
 }
 
-// DecodeForwardTag reads a tag.
+// DecodeForwardTag decodes a tag.
 func DecodeForwardTag(buffer []byte) (ForwardTag, error) {
 	if len(buffer) != ForwardTagSize {
 		return ForwardTag{}, steperror.New("wire.decode_tag", "", "tag has the wrong size")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -26,7 +26,7 @@
 	return report
 }
 
-func TestReportsSurviveTheWire(t *testing.T) {
+func TestReportsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reports := rapid.SliceOfN(rapid.Custom(drawReport), 1, 5).Draw(t, "reports")
 		decoded, err := DecodeReports(ReportsFrame(reports).Payload)
@@ -35,7 +35,7 @@
 	})
 }
 
-func TestGrantsAndSignalsSurviveTheWire(t *testing.T) {
+func TestGrantsAndSignalsRoundTrip(t *testing.T) {
 	grants := []Grant{{Nonce: 1, Sequence: 2, ID: 3, LeaseMilliseconds: 4, Revision: 5, CellRevision: 6}}
 	decoded, err := DecodeGrants(GrantsFrame(grants).Payload)
 	require.NoError(t, err)
@@ -46,7 +46,7 @@
 	assert.NoError(t, decoder.Err("test"))
 }
 
-func TestPeerPacketSurvivesTheWire(t *testing.T) {
+func TestPeerPacketRoundTrip(t *testing.T) {
 	packet := PeerPacket{
 		Kind: PeerToBackup, Flags: FlagUnsafe | FlagCovered, Hops: 2, Attempt: 1, From: 7, View: 8,
 		ServiceID: 9, TargetID: 10, RequestKey: 11, Visited: 12,
@@ -62,7 +62,7 @@
 	assert.False(t, decoded.Flags.Has(FlagUnsafe|FlagRefuse))
 }
 
-func TestDecodersRefuseWhatIsCutShort(t *testing.T) {
+func TestDecodeTruncatedMessages(t *testing.T) {
 	whole := AppendPeerPacket(nil, &PeerPacket{Kind: PeerAnswer, Caller: netip.MustParseAddrPort("10.0.0.1:1")})
 	var packet PeerPacket
 	for size := range whole {
@@ -77,7 +77,7 @@
 	assert.Error(t, err)
 }
 
-func TestFramesOnAStream(t *testing.T) {
+func TestReadFrame(t *testing.T) {
 	stream := AppendFrame(nil, Frame{Kind: FrameRaft, Payload: []byte("one")})
 	stream = AppendFrame(stream, HelloFrame(Hello{Identity: 5, Empty: true}))
 	reader := bytes.NewReader(stream)
