--- a/internal/cli/offline.go
+++ b/internal/cli/offline.go
@@ -147,15 +147,15 @@
 
 func decide(program *policy.Program, sample policy.Sample) (weight, reason string, err error) {
 	weight, reason = "-", "-"
-	if program.SharesWork() {
+	if program.DefinesWeight() {
 		value, err := program.Weight(sample)
 		if err != nil {
 			return "", "", err
 		}
 		weight = fmt.Sprint(value)
 	}
-	if program.LeavesAlone() {
-		if reason, err = program.LeaveAlone(sample); err != nil {
+	if program.DefinesLeaveAlone() {
+		if reason, err = program.ExclusionReason(sample); err != nil {
 			return "", "", err
 		}
 		if reason == "" {
@@ -202,7 +202,7 @@
 			if err != nil {
 				return &ExitError{Code: ExitUsage, Cause: err}
 			}
-			folder, err := wal.OpenFolder(args[0])
+			folder, err := wal.OpenDir(args[0])
 			if err != nil {
 				return err
 			}
@@ -224,7 +224,7 @@
 }
 
 func verifyFolder(cmd *cobra.Command, path string) error {
-	folder, err := wal.OpenFolder(path)
+	folder, err := wal.OpenDir(path)
 	if err != nil {
 		return err
 	}
--- a/internal/coapmsg/coapmsg.go
+++ b/internal/coapmsg/coapmsg.go
@@ -118,9 +118,9 @@
 	return codes.Code(packet[1])
 }
 
-// Answer returns an answer that a balancer gives by itself. A confirmable
+// Response returns an answer that a balancer gives by itself. A confirmable
 // request gets it with its acknowledgement.
-func (p *Parser) Answer(code codes.Code, maxAgeSeconds uint32) []byte {
+func (p *Parser) Response(code codes.Code, maxAgeSeconds uint32) []byte {
 	kind := message.NonConfirmable
 	if p.Message.Type == message.Confirmable {
 		kind = message.Acknowledgement
@@ -128,9 +128,9 @@
 	return encodeAnswer(kind, code, p.Message.MessageID, p.Message.Token, maxAgeSeconds)
 }
 
-// SeparateAnswer returns an answer that comes after the acknowledgement, or a
+// SeparateResponse returns an answer that comes after the acknowledgement, or a
 // notification.
-func SeparateAnswer(code codes.Code, messageID uint16, token []byte, maxAgeSeconds uint32) []byte {
+func SeparateResponse(code codes.Code, messageID uint16, token []byte, maxAgeSeconds uint32) []byte {
 	return encodeAnswer(message.NonConfirmable, code, int32(messageID), token, maxAgeSeconds)
 }
 
--- a/internal/coapmsg/coapmsg_test.go
+++ b/internal/coapmsg/coapmsg_test.go
@@ -66,7 +66,7 @@
 	request := message.Message{Type: message.Confirmable, Code: codes.POST, MessageID: 77, Token: []byte("token")}
 	require.NoError(t, parser.Parse(encode(t, request)))
 	answer := NewParser()
-	require.NoError(t, answer.Parse(parser.Answer(codes.ServiceUnavailable, 3)))
+	require.NoError(t, answer.Parse(parser.Response(codes.ServiceUnavailable, 3)))
 	assert.Equal(t, message.Acknowledgement, answer.Message.Type)
 	assert.Equal(t, int32(77), answer.Message.MessageID)
 	assert.Equal(t, "token", string(answer.Message.Token))
@@ -104,7 +104,7 @@
 		_ = parser.DeadlineMilliseconds()
 		assert.NotZero(t, parser.RequestKey(1))
 		if IsRequest(parser.Message.Code) {
-			assert.NotNil(t, parser.Answer(codes.GatewayTimeout, 0))
+			assert.NotNil(t, parser.Response(codes.GatewayTimeout, 0))
 		}
 	})
 }
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -140,7 +140,7 @@
 }
 
 // NewCore returns a member that starts from what its disk held.
-func NewCore(now kernel.Instant, settings Settings, storage replica.Storage, restored raft.Restored) (*Core, error) {
+func NewCore(now kernel.Instant, settings Settings, storage replica.Storage, restored raft.PersistentState) (*Core, error) {
 	state := store.New(settings.Mechanisms.Store)
 	if restored.Snapshot.Index > 0 && len(restored.Snapshot.Data) > 0 {
 		decoded, err := store.Decode(restored.Snapshot.Data, settings.Mechanisms.Store)
@@ -166,7 +166,7 @@
 }
 
 // Failed returns the error of the disk that stopped this member, or nil.
-func (c *Core) Failed() error { return c.replica.Failed }
+func (c *Core) Failed() error { return c.replica.Err }
 
 // Store returns the replicated state as far as this member has applied it.
 func (c *Core) Store() *store.Store { return c.store }
@@ -182,12 +182,12 @@
 	if c.settings.Mechanisms.NoLeaderLease {
 		return c.IsLeader()
 	}
-	return c.replica.Failed == nil && c.replica.Node.HasLease(now) && c.replica.Applied >= c.replica.Node.Commit()
+	return c.replica.Err == nil && c.replica.Node.HasLease(now) && c.replica.Applied >= c.replica.Node.Commit()
 }
 
 // Tick lets time pass. It is called at least ten times a second.
 func (c *Core) Tick(now kernel.Instant) Output {
-	if c.replica.Failed != nil {
+	if c.replica.Err != nil {
 		return Output{}
 	}
 	c.tickFounding(now)
@@ -203,7 +203,7 @@
 
 // HandleMemberFrame handles a frame from another control member.
 func (c *Core) HandleMemberFrame(now kernel.Instant, from raft.MemberID, frame wire.Frame) Output {
-	if c.replica.Failed != nil {
+	if c.replica.Err != nil {
 		return Output{}
 	}
 	switch frame.Kind {
@@ -269,8 +269,8 @@
 
 func (c *Core) propose(now kernel.Instant, token Token, command store.Command) {
 	const step = "control.propose"
-	if c.replica.Failed != nil {
-		c.output.Outcomes = append(c.output.Outcomes, Outcome{Token: token, Err: c.replica.Failed})
+	if c.replica.Err != nil {
+		c.output.Outcomes = append(c.output.Outcomes, Outcome{Token: token, Err: c.replica.Err})
 		return
 	}
 	data, err := store.EncodeCommand(command)
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -47,7 +47,7 @@
 }
 
 // isEmpty reports whether this member belongs to no group yet.
-func (c *Core) isEmpty() bool { return c.replica.Node.Restored().Snapshot.Index == 0 }
+func (c *Core) isEmpty() bool { return c.replica.Node.PersistentState().Snapshot.Index == 0 }
 
 func (c *Core) hello() wire.Frame {
 	return wire.HelloFrame(wire.Hello{Identity: c.settings.Raft.Identity, Empty: c.isEmpty()})
@@ -103,7 +103,7 @@
 		c.replica.Stop(err)
 		return
 	}
-	restored.HardState = c.replica.Node.Restored().HardState
+	restored.HardState = c.replica.Node.PersistentState().HardState
 	if err := c.replica.Storage.Rewrite(restored); err != nil {
 		c.replica.Stop(err)
 		return
@@ -121,7 +121,7 @@
 
 // firstState returns what the disk of the first member of a group holds: a
 // snapshot with the first membership and the members' addresses.
-func firstState(founders []*beamdoorv1.Member, identities map[raft.MemberID]uint64) (raft.Restored, error) {
+func firstState(founders []*beamdoorv1.Member, identities map[raft.MemberID]uint64) (raft.PersistentState, error) {
 	state := store.New(store.Options{})
 	for _, member := range founders {
 		state.Apply(store.Command{
@@ -134,10 +134,10 @@
 	}
 	data, err := state.Encode()
 	if err != nil {
-		return raft.Restored{}, err
+		return raft.PersistentState{}, err
 	}
 	membership := raft.NewMembership(identities)
-	return raft.Restored{Snapshot: raft.Snapshot{Index: 1, Membership: membership, Data: data}}, nil
+	return raft.PersistentState{Snapshot: raft.Snapshot{Index: 1, Membership: membership, Data: data}}, nil
 }
 
 // receiveHello notes an introduction and answers a member that might found a
--- a/internal/control/judge.go
+++ b/internal/control/judge.go
@@ -260,7 +260,7 @@
 }
 
 func (j *TargetEvaluator) noteVerdict(record *judgeRecord, verdict policy.Verdict, alive bool) {
-	if verdict.Alone != record.verdict.Alone || alive != record.alive {
+	if verdict.Excluded != record.verdict.Excluded || alive != record.alive {
 		j.log(eventlog.TargetVerdict, "service", record.service.Name, "target", record.target.Name,
 			"weight", verdict.Weight, "alive", alive, "reason", verdict.Reason)
 	}
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -77,7 +77,7 @@
 
 // HandleNodeFrame handles a frame from a connected balancer.
 func (c *Core) HandleNodeFrame(now kernel.Instant, connection ConnectionID, frame wire.Frame) Output {
-	if c.replica.Failed != nil || frame.Kind != wire.FrameReport {
+	if c.replica.Err != nil || frame.Kind != wire.FrameReport {
 		return Output{}
 	}
 	decoder := wire.NewDecoder(frame.Payload)
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -62,7 +62,7 @@
 
 // OpenProcess opens the data folder and prepares a member. Nothing listens yet.
 func OpenProcess(loaded *settings.Control, core Settings, logger *eventlog.Logger) (*Process, error) {
-	folder, err := wal.OpenFolder(loaded.DataFolder)
+	folder, err := wal.OpenDir(loaded.DataFolder)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/restore.go
+++ b/internal/control/restore.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return 0, steperror.Wrap(step, "", err)
 	}
-	revision := state.Restart(first)
+	revision := state.RestoreFromBackup(first)
 	data, err := state.Encode()
 	if err != nil {
 		return 0, steperror.Wrap(step, "", err)
@@ -43,7 +43,7 @@
 		return 0, err
 	}
 	membership := raft.NewMembership(map[raft.MemberID]uint64{raft.MemberID(first.Id): identity})
-	err = log.Rewrite(raft.Restored{
+	err = log.Rewrite(raft.PersistentState{
 		HardState: raft.HardState{Term: restoreTerm},
 		Snapshot:  raft.Snapshot{Index: 1, Membership: membership, Data: data},
 	})
--- a/internal/faultlayer/layer.go
+++ b/internal/faultlayer/layer.go
@@ -9,5 +9,5 @@
 // ListenAddress returns where a process listens that others reach at an address.
 func ListenAddress(address string) string { return address }
 
-// BeforeWrite returns the error of the disk for the next write or sync.
-func BeforeWrite() error { return nil }
+// InjectDiskFault returns the error of the disk for the next write or sync.
+func InjectDiskFault() error { return nil }
--- a/internal/faultlayer/layer_soak.go
+++ b/internal/faultlayer/layer_soak.go
@@ -33,9 +33,9 @@
 	return address
 }
 
-// BeforeWrite returns the error of the disk for the next write or sync: the file
+// InjectDiskFault returns the error of the disk for the next write or sync: the file
 // of the soak holds "full", "fail", or the time that each write takes.
-func BeforeWrite() error {
+func InjectDiskFault() error {
 	content, err := os.ReadFile(os.Getenv(diskVariable))
 	if err != nil {
 		return nil
--- a/internal/lab/disk/disk.go
+++ b/internal/lab/disk/disk.go
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// SyncFolder implements wal.FileSystem.
-func (d *Disk) SyncFolder() error {
+// SyncDir implements wal.FileSystem.
+func (d *Disk) SyncDir() error {
 	if d.FailSyncs {
 		return errSyncFailed
 	}
--- a/internal/lab/sim/run.go
+++ b/internal/lab/sim/run.go
@@ -50,9 +50,9 @@
 	{"leader-lease", "a leader grants and answers only with a quorum's support", func(m *Mechanisms) { m.Control.NoLeaderLease = true }},
 	{"pre-vote", "a member asks before it raises its term", func(m *Mechanisms) { m.Control.Raft.NoPreVote = true; m.Control.Raft.NoStickiness = true }},
 	{"check-quorum", "a leader without a quorum steps down", func(m *Mechanisms) { m.Control.Raft.NoCheckQuorum = true }},
-	{"disk-identity", "a member that lost its disk is not listened to", func(m *Mechanisms) { m.Control.Raft.NoIdentity = true }},
+	{"disk-identity", "a member that lost its disk is not listened to", func(m *Mechanisms) { m.Control.Raft.NoIdentityCheck = true }},
 	{"sync", "a write is acknowledged after it is synced", func(m *Mechanisms) { m.SkipSync = true }},
-	{"request-identity", "a repeated write gets its first answer", func(m *Mechanisms) { m.Control.Store.NoRequestIdentity = true }},
+	{"request-identity", "a repeated write gets its first answer", func(m *Mechanisms) { m.Control.Store.NoRequestDeduplication = true }},
 	{"compare-and-set", "a write names the revision it is based on", func(m *Mechanisms) { m.Control.Store.NoCompareAndSet = true }},
 }
 
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -60,9 +60,9 @@
 
 // Verdict is what the programs decided on one target.
 type Verdict struct {
-	Weight uint8
-	Alone  bool
-	Reason string
+	Weight   uint8
+	Excluded bool
+	Reason   string
 }
 
 // Program is a compiled policy program.
@@ -124,11 +124,11 @@
 	return thread
 }
 
-// SharesWork reports whether the program defines weight(target).
-func (p *Program) SharesWork() bool { return p.weight != nil }
+// DefinesWeight reports whether the program defines weight(target).
+func (p *Program) DefinesWeight() bool { return p.weight != nil }
 
-// LeavesAlone reports whether the program defines leave_alone(target).
-func (p *Program) LeavesAlone() bool { return p.leave != nil }
+// DefinesLeaveAlone reports whether the program defines leave_alone(target).
+func (p *Program) DefinesLeaveAlone() bool { return p.leave != nil }
 
 // Weight calls weight(target); the result is from 0 to MaxWeight.
 func (p *Program) Weight(sample Sample) (uint8, error) {
@@ -150,8 +150,8 @@
 	return uint8(number), nil
 }
 
-// LeaveAlone calls leave_alone(target); it returns a reason, or "" to go on.
-func (p *Program) LeaveAlone(sample Sample) (string, error) {
+// ExclusionReason calls leave_alone(target); it returns a reason, or "" to go on.
+func (p *Program) ExclusionReason(sample Sample) (string, error) {
 	const step = "policy.leave_alone"
 	if p.leave == nil {
 		return "", steperror.New(step, p.name, "program does not define leave_alone(target)")
@@ -190,16 +190,16 @@
 
 // Evaluate runs a sharing and a health program on one sample.
 func Evaluate(sharing, health *Program, sample Sample) (Verdict, error) {
-	reason, err := health.LeaveAlone(sample)
+	reason, err := health.ExclusionReason(sample)
 	if err != nil {
 		return Verdict{}, err
 	}
 	if reason != "" {
-		return Verdict{Alone: true, Reason: reason}, nil
+		return Verdict{Excluded: true, Reason: reason}, nil
 	}
 	weight, err := sharing.Weight(sample)
 	if err != nil {
 		return Verdict{}, err
 	}
-	return Verdict{Weight: weight, Alone: weight == 0}, nil
+	return Verdict{Weight: weight, Excluded: weight == 0}, nil
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -42,7 +42,7 @@
 	for _, test := range tests {
 		verdict, err := Evaluate(builtin(t, "builtin/even"), health, test.sample)
 		require.NoError(t, err, test.name)
-		assert.Equal(t, test.alone, verdict.Alone, test.name)
+		assert.Equal(t, test.alone, verdict.Excluded, test.name)
 		assert.Equal(t, test.alone, verdict.Weight == 0, test.name)
 	}
 	cold := with(func(s *Sample) { s.ColdStart = 10 * time.Second; s.Uptime = time.Second })
@@ -84,8 +84,8 @@
 		_, err := compile(t, source).Weight(Sample{})
 		assert.Error(t, err, name)
 	}
-	_, err := compile(t, "def leave_alone(target):\n  return 7").LeaveAlone(Sample{})
+	_, err := compile(t, "def leave_alone(target):\n  return 7").ExclusionReason(Sample{})
 	assert.ErrorContains(t, err, "want a reason or None")
-	_, err = compile(t, "def weight(target):\n  return 1").LeaveAlone(Sample{})
+	_, err = compile(t, "def weight(target):\n  return 1").ExclusionReason(Sample{})
 	assert.Error(t, err)
 }
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -36,7 +36,7 @@
 		return now.Sub(n.quorumContact(now)) < n.settings.ElectionTimeout
 	}
 	restarted := now.Sub(n.startedAt) < n.settings.ElectionTimeout && n.log.lastIndex() > 0
-	if restarted && !n.settings.UnboundRestart {
+	if restarted && !n.settings.VoteAfterRestart {
 		return true
 	}
 	return n.heardLeader && now.Sub(n.leaderContact) < n.settings.ElectionTimeout
@@ -123,7 +123,7 @@
 	n.electedAt = now
 	n.peers = map[MemberID]*progress{}
 	n.electedIndex = n.log.lastIndex() + 1
-	n.appendOwn(now, EntryEmpty, nil)
+	n.appendOwn(now, EntryNoOp, nil)
 }
 
 func (n *Node) handlePreVote(now kernel.Instant, message Message) {
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -16,8 +16,8 @@
 
 // The kinds of log entries.
 const (
-	// EntryEmpty is appended by a new leader (Raft paper, section 8).
-	EntryEmpty EntryKind = iota
+	// EntryNoOp is appended by a new leader (Raft paper, section 8).
+	EntryNoOp EntryKind = iota
 	// EntryCommand holds a command of the state machine.
 	EntryCommand
 	// EntryMembership holds an encoded Membership.
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -41,10 +41,10 @@
 	NoCheckQuorum bool
 	// NoStickiness lets a member vote while it hears from a leader.
 	NoStickiness bool
-	// NoIdentity listens to a member that lost its disk.
-	NoIdentity bool
-	// NoTermCommit counts replicas of entries of earlier terms (Raft paper, figure 8).
-	NoTermCommit bool
+	// NoIdentityCheck listens to a member that lost its disk.
+	NoIdentityCheck bool
+	// NoCommitTermCheck counts replicas of entries of earlier terms (Raft paper, figure 8).
+	NoCommitTermCheck bool
 	// NoStallCheck holds others for silent after this process had no time.
 	NoStallCheck bool
 }
@@ -63,20 +63,20 @@
 	MaxAppend int
 	// ChunkSize is the size of a snapshot chunk in bytes.
 	ChunkSize int
-	// UnboundRestart lets a member vote at once after its restart, though it
+	// VoteAfterRestart lets a member vote at once after its restart, though it
 	// may have supported a leader just before. HasLease proves nothing then;
 	// reads must wait for ConfirmedSince.
-	UnboundRestart bool
-	Random         *rand.Rand
-	Mechanisms     Mechanisms
+	VoteAfterRestart bool
+	Random           *rand.Rand
+	Mechanisms       Mechanisms
 }
 
 // driftDivisor gives the share of the election timeout that is kept back
 // from the read lease against clocks that run apart: one tenth.
 const driftDivisor = 10
 
-// Restored is what a member finds on its disk.
-type Restored struct {
+// PersistentState is what a member finds on its disk.
+type PersistentState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
@@ -162,7 +162,7 @@
 }
 
 // NewNode returns a member that starts from what its disk held.
-func NewNode(now kernel.Instant, settings Settings, restored Restored) *Node {
+func NewNode(now kernel.Instant, settings Settings, restored PersistentState) *Node {
 	node := &Node{
 		settings:  settings,
 		hard:      restored.HardState,
@@ -177,7 +177,7 @@
 	node.persisted = node.log.lastIndex()
 	node.reloadMembership()
 	node.resetElectionTimer(now)
-	if settings.UnboundRestart {
+	if settings.VoteAfterRestart {
 		node.retryPreVoteSoon(now)
 	}
 	return node
@@ -208,9 +208,9 @@
 // Membership returns the newest membership in the log.
 func (n *Node) Membership() Membership { return n.membership }
 
-// Ignored returns the number of messages dropped because their sender's data
+// IdentityMismatches returns the number of messages dropped because their sender's data
 // folder is not the one it had before.
-func (n *Node) Ignored() uint64 { return n.ignored }
+func (n *Node) IdentityMismatches() uint64 { return n.ignored }
 
 // Match returns the last index known to be on the member's disk; only a
 // leader knows it.
@@ -233,9 +233,9 @@
 	return n.electedAt
 }
 
-// HeardLeaderAt returns when this member last heard from a leader, and false
+// LastLeaderContact returns when this member last heard from a leader, and false
 // if it has not since its start.
-func (n *Node) HeardLeaderAt() (kernel.Instant, bool) { return n.leaderContact, n.heardLeader }
+func (n *Node) LastLeaderContact() (kernel.Instant, bool) { return n.leaderContact, n.heardLeader }
 
 // LeaderlessSince returns the newest instant at which this member heard from a
 // leader or led itself; its start when neither has been.
@@ -272,8 +272,8 @@
 	return n.role == Leader && n.commit >= n.electedIndex && n.quorumContact(now) >= since
 }
 
-// Confirm sends a heartbeat to all members, for readers that wait.
-func (n *Node) Confirm(now kernel.Instant) {
+// BroadcastHeartbeat sends a heartbeat to all members, for readers that wait.
+func (n *Node) BroadcastHeartbeat(now kernel.Instant) {
 	if n.role != Leader {
 		return
 	}
@@ -316,7 +316,7 @@
 // membership names for its sender. Of a sender that is in no membership here
 // nothing is known, and it counts for nothing either.
 func (n *Node) isGenuine(message Message) bool {
-	if n.settings.Mechanisms.NoIdentity {
+	if n.settings.Mechanisms.NoIdentityCheck {
 		return true
 	}
 	identity, known := n.membership.Identities[message.From]
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -47,14 +47,14 @@
 	for id := MemberID(1); id <= MemberID(size); id++ {
 		identities[id] = uint64(100 + id)
 	}
-	first := Restored{Snapshot: Snapshot{Index: 1, Membership: NewMembership(identities)}}
+	first := PersistentState{Snapshot: Snapshot{Index: 1, Membership: NewMembership(identities)}}
 	for id := range identities {
 		g.start(id, first)
 	}
 	return g
 }
 
-func (g *group) start(id MemberID, restored Restored) *Node {
+func (g *group) start(id MemberID, restored PersistentState) *Node {
 	settings := settingsOf(id)
 	if g.change != nil {
 		g.change(&settings)
@@ -193,12 +193,12 @@
 		}
 	}
 	g.change = func(s *Settings) { s.Identity = 999 }
-	g.start(wiped, Restored{})
+	g.start(wiped, PersistentState{})
 	g.cut[leader.settings.ID] = true
 	g.run(10 * time.Second)
 	assert.NotEqual(t, Leader, g.nodes[wiped].Role())
 	assert.NotEqual(t, Leader, g.nodes[other].Role(), "the wiped member's vote does not count")
-	assert.NotZero(t, g.nodes[other].Ignored())
+	assert.NotZero(t, g.nodes[other].IdentityMismatches())
 }
 
 func TestMembershipChangesOneAtATime(t *testing.T) {
@@ -213,7 +213,7 @@
 	g.flush(leader)
 	_, _, err = leader.ProposeMembership(g.now, next.Promote(4))
 	assert.Error(t, err, "a learner that has not caught up does not vote")
-	g.start(4, Restored{})
+	g.start(4, PersistentState{})
 	g.run(time.Second)
 	_, _, err = leader.ProposeMembership(g.now, next.Promote(4))
 	require.NoError(t, err)
@@ -255,18 +255,18 @@
 	g.cut[behind] = false
 	g.run(3 * time.Second)
 	assert.Equal(t, leader.Commit(), g.nodes[behind].Commit())
-	assert.Equal(t, "a state of the machine that needs several chunks", string(g.nodes[behind].Restored().Snapshot.Data))
+	assert.Equal(t, "a state of the machine that needs several chunks", string(g.nodes[behind].PersistentState().Snapshot.Data))
 }
 
 // An entry of an earlier term is not committed by counting its replicas alone
 // (Raft paper, figure 8).
 func TestEarlierTermIsNotCommittedByCounting(t *testing.T) {
-	for name, mechanisms := range map[string]Mechanisms{"product": {}, "counting": {NoTermCommit: true}} {
+	for name, mechanisms := range map[string]Mechanisms{"product": {}, "counting": {NoCommitTermCheck: true}} {
 		t.Run(name, func(t *testing.T) {
 			settings := settingsOf(1)
 			settings.Mechanisms = mechanisms
 			identities := map[MemberID]uint64{1: 101, 2: 102, 3: 103}
-			node := NewNode(0, settings, Restored{
+			node := NewNode(0, settings, PersistentState{
 				HardState: HardState{Term: 4},
 				Snapshot:  Snapshot{Index: 1, Term: 1, Membership: NewMembership(identities)},
 				Entries:   []Entry{{Term: 2, Index: 2, Kind: EntryCommand, Data: []byte("old")}},
@@ -276,7 +276,7 @@
 			require.Equal(t, Leader, node.Role())
 			node.Step(0, Message{Kind: MessageAppendReply, From: 2, Identity: 102, Term: 5, LogIndex: 2})
 			want := uint64(1)
-			if mechanisms.NoTermCommit {
+			if mechanisms.NoCommitTermCheck {
 				want = 2
 			}
 			assert.Equal(t, want, node.Commit())
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -67,7 +67,7 @@
 // Entries returns the entries after the last snapshot.
 func (n *Node) Entries() []Entry { return n.log.entries }
 
-// Restored returns all that the disk must hold, for a rewrite of the log.
-func (n *Node) Restored() Restored {
-	return Restored{HardState: n.hardState(), Snapshot: n.log.snapshot, Entries: n.log.entries}
+// PersistentState returns all that the disk must hold, for a rewrite of the log.
+func (n *Node) PersistentState() PersistentState {
+	return PersistentState{HardState: n.hardState(), Snapshot: n.log.snapshot, Entries: n.log.entries}
 }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -231,7 +231,7 @@
 	sort.Slice(matches, func(a, b int) bool { return matches[a] > matches[b] })
 	index := matches[n.membership.Quorum()-1]
 	term, held := n.log.term(index)
-	ownTerm := held && (term == n.hard.Term || n.settings.Mechanisms.NoTermCommit)
+	ownTerm := held && (term == n.hard.Term || n.settings.Mechanisms.NoCommitTermCheck)
 	if index <= n.commit || !ownTerm {
 		return
 	}
--- a/internal/registry/announcer.go
+++ b/internal/registry/announcer.go
@@ -41,7 +41,7 @@
 // announcement has finished by then.
 type announcer struct {
 	process *Process
-	folder  *wal.Folder
+	folder  *wal.Dir
 	// previousNodes are the nodes in the roster file of the previous run.
 	previousNodes []string
 	// queue holds this member's subscribers and nodes reported by other members until they
@@ -98,7 +98,7 @@
 // load reads the roster of the previous run. If that fails, nodes find this member through
 // the seeds only.
 func (a *announcer) load() {
-	folder, err := wal.OpenFolder(a.process.settings.DataFolder + "-" + rosterName)
+	folder, err := wal.OpenDir(a.process.settings.DataFolder + "-" + rosterName)
 	if err != nil {
 		a.process.logger.Event(eventlog.RosterFailed, "err", err)
 		return
@@ -189,7 +189,7 @@
 	if a.folder == nil || !r.dirty {
 		return
 	}
-	if err := wal.Replace(a.folder, rosterName, encodeRoster(r.list())); err != nil {
+	if err := wal.WriteFileAtomic(a.folder, rosterName, encodeRoster(r.list())); err != nil {
 		a.process.logger.Event(eventlog.RosterFailed, "err", err)
 		return
 	}
--- a/internal/registry/announcer_test.go
+++ b/internal/registry/announcer_test.go
@@ -94,7 +94,7 @@
 func TestLoadIgnoresTruncatedRoster(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "member")
 	first := newTestAnnouncer(folder)
-	require.NoError(t, wal.Replace(first.folder, rosterName, []byte{0, 0, 0, 7, 1}))
+	require.NoError(t, wal.WriteFileAtomic(first.folder, rosterName, []byte{0, 0, 0, 7, 1}))
 	assert.Empty(t, newTestAnnouncer(folder).previousNodes)
 }
 
--- a/internal/registry/bounds.go
+++ b/internal/registry/bounds.go
@@ -28,7 +28,7 @@
 
 // checkDiskUsage writes an event when what the member keeps begins or ceases to fill its disk.
 func (p *Process) checkDiskUsage() {
-	held := p.disk.Held()
+	held := p.disk.PeakDiskUsage()
 	p.metrics.diskHeldBytes.Set(float64(held))
 	fills := p.settings.Strength.IsDiskNearlyFull(held, p.diskNearlyFull)
 	if fills == p.diskNearlyFull {
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -73,7 +73,7 @@
 	batches bool
 	// onStart is called with a member's persisted log at its start, and onNodeFrame with
 	// each frame to a node; both may be nil.
-	onStart     func(restored raft.Restored)
+	onStart     func(restored raft.PersistentState)
 	onNodeFrame func(m *machine, message NodeFrame)
 	// versionsInForce holds the versions that any member logged as in force.
 	versionsInForce map[uint64]bool
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -144,12 +144,12 @@
 	rememberedMembers []directory.Member
 
 	output   Output
-	restored raft.Restored
+	restored raft.PersistentState
 	batching bool
 }
 
 // NewCore returns a member that starts from the contents of its disk.
-func NewCore(now kernel.Instant, settings CoreSettings, storage replica.Storage, restored raft.Restored) (*Core, error) {
+func NewCore(now kernel.Instant, settings CoreSettings, storage replica.Storage, restored raft.PersistentState) (*Core, error) {
 	core := &Core{
 		settings:     settings,
 		state:        directory.New(),
@@ -186,7 +186,7 @@
 }
 
 // ownMemberID returns the ID of this data folder's identity in the persisted memberships.
-func ownMemberID(restored raft.Restored, identity uint64) raft.MemberID {
+func ownMemberID(restored raft.PersistentState, identity uint64) raft.MemberID {
 	memberships := []raft.Membership{restored.Snapshot.Membership}
 	for _, entry := range restored.Entries {
 		if entry.Kind != raft.EntryMembership {
@@ -214,7 +214,7 @@
 }
 
 // Failed returns the disk error that stopped this member, or nil.
-func (c *Core) Failed() error { return c.replica.Failed }
+func (c *Core) Failed() error { return c.replica.Err }
 
 // State returns the replicated state applied by this member.
 func (c *Core) State() *directory.State { return c.state }
@@ -233,7 +233,7 @@
 // IsCurrent reports whether this member's state is up to date: a leader must hold a lease,
 // and any other member must have heard from the leader within MaxStaleness.
 func (c *Core) IsCurrent(now kernel.Instant) bool {
-	if c.replica.Node == nil || c.replica.Failed != nil {
+	if c.replica.Node == nil || c.replica.Err != nil {
 		return false
 	}
 	// Within a batch, committed entries may not have been applied yet.
@@ -243,7 +243,7 @@
 	if c.IsLeader() {
 		return c.replica.Node.HasLease(now)
 	}
-	at, heard := c.replica.Node.HeardLeaderAt()
+	at, heard := c.replica.Node.LastLeaderContact()
 	return heard && now.Sub(at) < c.settings.MaxStaleness && c.replica.Node.KnowsCommit()
 }
 
@@ -258,7 +258,7 @@
 
 // Tick advances time. It must be called at least ten times a second.
 func (c *Core) Tick(now kernel.Instant) Output {
-	if c.replica.Failed != nil {
+	if c.replica.Err != nil {
 		return c.takeOutput()
 	}
 	c.tickJoin(now)
@@ -294,7 +294,7 @@
 
 // HandleFrame processes a frame from another member.
 func (c *Core) HandleFrame(now kernel.Instant, frame wire.Frame) Output {
-	if c.replica.Failed != nil {
+	if c.replica.Err != nil {
 		return c.takeOutput()
 	}
 	var err error
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -283,8 +283,8 @@
 
 type brokenStorage struct{}
 
-func (brokenStorage) Save(raft.Ready, raft.Restored) error { return fmt.Errorf("no space left") }
-func (brokenStorage) Rewrite(raft.Restored) error          { return fmt.Errorf("no space left") }
+func (brokenStorage) Save(raft.Ready, raft.PersistentState) error { return fmt.Errorf("no space left") }
+func (brokenStorage) Rewrite(raft.PersistentState) error          { return fmt.Errorf("no space left") }
 
 // A restarted member learns the commit index step by step; nodes must not receive the
 // outdated states that it passes through.
@@ -512,7 +512,7 @@
 	count int
 }
 
-func (s *countingStorage) Save(ready raft.Ready, whole raft.Restored) error {
+func (s *countingStorage) Save(ready raft.Ready, whole raft.PersistentState) error {
 	if len(ready.Entries) > 0 {
 		s.count++
 	}
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -132,7 +132,7 @@
 const bootstrapIndex = 1
 
 func (c *Core) bootstrap(now kernel.Instant, state *directory.State, membership raft.Membership) {
-	restored := raft.Restored{Snapshot: raft.Snapshot{
+	restored := raft.PersistentState{Snapshot: raft.Snapshot{
 		Index:      bootstrapIndex,
 		Membership: membership,
 		Data:       state.Encode(),
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -124,7 +124,7 @@
 var _ replica.Storage = (*timedStorage)(nil)
 
 // Save implements replica.Storage.
-func (t *timedStorage) Save(ready raft.Ready, whole raft.Restored) error {
+func (t *timedStorage) Save(ready raft.Ready, whole raft.PersistentState) error {
 	started := time.Now()
 	err := t.Storage.Save(ready, whole)
 	t.saves.Observe(time.Since(started).Seconds())
--- a/internal/registry/persistedstate_test.go
+++ b/internal/registry/persistedstate_test.go
@@ -46,7 +46,7 @@
 		serviceOf:          map[string]string{},
 		rememberedVersions: map[uint64]bool{0: true},
 	}
-	r.onStart = func(restored raft.Restored) {
+	r.onStart = func(restored raft.PersistentState) {
 		r.rememberedVersions[readPersistedState(restored).configuration.Version] = true
 	}
 	r.onNodeFrame = r.deliverNodeFrame
@@ -151,8 +151,8 @@
 	t.Log(byMemory, "nodes used remembered state")
 }
 
-func restoredLog(commit uint64, commands ...directory.Command) raft.Restored {
-	restored := raft.Restored{HardState: raft.HardState{Term: 1, Commit: commit}}
+func restoredLog(commit uint64, commands ...directory.Command) raft.PersistentState {
+	restored := raft.PersistentState{HardState: raft.HardState{Term: 1, Commit: commit}}
 	for position, command := range commands {
 		restored.Entries = append(restored.Entries, raft.Entry{
 			Term: 1, Index: uint64(position + 1), Kind: raft.EntryCommand, Data: directory.EncodeCommand(command),
@@ -173,7 +173,7 @@
 	}
 	state := directory.New()
 	state.Apply(1, commands[0])
-	snapshot := raft.Restored{Snapshot: raft.Snapshot{Index: 1, Term: 1, Data: state.Encode()}}
+	snapshot := raft.PersistentState{Snapshot: raft.Snapshot{Index: 1, Term: 1, Data: state.Encode()}}
 	assert.Equal(t, uint64(3), readPersistedState(snapshot).configuration.Version, "snapshots hold committed entries only")
 }
 
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -250,7 +250,7 @@
 }
 
 func (p *Process) openCore() (*Core, *wal.Log, error) {
-	folder, err := wal.OpenFolder(p.settings.DataFolder)
+	folder, err := wal.OpenDir(p.settings.DataFolder)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -367,7 +367,7 @@
 func (p *Process) resetFolder() {
 	p.closeCore()
 	p.reopenAt = time.Time{}
-	folder, err := wal.OpenFolder(p.settings.DataFolder)
+	folder, err := wal.OpenDir(p.settings.DataFolder)
 	if err == nil {
 		err = wal.Clear(folder)
 	}
--- a/internal/registry/remembered.go
+++ b/internal/registry/remembered.go
@@ -28,7 +28,7 @@
 }
 
 // readPersistedState applies all persisted entries.
-func readPersistedState(restored raft.Restored) persistedState {
+func readPersistedState(restored raft.PersistentState) persistedState {
 	s := persistedState{state: directory.New(), closedZones: map[string]bool{}}
 	if restored.Snapshot.Index > 0 {
 		decoded, err := directory.Decode(restored.Snapshot.Data)
@@ -140,7 +140,7 @@
 }
 
 // logRemembered logs the persisted state that is sent to nodes.
-func (c *Core) logRemembered(s persistedState, restored raft.Restored) {
+func (c *Core) logRemembered(s persistedState, restored raft.PersistentState) {
 	if len(c.remembered.withConfiguration) == 0 {
 		return
 	}
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -65,8 +65,8 @@
 	if key != "" {
 		c.commands[key] = req
 	}
-	if c.replica.Failed != nil {
-		c.complete(req, c.replica.Failed)
+	if c.replica.Err != nil {
+		c.complete(req, c.replica.Err)
 		return
 	}
 	c.dispatchRequest(now, req)
@@ -97,7 +97,7 @@
 	if len(req.command) == 0 {
 		req.sentTerm = c.replica.Node.Term()
 		req.sentAt = now
-		c.replica.Node.Confirm(now)
+		c.replica.Node.BroadcastHeartbeat(now)
 		c.confirmReads(now)
 		return
 	}
--- a/internal/registry/settings.go
+++ b/internal/registry/settings.go
@@ -67,11 +67,11 @@
 func DefaultCoreSettings(opts ...CoreOption) CoreSettings {
 	settings := CoreSettings{
 		Raft: raft.Settings{
-			ElectionTimeout: 250 * time.Millisecond,
-			Heartbeat:       80 * time.Millisecond,
-			MaxAppend:       64,
-			ChunkSize:       128 << 10,
-			UnboundRestart:  true,
+			ElectionTimeout:  250 * time.Millisecond,
+			Heartbeat:        80 * time.Millisecond,
+			MaxAppend:        64,
+			ChunkSize:        128 << 10,
+			VoteAfterRestart: true,
 		},
 		Voters:          3,
 		JoinInterval:    250 * time.Millisecond,
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -147,8 +147,8 @@
 	require.NoError(t, err)
 	process.core, process.disk = core, disk
 	entry := raft.Entry{Index: 1, Term: 1, Data: make([]byte, 1000)}
-	require.NoError(t, disk.Save(raft.Ready{Entries: []raft.Entry{entry}}, raft.Restored{}))
-	held := disk.Held()
+	require.NoError(t, disk.Save(raft.Ready{Entries: []raft.Entry{entry}}, raft.PersistentState{}))
+	held := disk.PeakDiskUsage()
 	for _, test := range []struct {
 		disk  int64
 		fills bool
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -12,9 +12,9 @@
 // Storage makes the replicated log durable.
 type Storage interface {
 	// Save returns once all that the Ready asks for is on disk.
-	Save(ready raft.Ready, whole raft.Restored) error
+	Save(ready raft.Ready, whole raft.PersistentState) error
 	// Rewrite replaces the log by a snapshot and the entries after it.
-	Rewrite(whole raft.Restored) error
+	Rewrite(whole raft.PersistentState) error
 }
 
 // Host owns the replicated state.
@@ -44,8 +44,8 @@
 	Storage Storage
 	// Applied is the log position up to which the state is applied.
 	Applied uint64
-	// Failed is the error that stopped this member, or nil.
-	Failed error
+	// Err is the error that stopped this member, or nil.
+	Err error
 	// Role and Term are those that the host was last told of.
 	Role raft.Role
 	Term uint64
@@ -72,9 +72,9 @@
 
 // Flush persists, sends and applies until the replicated log has no more work.
 func (d *Driver) Flush(now kernel.Instant) {
-	for d.Node != nil && d.Failed == nil && d.Node.HasReady() {
+	for d.Node != nil && d.Err == nil && d.Node.HasReady() {
 		ready := d.Node.Ready()
-		if err := d.Storage.Save(ready, d.Node.Restored()); err != nil {
+		if err := d.Storage.Save(ready, d.Node.PersistentState()); err != nil {
 			d.Stop(err)
 			return
 		}
@@ -93,7 +93,7 @@
 
 // Stop ends this member.
 func (d *Driver) Stop(err error) {
-	d.Failed = err
+	d.Err = err
 	d.host.Stopped(err)
 }
 
@@ -113,7 +113,7 @@
 
 func (d *Driver) apply(now kernel.Instant, entries []raft.Entry) {
 	for _, entry := range entries {
-		if d.Failed != nil {
+		if d.Err != nil {
 			return
 		}
 		d.Applied = entry.Index
@@ -135,7 +135,7 @@
 }
 
 func (d *Driver) compact() {
-	if d.Failed != nil || !d.isCompactionDue() {
+	if d.Err != nil || !d.isCompactionDue() {
 		return
 	}
 	data, err := d.host.Encode()
@@ -144,7 +144,7 @@
 		return
 	}
 	snapshot := d.Node.Compact(d.Applied, data)
-	if err := d.Storage.Rewrite(d.Node.Restored()); err != nil {
+	if err := d.Storage.Rewrite(d.Node.PersistentState()); err != nil {
 		d.Stop(err)
 		return
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -40,8 +40,8 @@
 // memory is a storage that fails when told to.
 type memory struct{ err error }
 
-func (m *memory) Save(raft.Ready, raft.Restored) error { return m.err }
-func (m *memory) Rewrite(raft.Restored) error          { return m.err }
+func (m *memory) Save(raft.Ready, raft.PersistentState) error { return m.err }
+func (m *memory) Rewrite(raft.PersistentState) error          { return m.err }
 
 const compactLen = 4
 
@@ -57,7 +57,7 @@
 	driver.Node = raft.NewNode(0, raft.Settings{
 		ID: 1, Identity: 11, ElectionTimeout: time.Second, Heartbeat: time.Second, MaxAppend: 8, ChunkSize: 100,
 		Random: rand.New(rand.NewPCG(1, 1)),
-	}, raft.Restored{Snapshot: raft.Snapshot{Index: 1, Membership: raft.NewMembership(identities)}})
+	}, raft.PersistentState{Snapshot: raft.Snapshot{Index: 1, Membership: raft.NewMembership(identities)}})
 	driver.Applied = 1
 	now := kernel.Instant(5 * time.Second)
 	driver.Node.Tick(now)
@@ -112,7 +112,7 @@
 	disk.err = errors.New("no space left")
 	propose(t, driver, 1)
 	require.ErrorIs(t, host.stopped, disk.err)
-	assert.Equal(t, driver.Failed, host.stopped)
+	assert.Equal(t, driver.Err, host.stopped)
 	applied := len(host.applied)
 	_, _, _ = driver.Node.Propose(kernel.Instant(7*time.Second), []byte("y"))
 	driver.Flush(kernel.Instant(7 * time.Second))
--- a/internal/routing/answer.go
+++ b/internal/routing/answer.go
@@ -200,7 +200,7 @@
 	}
 	r.counters.UnknownOutcome++
 	r.log(eventlog.RequestUnknown, "service", owner.name, "caller", request.caller, "target", request.targetID)
-	r.toCaller(owner, request.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(owner, request.caller, r.parser.Response(codes.GatewayTimeout, 0))
 }
 
 // endTarget ends all flows of a target that died, and tells their callers.
@@ -283,6 +283,6 @@
 		return
 	}
 	r.ownMessageID++
-	answer := coapmsg.SeparateAnswer(codes.ServiceUnavailable, r.ownMessageID, entry.token[:entry.size], observerMaxAge)
+	answer := coapmsg.SeparateResponse(codes.ServiceUnavailable, r.ownMessageID, entry.token[:entry.size], observerMaxAge)
 	r.toCaller(owner, entry.caller, answer)
 }
--- a/internal/routing/backup.go
+++ b/internal/routing/backup.go
@@ -113,7 +113,7 @@
 	request.state = requestUnknown
 	r.ledger.put(work.requestKey, request)
 	r.counters.UnknownOutcome++
-	r.toCaller(work.service, work.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(work.service, work.caller, r.parser.Response(codes.GatewayTimeout, 0))
 }
 
 // historyKnown reports whether this balancer holds the records of all
--- a/internal/routing/caller.go
+++ b/internal/routing/caller.go
@@ -58,7 +58,7 @@
 	if r.parser.Parse(payload) != nil || !coapmsg.IsRequest(r.parser.Message.Code) {
 		return
 	}
-	r.toCaller(&service{address: address}, caller, r.parser.Answer(codes.NotFound, 0))
+	r.toCaller(&service{address: address}, caller, r.parser.Response(codes.NotFound, 0))
 }
 
 // readJob decodes a packet. It returns false when the packet is malformed.
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -164,7 +164,7 @@
 func (c *cell) answer(id uint32, got delivery, code codes.Code) {
 	parser := coapmsg.NewParser()
 	require.NoError(c.t, parser.Parse(got.payload))
-	c.carryOut(c.routers[id].HandleTargetPacket(c.now, bookingAddress, got.caller, got.tag, parser.Answer(code, 1)))
+	c.carryOut(c.routers[id].HandleTargetPacket(c.now, bookingAddress, got.caller, got.tag, parser.Response(code, 1)))
 }
 
 // last returns the last packet that a target got.
--- a/internal/routing/primary.go
+++ b/internal/routing/primary.go
@@ -69,7 +69,7 @@
 	case requestRefused:
 		r.repeatRefusal(work, request)
 	case requestUnknown:
-		r.toCaller(work.service, work.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+		r.toCaller(work.service, work.caller, r.parser.Response(codes.GatewayTimeout, 0))
 	}
 	return true
 }
@@ -105,7 +105,7 @@
 		r.relayToBackup(work, decision{refuse: true, attempt: request.attempt})
 		return
 	}
-	r.toCaller(work.service, work.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(work.service, work.caller, r.parser.Response(codes.GatewayTimeout, 0))
 }
 
 // adoptHint takes the target that the relaying balancer knows for the flow.
@@ -220,7 +220,7 @@
 		return false
 	}
 	r.counters.LedgerFull++
-	r.toCaller(work.service, work.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(work.service, work.caller, r.parser.Response(codes.GatewayTimeout, 0))
 	return true
 }
 
@@ -323,7 +323,7 @@
 func (r *Router) refuse(work *job) {
 	r.counters.RefusedNotRun++
 	wait := r.expectedWait(work.service)
-	r.toCaller(work.service, work.caller, r.parser.Answer(codes.ServiceUnavailable, refusalMaxAge(wait)))
+	r.toCaller(work.service, work.caller, r.parser.Response(codes.ServiceUnavailable, refusalMaxAge(wait)))
 }
 
 // answerUnknown answers "outcome unknown": a predecessor may have forwarded
@@ -335,7 +335,7 @@
 	request := r.newRequest(work)
 	request.state = requestUnknown
 	r.ledger.put(work.requestKey, request)
-	r.toCaller(work.service, work.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(work.service, work.caller, r.parser.Response(codes.GatewayTimeout, 0))
 }
 
 // refusalMaxAge returns the seconds after which a refused caller may come back.
--- a/internal/store/restore.go
+++ b/internal/store/restore.go
@@ -10,10 +10,10 @@
 // revisions and IDs that were given out after it are never given out again.
 const restoreJump = 1 << 20
 
-// Restart prepares a state from a backup for a new group: everything in it
+// RestoreFromBackup prepares a state from a backup for a new group: everything in it
 // counts as newer than whatever a balancer may have, and the group has one
 // member. It returns the new revision.
-func (s *Store) Restart(first *beamdoorv1.Member) uint64 {
+func (s *Store) RestoreFromBackup(first *beamdoorv1.Member) uint64 {
 	backupRevision := s.revision
 	s.revision += restoreJump
 	s.nextID += restoreJump
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -53,8 +53,8 @@
 
 // Options switches off single mechanisms for tests.
 type Options struct {
-	// NoRequestIdentity runs a repeated write again.
-	NoRequestIdentity bool
+	// NoRequestDeduplication runs a repeated write again.
+	NoRequestDeduplication bool
 	// NoCompareAndSet ignores the base revision.
 	NoCompareAndSet bool
 }
@@ -195,7 +195,7 @@
 }
 
 func (s *Store) keptAnswer(identity []byte) *Result {
-	if len(identity) == 0 || s.options.NoRequestIdentity {
+	if len(identity) == 0 || s.options.NoRequestDeduplication {
 		return nil
 	}
 	answer, known := s.answerIndex[string(identity)]
--- a/internal/wal/filesystem.go
+++ b/internal/wal/filesystem.go
@@ -38,24 +38,24 @@
 	Rename(oldName, newName string) error
 	// Remove deletes a file.
 	Remove(name string) error
-	// SyncFolder makes creations, renames and removals survive a crash.
-	SyncFolder() error
+	// SyncDir makes creations, renames and removals survive a crash.
+	SyncDir() error
 }
 
-// Folder is the FileSystem of a real process.
-type Folder struct {
+// Dir is the FileSystem of a real process.
+type Dir struct {
 	path string
 }
 
-var _ FileSystem = (*Folder)(nil)
+var _ FileSystem = (*Dir)(nil)
 
 const (
 	folderMode = 0o750
 	fileMode   = 0o640
 )
 
-// OpenFolder makes the folder if it is missing and syncs its parent.
-func OpenFolder(path string) (*Folder, error) {
+// OpenDir makes the folder if it is missing and syncs its parent.
+func OpenDir(path string) (*Dir, error) {
 	const step = "wal.open_folder"
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, steperror.Wrap(step, path, err)
@@ -63,7 +63,7 @@
 	if err := syncPath(filepath.Dir(path)); err != nil {
 		return nil, steperror.Wrap(step, path, err)
 	}
-	return &Folder{path: path}, nil
+	return &Dir{path: path}, nil
 }
 
 func syncPath(path string) error {
@@ -78,7 +78,7 @@
 type folderFile struct{ *os.File }
 
 func openFile(path string, flags int) (File, error) {
-	if err := faultlayer.BeforeWrite(); err != nil {
+	if err := faultlayer.InjectDiskFault(); err != nil {
 		return nil, err
 	}
 	file, err := os.OpenFile(path, flags|os.O_WRONLY|os.O_APPEND, fileMode)
@@ -90,7 +90,7 @@
 
 // Write implements File.
 func (f folderFile) Write(data []byte) (int, error) {
-	if err := faultlayer.BeforeWrite(); err != nil {
+	if err := faultlayer.InjectDiskFault(); err != nil {
 		return 0, err
 	}
 	return f.File.Write(data)
@@ -98,29 +98,29 @@
 
 // Sync implements File.
 func (f folderFile) Sync() error {
-	if err := faultlayer.BeforeWrite(); err != nil {
+	if err := faultlayer.InjectDiskFault(); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
-func (f *Folder) join(name string) string { return filepath.Join(f.path, name) }
+func (f *Dir) join(name string) string { return filepath.Join(f.path, name) }
 
 // Create implements FileSystem.
-func (f *Folder) Create(name string) (File, error) {
+func (f *Dir) Create(name string) (File, error) {
 	return openFile(f.join(name), os.O_CREATE|os.O_TRUNC)
 }
 
 // OpenAppend implements FileSystem.
-func (f *Folder) OpenAppend(name string) (File, error) {
+func (f *Dir) OpenAppend(name string) (File, error) {
 	return openFile(f.join(name), 0)
 }
 
 // ReadFile implements FileSystem.
-func (f *Folder) ReadFile(name string) ([]byte, error) { return os.ReadFile(f.join(name)) }
+func (f *Dir) ReadFile(name string) ([]byte, error) { return os.ReadFile(f.join(name)) }
 
 // Truncate implements FileSystem.
-func (f *Folder) Truncate(name string, size int64) error {
+func (f *Dir) Truncate(name string, size int64) error {
 	if err := os.Truncate(f.join(name), size); err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 }
 
 // List implements FileSystem.
-func (f *Folder) List() ([]string, error) {
+func (f *Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
 		return nil, err
@@ -144,12 +144,12 @@
 }
 
 // Rename implements FileSystem.
-func (f *Folder) Rename(oldName, newName string) error {
+func (f *Dir) Rename(oldName, newName string) error {
 	return os.Rename(f.join(oldName), f.join(newName))
 }
 
 // Remove implements FileSystem.
-func (f *Folder) Remove(name string) error {
+func (f *Dir) Remove(name string) error {
 	err := os.Remove(f.join(name))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil
@@ -157,5 +157,5 @@
 	return err
 }
 
-// SyncFolder implements FileSystem.
-func (f *Folder) SyncFolder() error { return syncPath(f.path) }
+// SyncDir implements FileSystem.
+func (f *Dir) SyncDir() error { return syncPath(f.path) }
--- a/internal/wal/reader.go
+++ b/internal/wal/reader.go
@@ -11,7 +11,7 @@
 // reader rebuilds the state of a member from its folder.
 type reader struct {
 	files       FileSystem
-	restored    raft.Restored
+	restored    raft.PersistentState
 	report      Report
 	lastSegment string
 	sequence    uint64
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -52,14 +52,14 @@
 // Open reads the folder, cuts a torn tail and opens the log for appending.
 // Damage anywhere but at the very end is an error: acknowledged entries may
 // be gone, and the member must be replaced rather than guess.
-func Open(files FileSystem) (*Log, raft.Restored, Report, error) {
+func Open(files FileSystem) (*Log, raft.PersistentState, Report, error) {
 	reader := &reader{files: files}
 	if err := reader.read(); err != nil {
-		return nil, raft.Restored{}, reader.report, err
+		return nil, raft.PersistentState{}, reader.report, err
 	}
 	if reader.report.TornBytes > 0 {
 		if err := files.Truncate(reader.lastSegment, reader.validBytes); err != nil {
-			return nil, raft.Restored{}, reader.report, steperror.Wrap("wal.cut_tail", reader.lastSegment, err)
+			return nil, raft.PersistentState{}, reader.report, steperror.Wrap("wal.cut_tail", reader.lastSegment, err)
 		}
 	}
 	log := &Log{
@@ -67,13 +67,13 @@
 		commit: reader.restored.HardState.Commit,
 	}
 	if err := log.openSegment(reader.lastSegment); err != nil {
-		return nil, raft.Restored{}, reader.report, err
+		return nil, raft.PersistentState{}, reader.report, err
 	}
 	return log, reader.restored, reader.report, nil
 }
 
 // Verify reads the folder without changing it.
-func Verify(files FileSystem) (raft.Restored, Report, error) {
+func Verify(files FileSystem) (raft.PersistentState, Report, error) {
 	reader := &reader{files: files}
 	err := reader.read()
 	return reader.restored, reader.report, err
@@ -91,12 +91,12 @@
 		return steperror.Wrap("wal.create_segment", segmentName(l.sequence), err)
 	}
 	l.segment = file
-	return steperror.Wrap("wal.sync_folder", "", l.files.SyncFolder())
+	return steperror.Wrap("wal.sync_folder", "", l.files.SyncDir())
 }
 
 // Save writes what a Ready asks to be durable and returns after the sync. The commit
 // index goes with what is written in any case: by itself it is worth no sync.
-func (l *Log) Save(ready raft.Ready, whole raft.Restored) error {
+func (l *Log) Save(ready raft.Ready, whole raft.PersistentState) error {
 	if l.broken != nil {
 		return l.broken
 	}
@@ -149,7 +149,7 @@
 
 // Rewrite saves a snapshot with the entries after it and removes the segments
 // and snapshots before.
-func (l *Log) Rewrite(whole raft.Restored) error {
+func (l *Log) Rewrite(whole raft.PersistentState) error {
 	if err := l.writeSnapshot(whole.Snapshot); err != nil {
 		return l.fail(err)
 	}
@@ -179,10 +179,10 @@
 	if err := l.files.Rename(temporaryName, snapshotName(snapshot.Index)); err != nil {
 		return steperror.Wrap(step, "", err)
 	}
-	return steperror.Wrap(step, "", l.files.SyncFolder())
+	return steperror.Wrap(step, "", l.files.SyncDir())
 }
 
-func (l *Log) startSegment(whole raft.Restored) error {
+func (l *Log) startSegment(whole raft.PersistentState) error {
 	const step = "wal.start_segment"
 	name := segmentName(l.sequence + 1)
 	file, err := l.files.Create(name)
@@ -199,7 +199,7 @@
 	if err := l.sync(file); err != nil {
 		return steperror.Wrap(step, name, err)
 	}
-	if err := l.files.SyncFolder(); err != nil {
+	if err := l.files.SyncDir(); err != nil {
 		return steperror.Wrap(step, name, err)
 	}
 	_ = l.segment.Close()
@@ -226,12 +226,12 @@
 			return steperror.Wrap(step, name, err)
 		}
 	}
-	return steperror.Wrap(step, "", l.files.SyncFolder())
+	return steperror.Wrap(step, "", l.files.SyncDir())
 }
 
-// Held returns the bytes that the log takes on the disk while the next snapshot, as
+// PeakDiskUsage returns the bytes that the log takes on the disk while the next snapshot, as
 // large as the last, is written beside it.
-func (l *Log) Held() int64 { return l.segmentBytes + 2*l.snapshotBytes }
+func (l *Log) PeakDiskUsage() int64 { return l.segmentBytes + 2*l.snapshotBytes }
 
 // Close releases the open segment.
 func (l *Log) Close() error { return l.segment.Close() }
@@ -263,12 +263,12 @@
 func writeIdentity(files FileSystem, identity uint64) (uint64, error) {
 	var encoder wire.Encoder
 	encoder.Uint64(identity)
-	return identity, Replace(files, identityName, encoder.Buffer)
+	return identity, WriteFileAtomic(files, identityName, encoder.Buffer)
 }
 
-// Replace writes a whole file so that a loss of power leaves the old one or the new
+// WriteFileAtomic writes a whole file so that a loss of power leaves the old one or the new
 // one.
-func Replace(files FileSystem, name string, data []byte) error {
+func WriteFileAtomic(files FileSystem, name string, data []byte) error {
 	file, err := files.Create(temporaryName)
 	if err != nil {
 		return err
@@ -285,7 +285,7 @@
 	if err := files.Rename(temporaryName, name); err != nil {
 		return err
 	}
-	return files.SyncFolder()
+	return files.SyncDir()
 }
 
 // Clear removes all files of a folder that no longer counts. The identity goes
@@ -296,7 +296,7 @@
 	if err := files.Remove(identityName); err != nil {
 		return steperror.Wrap(step, identityName, err)
 	}
-	if err := files.SyncFolder(); err != nil {
+	if err := files.SyncDir(); err != nil {
 		return steperror.Wrap(step, "", err)
 	}
 	names, err := files.List()
@@ -308,5 +308,5 @@
 			return steperror.Wrap(step, name, err)
 		}
 	}
-	return steperror.Wrap(step, "", files.SyncFolder())
+	return steperror.Wrap(step, "", files.SyncDir())
 }
--- a/internal/wal/wal_bench_test.go
+++ b/internal/wal/wal_bench_test.go
@@ -15,7 +15,7 @@
 // BenchmarkSaveRatio compares a save with a bare append and sync of the same
 // bytes on the same disk, in turns.
 func BenchmarkSaveRatio(b *testing.B) {
-	folder, err := wal.OpenFolder(filepath.Join(b.TempDir(), "log"))
+	folder, err := wal.OpenDir(filepath.Join(b.TempDir(), "log"))
 	require.NoError(b, err)
 	log, _, _, err := wal.Open(folder)
 	require.NoError(b, err)
@@ -27,7 +27,7 @@
 	for b.Loop() {
 		index++
 		start := time.Now()
-		require.NoError(b, log.Save(raft.Ready{Entries: []raft.Entry{{Term: 1, Index: index, Data: data}}}, raft.Restored{}))
+		require.NoError(b, log.Save(raft.Ready{Entries: []raft.Entry{{Term: 1, Index: index, Data: data}}}, raft.PersistentState{}))
 		saving += time.Since(start)
 		start = time.Now()
 		_, err := bare.Write(data)
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -32,7 +32,7 @@
 	return list
 }
 
-func open(t require.TestingT, files wal.FileSystem) (*wal.Log, raft.Restored) {
+func open(t require.TestingT, files wal.FileSystem) (*wal.Log, raft.PersistentState) {
 	log, restored, _, err := wal.Open(files)
 	require.NoError(t, err)
 	return log, restored
@@ -40,7 +40,7 @@
 
 func save(t require.TestingT, log *wal.Log, list ...raft.Entry) {
 	ready := raft.Ready{Entries: list, HardState: raft.HardState{Term: 1, Vote: 2}, HardStateChanged: true}
-	require.NoError(t, log.Save(ready, raft.Restored{}))
+	require.NoError(t, log.Save(ready, raft.PersistentState{}))
 }
 
 func TestSavedSurvivesACrash(t *testing.T) {
@@ -105,7 +105,7 @@
 	end := files.Size(firstSegment)
 	const markerSize = 9
 	files.FailSyncs = true
-	require.Error(t, log.Save(raft.Ready{Entries: entries(3, 9)}, raft.Restored{}))
+	require.Error(t, log.Save(raft.Ready{Entries: entries(3, 9)}, raft.PersistentState{}))
 	files.FailSyncs = false
 	for offset := end - markerSize; offset < end; offset++ {
 		files.Flip(firstSegment, offset)
@@ -126,10 +126,10 @@
 			acknowledged += 3
 			if round%2 == 0 {
 				files.FailSyncs = true
-				require.Error(t, log.Save(raft.Ready{Entries: entries(acknowledged+1, acknowledged+4)}, raft.Restored{}))
+				require.Error(t, log.Save(raft.Ready{Entries: entries(acknowledged+1, acknowledged+4)}, raft.PersistentState{}))
 			}
 			files.Crash()
-			var restored raft.Restored
+			var restored raft.PersistentState
 			log, restored = open(t, files)
 			require.GreaterOrEqual(t, uint64(len(restored.Entries)), acknowledged, "seed %d", seed)
 			acknowledged = uint64(len(restored.Entries))
@@ -169,10 +169,10 @@
 			save(t, log, entry(1))
 			breakDisk(files)
 			ready := raft.Ready{Entries: entries(2, 2)}
-			require.Error(t, log.Save(ready, raft.Restored{}))
+			require.Error(t, log.Save(ready, raft.PersistentState{}))
 			files.Full = false
 			files.FailSyncs = false
-			assert.Error(t, log.Save(ready, raft.Restored{}), "what the disk holds is not known any more")
+			assert.Error(t, log.Save(ready, raft.PersistentState{}), "what the disk holds is not known any more")
 		})
 	}
 }
@@ -181,7 +181,7 @@
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 9)...)
-	whole := raft.Restored{
+	whole := raft.PersistentState{
 		HardState: raft.HardState{Term: 3, Vote: 1},
 		Snapshot: raft.Snapshot{
 			Index: 7, Term: 1, Data: []byte("state"),
@@ -226,11 +226,11 @@
 }
 
 func TestRealFolder(t *testing.T) {
-	folder, err := wal.OpenFolder(t.TempDir())
+	folder, err := wal.OpenDir(t.TempDir())
 	require.NoError(t, err)
 	log, _ := open(t, folder)
 	save(t, log, entries(1, 5)...)
-	require.NoError(t, log.Rewrite(raft.Restored{Snapshot: raft.Snapshot{Index: 3, Term: 1}, Entries: entries(4, 5)}))
+	require.NoError(t, log.Rewrite(raft.PersistentState{Snapshot: raft.Snapshot{Index: 3, Term: 1}, Entries: entries(4, 5)}))
 	require.NoError(t, log.Close())
 	_, restored := open(t, folder)
 	assert.Equal(t, entries(4, 5), restored.Entries)
@@ -265,11 +265,11 @@
 				}
 				snapshot = raft.Snapshot{Index: kept[0].Index, Term: kept[0].Term, Data: []byte("s")}
 				kept = append([]raft.Entry(nil), kept[1:]...)
-				require.NoError(t, log.Rewrite(raft.Restored{Snapshot: snapshot, Entries: kept}))
+				require.NoError(t, log.Rewrite(raft.PersistentState{Snapshot: snapshot, Entries: kept}))
 			},
 			"crash": func(t *rapid.T) {
 				files.Crash()
-				var restored raft.Restored
+				var restored raft.PersistentState
 				log, restored = open(t, files)
 				assert.Equal(t, snapshot.Index, restored.Snapshot.Index)
 				assert.Equal(t, len(kept), len(restored.Entries))
@@ -305,7 +305,7 @@
 // What a log says that it holds is the size of its files, with room for the next snapshot.
 func TestWhatALogHoldsIsTheSizeOfItsFiles(t *testing.T) {
 	path := t.TempDir()
-	folder, err := wal.OpenFolder(path)
+	folder, err := wal.OpenDir(path)
 	require.NoError(t, err)
 	log, _ := open(t, folder)
 	check := func(snapshot int64) {
@@ -318,12 +318,12 @@
 			require.NoError(t, err)
 			held += info.Size()
 		}
-		assert.Equal(t, held, log.Held())
+		assert.Equal(t, held, log.PeakDiskUsage())
 	}
 	check(0)
 	save(t, log, entries(1, 30)...)
 	check(0)
-	require.NoError(t, log.Rewrite(raft.Restored{Snapshot: raft.Snapshot{Index: 20, Term: 1, Data: make([]byte, 500)}, Entries: entries(21, 30)}))
+	require.NoError(t, log.Rewrite(raft.PersistentState{Snapshot: raft.Snapshot{Index: 20, Term: 1, Data: make([]byte, 500)}, Entries: entries(21, 30)}))
 	names, err := filepath.Glob(filepath.Join(path, "snapshot-*"))
 	require.NoError(t, err)
 	require.Len(t, names, 1)
@@ -343,8 +343,8 @@
 	log, _ := open(t, files)
 	save(t, log, entries(1, 3)...)
 	ready := raft.Ready{Entries: entries(4, 5), HardState: raft.HardState{Term: 1, Vote: 2, Commit: 3}}
-	require.NoError(t, log.Save(ready, raft.Restored{}))
-	require.NoError(t, log.Save(raft.Ready{HardState: raft.HardState{Term: 1, Vote: 2, Commit: 5}}, raft.Restored{}), "nothing else is to be written")
+	require.NoError(t, log.Save(ready, raft.PersistentState{}))
+	require.NoError(t, log.Save(raft.Ready{HardState: raft.HardState{Term: 1, Vote: 2, Commit: 5}}, raft.PersistentState{}), "nothing else is to be written")
 	files.Crash()
 	_, restored := open(t, files)
 	assert.Equal(t, raft.HardState{Term: 1, Vote: 2, Commit: 3}, restored.HardState)
