--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -46,7 +46,7 @@
 }
 
 // isUninitialized reports whether this member belongs to no group yet.
-func (c *Core) isUninitialized() bool { return c.replica.Node.Restored().Snapshot.Index == 0 }
+func (c *Core) isUninitialized() bool { return c.replica.Node.PersistentState().Snapshot.Index == 0 }
 
 func (c *Core) helloFrame() wire.Frame {
 	return wire.HelloFrame(wire.Hello{Identity: c.settings.Raft.Identity, Empty: c.isUninitialized()})
@@ -102,7 +102,7 @@
 		c.replica.Stop(err)
 		return
 	}
-	restored.HardState = c.replica.Node.Restored().HardState
+	restored.HardState = c.replica.Node.PersistentState().HardState
 	if err := c.replica.Storage.Rewrite(restored); err != nil {
 		c.replica.Stop(err)
 		return
@@ -120,7 +120,7 @@
 
 // initialState returns the initial state of a group: a snapshot with the membership and
 // the members' addresses.
-func initialState(initialMembers []*beamdoorv1.Member, identities map[raft.MemberID]uint64) (raft.Restored, error) {
+func initialState(initialMembers []*beamdoorv1.Member, identities map[raft.MemberID]uint64) (raft.PersistentState, error) {
 	state := store.New(store.Options{})
 	for _, member := range initialMembers {
 		state.Apply(store.Command{
@@ -133,10 +133,10 @@
 	}
 	data, err := state.Encode()
 	if err != nil {
-		return raft.Restored{}, err
+		return raft.PersistentState{}, err
 	}
 	membership := raft.NewMembership(identities)
-	return raft.Restored{Snapshot: raft.Snapshot{Index: 1, Membership: membership, Data: data}}, nil
+	return raft.PersistentState{Snapshot: raft.Snapshot{Index: 1, Membership: membership, Data: data}}, nil
 }
 
 // receiveHello records a hello frame. It replies to an uninitialized member, so that it
--- a/internal/control/judge.go
+++ b/internal/control/judge.go
@@ -263,7 +263,7 @@
 }
 
 func (e *TargetEvaluator) setVerdict(record *targetRecord, verdict policy.Verdict, alive bool) {
-	if verdict.Alone != record.verdict.Alone || alive != record.alive {
+	if verdict.Excluded != record.verdict.Excluded || alive != record.alive {
 		e.log(eventlog.TargetVerdict, "service", record.service.Name, "target", record.target.Name,
 			"weight", verdict.Weight, "alive", alive, "reason", verdict.Reason)
 	}
--- a/internal/routing/answer.go
+++ b/internal/routing/answer.go
@@ -208,7 +208,7 @@
 	}
 	r.counters.UnknownOutcome++
 	r.log(eventlog.RequestUnknown, "service", svc.name, "caller", request.caller, "target", request.targetID)
-	r.toCaller(svc, request.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(svc, request.caller, r.parser.Response(codes.GatewayTimeout, 0))
 }
 
 // handleTargetDeath ends the flows and the pending requests of a dead target. The
@@ -294,6 +294,6 @@
 		return
 	}
 	r.lastMessageID++
-	answer := coapmsg.SeparateAnswer(codes.ServiceUnavailable, r.lastMessageID, entry.token[:entry.tokenLength], endedObservationMaxAge)
+	answer := coapmsg.SeparateResponse(codes.ServiceUnavailable, r.lastMessageID, entry.token[:entry.tokenLength], endedObservationMaxAge)
 	r.toCaller(svc, entry.caller, answer)
 }
--- a/internal/routing/backup.go
+++ b/internal/routing/backup.go
@@ -117,7 +117,7 @@
 	request.state = requestUnknown
 	r.ledger.put(incoming.requestKey, request)
 	r.counters.UnknownOutcome++
-	r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(incoming.service, incoming.caller, r.parser.Response(codes.GatewayTimeout, 0))
 }
 
 // hasRequestHistory reports whether this balancer holds the records of all
--- a/internal/routing/harness_test.go
+++ b/internal/routing/harness_test.go
@@ -165,7 +165,7 @@
 func (c *cell) answerPacket(id uint32, got delivery, code codes.Code) {
 	parser := coapmsg.NewParser()
 	require.NoError(c.t, parser.Parse(got.payload))
-	c.execute(c.routers[id].HandleTargetPacket(c.now, bookingAddress, got.caller, got.tag, parser.Answer(code, 1)))
+	c.execute(c.routers[id].HandleTargetPacket(c.now, bookingAddress, got.caller, got.tag, parser.Response(code, 1)))
 }
 
 // lastForwarded returns the last packet sent to a target.
--- a/internal/routing/primary.go
+++ b/internal/routing/primary.go
@@ -69,7 +69,7 @@
 	case requestRefused:
 		r.resendRefusal(incoming, request)
 	case requestUnknown:
-		r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+		r.toCaller(incoming.service, incoming.caller, r.parser.Response(codes.GatewayTimeout, 0))
 	}
 	return true
 }
@@ -104,7 +104,7 @@
 		r.relayToBackup(incoming, decision{refuse: true, attempt: request.attempt})
 		return
 	}
-	r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(incoming.service, incoming.caller, r.parser.Response(codes.GatewayTimeout, 0))
 }
 
 // adoptHint returns a record with the target that the relaying balancer has
@@ -222,7 +222,7 @@
 		return false
 	}
 	r.counters.LedgerFull++
-	r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(incoming.service, incoming.caller, r.parser.Response(codes.GatewayTimeout, 0))
 	return true
 }
 
@@ -329,7 +329,7 @@
 func (r *Router) refuse(incoming *incomingPacket) {
 	r.counters.RefusedNotRun++
 	wait := r.shortestWait(incoming.service)
-	r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.ServiceUnavailable, refusalMaxAge(wait)))
+	r.toCaller(incoming.service, incoming.caller, r.parser.Response(codes.ServiceUnavailable, refusalMaxAge(wait)))
 }
 
 // answerOutcomeUnknown answers 5.04 to a request that an earlier owner of the
@@ -341,7 +341,7 @@
 	request := r.newRequestRecord(incoming)
 	request.state = requestUnknown
 	r.ledger.put(incoming.requestKey, request)
-	r.toCaller(incoming.service, incoming.caller, r.parser.Answer(codes.GatewayTimeout, 0))
+	r.toCaller(incoming.service, incoming.caller, r.parser.Response(codes.GatewayTimeout, 0))
 }
 
 // refusalMaxAge returns the Max-Age of a refusal: the wait in whole seconds,
