--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -88,8 +88,8 @@
 	Frame wire.Frame
 }
 
-// NodeMessage is a frame to be sent to a connected balancer.
-type NodeMessage struct {
+// BalancerMessage is a frame to be sent to a connected balancer.
+type BalancerMessage struct {
 	Connection ConnectionID
 	Frame      wire.Frame
 }
@@ -111,10 +111,10 @@
 
 // Output holds the messages, outcomes and events that an input produced.
 type Output struct {
-	Members  []MemberMessage
-	Nodes    []NodeMessage
-	Outcomes []Outcome
-	Events   []LogEvent
+	Members   []MemberMessage
+	Balancers []BalancerMessage
+	Outcomes  []Outcome
+	Events    []LogEvent
 	// Applied is set when the replicated state changed.
 	Applied bool
 }
@@ -312,7 +312,7 @@
 }
 
 func (c *Core) sendNode(to ConnectionID, frame wire.Frame) {
-	c.output.Nodes = append(c.output.Nodes, NodeMessage{Connection: to, Frame: frame})
+	c.output.Balancers = append(c.output.Balancers, BalancerMessage{Connection: to, Frame: frame})
 }
 
 func (c *Core) takeOutput() Output {
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -61,7 +61,7 @@
 	m.revision.Set(float64(core.Store().Revision()))
 	m.term.Set(float64(core.Raft().Term()))
 	m.commit.Set(float64(core.Raft().Commit()))
-	m.nodes.Set(float64(core.ConnectedNodes()))
+	m.nodes.Set(float64(core.ConnectedBalancers()))
 }
 
 func (m *metrics) handler() http.Handler {
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// HandleNodeFrame handles a frame from a connected balancer.
-func (c *Core) HandleNodeFrame(now kernel.Instant, connection ConnectionID, frame wire.Frame) Output {
+// HandleBalancerFrame handles a frame from a connected balancer.
+func (c *Core) HandleBalancerFrame(now kernel.Instant, connection ConnectionID, frame wire.Frame) Output {
 	if c.replica.Failed != nil || frame.Kind != wire.FrameReport {
 		return Output{}
 	}
@@ -131,11 +131,11 @@
 	}
 }
 
-// NodeDisconnected removes a balancer's closed connection.
-func (c *Core) NodeDisconnected(connection ConnectionID) { c.nodes.remove(connection) }
+// BalancerDisconnected removes a balancer's closed connection.
+func (c *Core) BalancerDisconnected(connection ConnectionID) { c.nodes.remove(connection) }
 
-// ConnectedNodes returns the number of balancers connected to this member.
-func (c *Core) ConnectedNodes() int { return len(c.nodes.byConnection) }
+// ConnectedBalancers returns the number of balancers connected to this member.
+func (c *Core) ConnectedBalancers() int { return len(c.nodes.byConnection) }
 
 // forwardReports sends the queued reports to the leader in one frame. Without a leader
 // they are dropped.
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -216,7 +216,7 @@
 	for _, message := range output.Members {
 		p.sendMember(message)
 	}
-	for _, message := range output.Nodes {
+	for _, message := range output.Balancers {
 		if queue, connected := p.nodes[message.Connection]; connected {
 			queue.TryPush(message.Frame)
 			p.metrics.nodeBytes.Add(float64(wire.FrameSize(message.Frame)))
@@ -265,7 +265,7 @@
 }
 
 func (n nodeInput) handle(p *Process, now kernel.Instant) Output {
-	return p.core.HandleNodeFrame(now, n.connection, n.frame)
+	return p.core.HandleBalancerFrame(now, n.connection, n.frame)
 }
 
 type nodeConnectedInput struct {
@@ -281,7 +281,7 @@
 type nodeDisconnectedInput struct{ connection ConnectionID }
 
 func (n nodeDisconnectedInput) handle(p *Process, _ kernel.Instant) Output {
-	p.core.NodeDisconnected(n.connection)
+	p.core.BalancerDisconnected(n.connection)
 	delete(p.nodes, n.connection)
 	return Output{}
 }
--- a/internal/lab/sim/balancer.go
+++ b/internal/lab/sim/balancer.go
@@ -161,7 +161,7 @@
 		}
 		to.deliver(func() {
 			delete(to.connections, closed.id)
-			to.core.NodeDisconnected(closed.id)
+			to.core.BalancerDisconnected(closed.id)
 		})
 	})
 }
--- a/internal/lab/sim/member.go
+++ b/internal/lab/sim/member.go
@@ -115,7 +115,7 @@
 	for _, message := range output.Members {
 		m.sendMember(message)
 	}
-	for _, message := range output.Nodes {
+	for _, message := range output.Balancers {
 		if open, known := m.connections[message.Connection]; known {
 			open.toBalancer(message.Frame)
 		}
@@ -150,7 +150,7 @@
 // receiveNode handles a frame of a connected balancer.
 func (m *member) receiveNode(open *connection, frame wire.Frame) {
 	m.connections[open.id] = open
-	m.carryOut(m.core.HandleNodeFrame(m.now(), open.id, frame))
+	m.carryOut(m.core.HandleBalancerFrame(m.now(), open.id, frame))
 }
 
 // probe asks all targets for their load while this member leads.
