--- a/internal/control/admin.go
+++ b/internal/control/admin.go
@@ -46,18 +46,18 @@
 	}
 }
 
-// newAPIError returns an API error with details. The step and peer default to those of
-// err.
+// newAPIError returns an API error with details. If detail has no step, it takes the step
+// and peer of err.
 func newAPIError(code connect.Code, err error, detail *beamdoorv1.ErrorDetail) *connect.Error {
-	answer := connect.NewError(code, err)
+	apiError := connect.NewError(code, err)
 	if wrapped, ok := asStepError(err); ok && detail.Step == "" {
 		detail.Step = wrapped.Step
 		detail.Peer = wrapped.Peer
 	}
 	if encoded, detailErr := connect.NewErrorDetail(detail); detailErr == nil {
-		answer.AddDetail(encoded)
+		apiError.AddDetail(encoded)
 	}
-	return answer
+	return apiError
 }
 
 func asStepError(err error) (*steperror.Error, bool) {
@@ -145,7 +145,8 @@
 	return s.write(ctx, store.Command{Kind: store.CommandRemoveBalancer, Body: request.Msg})
 }
 
-// read runs a query. The query must be linearizable unless stale is set.
+// read runs a query on the core. Unless stale is set, it fails when this member can't
+// serve a linearizable read.
 func (s *adminService) read(ctx context.Context, stale bool, run func(core *Core, now kernel.Instant)) *connect.Error {
 	allowed := false
 	err := s.process.query(ctx, func(core *Core, now kernel.Instant) {
--- a/internal/control/core.go
+++ b/internal/control/core.go
@@ -60,7 +60,7 @@
 	// InitialMembers are the members of a new group. It is empty for a member that joins
 	// an existing group.
 	InitialMembers []*beamdoorv1.Member
-	// SeedMembers are the members that a member without a group sends hello frames to.
+	// SeedMembers are the members to which a member without a group sends hello frames.
 	SeedMembers []raft.MemberID
 }
 
@@ -136,7 +136,7 @@
 	pending   map[uint64]pendingProposal
 	leases    *leaseTable
 	bootstrap *groupBootstrap
-	nodes     *nodeTable
+	balancers *balancerTable
 	tracer    *tracer
 	output    Output
 
@@ -155,11 +155,11 @@
 	}
 	settings.Raft.Mechanisms = settings.Mechanisms.Raft
 	core := &Core{
-		settings: settings,
-		store:    state,
-		pending:  map[uint64]pendingProposal{},
-		nodes:    newNodeTable(),
-		tracer:   newTracer(),
+		settings:  settings,
+		store:     state,
+		pending:   map[uint64]pendingProposal{},
+		balancers: newBalancerTable(),
+		tracer:    newTracer(),
 	}
 	core.replica = replica.New(core, storage, settings.SnapshotEntries)
 	core.replica.Node = raft.NewNode(now, settings.Raft, restored)
@@ -242,7 +242,7 @@
 		return
 	}
 	grants := c.leases.receive(now, reports)
-	c.sendMember(from, wire.GrantsFrame(grants))
+	c.sendToMember(from, wire.GrantsFrame(grants))
 }
 
 func (c *Core) receiveGrants(frame wire.Frame) {
@@ -264,8 +264,8 @@
 	c.distributeSignals(now, signals)
 }
 
-// Propose appends a command to the replicated log. The outcome carries the token; it
-// is part of this output when the proposal is rejected, and of a later one otherwise.
+// Propose appends a command to the replicated log. Its outcome carries the token and is
+// part of this output or of a later one.
 func (c *Core) Propose(now kernel.Instant, token Token, command store.Command) Output {
 	c.propose(now, token, command)
 	c.replica.Flush(now)
@@ -307,11 +307,11 @@
 	c.output.Events = append(c.output.Events, LogEvent{Event: event, Fields: fields})
 }
 
-func (c *Core) sendMember(to raft.MemberID, frame wire.Frame) {
+func (c *Core) sendToMember(to raft.MemberID, frame wire.Frame) {
 	c.output.Members = append(c.output.Members, MemberMessage{To: to, Frame: frame})
 }
 
-func (c *Core) sendNode(to ConnectionID, frame wire.Frame) {
+func (c *Core) sendToBalancer(to ConnectionID, frame wire.Frame) {
 	c.output.Balancers = append(c.output.Balancers, BalancerMessage{Connection: to, Frame: frame})
 }
 
@@ -323,7 +323,7 @@
 
 // Send implements replica.Host.
 func (c *Core) Send(message raft.Message) {
-	c.sendMember(message.To, wire.Frame{Kind: wire.FrameRaft, Payload: raft.EncodeMessage(message)})
+	c.sendToMember(message.To, wire.Frame{Kind: wire.FrameRaft, Payload: raft.EncodeMessage(message)})
 }
 
 // Stopped implements replica.Host.
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -61,7 +61,7 @@
 	c.bootstrap.nextHello = now.Add(helloInterval)
 	for _, id := range c.bootstrap.seedMembers {
 		if id != c.settings.Raft.ID {
-			c.sendMember(id, c.helloFrame())
+			c.sendToMember(id, c.helloFrame())
 		}
 	}
 	if identities := c.bootstrap.allIdentities(now, c.settings.Raft); identities != nil {
@@ -69,9 +69,9 @@
 	}
 }
 
-// allIdentities returns the identities of all initial members once each has sent a
-// recent hello with an empty folder. It returns nil before that, and on members other
-// than the one with the lowest ID.
+// allIdentities returns the identities of all initial members once each of the others
+// has recently reported an empty data folder. It returns nil before that, and on members
+// other than the one with the lowest ID.
 func (b *groupBootstrap) allIdentities(now kernel.Instant, self raft.Settings) map[raft.MemberID]uint64 {
 	if len(b.initialMembers) == 0 {
 		return nil
@@ -139,8 +139,8 @@
 	return raft.Restored{Snapshot: raft.Snapshot{Index: 1, Membership: membership, Data: data}}, nil
 }
 
-// receiveHello records a hello frame. It replies to an uninitialized member, so that it
-// doesn't create a second group.
+// receiveHello records a hello frame. A member of a group replies to an uninitialized
+// member, so that the latter doesn't create a second group.
 func (c *Core) receiveHello(now kernel.Instant, from raft.MemberID, frame wire.Frame) {
 	hello, err := wire.DecodeHello(frame.Payload)
 	if err != nil {
@@ -149,7 +149,7 @@
 	}
 	c.bootstrap.hellos[from] = receivedHello{hello: hello, receivedAt: now}
 	if hello.Empty && !c.isUninitialized() {
-		c.sendMember(from, c.helloFrame())
+		c.sendToMember(from, c.helloFrame())
 	}
 	if !hello.Empty && c.isUninitialized() && len(c.bootstrap.initialMembers) > 0 && !c.bootstrap.refusalLogged {
 		c.bootstrap.refusalLogged = true
--- a/internal/control/judge.go
+++ b/internal/control/judge.go
@@ -28,7 +28,7 @@
 	alive         bool
 	// runID identifies the target's current process. It is 0 while unknown.
 	runID uint32
-	// restarted is set until a new runID has been published to the balancers.
+	// restarted is set until Evaluate has returned a signal with the new runID.
 	restarted bool
 	// evaluated is set once this member, as the leader, has a verdict. Until then the
 	// balancers keep the verdict of the former leader.
@@ -191,8 +191,9 @@
 	return uint32(min(int64(milliseconds)+passed.Milliseconds(), math.MaxUint32))
 }
 
-// Evaluate runs the policies. It returns the signals of all evaluated targets for each
-// cell in which a verdict changed, and the events to log.
+// Evaluate runs the policies. For each cell in which a target's verdict, liveness or
+// process changed, it returns the signals of all evaluated targets. It also returns the
+// events to log.
 func (e *TargetEvaluator) Evaluate(now kernel.Instant, services []*beamdoorv1.Service, policies Policies) (map[uint32][]wire.TargetSignal, []LogEvent) {
 	e.events = nil
 	changed := map[uint32]bool{}
@@ -219,7 +220,7 @@
 	return signals, e.events
 }
 
-// evaluateService evaluates the targets of one service and reports whether any verdict
+// evaluateService evaluates the targets of one service and reports whether a signal
 // changed. When more than half of them seem dead, the prober is more likely to be at
 // fault, and all count as alive.
 func (e *TargetEvaluator) evaluateService(now kernel.Instant, service *beamdoorv1.Service, compiled compiledPolicies) bool {
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -15,8 +15,8 @@
 // leaseRecord is the leader's state for one balancer process.
 type leaseRecord struct {
 	report wire.NodeReport
-	// memberID is its ID in the view. It changes when the balancer rejoins.
-	memberID    uint32
+	// balancerID is the balancer's ID in the view. It changes when the balancer rejoins.
+	balancerID  uint32
 	expires     kernel.Instant
 	lastSeen    kernel.Instant
 	behindSince kernel.Instant
@@ -110,14 +110,14 @@
 		Revision:     state.Revision(),
 		CellRevision: state.CellRevision(report.Cell),
 	}
-	member := memberByNonce(state.View(report.Cell), report.Nonce)
+	member := balancerByNonce(state.View(report.Cell), report.Nonce)
 	if member == nil {
 		t.addCandidate(record)
 		return grant
 	}
 	delete(t.candidates[report.Cell], report.Nonce)
 	grant.ID = member.Id
-	record.memberID = member.Id
+	record.balancerID = member.Id
 	t.updateLag(now, record, grant.CellRevision)
 	t.core.tracer.recordConfirmed(now, report.Cell, member.Name, report.Applied)
 	if !t.core.CanRead(now) || t.isLagging(now, record) {
@@ -150,7 +150,7 @@
 	return record.behind && now.Sub(record.behindSince) > t.core.settings.LagLimit
 }
 
-func memberByNonce(view *beamdoorv1.View, nonce uint64) *beamdoorv1.Balancer {
+func balancerByNonce(view *beamdoorv1.View, nonce uint64) *beamdoorv1.Balancer {
 	for _, member := range view.GetMembers() {
 		if member.Nonce == nonce {
 			return member
@@ -159,14 +159,14 @@
 	return nil
 }
 
-// viewApplied treats each new member of a view as holding a full lease, so that it
-// has time to request its first one.
+// viewApplied handles a view change. It treats each new member of the view as holding a
+// full lease, so that it has time to request its first one.
 func (t *leaseTable) viewApplied(now kernel.Instant, view *beamdoorv1.View) {
 	t.cell(view.Cell).changePending = false
 	for _, member := range view.Members {
 		record, known := t.records[member.Nonce]
-		if known && record.memberID != member.Id {
-			record.memberID = member.Id
+		if known && record.balancerID != member.Id {
+			record.balancerID = member.Id
 			record.expires = now.Add(t.core.settings.Lease)
 		}
 	}
@@ -248,7 +248,7 @@
 func (t *leaseTable) nextChange(now kernel.Instant, number uint32, cell *cellRecord) *beamdoorv1.ViewChange {
 	view := t.core.store.View(number)
 	change := &beamdoorv1.ViewChange{Cell: number, BaseNumber: view.GetNumber()}
-	if change.Removed = t.expired(now, view); len(change.Removed) > 0 {
+	if change.Removed = t.expiredBalancers(now, view); len(change.Removed) > 0 {
 		t.core.log(eventlog.BalancerExpired, "cell", number, "ids", fmt.Sprint(change.Removed))
 		return change
 	}
@@ -262,7 +262,7 @@
 	return planned
 }
 
-func (t *leaseTable) expired(now kernel.Instant, view *beamdoorv1.View) []uint32 {
+func (t *leaseTable) expiredBalancers(now kernel.Instant, view *beamdoorv1.View) []uint32 {
 	var ids []uint32
 	for _, member := range view.GetMembers() {
 		if t.hasExpired(now, member) {
@@ -287,7 +287,7 @@
 		return nil
 	}
 	for _, record := range t.joinCandidates(now, number) {
-		change.Added = append(change.Added, newMember(record))
+		change.Added = append(change.Added, newBalancer(record))
 	}
 	if len(change.Added) == 0 {
 		return nil
@@ -295,7 +295,7 @@
 	return change
 }
 
-// isSettled reports whether every member of the view has handed over the flows that
+// isSettled reports whether every member of the view has handed over the records that
 // the view reassigned, or SettleTimeout has passed since the last change.
 func (t *leaseTable) isSettled(now kernel.Instant, view *beamdoorv1.View, cell *cellRecord) bool {
 	if now.Sub(cell.lastChangeAt) > t.core.settings.SettleTimeout {
@@ -330,7 +330,7 @@
 	}
 	for _, record := range t.joinCandidates(now, view.Cell) {
 		if !t.addressInUse(view, record) {
-			change.Added = []*beamdoorv1.Balancer{newMember(record)}
+			change.Added = []*beamdoorv1.Balancer{newBalancer(record)}
 			return change
 		}
 	}
@@ -340,7 +340,7 @@
 // refillChange adds all join candidates to a view without members.
 func (t *leaseTable) refillChange(now kernel.Instant, view *beamdoorv1.View, change *beamdoorv1.ViewChange) *beamdoorv1.ViewChange {
 	for _, record := range t.joinCandidates(now, view.Cell) {
-		change.Added = append(change.Added, newMember(record))
+		change.Added = append(change.Added, newBalancer(record))
 	}
 	if len(change.Added) == 0 {
 		return nil
@@ -370,7 +370,7 @@
 		if report.Introduction == nil || report.Leaving || silent {
 			continue
 		}
-		if memberByNonce(view, report.Nonce) == nil {
+		if balancerByNonce(view, report.Nonce) == nil {
 			candidates = append(candidates, record)
 		}
 	}
@@ -380,7 +380,7 @@
 	return candidates
 }
 
-func newMember(record *leaseRecord) *beamdoorv1.Balancer {
+func newBalancer(record *leaseRecord) *beamdoorv1.Balancer {
 	introduction := record.report.Introduction
 	return &beamdoorv1.Balancer{
 		Name:  introduction.Name,
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -10,15 +10,15 @@
 
 // metrics holds the Prometheus metrics of a control member.
 type metrics struct {
-	registry    *prometheus.Registry
-	revision    prometheus.Gauge
-	leader      prometheus.Gauge
-	term        prometheus.Gauge
-	commit      prometheus.Gauge
-	nodes       prometheus.Gauge
-	memberBytes prometheus.Counter
-	nodeBytes   prometheus.Counter
-	writes      *prometheus.CounterVec
+	registry      *prometheus.Registry
+	revision      prometheus.Gauge
+	leader        prometheus.Gauge
+	term          prometheus.Gauge
+	commit        prometheus.Gauge
+	balancers     prometheus.Gauge
+	memberBytes   prometheus.Counter
+	balancerBytes prometheus.Counter
+	writes        *prometheus.CounterVec
 }
 
 const metricsNamespace = "beamdoor_control"
@@ -33,21 +33,21 @@
 
 func newMetrics() *metrics {
 	m := &metrics{
-		registry:    prometheus.NewRegistry(),
-		revision:    gauge("revision", "Newest configuration revision applied by this member."),
-		leader:      gauge("leader", "1 while this member leads."),
-		term:        gauge("term", "Term of the replicated log."),
-		commit:      gauge("commit_index", "Index of the last committed entry."),
-		nodes:       gauge("connected_balancers", "Balancers connected to this member."),
-		memberBytes: counter("member_sent_bytes_total", "Bytes sent to other control members."),
-		nodeBytes:   counter("balancer_sent_bytes_total", "Bytes sent to balancers."),
+		registry:      prometheus.NewRegistry(),
+		revision:      gauge("revision", "Newest configuration revision applied by this member."),
+		leader:        gauge("leader", "1 while this member leads."),
+		term:          gauge("term", "Term of the replicated log."),
+		commit:        gauge("commit_index", "Index of the last committed entry."),
+		balancers:     gauge("connected_balancers", "Balancers connected to this member."),
+		memberBytes:   counter("member_sent_bytes_total", "Bytes sent to other control members."),
+		balancerBytes: counter("balancer_sent_bytes_total", "Bytes sent to balancers."),
 		writes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: metricsNamespace,
 			Name:      "writes_total",
 			Help:      "Writes of operators by result.",
 		}, []string{"result"}),
 	}
-	m.registry.MustRegister(m.revision, m.leader, m.term, m.commit, m.nodes, m.memberBytes, m.nodeBytes, m.writes,
+	m.registry.MustRegister(m.revision, m.leader, m.term, m.commit, m.balancers, m.memberBytes, m.balancerBytes, m.writes,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
@@ -61,7 +61,7 @@
 	m.revision.Set(float64(core.Store().Revision()))
 	m.term.Set(float64(core.Raft().Term()))
 	m.commit.Set(float64(core.Raft().Commit()))
-	m.nodes.Set(float64(core.ConnectedBalancers()))
+	m.balancers.Set(float64(core.ConnectedBalancers()))
 }
 
 func (m *metrics) handler() http.Handler {
--- a/internal/control/nodes.go
+++ b/internal/control/nodes.go
@@ -12,8 +12,8 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// connectedNode is the state of a balancer connected to this member.
-type connectedNode struct {
+// connectedBalancer is the state of a balancer connected to this member.
+type connectedBalancer struct {
 	connection   ConnectionID
 	nonce        uint64
 	cell         uint32
@@ -25,52 +25,52 @@
 	staleReports     int
 }
 
-// nodeTable indexes the connected balancers by connection, nonce and cell.
-type nodeTable struct {
-	byConnection map[ConnectionID]*connectedNode
-	byNonce      map[uint64]*connectedNode
-	byCell       map[uint32]map[ConnectionID]*connectedNode
+// balancerTable indexes the connected balancers by connection, nonce and cell.
+type balancerTable struct {
+	byConnection map[ConnectionID]*connectedBalancer
+	byNonce      map[uint64]*connectedBalancer
+	byCell       map[uint32]map[ConnectionID]*connectedBalancer
 	// signals holds the latest signals by cell, and signalsReceivedAt their arrival.
 	signals           map[uint32]wire.Signals
 	signalsReceivedAt map[uint32]kernel.Instant
 }
 
-func newNodeTable() *nodeTable {
-	return &nodeTable{
-		byConnection:      map[ConnectionID]*connectedNode{},
-		byNonce:           map[uint64]*connectedNode{},
-		byCell:            map[uint32]map[ConnectionID]*connectedNode{},
+func newBalancerTable() *balancerTable {
+	return &balancerTable{
+		byConnection:      map[ConnectionID]*connectedBalancer{},
+		byNonce:           map[uint64]*connectedBalancer{},
+		byCell:            map[uint32]map[ConnectionID]*connectedBalancer{},
 		signals:           map[uint32]wire.Signals{},
 		signalsReceivedAt: map[uint32]kernel.Instant{},
 	}
 }
 
-func (t *nodeTable) add(connection ConnectionID, report wire.NodeReport) *connectedNode {
-	node, known := t.byConnection[connection]
-	if known && node.nonce == report.Nonce {
-		return node
+func (t *balancerTable) add(connection ConnectionID, report wire.NodeReport) *connectedBalancer {
+	balancer, known := t.byConnection[connection]
+	if known && balancer.nonce == report.Nonce {
+		return balancer
 	}
-	node = &connectedNode{connection: connection, nonce: report.Nonce, cell: report.Cell}
-	t.byConnection[connection] = node
-	t.byNonce[report.Nonce] = node
+	balancer = &connectedBalancer{connection: connection, nonce: report.Nonce, cell: report.Cell}
+	t.byConnection[connection] = balancer
+	t.byNonce[report.Nonce] = balancer
 	cell, exists := t.byCell[report.Cell]
 	if !exists {
-		cell = map[ConnectionID]*connectedNode{}
+		cell = map[ConnectionID]*connectedBalancer{}
 		t.byCell[report.Cell] = cell
 	}
-	cell[connection] = node
-	return node
+	cell[connection] = balancer
+	return balancer
 }
 
-func (t *nodeTable) remove(connection ConnectionID) {
-	node, known := t.byConnection[connection]
+func (t *balancerTable) remove(connection ConnectionID) {
+	balancer, known := t.byConnection[connection]
 	if !known {
 		return
 	}
 	delete(t.byConnection, connection)
-	delete(t.byCell[node.cell], connection)
-	if t.byNonce[node.nonce] == node {
-		delete(t.byNonce, node.nonce)
+	delete(t.byCell[balancer.cell], connection)
+	if t.byNonce[balancer.nonce] == balancer {
+		delete(t.byNonce, balancer.nonce)
 	}
 }
 
@@ -85,14 +85,14 @@
 		c.log(eventlog.BadFrame, "connection", connection, "err", err)
 		return c.takeOutput()
 	}
-	node := c.nodes.add(connection, report)
-	if !node.initialized {
-		node.initialized = true
-		node.sentRevision = report.Applied
-		c.sendSignals(now, node)
+	balancer := c.balancers.add(connection, report)
+	if !balancer.initialized {
+		balancer.initialized = true
+		balancer.sentRevision = report.Applied
+		c.sendSignals(now, balancer)
 	}
-	node.recordReport(report.Applied)
-	c.sendConfig(node)
+	balancer.recordReport(report.Applied)
+	c.sendConfig(balancer)
 	if c.IsLeader() {
 		c.deliverGrants(c.leases.receive(now, []wire.NodeReport{report}))
 	} else {
@@ -117,25 +117,25 @@
 const staleReportsBeforeResend = 4
 
 // recordReport detects a lost configuration frame and schedules a retransmission.
-func (n *connectedNode) recordReport(applied uint64) {
-	n.sentRevision = max(n.sentRevision, applied)
-	if applied != n.reportedRevision || applied >= n.sentRevision {
-		n.reportedRevision = applied
-		n.staleReports = 0
+func (b *connectedBalancer) recordReport(applied uint64) {
+	b.sentRevision = max(b.sentRevision, applied)
+	if applied != b.reportedRevision || applied >= b.sentRevision {
+		b.reportedRevision = applied
+		b.staleReports = 0
 		return
 	}
-	n.staleReports++
-	if n.staleReports >= staleReportsBeforeResend {
-		n.sentRevision = applied
-		n.staleReports = 0
+	b.staleReports++
+	if b.staleReports >= staleReportsBeforeResend {
+		b.sentRevision = applied
+		b.staleReports = 0
 	}
 }
 
 // BalancerDisconnected removes a balancer's closed connection.
-func (c *Core) BalancerDisconnected(connection ConnectionID) { c.nodes.remove(connection) }
+func (c *Core) BalancerDisconnected(connection ConnectionID) { c.balancers.remove(connection) }
 
 // ConnectedBalancers returns the number of balancers connected to this member.
-func (c *Core) ConnectedBalancers() int { return len(c.nodes.byConnection) }
+func (c *Core) ConnectedBalancers() int { return len(c.balancers.byConnection) }
 
 // forwardReports sends the queued reports to the leader in one frame. Without a leader
 // they are dropped.
@@ -150,62 +150,62 @@
 		return
 	}
 	if leader := c.replica.Node.Leader(); leader != 0 {
-		c.sendMember(leader, wire.ReportsFrame(reports))
+		c.sendToMember(leader, wire.ReportsFrame(reports))
 	}
 }
 
 func (c *Core) deliverGrants(grants []wire.Grant) {
 	for _, grant := range grants {
-		if node, connected := c.nodes.byNonce[grant.Nonce]; connected {
-			c.sendNode(node.connection, wire.GrantFrame(grant))
+		if balancer, connected := c.balancers.byNonce[grant.Nonce]; connected {
+			c.sendToBalancer(balancer.connection, wire.GrantFrame(grant))
 		}
 	}
 }
 
-// sortByConnection returns the nodes in the order in which they connected.
-func sortByConnection(nodes map[ConnectionID]*connectedNode) []*connectedNode {
-	sorted := make([]*connectedNode, 0, len(nodes))
-	for _, id := range slices.Sorted(maps.Keys(nodes)) {
-		sorted = append(sorted, nodes[id])
+// sortByConnection returns the balancers in the order in which they connected.
+func sortByConnection(balancers map[ConnectionID]*connectedBalancer) []*connectedBalancer {
+	sorted := make([]*connectedBalancer, 0, len(balancers))
+	for _, id := range slices.Sorted(maps.Keys(balancers)) {
+		sorted = append(sorted, balancers[id])
 	}
 	return sorted
 }
 
 // distributeConfig sends each connected balancer the configuration changes of its cell.
 func (c *Core) distributeConfig() {
-	for _, cell := range slices.Sorted(maps.Keys(c.nodes.byCell)) {
-		nodes := c.nodes.byCell[cell]
+	for _, cell := range slices.Sorted(maps.Keys(c.balancers.byCell)) {
+		balancers := c.balancers.byCell[cell]
 		newest := c.store.CellRevision(cell)
 		frames := map[uint64]wire.Frame{}
-		for _, node := range sortByConnection(nodes) {
-			if node.sentRevision < newest {
-				c.sendConfigFrame(node, frames)
+		for _, balancer := range sortByConnection(balancers) {
+			if balancer.sentRevision < newest {
+				c.sendConfigFrame(balancer, frames)
 			}
 		}
 	}
 }
 
-func (c *Core) sendConfig(node *connectedNode) {
-	if node.sentRevision < c.store.CellRevision(node.cell) {
-		c.sendConfigFrame(node, map[uint64]wire.Frame{})
+func (c *Core) sendConfig(balancer *connectedBalancer) {
+	if balancer.sentRevision < c.store.CellRevision(balancer.cell) {
+		c.sendConfigFrame(balancer, map[uint64]wire.Frame{})
 	}
 }
 
-// sendConfigFrame sends the changes since the revision last sent to the node. Nodes
-// with the same revision share the frame, which frames caches by revision.
-func (c *Core) sendConfigFrame(node *connectedNode, frames map[uint64]wire.Frame) {
-	frame, cached := frames[node.sentRevision]
+// sendConfigFrame sends the changes since the revision last sent to the balancer. It
+// caches the frame by that revision in frames, for other balancers at the same one.
+func (c *Core) sendConfigFrame(balancer *connectedBalancer, frames map[uint64]wire.Frame) {
+	frame, cached := frames[balancer.sentRevision]
 	if !cached {
-		payload, err := proto.Marshal(c.store.CellConfig(node.cell, node.sentRevision))
+		payload, err := proto.Marshal(c.store.CellConfig(balancer.cell, balancer.sentRevision))
 		if err != nil {
 			c.log(eventlog.BadFrame, "err", err)
 			return
 		}
 		frame = wire.Frame{Kind: wire.FrameConfig, Payload: payload}
-		frames[node.sentRevision] = frame
+		frames[balancer.sentRevision] = frame
 	}
-	node.sentRevision = c.store.Revision()
-	c.sendNode(node.connection, frame)
+	balancer.sentRevision = c.store.Revision()
+	c.sendToBalancer(balancer.connection, frame)
 }
 
 // PublishSignals sends the verdicts on a cell's targets to all members and connected
@@ -214,7 +214,7 @@
 	if !c.IsLeader() {
 		return c.takeOutput()
 	}
-	previous := c.nodes.signals[cell]
+	previous := c.balancers.signals[cell]
 	signals := wire.Signals{
 		Term:     c.replica.Node.Term(),
 		Sequence: previous.Sequence + 1,
@@ -224,7 +224,7 @@
 	frame := wire.SignalsFrame(signals)
 	for _, member := range c.store.Members() {
 		if member.Id != uint32(c.settings.Raft.ID) {
-			c.sendMember(memberID(member.Id), frame)
+			c.sendToMember(memberID(member.Id), frame)
 		}
 	}
 	c.distributeSignals(now, signals)
@@ -234,31 +234,31 @@
 // distributeSignals stores signals that are newer than the stored ones and sends them
 // to the connected balancers of the cell.
 func (c *Core) distributeSignals(now kernel.Instant, signals wire.Signals) {
-	previous := c.nodes.signals[signals.Cell]
+	previous := c.balancers.signals[signals.Cell]
 	older := signals.Term < previous.Term
 	older = older || signals.Term == previous.Term && signals.Sequence <= previous.Sequence
 	if older {
 		return
 	}
-	c.nodes.signals[signals.Cell] = signals
-	c.nodes.signalsReceivedAt[signals.Cell] = now
+	c.balancers.signals[signals.Cell] = signals
+	c.balancers.signalsReceivedAt[signals.Cell] = now
 	frame := wire.SignalsFrame(signals)
-	for _, node := range sortByConnection(c.nodes.byCell[signals.Cell]) {
-		c.sendNode(node.connection, frame)
+	for _, balancer := range sortByConnection(c.balancers.byCell[signals.Cell]) {
+		c.sendToBalancer(balancer.connection, frame)
 	}
 }
 
 // sendSignals sends the stored signals to a balancer that has just connected, with the
 // uptimes advanced to now.
-func (c *Core) sendSignals(now kernel.Instant, node *connectedNode) {
-	signals, known := c.nodes.signals[node.cell]
+func (c *Core) sendSignals(now kernel.Instant, balancer *connectedBalancer) {
+	signals, known := c.balancers.signals[balancer.cell]
 	if !known {
 		return
 	}
-	passed := now.Sub(c.nodes.signalsReceivedAt[node.cell])
+	passed := now.Sub(c.balancers.signalsReceivedAt[balancer.cell])
 	signals.Targets = slices.Clone(signals.Targets)
 	for i := range signals.Targets {
 		signals.Targets[i].UptimeMilliseconds = addMilliseconds(signals.Targets[i].UptimeMilliseconds, passed)
 	}
-	c.sendNode(node.connection, wire.SignalsFrame(signals))
+	c.sendToBalancer(balancer.connection, wire.SignalsFrame(signals))
 }
--- a/internal/control/prober.go
+++ b/internal/control/prober.go
@@ -21,8 +21,8 @@
 	probeWorkers  = 32
 )
 
-// prober polls the load of all targets while this member leads, and evaluates the
-// responses.
+// prober requests load reports from all targets while this member leads, and evaluates
+// them.
 type prober struct {
 	process  *Process
 	client   *http.Client
@@ -76,7 +76,7 @@
 }
 
 // refresh loads the current configuration. It returns false and resets the evaluator
-// while this member doesn't lead.
+// when the query fails or this member isn't a leader that can serve reads.
 func (p *prober) refresh(ctx context.Context) bool {
 	var services []*beamdoorv1.Service
 	var policies []*beamdoorv1.Policy
--- a/internal/control/process.go
+++ b/internal/control/process.go
@@ -25,7 +25,7 @@
 	inputCapacity  = 8192
 	outputCapacity = 4096
 	tickInterval   = 50 * time.Millisecond
-	inputBatch     = 256
+	maxBatchSize   = 256
 )
 
 // input is a message for the goroutine that owns the core.
@@ -43,7 +43,7 @@
 	started        time.Time
 	inputs         *ring.Ring[input]
 	members        map[raft.MemberID]*memberLink
-	nodes          map[ConnectionID]*ring.Ring[wire.Frame]
+	balancers      map[ConnectionID]*ring.Ring[wire.Frame]
 	outcomeWaiters map[Token]chan Outcome
 	lastToken      Token
 	watchers       map[chan struct{}]bool
@@ -90,7 +90,7 @@
 		started:        time.Now(),
 		inputs:         ring.New[input](inputCapacity),
 		members:        map[raft.MemberID]*memberLink{},
-		nodes:          map[ConnectionID]*ring.Ring[wire.Frame]{},
+		balancers:      map[ConnectionID]*ring.Ring[wire.Frame]{},
 		outcomeWaiters: map[Token]chan Outcome{},
 		watchers:       map[chan struct{}]bool{},
 		metrics:        newMetrics(),
@@ -192,7 +192,7 @@
 	var batch []input
 	for {
 		var open bool
-		batch, open = p.inputs.PopBatch(batch[:0], inputBatch)
+		batch, open = p.inputs.PopBatch(batch[:0], maxBatchSize)
 		if !open {
 			break
 		}
@@ -214,12 +214,12 @@
 // dispatch sends the messages, delivers the outcomes and logs the events of an output.
 func (p *Process) dispatch(output Output) {
 	for _, message := range output.Members {
-		p.sendMember(message)
+		p.sendToMember(message)
 	}
 	for _, message := range output.Balancers {
-		if queue, connected := p.nodes[message.Connection]; connected {
+		if queue, connected := p.balancers[message.Connection]; connected {
 			queue.TryPush(message.Frame)
-			p.metrics.nodeBytes.Add(float64(wire.FrameSize(message.Frame)))
+			p.metrics.balancerBytes.Add(float64(wire.FrameSize(message.Frame)))
 		}
 	}
 	for _, outcome := range output.Outcomes {
@@ -259,30 +259,30 @@
 	return p.core.HandleMemberFrame(now, m.from, m.frame)
 }
 
-type nodeInput struct {
+type balancerInput struct {
 	connection ConnectionID
 	frame      wire.Frame
 }
 
-func (n nodeInput) handle(p *Process, now kernel.Instant) Output {
-	return p.core.HandleBalancerFrame(now, n.connection, n.frame)
+func (i balancerInput) handle(p *Process, now kernel.Instant) Output {
+	return p.core.HandleBalancerFrame(now, i.connection, i.frame)
 }
 
-type nodeConnectedInput struct {
+type balancerConnectedInput struct {
 	connection ConnectionID
 	queue      *ring.Ring[wire.Frame]
 }
 
-func (n nodeConnectedInput) handle(p *Process, _ kernel.Instant) Output {
-	p.nodes[n.connection] = n.queue
+func (i balancerConnectedInput) handle(p *Process, _ kernel.Instant) Output {
+	p.balancers[i.connection] = i.queue
 	return Output{}
 }
 
-type nodeDisconnectedInput struct{ connection ConnectionID }
+type balancerDisconnectedInput struct{ connection ConnectionID }
 
-func (n nodeDisconnectedInput) handle(p *Process, _ kernel.Instant) Output {
-	p.core.BalancerDisconnected(n.connection)
-	delete(p.nodes, n.connection)
+func (i balancerDisconnectedInput) handle(p *Process, _ kernel.Instant) Output {
+	p.core.BalancerDisconnected(i.connection)
+	delete(p.balancers, i.connection)
 	return Output{}
 }
 
@@ -349,7 +349,8 @@
 
 var errStopping = errors.New("the member is stopping")
 
-// query calls run on the goroutine that owns the core and waits until it returns.
+// query calls run on the goroutine that owns the core and waits until it returns. After
+// an error, run may still be called later.
 func (p *Process) query(ctx context.Context, run func(core *Core, now kernel.Instant)) error {
 	request := queryInput{run: run, done: make(chan struct{})}
 	if !p.inputs.TryPush(request) {
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -20,16 +20,16 @@
 	readBufferSize = 64 << 10
 )
 
-// memberLink is the outgoing connection to another control member. Frames that exceed
-// its queue are dropped; Raft retransmits them.
+// memberLink is the outgoing connection to another control member. Frames are dropped
+// while its queue is full; Raft retransmits its messages.
 type memberLink struct {
 	id    raft.MemberID
 	queue *ring.Ring[wire.Frame]
 }
 
-// sendMember queues a frame for a member and opens the link on first use. It drops a
+// sendToMember queues a frame for a member and opens the link on first use. It drops a
 // frame for a member whose address is unknown.
-func (p *Process) sendMember(message MemberMessage) {
+func (p *Process) sendToMember(message MemberMessage) {
 	link := p.linkTo(message.To)
 	if link == nil {
 		return
@@ -72,7 +72,7 @@
 	for _, link := range p.members {
 		link.queue.Close()
 	}
-	for _, queue := range p.nodes {
+	for _, queue := range p.balancers {
 		queue.Close()
 	}
 }
@@ -89,7 +89,7 @@
 	var buffer []byte
 	for {
 		var open bool
-		batch, open = link.queue.PopBatch(batch[:0], inputBatch)
+		batch, open = link.queue.PopBatch(batch[:0], maxBatchSize)
 		if !open {
 			return
 		}
@@ -112,8 +112,8 @@
 	}
 }
 
-// dialMember connects to a member and sends the ID of this one. If the dial fails, it
-// waits for dialBackoff and returns nil.
+// dialMember connects to a member and sends the ID of this one. It returns nil on an
+// error, and waits for dialBackoff first if the dial failed.
 func (p *Process) dialMember(id raft.MemberID, address string) net.Conn {
 	connection, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -137,7 +137,7 @@
 	if err := p.acceptConnections(self.Peer, p.readMember); err != nil {
 		return err
 	}
-	if err := p.acceptConnections(self.Nodes, p.serveNode); err != nil {
+	if err := p.acceptConnections(self.Nodes, p.serveBalancer); err != nil {
 		return err
 	}
 	listener, err := net.Listen("tcp", self.Admin)
@@ -180,7 +180,7 @@
 	_ = connection.Close()
 }
 
-// readMember reads the frames of another member, which begin with its ID.
+// readMember reads the frames of another member. The first frame contains its ID.
 func (p *Process) readMember(connection net.Conn) {
 	done := make(chan struct{})
 	defer close(done)
@@ -205,8 +205,8 @@
 	}
 }
 
-// serveNode reads the frames of a balancer; writeNode writes to it in another goroutine.
-func (p *Process) serveNode(connection net.Conn) {
+// serveBalancer reads the frames of a balancer, and starts writeBalancer to write to it.
+func (p *Process) serveBalancer(connection net.Conn) {
 	p.mutex.Lock()
 	p.lastConnection++
 	id := p.lastConnection
@@ -215,28 +215,28 @@
 	done := make(chan struct{})
 	defer close(done)
 	go p.closeOnStop(connection, done)
-	go p.writeNode(connection, queue)
-	p.inputs.Push(nodeConnectedInput{connection: id, queue: queue})
+	go p.writeBalancer(connection, queue)
+	p.inputs.Push(balancerConnectedInput{connection: id, queue: queue})
 	reader := bufio.NewReader(connection)
 	for {
 		frame, err := wire.ReadFrame(reader)
 		if err != nil {
 			break
 		}
-		if !p.inputs.Push(nodeInput{connection: id, frame: frame}) {
+		if !p.inputs.Push(balancerInput{connection: id, frame: frame}) {
 			break
 		}
 	}
 	queue.Close()
-	p.inputs.Push(nodeDisconnectedInput{connection: id})
+	p.inputs.Push(balancerDisconnectedInput{connection: id})
 }
 
-func (p *Process) writeNode(connection net.Conn, queue *ring.Ring[wire.Frame]) {
+func (p *Process) writeBalancer(connection net.Conn, queue *ring.Ring[wire.Frame]) {
 	var buffer []byte
 	var batch []wire.Frame
 	for {
 		var open bool
-		batch, open = queue.PopBatch(batch[:0], inputBatch)
+		batch, open = queue.PopBatch(batch[:0], maxBatchSize)
 		if !open {
 			return
 		}
