--- a/internal/balancer/admin.go
+++ b/internal/balancer/admin.go
@@ -69,6 +69,7 @@
 	return m
 }
 
+// countRefused counts a refused packet and returns the count of its source.
 func (m *metrics) countRefused(source string) uint64 {
 	m.refusedPackets.WithLabelValues(source).Inc()
 	m.mutex.Lock()
--- a/internal/balancer/process.go
+++ b/internal/balancer/process.go
@@ -28,7 +28,7 @@
 	// drainQuietPeriod is the time without caller packets after which a leaving
 	// balancer assumes that the network fabric no longer routes to it.
 	drainQuietPeriod = 1500 * time.Millisecond
-	// drainTimeout is the maximum duration of a graceful shutdown.
+	// drainTimeout is the longest time that Run waits for the balancer to drain.
 	drainTimeout = 45 * time.Second
 )
 
@@ -96,8 +96,9 @@
 // now returns the monotonic time since the process started.
 func (p *Process) now() kernel.Instant { return kernel.Instant(time.Since(p.started)) }
 
-// Run serves until the context is cancelled, and then leaves the view and drains
-// its flows before it returns. Closing force skips the draining.
+// Run serves until the context is cancelled. It then leaves the view and returns once
+// the balancer is drained, after drainTimeout at the latest. Closing force makes it
+// return without draining.
 func (p *Process) Run(ctx context.Context, force <-chan struct{}) error {
 	if err := p.listen(); err != nil {
 		return err
@@ -227,7 +228,8 @@
 }
 
 // stopWhenDrained stops a leaving process once the balancer is out of the view, no
-// caller packets arrive and the router is idle or was never in a view.
+// caller packets arrive and no requests are pending. A balancer that was never in a
+// view does not wait for pending requests.
 func (p *Process) stopWhenDrained(now kernel.Instant) {
 	p.wasInView = p.wasInView || p.router.InView()
 	if !p.leaving {
@@ -254,6 +256,7 @@
 }
 
 // query calls run on the goroutine that owns the router and waits until it returns.
+// After an error, run may still be called later.
 func (p *Process) query(ctx context.Context, run func(router *routing.Router, now kernel.Instant)) error {
 	request := queryInput{run: run, done: make(chan struct{})}
 	if !p.inputs.TryPush(request) {
--- a/internal/balancer/sockets.go
+++ b/internal/balancer/sockets.go
@@ -19,7 +19,7 @@
 
 const (
 	// datagramBufferSize is the size of a datagram buffer. A received datagram that
-	// fills it may be truncated; readCallers and readTargets reject it.
+	// fills it may be truncated; readCallers and readTargets refuse it.
 	datagramBufferSize = 2048
 	// batchSize is the maximum number of datagrams per system call.
 	batchSize = 32
@@ -144,7 +144,7 @@
 	})
 }
 
-// readTargets reads response packets from targets.
+// readTargets reads packets from targets to callers.
 func (p *Process) readTargets(connection *net.UDPConn) {
 	reader := proxyheader.NewReader()
 	readBatches(connection, func(buffer *[datagramBufferSize]byte, size int, _ time.Duration) bool {
@@ -174,10 +174,11 @@
 	})
 }
 
-// refusedLogInterval is the number of refused packets per log line, counted per source.
+// refusedLogInterval is the number of refused packets from a source per log entry.
 const refusedLogInterval = 1000
 
-// refusePacket counts an invalid packet, and logs one in refusedLogInterval.
+// refusePacket counts an invalid packet, and logs the first of every
+// refusedLogInterval packets from its source.
 func (p *Process) refusePacket(source string, err error) {
 	count := p.metrics.countRefused(source)
 	if count%refusedLogInterval == 1 {
--- a/internal/routing/answer.go
+++ b/internal/routing/answer.go
@@ -19,8 +19,9 @@
 // service times: each answer has a weight of 1/8.
 const serviceTimeSmoothing = 8
 
-// handleAnswer forwards a target's answer to the caller. It drops an answer whose
-// tag does not name a target of the service.
+// handleAnswer forwards a target's answer to the caller. A refusal of an unsafe
+// request goes to the primary instead, which may retry the request. An answer whose
+// tag does not name a target of the service is dropped.
 func (r *Router) handleAnswer(serviceAddress, caller netip.AddrPort, tag wire.ForwardTag, payload []byte) {
 	svc := r.table.byAddress[serviceAddress]
 	from := r.table.targets[tag.TargetID]
@@ -96,8 +97,9 @@
 	r.toPeer(owners.primary, packet)
 }
 
-// receiveAnswer records the answer to a request, on the primary first and then on
-// the backup. The primary also retries or delivers a refusal.
+// receiveAnswer records the answer to a request. The primary then forwards the
+// answer to the backup. It retries a refused request if it can, and otherwise sends
+// the refusal to the caller.
 func (r *Router) receiveAnswer(packet *wire.PeerPacket) {
 	request := r.ledger.get(packet.RequestKey)
 	refusal := packet.Flags.Has(wire.FlagRefusal)
@@ -180,14 +182,14 @@
 	r.endAsUnknown(key, request)
 }
 
-// mustNotifyCaller reports whether this balancer tells the caller how the request
-// ended: it decided on the request, or the balancer that did has left the view.
+// mustNotifyCaller reports whether this balancer notifies the caller of an unknown
+// outcome: it decided on the request, or the balancer that did has left the view.
 func (r *Router) mustNotifyCaller(request *requestRecord) bool {
 	return request.decider == r.id || r.table.view.member(request.decider) == nil
 }
 
-// endAsUnknown marks the request's outcome as unknown and answers 5.04, unless
-// another balancer is responsible for telling the caller.
+// endAsUnknown marks the request's outcome as unknown. It answers 5.04 unless
+// another balancer notifies the caller.
 func (r *Router) endAsUnknown(key uint64, request *requestRecord) {
 	if r.settings.Mechanisms.UnsafeRetry && r.retryUnsafe(key, request) {
 		return
--- a/internal/routing/backup.go
+++ b/internal/routing/backup.go
@@ -7,7 +7,7 @@
 )
 
 // receiveToBackup records the primary's decision and forwards the packet. It
-// rejects the relay when the views differ or this balancer has no lease, because
+// drops the relay when the views differ or this balancer has no lease, because
 // another pair may own the partition by then.
 func (r *Router) receiveToBackup(packet *wire.PeerPacket) {
 	var incoming incomingPacket
@@ -74,9 +74,9 @@
 	r.flows.put(incoming.fingerprint, record)
 }
 
-// recordAsBackup records an unsafe request and forwards it to the target. As the
-// last hop before the target, it rejects a request that it has seen before and
-// one that an unknown earlier owner may have forwarded.
+// recordAsBackup records an unsafe request and forwards it to the target. A
+// retransmission is left to answerRetransmission, and a request that an earlier
+// owner of the partition may have forwarded is answered with 5.04.
 func (r *Router) recordAsBackup(incoming *incomingPacket, packet *wire.PeerPacket) {
 	previous := r.ledger.get(incoming.requestKey)
 	repeated := previous != nil && (packet.Attempt <= previous.attempt || previous.state != requestForwarded)
--- a/internal/routing/caller.go
+++ b/internal/routing/caller.go
@@ -32,7 +32,7 @@
 func (r *Router) handleCaller(serviceAddress, caller netip.AddrPort, payload []byte) {
 	svc := r.table.byAddress[serviceAddress]
 	if svc == nil {
-		r.refuseUnknownService(serviceAddress, caller, payload)
+		r.answerUnknownService(serviceAddress, caller, payload)
 		return
 	}
 	incoming := &r.callerPacket
@@ -48,9 +48,9 @@
 	r.scheme.Route(r, incoming)
 }
 
-// refuseUnknownService answers 4.04 to a request to an address without a service.
+// answerUnknownService answers 4.04 to a request to an address without a service.
 // Without a lease it stays silent, because its configuration may be out of date.
-func (r *Router) refuseUnknownService(address, caller netip.AddrPort, payload []byte) {
+func (r *Router) answerUnknownService(address, caller netip.AddrPort, payload []byte) {
 	r.counters.UnknownService++
 	if !r.HasLease(r.now) {
 		return
@@ -90,8 +90,8 @@
 	return dest
 }
 
-// confirmDivisor sets how often a packet of a known flow goes through the pair:
-// once per idle timeout divided by it, so that the pair does not expire the flow.
+// confirmDivisor is the number of times per idle timeout that a packet of a known
+// flow goes through the pair, so that the pair does not expire the flow.
 const confirmDivisor = 3
 
 // recentlyConfirmed reports whether a packet of the flow went through the pair
@@ -167,7 +167,7 @@
 }
 
 // serveAsBackup forwards a safe request of a known flow while the primary is
-// suspected to be down. It places no new flows.
+// suspected to be down. It returns false for other packets.
 func (r *Router) serveAsBackup(incoming *incomingPacket) bool {
 	if incoming.class != coapmsg.ClassSafe {
 		return false
--- a/internal/routing/consult.go
+++ b/internal/routing/consult.go
@@ -16,7 +16,8 @@
 }
 
 // consult sends the packet from member to member, the backup first, to find the
-// flow's target. The primary keeps no state; if the packet is lost, the caller's
+// flow's target. RequestKey holds the ID of this primary, to which the reply is
+// sent. The primary keeps no state; if the packet is lost, the caller's
 // retransmission starts a new consultation.
 func (r *Router) consult(incoming *incomingPacket) {
 	r.counters.Consulted++
@@ -36,7 +37,7 @@
 }
 
 // consultNext sends the packet to the next member not yet consulted, or back to
-// its origin when there is none.
+// the primary when there is none.
 func (r *Router) consultNext(partition int, packet wire.PeerPacket) {
 	view := r.table.view
 	next := view.pairs[partition].backup
@@ -59,7 +60,7 @@
 	r.toPeer(next, packet)
 }
 
-// replyConsult returns the packet to the member that started the consultation.
+// replyConsult returns the packet to the primary that started the consultation.
 func (r *Router) replyConsult(packet wire.PeerPacket) {
 	originID := uint32(packet.RequestKey)
 	packet.Kind = wire.PeerConsultReply
--- a/internal/routing/coverage.go
+++ b/internal/routing/coverage.go
@@ -15,15 +15,15 @@
 	completeRequests [Partitions]bool
 	// recordsSince is the time from which the records of a partition are complete.
 	recordsSince [Partitions]kernel.Instant
-	// syncedPartner is the other member of the pair, once it has confirmed the
-	// records that this balancer could hand over.
+	// syncedPartner is the other member of the pair, once it has confirmed this
+	// balancer's records or has handed over all of its own.
 	syncedPartner   [Partitions]uint32
 	ownedCount      int
 	incompleteCount int
 }
 
-// updateForView updates the coverage for a new view. Coverage carries over only
-// if this balancer has been in the pair since the directly preceding view.
+// updateForView updates the coverage for a new view. The coverage of a partition
+// is kept if this balancer was already in its pair in the directly preceding view.
 func (c *coverage) updateForView(r *Router, previous *view) {
 	current := r.table.view
 	contiguous := previous != nil && previous.number+1 == current.number && previous.member(r.id) != nil
@@ -58,7 +58,7 @@
 	r.recountPlacedFlows()
 }
 
-// markComplete marks all records of a partition as held by both members.
+// markComplete marks all records of a partition as held by both members of its pair.
 func (c *coverage) markComplete(partition int, partner uint32) {
 	c.completeFlows[partition] = true
 	c.completeRequests[partition] = true
--- a/internal/routing/flow_test.go
+++ b/internal/routing/flow_test.go
@@ -152,7 +152,7 @@
 	c.execute(router.HandleConfig(c.now, &beamdoorv1.CellConfig{Revision: 1}))
 	assert.Equal(t, 1, len(router.table.byName), "a configuration that is not newer is ignored")
 	c.execute(router.HandleConfig(c.now, &beamdoorv1.CellConfig{Revision: 9, BaseRevision: 8}))
-	assert.Equal(t, uint64(1), router.Revision(), "a difference to an unknown revision is ignored")
+	assert.Equal(t, uint64(1), router.Revision(), "a delta to an unknown revision is ignored")
 	c.view.Number = 3
 	c.configure()
 	stale := &beamdoorv1.View{Cell: 1, Number: 2}
--- a/internal/routing/flows.go
+++ b/internal/routing/flows.go
@@ -26,8 +26,8 @@
 const (
 	// flowCounted marks a flow that is included in its target's placedFlows.
 	flowCounted flowFlags = 1 << iota
-	// flowAnswered marks a flow whose target has answered or was reported by
-	// another balancer.
+	// flowAnswered marks a flow whose target has answered or was learned from another
+	// balancer.
 	flowAnswered
 )
 
--- a/internal/routing/handover.go
+++ b/internal/routing/handover.go
@@ -65,8 +65,8 @@
 	sent   bool
 }
 
-// handover sends records to the new members of pairs, at a limited number of bytes
-// per second.
+// handover sends records to the new members of pairs, within a budget of
+// HandoverRate bytes per second.
 type handover struct {
 	jobs     map[uint32]*handoverJob
 	sequence uint64
@@ -364,8 +364,8 @@
 }
 
 // importPartialCoverage adopts the time from which the partner's records of a
-// partition are complete, if it is earlier. The delay of the message makes the
-// result too late, which is safe.
+// partition are complete, if it is earlier. The result is late by the delay of the
+// message, which is safe.
 func (r *Router) importPartialCoverage(decoder *wire.Decoder) {
 	partition := int(decoder.Uint16())
 	since := r.now.Add(-time.Duration(decoder.Uint16()) * ageUnit)
--- a/internal/routing/membership.go
+++ b/internal/routing/membership.go
@@ -67,7 +67,8 @@
 func (r *Router) handoverComplete() bool { return r.id == 0 || r.handover.idle() }
 
 // HandleGrant handles the leader's reply to a report. The lease starts at the time
-// when the report was sent, by the clock of this process.
+// when the report was sent, by the clock of this process. The revision advances to
+// the leader's if this balancer has applied the last change of its cell.
 func (r *Router) HandleGrant(now kernel.Instant, grant wire.Grant) []Action {
 	r.beginStep(now)
 	sent, known := r.reportSentAt[grant.Sequence]
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -122,8 +122,8 @@
 	return t.serviceTime * time.Duration(queued/int(t.slots)+1)
 }
 
-// shortestWait returns the shortest estimated wait among the service's targets that
-// is not zero, or 0.
+// shortestWait returns the shortest estimated wait among the targets that follow the
+// last one with an estimate of zero, or 0 if there are none.
 func (r *Router) shortestWait(svc *service) time.Duration {
 	var shortest time.Duration
 	balancers := r.activeMemberCount()
--- a/internal/routing/primary.go
+++ b/internal/routing/primary.go
@@ -20,7 +20,8 @@
 }
 
 // decide decides on a packet as the primary of its partition. It answers
-// retransmissions and consults the other members if the flow may be known to them.
+// retransmissions, and consults the other members if one of them may know the flow.
+// With FlagKnown, hint is the target that the relaying balancer has recorded.
 func (r *Router) decide(incoming *incomingPacket, flags wire.PeerFlags, hint uint32) {
 	if !r.HasLease(r.now) {
 		r.counters.WithoutLease++
@@ -54,7 +55,7 @@
 }
 
 // answerRetransmission handles a request that is already in the ledger and returns
-// true for it. The target gets it again only where it cannot run twice.
+// true for it. It forwards the request again only if it cannot run twice.
 func (r *Router) answerRetransmission(incoming *incomingPacket) bool {
 	request := r.ledger.get(incoming.requestKey)
 	if request == nil {
@@ -127,8 +128,8 @@
 	}
 }
 
-// decideTarget chooses the target after the flow lookup is conclusive, and commits
-// the decision. It replaces an unusable target as for a new flow.
+// decideTarget chooses the target after the lookup of the flow, and commits the
+// decision. A flow whose target is unusable is placed anew.
 func (r *Router) decideTarget(incoming *incomingPacket, record flowRecord, known bool) {
 	choice := decision{record: record, attempt: 1}
 	if known {
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -50,9 +50,11 @@
 	// historyIncomplete reports whether the primary lacked earlier records of the
 	// partition when it decided.
 	historyIncomplete bool
-	// packet is the caller's packet, kept for a retry until the request ends.
+	// packet is the caller's packet, kept for a retry or a 5.04 answer until the
+	// request ends.
 	packet []byte
-	// answer is the response to retransmissions, nil if it was too large to store.
+	// answer is the stored answer for retransmissions, nil if there is none or it was
+	// too large.
 	answer []byte
 }
 
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -3,12 +3,12 @@
 // all balancers of the cell, and ensures that an unsafe request (any method other
 // than GET and FETCH) runs at most once.
 //
-// Every flow belongs to a partition, and every partition has a primary and a
-// backup balancer, chosen by rendezvous hashing over the members of the view. A
-// packet of an unknown flow is relayed to the primary, which chooses the target,
-// and then to the backup, which records the choice and forwards the packet. The
-// relayed packet carries the decision, so that a new flow needs no separate
-// replication messages. See docs/design/0002-flow-ownership.md.
+// Every flow belongs to a partition, and every partition is owned by a pair of
+// balancers, a primary and a backup, chosen by rendezvous hashing over the members
+// of the view. A packet of an unknown flow is relayed to the primary, which chooses
+// the target, and then to the backup, which records the choice and forwards the
+// packet. The relayed packet carries the decision, so that a new flow needs no
+// separate replication messages. See docs/design/0002-flow-ownership.md.
 package routing
 
 import (
@@ -49,7 +49,7 @@
 	// NoDrain places new flows on any usable target, including those that are
 	// draining or at their limits.
 	NoDrain bool
-	// NoPeerHealth sends to balancers that are suspected to be down.
+	// NoPeerHealth suspects no balancer to be down and sends no probes.
 	NoPeerHealth bool
 	// UnsafeRetry retries requests with an unknown outcome.
 	UnsafeRetry bool
@@ -214,7 +214,7 @@
 }
 
 // HandleConfig applies a configuration of the cell. It ignores one that is not
-// newer than the current one, and a difference to a newer base revision.
+// newer than the current one, and a delta whose base revision is newer.
 func (r *Router) HandleConfig(now kernel.Instant, config *beamdoorv1.CellConfig) []Action {
 	r.beginStep(now)
 	if config.Revision <= r.table.revision || config.BaseRevision > r.table.revision {
@@ -396,7 +396,8 @@
 	r.loggedDrops = r.flows.dropped
 }
 
-// idleTimeout returns the idle timeout of a flow.
+// idleTimeout returns the idle timeout of a flow, or DefaultRetransmitSpan if its
+// target is unknown.
 func (r *Router) idleTimeout(record flowRecord) time.Duration {
 	if dest := r.table.targets[record.targetID]; dest != nil {
 		return dest.service.limits.idleTimeout
--- a/internal/routing/scheme.go
+++ b/internal/routing/scheme.go
@@ -49,7 +49,7 @@
 	r.relayToPrimary(incoming)
 }
 
-// routeWithoutPair decides on a packet without the partition's pair. It is used
+// routeWithoutPair routes an unsafe request without the partition's pair. It is used
 // only with Mechanisms.NoDecisionPoint.
 func routeWithoutPair(r *Router, incoming *incomingPacket) {
 	record, known := r.flows.get(incoming.fingerprint)
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -176,13 +176,13 @@
 // only one. Leaving members are skipped, so that their partitions move before they
 // leave. When a single member joins or leaves, at least one owner stays.
 func choosePair(partition uint64, members []member) pair {
-	primary := highestRanked(partition, members, func(*member) bool { return true })
+	primary := highestScoring(partition, members, func(*member) bool { return true })
 	if primary == nil {
 		return pair{}
 	}
-	backup := highestRanked(partition, members, func(candidate *member) bool { return candidate.zone != primary.zone })
+	backup := highestScoring(partition, members, func(candidate *member) bool { return candidate.zone != primary.zone })
 	if backup == nil {
-		backup = highestRanked(partition, members, func(candidate *member) bool { return candidate.id != primary.id })
+		backup = highestScoring(partition, members, func(candidate *member) bool { return candidate.id != primary.id })
 	}
 	if backup == nil {
 		return pair{primary: primary.id}
@@ -190,9 +190,9 @@
 	return pair{primary: primary.id, backup: backup.id}
 }
 
-// highestRanked returns the eligible member with the highest score for the
+// highestScoring returns the eligible member with the highest score for the
 // partition that is not leaving, or nil.
-func highestRanked(partition uint64, members []member, eligible func(*member) bool) *member {
+func highestScoring(partition uint64, members []member, eligible func(*member) bool) *member {
 	var best *member
 	var bestScore uint64
 	for i := range members {
