--- a/internal/balancer/admin.go
+++ b/internal/balancer/admin.go
@@ -33,7 +33,7 @@
 	controlReceived prometheus.Counter
 	refusedPackets  *prometheus.CounterVec
 	mutex           sync.Mutex
-	refused         map[string]uint64
+	refusedBySource map[string]uint64
 }
 
 func newMetrics() *metrics {
@@ -62,7 +62,7 @@
 			Name:      "refused_packets_total",
 			Help:      "Packets that could not be read, by source.",
 		}, []string{"source"}),
-		refused: map[string]uint64{},
+		refusedBySource: map[string]uint64{},
 	}
 	m.registry.MustRegister(m.counters, m.flows, m.revision, m.view, m.hasLease, m.dropped, m.controlSent, m.controlReceived,
 		m.refusedPackets, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -74,8 +74,8 @@
 	m.refusedPackets.WithLabelValues(source).Inc()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.refused[source]++
-	return m.refused[source]
+	m.refusedBySource[source]++
+	return m.refusedBySource[source]
 }
 
 // observe copies the state and the counters of the router into the metrics.
--- a/internal/routing/answer.go
+++ b/internal/routing/answer.go
@@ -172,7 +172,7 @@
 	}
 	dest.outstanding--
 	if answered {
-		elapsed := r.now.Sub(request.started)
+		elapsed := r.now.Sub(request.startedAt)
 		dest.serviceTime += (elapsed - dest.serviceTime) / serviceTimeSmoothing
 	}
 }
@@ -198,7 +198,7 @@
 	r.releaseOutstanding(request, false)
 	packet := request.packet
 	request.packet = nil
-	svc := r.table.byID[request.service]
+	svc := r.table.byID[request.serviceID]
 	if svc == nil || packet == nil || r.table.view == nil {
 		return
 	}
@@ -248,7 +248,7 @@
 		}
 	}
 	for _, key := range r.ledger.pendingAt(restarted.id) {
-		if request := r.ledger.get(key); request.started < runStarted {
+		if request := r.ledger.get(key); request.startedAt < runStarted {
 			r.endAsUnknown(key, request)
 		}
 	}
@@ -257,7 +257,7 @@
 
 // observer is a caller that is registered for notifications (RFC 7641).
 type observer struct {
-	service     uint32
+	serviceID   uint32
 	caller      netip.AddrPort
 	startedAt   kernel.Instant
 	token       [8]byte
@@ -274,7 +274,7 @@
 		delete(r.observers, incoming.fingerprint)
 		return
 	}
-	entry := observer{service: incoming.service.id, caller: incoming.caller, startedAt: r.now}
+	entry := observer{serviceID: incoming.service.id, caller: incoming.caller, startedAt: r.now}
 	entry.tokenLength = uint8(copy(entry.token[:], r.parser.Message.Token))
 	r.observers[incoming.fingerprint] = entry
 }
@@ -291,7 +291,7 @@
 		return
 	}
 	delete(r.observers, fingerprint)
-	svc := r.table.byID[entry.service]
+	svc := r.table.byID[entry.serviceID]
 	if svc == nil {
 		return
 	}
--- a/internal/routing/membership.go
+++ b/internal/routing/membership.go
@@ -30,11 +30,11 @@
 // sendReport sends a report and schedules the next one with a jitter of up to a
 // quarter of the interval, so that balancers do not report in step.
 func (r *Router) sendReport() {
-	r.sequence++
+	r.reportSequence++
 	interval := r.settings.ReportInterval
 	jitter := time.Duration(r.settings.Random.Int64N(int64(interval)/4 + 1))
 	r.nextReport = r.now.Add(interval - jitter)
-	r.reportSentAt[r.sequence] = r.now
+	r.reportSentAt[r.reportSequence] = r.now
 	for sequence, sent := range r.reportSentAt {
 		if r.now.Sub(sent) > reportRetention {
 			delete(r.reportSentAt, sequence)
@@ -43,7 +43,7 @@
 	action := r.appendAction(ActionToControl)
 	action.Report = wire.NodeReport{
 		Nonce:    r.settings.Nonce,
-		Sequence: r.sequence,
+		Sequence: r.reportSequence,
 		Applied:  r.table.revision,
 		View:     r.ViewNumber(),
 		Cell:     r.settings.Cell,
--- a/internal/routing/primary.go
+++ b/internal/routing/primary.go
@@ -316,11 +316,11 @@
 	lifetime := max(deadline, incoming.service.limits.retransmitSpan) + maxPacketLifetime
 	return &requestRecord{
 		state:     requestForwarded,
-		started:   r.now,
+		startedAt: r.now,
 		deadline:  r.now.Add(deadline),
 		expiresAt: r.now.Add(lifetime),
 		flow:      incoming.fingerprint,
-		service:   incoming.service.id,
+		serviceID: incoming.service.id,
 		caller:    incoming.caller,
 	}
 }
--- a/internal/routing/requests.go
+++ b/internal/routing/requests.go
@@ -25,18 +25,18 @@
 
 // requestRecord is the ledger's record of an unsafe request.
 type requestRecord struct {
-	state    requestState
-	attempt  uint8
-	started  kernel.Instant
-	deadline kernel.Instant
+	state     requestState
+	attempt   uint8
+	startedAt kernel.Instant
+	deadline  kernel.Instant
 	// expiresAt is the time after which no retransmission can arrive.
 	expiresAt kernel.Instant
 	// flow is the fingerprint of the flow, or only its partition in a record from a
 	// handover. PartitionOf maps both to the partition.
-	flow     uint64
-	targetID uint32
-	service  uint32
-	caller   netip.AddrPort
+	flow      uint64
+	targetID  uint32
+	serviceID uint32
+	caller    netip.AddrPort
 	// placedFlow reports whether the flow was placed for this request.
 	placedFlow bool
 	// countedOutstanding reports whether the request is included in its target's
--- a/internal/routing/retry.go
+++ b/internal/routing/retry.go
@@ -82,7 +82,7 @@
 // retryUnsafe sends a request that may have run to another target. It is used only
 // with Mechanisms.UnsafeRetry.
 func (r *Router) retryUnsafe(key uint64, request *requestRecord) bool {
-	svc := r.table.byID[request.service]
+	svc := r.table.byID[request.serviceID]
 	if svc == nil || request.packet == nil || request.attempt >= maxAttempts {
 		return false
 	}
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -117,7 +117,7 @@
 	id               uint32
 	leaseUntil       kernel.Instant
 	hadLease         bool
-	sequence         uint64
+	reportSequence   uint64
 	reportSentAt     map[uint64]kernel.Instant
 	nextReport       kernel.Instant
 	leaving          bool
@@ -457,6 +457,6 @@
 	packet.From = r.id
 	packet.View = r.table.view.number
 	action := r.appendAction(ActionToPeer)
-	action.Address = peer.peer
+	action.Address = peer.peerAddress
 	action.Packet = packet
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -114,11 +114,11 @@
 
 // member is a balancer of the cell's view.
 type member struct {
-	id      uint32
-	name    string
-	zone    string
-	peer    netip.AddrPort
-	leaving bool
+	id          uint32
+	name        string
+	zone        string
+	peerAddress netip.AddrPort
+	leaving     bool
 }
 
 // pair holds the IDs of a partition's primary and backup, 0 for none.
@@ -153,11 +153,11 @@
 	for _, balancer := range config.Members {
 		peer, _ := netip.ParseAddrPort(balancer.Peer)
 		next.members = append(next.members, member{
-			id:      balancer.Id,
-			name:    balancer.Name,
-			zone:    balancer.Zone,
-			peer:    peer,
-			leaving: balancer.State == beamdoorv1.BalancerState_BALANCER_STATE_LEAVING,
+			id:          balancer.Id,
+			name:        balancer.Name,
+			zone:        balancer.Zone,
+			peerAddress: peer,
+			leaving:     balancer.State == beamdoorv1.BalancerState_BALANCER_STATE_LEAVING,
 		})
 	}
 	for partition := range next.pairs {
