--- a/cmd/beamdoor-node/explain.go
+++ b/cmd/beamdoor-node/explain.go
@@ -18,7 +18,7 @@
 )
 
 func explainCommand() *cobra.Command {
-	var question explain.Question
+	var question explain.Query
 	var format string
 	command := &cobra.Command{
 		Use:   "explain [FILE...]",
@@ -34,7 +34,7 @@
 			if err != nil {
 				return err
 			}
-			story := explain.Story(lines, question)
+			story := explain.Timeline(lines, question)
 			if format == formatJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(story)
 			}
@@ -51,7 +51,7 @@
 	return command
 }
 
-func readLogs(standardInput io.Reader, files []string, question explain.Question) ([]explain.Line, error) {
+func readLogs(standardInput io.Reader, files []string, question explain.Query) ([]explain.Line, error) {
 	if len(files) == 0 {
 		return explain.Read(standardInput, question)
 	}
--- a/cmd/beamdoor-node/spread.go
+++ b/cmd/beamdoor-node/spread.go
@@ -20,15 +20,15 @@
 			if format != formatText && format != formatJSON {
 				return fmt.Errorf("--output: %q: must be %s or %s", format, formatText, formatJSON)
 			}
-			lines, err := readLogs(cmd.InOrStdin(), files, explain.Question{})
+			lines, err := readLogs(cmd.InOrStdin(), files, explain.Query{})
 			if err != nil {
 				return err
 			}
-			spreads := explain.Spreads(lines)
+			spreads := explain.Propagations(lines)
 			if format == formatJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(spreads)
 			}
-			return explain.PrintSpreads(cmd.OutOrStdout(), spreads)
+			return explain.PrintPropagations(cmd.OutOrStdout(), spreads)
 		},
 	}
 	command.Flags().StringVarP(&format, "output", "o", formatText, "output format: text or json")
--- a/internal/eventlog/bounded.go
+++ b/internal/eventlog/bounded.go
@@ -18,27 +18,27 @@
 	sampledPerSecond = 60
 )
 
-// Writer is a sink that never blocks its caller: lines wait in a bounded ring
+// AsyncWriter is a sink that never blocks its caller: lines wait in a bounded ring
 // for a goroutine that writes them, and lines that find no room are counted.
-type Writer struct {
+type AsyncWriter struct {
 	lines   *ring.Ring[[]byte]
 	sink    io.Writer
 	done    sync.WaitGroup
 	dropped atomic.Uint64
 }
 
-var _ io.Writer = (*Writer)(nil)
+var _ io.Writer = (*AsyncWriter)(nil)
 
-// NewWriter returns a writer that passes lines on to the sink.
-func NewWriter(sink io.Writer) *Writer {
-	writer := &Writer{lines: ring.New[[]byte](boundedCapacity), sink: sink}
+// NewAsyncWriter returns a writer that passes lines on to the sink.
+func NewAsyncWriter(sink io.Writer) *AsyncWriter {
+	writer := &AsyncWriter{lines: ring.New[[]byte](boundedCapacity), sink: sink}
 	writer.done.Add(1)
 	go writer.run()
 	return writer
 }
 
 // Write queues one line. It never fails and never blocks.
-func (w *Writer) Write(line []byte) (int, error) {
+func (w *AsyncWriter) Write(line []byte) (int, error) {
 	if !w.lines.TryPush(bytes.Clone(line)) {
 		w.dropped.Add(1)
 	}
@@ -46,15 +46,15 @@
 }
 
 // Dropped returns the number of lines that found no room.
-func (w *Writer) Dropped() uint64 { return w.dropped.Load() }
+func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
 
 // Close writes what is queued and ends the goroutine.
-func (w *Writer) Close() {
+func (w *AsyncWriter) Close() {
 	w.lines.Close()
 	w.done.Wait()
 }
 
-func (w *Writer) run() {
+func (w *AsyncWriter) run() {
 	defer w.done.Done()
 	var batch [][]byte
 	for {
--- a/internal/eventlog/bounded_test.go
+++ b/internal/eventlog/bounded_test.go
@@ -19,7 +19,7 @@
 
 func TestAReaderThatStopsNeverHoldsUpTheWriter(t *testing.T) {
 	sink := &stuckSink{release: make(chan struct{})}
-	writer := NewWriter(sink)
+	writer := NewAsyncWriter(sink)
 	done := make(chan struct{})
 	go func() {
 		for range 3 * boundedCapacity {
@@ -39,7 +39,7 @@
 
 func TestAllLinesArriveWhenTheReaderReads(t *testing.T) {
 	var sink bytes.Buffer
-	writer := NewWriter(&sink)
+	writer := NewAsyncWriter(&sink)
 	for range 100 {
 		_, _ = writer.Write([]byte("line\n"))
 	}
--- a/internal/explain/ejection_test.go
+++ b/internal/explain/ejection_test.go
@@ -19,15 +19,15 @@
 ts=2026-01-01T00:02:36Z process=core-1 event=1096 name=target_readmitted msg="serves" target=i-2 token=0000bbbb service=booking reason="0 of 8 exchanges ended unanswered"
 `
 
-func storyOf(t *testing.T, logs string, question Question) []Line {
+func storyOf(t *testing.T, logs string, question Query) []Line {
 	lines, err := Read(strings.NewReader(logs), question)
 	require.NoError(t, err)
-	return Story(lines, question)
+	return Timeline(lines, question)
 }
 
 // The placement says how many targets were passed over; the story tells which, and why.
 func TestTheStoryOfAFlowTellsWhichTargetsWerePassedOver(t *testing.T) {
-	story := storyOf(t, ejectionLogs, Question{Caller: "10.0.0.1:5"})
+	story := storyOf(t, ejectionLogs, Query{Caller: "10.0.0.1:5"})
 	assert.Equal(t, []string{"target_ejected", "flow_placed", "target_on_probation", "target_readmitted"}, names(story))
 	var text strings.Builder
 	require.NoError(t, Print(&text, story))
@@ -38,12 +38,12 @@
 }
 
 func TestTheStoryOfAFlowThatPassedNoTargetOver(t *testing.T) {
-	story := storyOf(t, ejectionLogs, Question{Caller: "10.0.0.2:5"})
+	story := storyOf(t, ejectionLogs, Query{Caller: "10.0.0.2:5"})
 	assert.Equal(t, []string{"flow_placed"}, names(story))
 }
 
 func TestTheStoryOfATargetThatWasEjected(t *testing.T) {
-	story := storyOf(t, ejectionLogs, Question{Target: "i-2"})
+	story := storyOf(t, ejectionLogs, Query{Target: "i-2"})
 	assert.Equal(t, []string{"target_ejected", "target_on_probation", "target_readmitted"}, names(story))
 	var text strings.Builder
 	require.NoError(t, Print(&text, story))
@@ -55,7 +55,7 @@
 	held := `ts=2026-01-01T00:02:29Z process=core-1 event=1135 name=version_held msg="held" service=booking version=v8 targets=5 cause="it fails far more requests than the earlier versions" reason="30 of 40 exchanges ended unanswered" hold=2s
 ts=2026-01-01T00:02:29Z process=core-1 event=1135 name=version_held msg="held" service=stock version=v3 targets=2 cause=ordered hold=2s
 `
-	story := storyOf(t, ejectionLogs+held, Question{Caller: "10.0.0.1:5"})
+	story := storyOf(t, ejectionLogs+held, Query{Caller: "10.0.0.1:5"})
 	assert.Equal(t, []string{"target_ejected", "version_held", "flow_placed", "target_on_probation", "target_readmitted"}, names(story))
 	var text strings.Builder
 	require.NoError(t, Print(&text, story))
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -66,7 +66,7 @@
 // What stands before the time stamp of a line is skipped, and lines without one
 // are left out. Lines about single flows, by far the most of a large fleet, are
 // kept only for the flow that is asked about.
-func Read(reader io.Reader, question Question) ([]Line, error) {
+func Read(reader io.Reader, question Query) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLine)
@@ -85,7 +85,7 @@
 
 // excludes reports whether a line is about a flow that is not asked about, by
 // its text alone: parsing takes far longer.
-func (q Question) excludes(text string) bool {
+func (q Query) excludes(text string) bool {
 	_, rest, aboutFlow := strings.Cut(text, " "+keyCaller+"=")
 	if !aboutFlow {
 		return false
--- a/internal/explain/spread.go
+++ b/internal/explain/spread.go
@@ -20,20 +20,20 @@
 // mostShare is the share of the nodes by which a change has reached most of them.
 const mostShare = 0.99
 
-// Spread tells how long changes of one kind took from the first member that had them to
+// Propagation tells how long changes of one kind took from the first member that had them to
 // the nodes. Nodes that started later do not count.
-type Spread struct {
+type Propagation struct {
 	// Kind is a version, or the stage that targets came to.
 	Kind    string `json:"kind"`
 	Changes int    `json:"changes"`
 	// Nodes is the number of nodes that the last change reached.
 	Nodes int `json:"nodes"`
-	// First, Half, Most and Last are the longest times of these changes until the first
+	// First, Median, P99 and Last are the longest times of these changes until the first
 	// node, half of them, 99 of 100 and the last one had it.
-	First time.Duration `json:"firstNanoseconds"`
-	Half  time.Duration `json:"halfNanoseconds"`
-	Most  time.Duration `json:"mostNanoseconds"`
-	Last  time.Duration `json:"lastNanoseconds"`
+	First  time.Duration `json:"firstNanoseconds"`
+	Median time.Duration `json:"halfNanoseconds"`
+	P99    time.Duration `json:"mostNanoseconds"`
+	Last   time.Duration `json:"lastNanoseconds"`
 }
 
 // change is a change of the directory, when the first member had it.
@@ -49,20 +49,20 @@
 	at       time.Time
 }
 
-// Spreads returns the spread of each version, in their order, and then that of each stage
+// Propagations returns the spread of each version, in their order, and then that of each stage
 // of targets. Clocks of machines may differ; the times do by as much.
-func Spreads(lines []Line) []Spread {
+func Propagations(lines []Line) []Propagation {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	nodes := appliedBy(lines)
-	var spreads []Spread
+	var spreads []Propagation
 	numbers := map[string]int{}
 	for _, c := range changesIn(lines) {
 		number, known := numbers[c.kind]
 		if !known {
 			number = len(spreads)
 			numbers[c.kind] = number
-			spreads = append(spreads, Spread{Kind: c.kind})
+			spreads = append(spreads, Propagation{Kind: c.kind})
 		}
 		spreads[number].add(delays(nodes, c))
 	}
@@ -124,7 +124,7 @@
 	return list
 }
 
-func (s *Spread) add(delays []time.Duration) {
+func (s *Propagation) add(delays []time.Duration) {
 	s.Changes++
 	if len(delays) == 0 {
 		return
@@ -132,17 +132,17 @@
 	at := func(share float64) time.Duration { return delays[min(int(share*float64(len(delays))), len(delays)-1)] }
 	s.Nodes = len(delays)
 	s.First = max(s.First, delays[0])
-	s.Half = max(s.Half, at(0.5))
-	s.Most = max(s.Most, at(mostShare))
+	s.Median = max(s.Median, at(0.5))
+	s.P99 = max(s.P99, at(mostShare))
 	s.Last = max(s.Last, delays[len(delays)-1])
 }
 
-// PrintSpreads writes spreads as a table.
-func PrintSpreads(writer io.Writer, spreads []Spread) error {
+// PrintPropagations writes spreads as a table.
+func PrintPropagations(writer io.Writer, spreads []Propagation) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "change\tnumber\tnodes\tfirst\thalf\t99 of 100\tlast")
 	for _, s := range spreads {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%v\t%v\t%v\t%v\n", s.Kind, s.Changes, s.Nodes, s.First, s.Half, s.Most, s.Last)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%v\t%v\t%v\t%v\n", s.Kind, s.Changes, s.Nodes, s.First, s.Median, s.P99, s.Last)
 	}
 	return table.Flush()
 }
--- a/internal/explain/spread_test.go
+++ b/internal/explain/spread_test.go
@@ -32,15 +32,15 @@
 }
 
 func TestTheSpreadOfChangesOverAFleet(t *testing.T) {
-	lines, err := Read(strings.NewReader(fleetLog()), Question{})
+	lines, err := Read(strings.NewReader(fleetLog()), Query{})
 	require.NoError(t, err)
 	ms := time.Millisecond
-	assert.Equal(t, []Spread{
-		{Kind: "version 4", Changes: 1, Nodes: 200, First: 0, Half: 100 * ms, Most: 198 * ms, Last: 199 * ms},
-		{Kind: "target draining", Changes: 2, Nodes: 200, First: 0, Half: 100 * ms, Most: 198 * ms, Last: 199 * ms},
-	}, Spreads(lines))
+	assert.Equal(t, []Propagation{
+		{Kind: "version 4", Changes: 1, Nodes: 200, First: 0, Median: 100 * ms, P99: 198 * ms, Last: 199 * ms},
+		{Kind: "target draining", Changes: 2, Nodes: 200, First: 0, Median: 100 * ms, P99: 198 * ms, Last: 199 * ms},
+	}, Propagations(lines))
 	var text bytes.Buffer
-	require.NoError(t, PrintSpreads(&text, Spreads(lines)))
+	require.NoError(t, PrintPropagations(&text, Propagations(lines)))
 	assert.Contains(t, text.String(), "version 4        1       200    0s     100ms  198ms      199ms")
-	assert.Empty(t, Spreads(nil))
+	assert.Empty(t, Propagations(nil))
 }
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -11,8 +11,8 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// Question says what a story is about. Exactly one of the fields is set.
-type Question struct {
+// Query says what a story is about. Exactly one of the fields is set.
+type Query struct {
 	// Caller is a flow's caller as IP:PORT.
 	Caller string
 	// Target is the name of a target.
@@ -25,9 +25,9 @@
 // targets is told.
 const around = 10 * time.Second
 
-// Story returns the lines that answer a question, in the order of their times.
+// Timeline returns the lines that answer a question, in the order of their times.
 // Clocks of machines may differ; lines of one process keep their order.
-func Story(lines []Line, question Question) []Line {
+func Timeline(lines []Line, question Query) []Line {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	setAges(lines)
@@ -144,7 +144,7 @@
 	})
 }
 
-// Print writes a story with times from its first line.
+// Print writes a timeline with times from its first line.
 func Print(writer io.Writer, story []Line) error {
 	if len(story) == 0 {
 		_, err := fmt.Fprintln(writer, "no line of these logs is about it; was it left out (event 2130), or another time?")
--- a/internal/explain/story_test.go
+++ b/internal/explain/story_test.go
@@ -37,24 +37,24 @@
 	otherLines = 9 - flowLines
 )
 
-func read(t *testing.T, question Question) []Line {
+func read(t *testing.T, question Query) []Line {
 	lines, err := Read(strings.NewReader(logs), question)
 	require.NoError(t, err)
 	return lines
 }
 
-func story(t *testing.T, question Question) []Line { return Story(read(t, question), question) }
+func story(t *testing.T, question Query) []Line { return Timeline(read(t, question), question) }
 
 // Of the 83,000 lines of 300 machines in 75 s more than half are about single flows.
 func TestLinesAboutFlowsThatAreNotAskedForAreNotKept(t *testing.T) {
-	assert.Len(t, read(t, Question{Caller: "10.0.0.1:5"}), otherLines+flowLines-1, "one line is about another flow")
-	assert.Len(t, read(t, Question{Caller: "10.0.0.1"}), otherLines, "part of a caller is no caller")
-	assert.Len(t, read(t, Question{Target: "i-1"}), otherLines)
-	assert.Len(t, read(t, Question{Version: "4"}), otherLines)
+	assert.Len(t, read(t, Query{Caller: "10.0.0.1:5"}), otherLines+flowLines-1, "one line is about another flow")
+	assert.Len(t, read(t, Query{Caller: "10.0.0.1"}), otherLines, "part of a caller is no caller")
+	assert.Len(t, read(t, Query{Target: "i-1"}), otherLines)
+	assert.Len(t, read(t, Query{Version: "4"}), otherLines)
 }
 
 func TestTheStoryOfAFlowHoldsItsDecisionsAndTheFateOfItsTarget(t *testing.T) {
-	story := story(t, Question{Caller: "10.0.0.1:5"})
+	story := story(t, Query{Caller: "10.0.0.1:5"})
 	assert.Equal(t, []string{"flow_placed", "target_held_lost", "targets_suspected", "flow_reset"}, names(story))
 	assert.Equal(t, float64(1), story[0].StateAge.Seconds())
 	assert.Negative(t, story[3].StateAge, "front-2 has no update in the logs")
@@ -67,27 +67,27 @@
 `
 
 func TestTheStoryOfAFlowTellsThatItWaitedForALink(t *testing.T) {
-	question := Question{Caller: "10.0.0.1:5"}
+	question := Query{Caller: "10.0.0.1:5"}
 	lines, err := Read(strings.NewReader(waitLogs), question)
 	require.NoError(t, err)
-	story := Story(lines, question)
+	story := Timeline(lines, question)
 	require.Equal(t, []string{"flow_waited_for_link"}, names(story))
 	assert.Equal(t, "250ms", story[0].Value("wait"))
 }
 
 func TestTheStoryOfATarget(t *testing.T) {
-	story := story(t, Question{Target: "i-1"})
+	story := story(t, Query{Target: "i-1"})
 	assert.Equal(t, []string{"target_held_lost", "targets_suspected"}, names(story))
 }
 
 func TestTheStoryOfAVersionHoldsTheChangesOfLeaders(t *testing.T) {
-	story := story(t, Question{Version: "4"})
+	story := story(t, Query{Version: "4"})
 	assert.Equal(t, []string{"role_changed", "version_in_force"}, names(story))
 }
 
 func TestPrint(t *testing.T) {
 	var text strings.Builder
-	require.NoError(t, Print(&text, story(t, Question{Caller: "10.0.0.1:5"})))
+	require.NoError(t, Print(&text, story(t, Query{Caller: "10.0.0.1:5"})))
 	assert.Contains(t, text.String(), "+2.000s  front-2")
 	assert.Contains(t, text.String(), "reason=lost")
 	assert.Contains(t, text.String(), "age of its state: 1s")
@@ -99,10 +99,10 @@
 func FuzzRead(f *testing.F) {
 	f.Add(logs)
 	f.Fuzz(func(t *testing.T, text string) {
-		question := Question{Caller: "10.0.0.1:5"}
+		question := Query{Caller: "10.0.0.1:5"}
 		lines, err := Read(strings.NewReader(text), question)
 		if err == nil {
-			Story(lines, question)
+			Timeline(lines, question)
 		}
 	})
 }
--- a/internal/hosting/hosting.go
+++ b/internal/hosting/hosting.go
@@ -65,7 +65,7 @@
 // OpenLog returns a logger to standard output that never blocks, and the
 // function that writes what is left.
 func OpenLog(process string) (logger *eventlog.Logger, closeLog func()) {
-	writer := eventlog.NewWriter(os.Stdout)
+	writer := eventlog.NewAsyncWriter(os.Stdout)
 	return eventlog.New(writer, process), writer.Close
 }
 
--- a/standin/explain_test.go
+++ b/standin/explain_test.go
@@ -29,7 +29,7 @@
 }
 
 // story reads the logs of all processes, as an engineer on call would.
-func (f *Fleet) story(t *testing.T, question explain.Question) []explain.Line {
+func (f *Fleet) story(t *testing.T, question explain.Query) []explain.Line {
 	files, err := filepath.Glob(filepath.Join(f.settings.Folder, "*.log"))
 	require.NoError(t, err)
 	var lines []explain.Line
@@ -41,11 +41,11 @@
 		require.NoError(t, file.Close())
 		lines = append(lines, part...)
 	}
-	return explain.Story(lines, question)
+	return explain.Timeline(lines, question)
 }
 
 // eventually waits until the story holds events in an order.
-func (f *Fleet) eventually(t *testing.T, question explain.Question, events ...string) []explain.Line {
+func (f *Fleet) eventually(t *testing.T, question explain.Query, events ...string) []explain.Line {
 	var story []explain.Line
 	holds := func() bool {
 		story = f.story(t, question)
@@ -90,7 +90,7 @@
 			}()
 		}
 		failed := <-ended
-		fleet.eventually(t, explain.Question{Caller: failed.self.String()}, "flow_placed", "target_held_lost")
+		fleet.eventually(t, explain.Query{Caller: failed.self.String()}, "flow_placed", "target_held_lost")
 	})
 
 	t.Run("a SYN refused while a service drains", func(t *testing.T) {
@@ -108,10 +108,10 @@
 			refused = flow
 			return flow.handshake() == errReset
 		}, 10*time.Second, 100*time.Millisecond)
-		story := fleet.eventually(t, explain.Question{Caller: refused.self.String()}, "flow_reset")
+		story := fleet.eventually(t, explain.Query{Caller: refused.self.String()}, "flow_reset")
 		last := story[len(story)-1]
 		assert.Contains(t, []string{"no_target", "ended"}, last.Value("reason"))
-		fate := fleet.eventually(t, explain.Question{Target: leaving.id}, "target_stage", "target_stage")
+		fate := fleet.eventually(t, explain.Query{Target: leaving.id}, "target_stage", "target_stage")
 		draining := func(line explain.Line) bool { return line.Value("state") == "draining" }
 		assert.True(t, slices.ContainsFunc(fate, draining))
 	})
@@ -123,7 +123,7 @@
 		body, err := fleet.configuration(77, routes())
 		require.NoError(t, err)
 		assert.False(t, fleet.post(fleet.controls()[2]+pathReplace, body))
-		fleet.eventually(t, explain.Question{Version: "77"}, "role_changed", "request_given_up", "version_unanswered")
+		fleet.eventually(t, explain.Query{Version: "77"}, "role_changed", "request_given_up", "version_unanswered")
 		require.NoError(t, fleet.Signal("member-1", syscall.SIGCONT))
 		require.NoError(t, fleet.Signal("member-2", syscall.SIGCONT))
 	})
