--- a/internal/registry/reload.go
+++ b/internal/registry/reload.go
@@ -28,7 +28,7 @@
 
 // checkDiskUsage logs when the member's data starts or ceases to fill its disk.
 func (p *Process) checkDiskUsage() {
-	held := p.disk.Held()
+	held := p.disk.PeakDiskUsage()
 	p.metrics.diskHeldBytes.Set(float64(held))
 	fills := p.settings.Strength.IsDiskNearlyFull(held, p.diskNearlyFull)
 	if fills == p.diskNearlyFull {
