--- a/internal/directory/validate.go
+++ b/internal/directory/validate.go
@@ -22,7 +22,7 @@
 		if owner, taken := owners[route.Address]; taken {
 			return &Problem{
 				Field:  "routes." + route.Name + ".address",
-				Reason: fmt.Sprintf("%s is already used by route %q", route.Address, owner),
+				Reason: fmt.Sprintf("%s is taken by route %q", route.Address, owner),
 			}
 		}
 		owners[route.Address] = route.Name
