--- a/internal/registry/addressconflict.go
+++ b/internal/registry/addressconflict.go
@@ -38,11 +38,11 @@
 		// The process started before the holder, so the request is most likely delayed.
 		holdTime = max(holdTime, c.settings.SuspectAfter)
 	}
-	status, hasStatus := c.liveness.statuses[holder.Token]
-	taken := hasStatus && status.lastHeartbeat > c.liveness.since && now.Sub(status.lastHeartbeat) < holdTime
+	liveness, tracked := c.liveness.targets[holder.Token]
+	taken := tracked && liveness.lastHeartbeat > c.liveness.since && now.Sub(liveness.lastHeartbeat) < holdTime
 	if taken {
 		c.logEvent(eventlog.AddressTaken, "target", command.Target.ID, "address", command.Target.Address,
-			"holder", holder.ID, "heartbeat_age", now.Sub(status.lastHeartbeat))
+			"holder", holder.ID, "heartbeat_age", now.Sub(liveness.lastHeartbeat))
 	}
 	return taken
 }
--- a/internal/registry/addressconflict_test.go
+++ b/internal/registry/addressconflict_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// The address of a crashed target is reassigned after addressHoldTime; that of a leaving
-// target or one that a new leader has not heard from, at once.
+// The address of a crashed target is reassigned after addressHoldTime, and that of a target
+// that is leaving or that a new leader has not heard from, at once.
 func TestAddressOfGoneTargetIsReused(t *testing.T) {
 	cases := map[string]func(c *cluster, leader *machine){
 		"crashed": func(c *cluster, _ *machine) { c.run(addressHoldTime) },
--- a/internal/registry/api.go
+++ b/internal/registry/api.go
@@ -73,8 +73,8 @@
 
 // HandleHeartbeat processes a heartbeat. It returns once a quorum has persisted the state
 // changes that it implies, such as the registration or draining of the target. The returned
-// address is the node or member to send later heartbeats to, or "" to keep the current one;
-// heartbeats that change the state return "".
+// address is the node or member to send later heartbeats to, or "" to keep the current one.
+// It is always "" for a heartbeat that the cache cannot acknowledge.
 func (p *Process) HandleHeartbeat(ctx context.Context, heartbeat Heartbeat) (address string, err error) {
 	if p.heartbeats.Acknowledge(heartbeat.Target.Start(), heartbeat.Target.State) {
 		return p.heartbeatDistributor.Assign(heartbeat.Target.Zone, heartbeat.Target.ID), nil
@@ -105,7 +105,7 @@
 var errAddressTaken = steperror.New("registry.beat", "", "the address belongs to a target with a recent heartbeat")
 
 // Evacuate starts or ends the evacuation of a zone and returns once a quorum has persisted
-// the order. It fails if another order about the zone was applied in the meantime.
+// the order. It fails if another order about the zone is applied first.
 func (p *Process) Evacuate(ctx context.Context, zone string, active bool) error {
 	unknown := false
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
--- a/internal/registry/cluster_test.go
+++ b/internal/registry/cluster_test.go
@@ -32,7 +32,7 @@
 	log     *wal.Log
 	core    *Core
 	up      bool
-	// bootstrap is CoreSettings.Bootstrap at the next start.
+	// bootstrap is the value of CoreSettings.Bootstrap at the next start.
 	bootstrap bool
 	resets    int
 	outcomes  map[Ticket]Outcome
@@ -139,11 +139,11 @@
 	m.outcomes = map[Ticket]Outcome{}
 }
 
-// kill stops a member's process; with power set, its disk loses unsynced data.
-func (c *cluster) kill(name string, power bool) {
+// kill stops a member's process; with powerLoss set, its disk loses unsynced data.
+func (c *cluster) kill(name string, powerLoss bool) {
 	m := c.machines[name]
 	m.up = false
-	if power {
+	if powerLoss {
 		m.disk.Crash()
 	}
 }
@@ -297,7 +297,7 @@
 	return c.submit(m, directory.Command{Kind: directory.CommandPublish, Edit: edit})
 }
 
-// read returns the version seen by a linearizable read at a member.
+// read returns the version in force at a member after a linearizable read.
 func (c *cluster) read(m *machine) (uint64, error) {
 	ticket, output := m.core.Read(c.now)
 	c.apply(m, output)
--- a/internal/registry/core.go
+++ b/internal/registry/core.go
@@ -84,8 +84,8 @@
 	// openedAt is when the request arrived; a read waits until a quorum has confirmed the
 	// leader after that.
 	openedAt kernel.Instant
-	// answered is set once the leader has returned the result, which is delivered when this
-	// member has applied the log up to its revision.
+	// answered is set once the result is known. It is delivered when this member has applied
+	// the log up to the revision of the result.
 	answered bool
 	result   directory.Result
 	// forwarded is set for a request from another member, which is not forwarded again.
@@ -112,7 +112,7 @@
 
 	requests map[Ticket]*request
 	// inFlight is the number of requests pending at the leader: those counted at the last
-	// tick and those sent since.
+	// tick and those forwarded since.
 	inFlight int
 	// answered are the requests that wait for this member to apply the log.
 	answered []Ticket
@@ -125,16 +125,16 @@
 	// nextUpdate is the earliest time of the next round of updates to nodes.
 	nextUpdate kernel.Instant
 	// wasCurrent is whether this member was current at the last check.
-	wasCurrent bool
-	members    membershipState
-	liveness   livenessTable
-	groupSize  groupSizeState
-	warmups    warmupTable
-	openings   openingTable
-	outcomes   outcomeTable
-	strengths  strengthTable
-	speeds     responseTimeTable
-	room       linkUsageTable
+	wasCurrent    bool
+	members       membershipState
+	liveness      livenessTable
+	groupSize     groupSizeState
+	warmups       warmupTable
+	openings      openingTable
+	outcomes      outcomeTable
+	strengths     strengthTable
+	responseTimes responseTimeTable
+	linkUsage     linkUsageTable
 
 	// remembered holds the persisted state sent to nodes until this member is current, and
 	// initialState the replicated state sent to nodes without state from then on.
@@ -164,8 +164,8 @@
 	core.liveness.reset(now)
 	core.warmups = newWarmupTable(now)
 	core.openings = newOpeningTable()
-	core.speeds = newResponseTimeTable()
-	core.room = newLinkUsageTable()
+	core.responseTimes = newResponseTimeTable()
+	core.linkUsage = newLinkUsageTable()
 	core.outcomes = newOutcomeTable(now, 0, directory.Verdicts{})
 	if restored.Snapshot.Index > 0 {
 		state, err := directory.Decode(restored.Snapshot.Data)
@@ -179,8 +179,8 @@
 	core.remembered = newRememberedPayloads(now, persisted)
 	core.rememberedMembers = persisted.state.Members()
 	core.logRemembered(persisted, restored)
-	if number := ownMemberID(restored, settings.Raft.Identity); number != raft.NoMember {
-		core.startReplica(now, number)
+	if id := ownMemberID(restored, settings.Raft.Identity); id != raft.NoMember {
+		core.startReplica(now, id)
 	}
 	return core, nil
 }
@@ -207,10 +207,10 @@
 }
 
 // startReplica joins the replicated log under a member ID.
-func (c *Core) startReplica(now kernel.Instant, number raft.MemberID) {
-	c.settings.Raft.ID = number
+func (c *Core) startReplica(now kernel.Instant, id raft.MemberID) {
+	c.settings.Raft.ID = id
 	c.replica.Node = raft.NewNode(now, c.settings.Raft, c.restored)
-	c.logEvent(eventlog.MemberNumbered, "member", number, "last_index", c.replica.Node.LastIndex())
+	c.logEvent(eventlog.MemberNumbered, "member", id, "last_index", c.replica.Node.LastIndex())
 }
 
 // Failed returns the disk error that stopped this member, or nil.
@@ -308,7 +308,7 @@
 	case wire.FrameForward, wire.FrameReadIndex:
 		err = c.receiveForward(now, frame.Payload)
 	case wire.FrameForwardReply:
-		err = c.receiveForwarded(frame.Payload)
+		err = c.receiveForwardReply(frame.Payload)
 	case wire.FrameLiveness:
 		err = c.receiveLiveness(now, frame.Payload)
 	case wire.FrameSpeeds:
--- a/internal/registry/core_test.go
+++ b/internal/registry/core_test.go
@@ -348,12 +348,12 @@
 		return Evidence{Silent: []SilentTarget{{Token: token, Weight: weight, Nodes: 1}}}
 	}
 	cases := []struct {
-		name   string
-		nodes  int
-		weight uint32
-		answer bool
-		beats  bool
-		lost   bool
+		name      string
+		nodes     int
+		weight    uint32
+		answer    bool
+		heartbeat bool
+		lost      bool
 	}{
 		{"two nodes wait for answers", 2, 2, false, false, true},
 		{"a single node waits for answers", 1, 9, false, false, false},
@@ -382,7 +382,7 @@
 				if test.answer {
 					c.reportEvidence(leader, 1, Evidence{Answering: tokens[:1]})
 				}
-				if test.beats {
+				if test.heartbeat {
 					c.machines[address(3)].core.RecordHeartbeat(c.now, directory.Start{ID: "i-0"})
 				}
 				c.run(100 * time.Millisecond)
--- a/internal/registry/dryrun.go
+++ b/internal/registry/dryrun.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// ShareChange is the change in a zone's or service's share of slots that a dry run
-// predicts.
+// ShareChange is the change in a share of a service's slots that a dry run predicts.
 type ShareChange struct {
 	Service, Zone string
-	// Before and After are the shares of the service's slots that take new flows.
+	// Before and After are fractions. For an evacuation they are the zone's share of the
+	// slots that get new flows; for a target or version, the share of all slots that do.
 	Before, After float64
 }
 
-// loadWarningFactor is the load increase from which a warning is given: at 1.5, targets
+// loadWarningFactor is the increase in load from which a warning is given: at 1.5, targets
 // that were two thirds busy reach their limit.
 const loadWarningFactor = 1.5
 
--- a/internal/registry/evacuation_test.go
+++ b/internal/registry/evacuation_test.go
@@ -10,7 +10,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// evacuate submits the start or end of an evacuation at a member, as its process does.
+// evacuate submits the start or end of an evacuation at a member, without warm-ups.
 func (c *cluster) evacuate(m *machine, zone string, active bool) Outcome {
 	evacuation := directory.Evacuation{Zone: zone, Active: active, Revision: m.core.State().Evacuation(zone).Revision}
 	return c.submit(m, directory.Command{Kind: directory.CommandEvacuate, Evacuation: evacuation})
--- a/internal/registry/faults_test.go
+++ b/internal/registry/faults_test.go
@@ -23,16 +23,16 @@
 // version is 0.
 type versionInput struct{ version uint64 }
 
-// versionModel is the sequential specification: the highest version is in force.
+// versionModel is the sequential specification: the highest version written is in force.
 var versionModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		held := state.(uint64)
+		inForce := state.(uint64)
 		operation := input.(versionInput)
 		if operation.version == 0 {
-			return output.(uint64) == held, held
+			return output.(uint64) == inForce, inForce
 		}
-		return true, max(held, operation.version)
+		return true, max(inForce, operation.version)
 	},
 	Equal: func(a, b any) bool { return a.(uint64) == b.(uint64) },
 }
@@ -187,7 +187,7 @@
 	return directory.Configuration{Version: version, Routes: []directory.Route{{Name: fmt.Sprint("r", version)}}}
 }
 
-// play injects faults for a duration and then lets the group recover.
+// play injects faults and starts operations for a duration, and then lets the group recover.
 func (r *faultRun) play(duration time.Duration) {
 	end := r.now.Add(duration)
 	nextFault := r.now.Add(time.Second)
--- a/internal/registry/groupsize.go
+++ b/internal/registry/groupsize.go
@@ -34,7 +34,8 @@
 func (c *Core) HasTooFewVoters() bool { return c.Voters() < c.settings.Voters }
 
 // logGroupSize logs when the number of voters falls below or reaches what the tolerance
-// requires, and periodically while this member cannot reach a quorum.
+// requires, when the tolerance of lost zones changes, and periodically while this member
+// cannot reach a quorum.
 func (c *Core) logGroupSize(now kernel.Instant) {
 	if c.IsLeader() && c.HasTooFewVoters() != c.groupSize.isTooSmall {
 		c.groupSize.isTooSmall = !c.groupSize.isTooSmall
--- a/internal/registry/groupsize_test.go
+++ b/internal/registry/groupsize_test.go
@@ -80,8 +80,7 @@
 	assert.GreaterOrEqual(t, c.events[eventlog.QuorumMissing], 2)
 }
 
-// After a leader loses its followers, its time as leader must not count as time without
-// one.
+// After a leader loses its followers, its time as leader must not count as leaderless.
 func TestLeaderlessTimeExcludesOwnLeadership(t *testing.T) {
 	c := newTolerantCluster(t, 1, 5, 2)
 	c.run(10 * time.Second)
@@ -91,8 +90,8 @@
 	c.runUntil(5*time.Second, "the leader steps down", func() bool { return !leader.core.IsLeader() })
 	for range 100 {
 		c.run(stepTime)
-		without := leader.core.LeaderlessFor(c.now)
-		assert.LessOrEqual(t, without, c.now.Sub(since)+100*time.Millisecond)
-		assert.Positive(t, without)
+		leaderless := leader.core.LeaderlessFor(c.now)
+		assert.LessOrEqual(t, leaderless, c.now.Sub(since)+100*time.Millisecond)
+		assert.Positive(t, leaderless)
 	}
 }
--- a/internal/registry/host.go
+++ b/internal/registry/host.go
@@ -60,7 +60,7 @@
 
 // logApplied logs each applied change of the replicated state. Entries of earlier terms are
 // mostly replayed and are sampled, so that logging does not delay a restarted member.
-// Stages of targets are sampled at followers, since the leader logs all of them.
+// Changes of targets are sampled at followers, since the leader logs all of them.
 func (c *Core) logApplied(command directory.Command, result directory.Result, before uint64, replayed bool) {
 	if c.state.Revision() == before {
 		return
@@ -68,7 +68,7 @@
 	firstEvent := len(c.output.Events)
 	defer func() {
 		for event := firstEvent; event < len(c.output.Events); event++ {
-			c.output.Events[event].Sampled = replayed || isStage(command) && !c.IsLeader()
+			c.output.Events[event].Sampled = replayed || isTargetChange(command) && !c.IsLeader()
 		}
 	}()
 	switch command.Kind {
@@ -89,8 +89,8 @@
 	}
 }
 
-// isStage reports whether a command moves a target to a later stage.
-func isStage(command directory.Command) bool {
+// isTargetChange reports whether a command registers a target or changes its state.
+func isTargetChange(command directory.Command) bool {
 	return command.Kind == directory.CommandPutTarget || command.Kind == directory.CommandEndTarget
 }
 
--- a/internal/registry/inputs.go
+++ b/internal/registry/inputs.go
@@ -38,13 +38,13 @@
 	return p.core.HandleFrame(now, i.frame)
 }
 
-type nodeOpened struct {
+type subscribeInput struct {
 	connection ConnectionID
 	subscribe  Subscribe
 	queue      *ring.Ring[wire.Frame]
 }
 
-func (i nodeOpened) handle(p *Process, now kernel.Instant) Output {
+func (i subscribeInput) handle(p *Process, now kernel.Instant) Output {
 	if p.core == nil {
 		i.queue.Close()
 		return Output{}
@@ -63,9 +63,9 @@
 	return p.core.Subscribe(now, i.connection, i.subscribe)
 }
 
-type nodeClosed struct{ connection ConnectionID }
+type unsubscribeInput struct{ connection ConnectionID }
 
-func (i nodeClosed) handle(p *Process, _ kernel.Instant) Output {
+func (i unsubscribeInput) handle(p *Process, _ kernel.Instant) Output {
 	p.dropNode(i.connection)
 	return Output{}
 }
--- a/internal/registry/linkusage.go
+++ b/internal/registry/linkusage.go
@@ -38,11 +38,11 @@
 	// members holds the summaries of all members; used on the leader.
 	members room.Table[string]
 	// fleet is the newest message of the leader, or of this member while it leads, and
-	// fleetAt when it came.
+	// fleetAt when it was stored.
 	fleet   room.Message
 	fleetAt kernel.Instant
-	// leaderThrottle and nodeThrottle limit the messages to the leader, or as the leader to
-	// members, and to nodes.
+	// leaderThrottle limits the messages to the leader, or those of the leader to members;
+	// nodeThrottle those to nodes.
 	leaderThrottle, nodeThrottle sendThrottle
 	nextRun                      kernel.Instant
 	// isZoneFull is set while most nodes of some zone refuse new flows.
@@ -56,21 +56,21 @@
 // RecordLinkUsage records a subscribed node's report of its link usage.
 func (c *Core) RecordLinkUsage(now kernel.Instant, connection ConnectionID, report room.LinkReport) {
 	if node, connected := c.nodes[connection]; connected {
-		c.room.nodes.RecordReport(now, connection, node.zone, report)
+		c.linkUsage.nodes.RecordReport(now, connection, node.zone, report)
 	}
 }
 
 // tickLinkUsage sends this member's summaries to the leader, or as the leader those of the
 // fleet to all members, and the zone summaries to the nodes.
 func (c *Core) tickLinkUsage(now kernel.Instant) {
-	if now.Before(c.room.nextRun) {
+	if now.Before(c.linkUsage.nextRun) {
 		return
 	}
-	c.room.nextRun = now.Add(room.ReportInterval)
-	own := c.room.nodes.Summaries(now)
+	c.linkUsage.nextRun = now.Add(room.ReportInterval)
+	own := c.linkUsage.nodes.Summaries(now)
 	if c.IsLeader() {
 		c.publishFleetUsage(now, own)
-	} else if len(own) > 0 && c.room.leaderThrottle.isDue(now, own) {
+	} else if len(own) > 0 && c.linkUsage.leaderThrottle.isDue(now, own) {
 		c.sendToMember(c.address(c.replica.Node.Leader()), room.Message{Member: c.settings.Address, Zones: own}.Frame())
 	}
 	c.sendUsageToNodes(now)
@@ -78,14 +78,14 @@
 
 // publishFleetUsage combines the summaries of all members and sends them to all members.
 func (c *Core) publishFleetUsage(now kernel.Instant, own []room.ZoneSummary) {
-	c.room.members.RecordSummaries(now, c.settings.Address, own)
-	zones := c.room.members.Summaries(now)
-	if len(zones) == 0 || !c.room.leaderThrottle.isDue(now, zones) {
+	c.linkUsage.members.RecordSummaries(now, c.settings.Address, own)
+	zones := c.linkUsage.members.Summaries(now)
+	if len(zones) == 0 || !c.linkUsage.leaderThrottle.isDue(now, zones) {
 		return
 	}
 	c.setFleetUsage(now, room.Message{Term: c.replica.Node.Term(), Zones: zones})
 	for _, member := range c.state.Members() {
-		c.sendToMember(member.Address, c.room.fleet.Frame())
+		c.sendToMember(member.Address, c.linkUsage.fleet.Frame())
 	}
 }
 
@@ -96,7 +96,7 @@
 		return err
 	}
 	if message.Member != "" {
-		c.room.members.RecordSummaries(now, message.Member, message.Zones)
+		c.linkUsage.members.RecordSummaries(now, message.Member, message.Zones)
 		return nil
 	}
 	c.setFleetUsage(now, message)
@@ -106,36 +106,36 @@
 // setFleetUsage stores the fleet's summaries. It ignores those of an earlier term while
 // newer ones have not expired.
 func (c *Core) setFleetUsage(now kernel.Instant, message room.Message) {
-	if message.Term < c.room.fleet.Term && now.Sub(c.room.fleetAt) < room.ReportLifetime {
+	if message.Term < c.linkUsage.fleet.Term && now.Sub(c.linkUsage.fleetAt) < room.ReportLifetime {
 		return
 	}
-	c.room.fleet = message
-	c.room.fleetAt = now
+	c.linkUsage.fleet = message
+	c.linkUsage.fleetAt = now
 	c.logFullZones(message.Zones)
 }
 
-// logFullZones logs when most nodes of a zone start to refuse new flows, and when this
-// holds for no zone any more.
+// logFullZones logs when most nodes of some zone start to refuse new flows, and when there
+// is no such zone any more.
 func (c *Core) logFullZones(zones []room.ZoneSummary) {
 	fullest := slices.IndexFunc(zones, func(zone room.ZoneSummary) bool { return 2*int(zone.RefusingNodes) > zone.Nodes() })
 	switch {
-	case fullest >= 0 && !c.room.isZoneFull:
+	case fullest >= 0 && !c.linkUsage.isZoneFull:
 		zone := zones[fullest]
 		c.logEvent(eventlog.ZoneShortOfRoom, "zone", zone.Zone, "nodes", zone.Nodes(), "refusing", zone.RefusingNodes, "rate", zone.Rate, "used", zone.UsedRate)
-	case fullest < 0 && c.room.isZoneFull:
+	case fullest < 0 && c.linkUsage.isZoneFull:
 		c.logEvent(eventlog.ZonesHaveRoom, "zones", len(zones))
 	}
-	c.room.isZoneFull = fullest >= 0
+	c.linkUsage.isZoneFull = fullest >= 0
 }
 
-// sendUsageToNodes sends each node the summary of its zone.
+// sendUsageToNodes sends each node the summary of its zone if one is due.
 func (c *Core) sendUsageToNodes(now kernel.Instant) {
-	if len(c.room.fleet.Zones) == 0 || now.Sub(c.room.fleetAt) >= room.ReportLifetime || !c.room.nodeThrottle.isDue(now, c.room.fleet.Zones) {
+	if len(c.linkUsage.fleet.Zones) == 0 || now.Sub(c.linkUsage.fleetAt) >= room.ReportLifetime || !c.linkUsage.nodeThrottle.isDue(now, c.linkUsage.fleet.Zones) {
 		return
 	}
 	frames := map[string]wire.Frame{}
-	for _, zone := range c.room.fleet.Zones {
-		frames[zone.Zone] = room.Message{Term: c.room.fleet.Term, Zones: []room.ZoneSummary{zone}}.Frame()
+	for _, zone := range c.linkUsage.fleet.Zones {
+		frames[zone.Zone] = room.Message{Term: c.linkUsage.fleet.Term, Zones: []room.ZoneSummary{zone}}.Frame()
 	}
 	for _, connection := range c.sortedConnections() {
 		if frame, known := frames[c.nodes[connection].zone]; known {
@@ -146,7 +146,7 @@
 
 // LinkUsage returns the fleet's summaries by zone and their age.
 func (c *Core) LinkUsage(now kernel.Instant) ([]room.ZoneSummary, time.Duration) {
-	return c.room.fleet.Zones, now.Sub(c.room.fleetAt)
+	return c.linkUsage.fleet.Zones, now.Sub(c.linkUsage.fleetAt)
 }
 
 type linkReportInput struct {
--- a/internal/registry/linkusage_test.go
+++ b/internal/registry/linkusage_test.go
@@ -94,7 +94,7 @@
 	old := room.Message{Term: 0, Zones: []room.ZoneSummary{{Zone: "south"}}}
 	b.apply(b.follower, b.follower.core.HandleFrame(b.now, old.Frame()))
 	assert.Equal(t, 6, b.nodeCount(b.follower))
-	own := room.Message{Member: b.follower.address, Zones: b.follower.core.room.nodes.Summaries(b.now)}
+	own := room.Message{Member: b.follower.address, Zones: b.follower.core.linkUsage.nodes.Summaries(b.now)}
 	for range 3 {
 		b.apply(b.leader, b.leader.core.HandleFrame(b.now, own.Frame()))
 	}
--- a/internal/registry/liveness.go
+++ b/internal/registry/liveness.go
@@ -22,19 +22,19 @@
 	// minSilentNodes is the number of nodes that must report a target as silent. A single
 	// observer may be at fault itself.
 	minSilentNodes = 2
-	// verdictShareDivisor limits the suspected and the lost targets to one part in this
-	// many of all targets. If more seem silent, the observers are more likely at fault.
+	// At most 1/verdictShareDivisor of all targets may be suspected, and as many may be
+	// lost, and as many in avoided zones. If more seem silent, the observers are more likely at fault.
 	verdictShareDivisor = 2
 	// verdictResendInterval is the time after which unchanged verdicts are sent again, for
 	// members that missed them during a network partition.
 	verdictResendInterval = time.Second
-	// queryDuration is how long members are asked whether a target answers before the
-	// target can be marked as lost.
+	// queryDuration is how long members must have been asked whether a target answers
+	// before the target can be marked as lost.
 	queryDuration = 250 * time.Millisecond
 )
 
-// targetStatus is the leader's view of the liveness of one target.
-type targetStatus struct {
+// targetLiveness is the leader's view of the liveness of one target.
+type targetLiveness struct {
 	// lastHeartbeat is when the last heartbeat arrived at any member.
 	lastHeartbeat kernel.Instant
 	// lastAnswer is when the target was last seen to answer a caller.
@@ -50,13 +50,14 @@
 	lost         bool
 }
 
-func (s *targetStatus) lastSeen() kernel.Instant { return max(s.lastHeartbeat, s.lastAnswer) }
+func (s *targetLiveness) lastSeen() kernel.Instant { return max(s.lastHeartbeat, s.lastAnswer) }
 
 // livenessTable holds the liveness of all targets. It is not replicated: a new leader
 // treats every target as heard from at the time of its election.
 type livenessTable struct {
-	since    kernel.Instant
-	statuses map[directory.Token]*targetStatus
+	// since is when this member started or its role last changed.
+	since   kernel.Instant
+	targets map[directory.Token]*targetLiveness
 	// unsentHeartbeats and unsentAnswers are reported in the next message to the leader.
 	unsentHeartbeats map[directory.Token]bool
 	unsentAnswers    map[directory.Token]bool
@@ -68,7 +69,7 @@
 
 func (l *livenessTable) reset(now kernel.Instant) {
 	l.since = now
-	l.statuses = map[directory.Token]*targetStatus{}
+	l.targets = map[directory.Token]*targetLiveness{}
 	l.clearUnsent()
 }
 
@@ -77,17 +78,17 @@
 	l.unsentAnswers = map[directory.Token]bool{}
 }
 
-func (l *livenessTable) status(token directory.Token) *targetStatus {
-	known, exists := l.statuses[token]
+func (l *livenessTable) target(token directory.Token) *targetLiveness {
+	known, exists := l.targets[token]
 	if !exists {
-		known = &targetStatus{lastHeartbeat: l.since, silences: map[string]silenceReport{}}
-		l.statuses[token] = known
+		known = &targetLiveness{lastHeartbeat: l.since, silences: map[string]silenceReport{}}
+		l.targets[token] = known
 	}
 	return known
 }
 
-// evaluateTargets computes the verdicts and sends them to the other members if they
-// changed.
+// evaluateTargets computes the verdicts and sends them to the other members. A new leader
+// first collects reports for LostAfter.
 func (c *Core) evaluateTargets(now kernel.Instant) {
 	if now.Sub(c.liveness.since) < c.settings.LostAfter {
 		return
@@ -97,15 +98,15 @@
 		if target.State == directory.TargetEnded {
 			return
 		}
-		status := c.liveness.status(target.Token)
-		refuses := status.isRefusing(now)
-		if refuses || now.Sub(status.lastSeen()) >= c.settings.SuspectAfter {
+		liveness := c.liveness.target(target.Token)
+		refuses := liveness.isRefusing(now)
+		if refuses || now.Sub(liveness.lastSeen()) >= c.settings.SuspectAfter {
 			next.Suspects = append(next.Suspects, target.Token)
 		}
-		if queried := c.isQueried(now, status); queried || refuses {
+		if queried := c.isQueried(now, liveness); queried || refuses {
 			next.Queried = append(next.Queried, target.Token)
 		}
-		if c.isLost(now, target, status) {
+		if c.isLost(now, target, liveness) {
 			next.Lost = append(next.Lost, target.Token)
 		}
 	})
@@ -124,40 +125,41 @@
 	c.sendVerdicts(now, next)
 }
 
-// isQueried reports whether members are asked about a target, which is the case while
-// reports of its silence are valid.
-func (c *Core) isQueried(now kernel.Instant, status *targetStatus) bool {
-	if status.currentSilence(now).totalWeight() == 0 {
-		status.queriedSince = 0
+// isQueried reports whether members are asked about a target because valid reports say that
+// it is silent, and records since when.
+func (c *Core) isQueried(now kernel.Instant, liveness *targetLiveness) bool {
+	if liveness.currentSilence(now).totalWeight() == 0 {
+		liveness.queriedSince = 0
 		return false
 	}
-	if status.queriedSince == 0 {
-		status.queriedSince = now
+	if liveness.queriedSince == 0 {
+		liveness.queriedSince = now
 	}
 	return true
 }
 
-// isLost reports whether a target is considered dead: flows at several nodes wait for its
+// isLost reports whether a target is marked as lost: flows at several nodes wait for its
 // answers, and it has neither answered nor sent a heartbeat for LostAfter. The verdict
 // holds until the next answer or heartbeat.
-func (c *Core) isLost(now kernel.Instant, target *directory.Target, status *targetStatus) bool {
-	silentFor := now.Sub(status.lastSeen())
-	if status.lost {
-		status.lost = silentFor >= c.settings.LostAfter
-		return status.lost
+func (c *Core) isLost(now kernel.Instant, target *directory.Target, liveness *targetLiveness) bool {
+	silentFor := now.Sub(liveness.lastSeen())
+	if liveness.lost {
+		liveness.lost = silentFor >= c.settings.LostAfter
+		return liveness.lost
 	}
-	if status.queriedSince == 0 || now.Sub(status.queriedSince) < queryDuration {
+	if liveness.queriedSince == 0 || now.Sub(liveness.queriedSince) < queryDuration {
 		return false
 	}
-	status.lost = silentFor >= c.settings.LostAfter && status.isSilent(now)
-	if status.lost {
-		sum := status.currentSilence(now)
+	liveness.lost = silentFor >= c.settings.LostAfter && liveness.isSilent(now)
+	if liveness.lost {
+		sum := liveness.currentSilence(now)
 		c.logEvent(eventlog.TargetHeldLost, "target", target.ID, "token", target.Token, "weight", sum.Weight, "nodes", sum.Nodes,
-			"doubtful", sum.UnreliableWeight, "witnesses", sum.Reporters, "heartbeat_age", now.Sub(status.lastHeartbeat), "answer_age", now.Sub(status.lastAnswer))
+			"doubtful", sum.UnreliableWeight, "witnesses", sum.Reporters, "heartbeat_age", now.Sub(liveness.lastHeartbeat), "answer_age", now.Sub(liveness.lastAnswer))
 	}
-	return status.lost
+	return liveness.lost
 }
 
+// sendVerdicts sends the verdicts to the other members if they changed or are due again.
 func (c *Core) sendVerdicts(now kernel.Instant, next leaderVerdicts) {
 	current := &c.liveness.verdicts
 	unchanged := next.Equal(current.Verdicts)
--- a/internal/registry/lossdetection_test.go
+++ b/internal/registry/lossdetection_test.go
@@ -46,8 +46,8 @@
 	return result
 }
 
-// A dead target may be ejected before it is held for lost. It then gets no openings, whose
-// silence would be evidence, but its flows must be reset as soon.
+// A dead target may be ejected before it is marked as lost. It then gets no openings that
+// would be evidence of its silence, but its flows must be reset as soon.
 func TestEjectionDoesNotDelayLossDetection(t *testing.T) {
 	const deaths = 10
 	cases := []deathCase{
@@ -79,8 +79,8 @@
 	}
 }
 
-// timeUntilLostByRule lets a target die that an operator may have ejected before. One flow
-// in four is reused for many requests.
+// timeUntilLostByRule returns the time from the death of a target, which an operator may
+// have ejected before, to the verdict. One flow in four is reused for many requests.
 func timeUntilLostByRule(t *testing.T, seed uint64, callers int, ejectedBefore bool) time.Duration {
 	b := newUploadSimulation(newCluster(t, 500+seed, 3), 6, deathTestNodes, callers)
 	b.packets = 1
@@ -106,8 +106,8 @@
 	return b.now.Sub(died)
 }
 
-// An ejected target gets no new flows. The loss of the target must be detected as soon for
-// callers on open ones.
+// A target ejected by an operator gets no new flows, but its loss must be detected as soon
+// for the callers on open ones.
 func TestEjectRuleDoesNotDelayLossDetection(t *testing.T) {
 	const deaths = 15
 	for _, callers := range []int{2, 4, 8} {
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -43,8 +43,8 @@
 	lastSubmitted kernel.Instant
 }
 
-// tickJoin sends join requests while this member has no place in the group, and bootstraps
-// the group if all seeds are ready and this member has the lowest address.
+// tickJoin sends join requests while this member needs a member ID or may have been removed,
+// and bootstraps the group if all seeds are ready and this member has the lowest address.
 func (c *Core) tickJoin(now kernel.Instant) {
 	if now < c.nextJoin || !c.needsMembership(now) {
 		return
@@ -148,8 +148,8 @@
 	c.startReplica(now, ownMemberID(restored, c.settings.Raft.Identity))
 }
 
-// receiveJoin answers a join request. Any member may return an ID or a removal, since both
-// are final; only the leader adds new members.
+// receiveJoin answers a join request. Any member may reply that the sender has an ID or was
+// removed, since both are final; only the leader adds new members.
 func (c *Core) receiveJoin(now kernel.Instant, payload []byte) error {
 	message, err := decodeJoinRequest(payload)
 	if err != nil {
@@ -160,7 +160,7 @@
 		return nil
 	}
 	if member, known := c.state.MemberByIdentity(message.Identity); known {
-		c.sendToMember(message.Address, joinReply{Identity: message.Identity, Number: member.ID, Members: c.state.Members()}.frame())
+		c.sendToMember(message.Address, joinReply{Identity: message.Identity, MemberID: member.ID, Members: c.state.Members()}.frame())
 		return nil
 	}
 	if c.state.WasRemoved(message.Identity) {
@@ -194,13 +194,14 @@
 	}
 }
 
-// receiveJoinReply takes the member ID assigned by the group.
+// receiveJoinReply takes the member ID assigned by the group, or requests a reset if the
+// group has removed this member.
 func (c *Core) receiveJoinReply(now kernel.Instant, payload []byte) error {
 	message, err := decodeJoinReply(payload)
 	if err != nil || message.Identity != c.settings.Raft.Identity {
 		return err
 	}
-	if message.Number == 0 {
+	if message.MemberID == 0 {
 		if c.replica.Node != nil {
 			c.logEvent(eventlog.MemberRemoved, "member", c.settings.Raft.ID)
 			c.output.Reset = true
@@ -214,13 +215,13 @@
 		c.members.learnedAddresses[raft.MemberID(member.ID)] = member.Address
 	}
 	if c.replica.Node == nil {
-		c.startReplica(now, raft.MemberID(message.Number))
+		c.startReplica(now, raft.MemberID(message.MemberID))
 	}
 	return nil
 }
 
-// tickMembership adjusts the voters to the live members, one change at a time; each change
-// waits until the previous one is committed.
+// tickMembership changes the membership to match the live members, one change at a time;
+// each change waits until the previous one is committed.
 func (c *Core) tickMembership(now kernel.Instant) {
 	if !c.IsLeader() || now < c.members.nextCheck || !c.replica.Node.HasLease(now) {
 		return
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -42,25 +42,25 @@
 	return request, decoder.Err("registry.decode_join")
 }
 
-// joinReply returns the receiver's member ID. Number 0 means that the group has removed
-// this identity and that the data folder must be emptied.
+// joinReply returns the receiver's member ID. ID 0 means that the group has removed this
+// identity and that the data folder must be emptied.
 type joinReply struct {
 	Identity uint64
-	Number   uint32
+	MemberID uint32
 	Members  []directory.Member
 }
 
 func (j joinReply) frame() wire.Frame {
 	var encoder wire.Encoder
 	encoder.Uint64(j.Identity)
-	encoder.Uint32(j.Number)
+	encoder.Uint32(j.MemberID)
 	directory.EncodeMembers(&encoder, j.Members)
 	return wire.Frame{Kind: wire.FrameJoinReply, Payload: encoder.Buffer}
 }
 
 func decodeJoinReply(payload []byte) (joinReply, error) {
 	decoder := wire.NewDecoder(payload)
-	reply := joinReply{Identity: decoder.Uint64(), Number: decoder.Uint32()}
+	reply := joinReply{Identity: decoder.Uint64(), MemberID: decoder.Uint32()}
 	reply.Members = directory.DecodeMembers(decoder)
 	return reply, decoder.Err("registry.decode_join_reply")
 }
@@ -90,13 +90,13 @@
 	return request, decoder.Err("registry.decode_forward")
 }
 
-// forwarded is the leader's reply to a forward.
-type forwarded struct {
+// forwardReply returns the result of a forward to its origin.
+type forwardReply struct {
 	Ticket Ticket
 	Result directory.Result
 }
 
-func (f forwarded) frame() wire.Frame {
+func (f forwardReply) frame() wire.Frame {
 	var encoder wire.Encoder
 	encoder.Uint64(uint64(f.Ticket))
 	encoder.Uint8(uint8(f.Result.Code))
@@ -104,9 +104,9 @@
 	return wire.Frame{Kind: wire.FrameForwardReply, Payload: encoder.Buffer}
 }
 
-func decodeForwarded(payload []byte) (forwarded, error) {
+func decodeForwardReply(payload []byte) (forwardReply, error) {
 	decoder := wire.NewDecoder(payload)
-	reply := forwarded{Ticket: Ticket(decoder.Uint64())}
+	reply := forwardReply{Ticket: Ticket(decoder.Uint64())}
 	reply.Result = directory.Result{Code: directory.Code(decoder.Uint8()), Revision: decoder.Uint64()}
 	return reply, decoder.Err("registry.decode_forwarded")
 }
@@ -206,7 +206,8 @@
 	return keepalive, decoder.Err("registry.decode_alive")
 }
 
-// SilentTarget reports a target that left packets of some flows unanswered.
+// SilentTarget reports a target that left packets of some flows unanswered or, in
+// Evidence.Refused, refused opening packets.
 type SilentTarget struct {
 	Token directory.Token
 	// Weight increases with the number of waiting flows and their waiting time.
@@ -361,11 +362,11 @@
 	Queried []directory.Token
 }
 
-func (j leaderVerdicts) frame() wire.Frame {
+func (v leaderVerdicts) frame() wire.Frame {
 	var encoder wire.Encoder
 	encoder.Bool(true)
-	j.Encode(&encoder)
-	directory.EncodeTokens(&encoder, j.Queried)
+	v.Encode(&encoder)
+	directory.EncodeTokens(&encoder, v.Queried)
 	return wire.Frame{Kind: wire.FrameLiveness, Payload: encoder.Buffer}
 }
 
--- a/internal/registry/nodes.go
+++ b/internal/registry/nodes.go
@@ -39,10 +39,10 @@
 	nextKeepalive kernel.Instant
 	current       bool
 	verdicts      directory.Verdicts
-	// cachesVerdicts is set for a node that keeps the last verdicts, and verdictsSent once
-	// it has been sent the verdicts above.
+	// cachesVerdicts is set for a node that keeps the last verdicts, and verdictsSent when
+	// the verdicts above were sent while this member was current.
 	cachesVerdicts, verdictsSent bool
-	// silent is the latest report of silent targets.
+	// silent is the latest report of silent targets, and silentAt when it arrived.
 	silent   []SilentTarget
 	silentAt kernel.Instant
 	strength strength.Resources
@@ -70,7 +70,7 @@
 func (c *Core) Unsubscribe(connection ConnectionID) {
 	delete(c.nodes, connection)
 	c.strengths.isStale = true
-	c.room.nodes.Remove(connection)
+	c.linkUsage.nodes.Remove(connection)
 }
 
 // sendUpdates sends changes to all subscribed nodes. Nodes at the same revision share the
@@ -87,7 +87,8 @@
 }
 
 // becameCurrent reports whether this member has become current since the last call. If so,
-// updates are due at once, since nodes without state wait for that.
+// updates are due at once, since nodes without state wait for them, and the persisted state
+// is no longer sent.
 func (c *Core) becameCurrent(now kernel.Instant) bool {
 	current := c.IsCurrent(now)
 	became := current && !c.wasCurrent
--- a/internal/registry/nodes_test.go
+++ b/internal/registry/nodes_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Nodes ignore verdicts from a member that is not current, so these must be sent again.
+// Nodes ignore verdicts from a member that is not current, which must send them again later.
 func TestVerdictsAreResentOnceMemberIsCurrent(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	core := c.waitForLeader().core
--- a/internal/registry/observations.go
+++ b/internal/registry/observations.go
@@ -24,7 +24,7 @@
 // RecordHeartbeats records heartbeats of targets by token.
 func (c *Core) RecordHeartbeats(now kernel.Instant, tokens []directory.Token) {
 	for _, token := range tokens {
-		c.liveness.status(token).lastHeartbeat = now
+		c.liveness.target(token).lastHeartbeat = now
 		c.liveness.unsentHeartbeats[token] = true
 	}
 }
@@ -57,14 +57,15 @@
 	return slices.SortedFunc(maps.Values(sums), func(a, b SilentTarget) int { return cmp.Compare(a.Token, b.Token) })
 }
 
-// tickLiveness sends observations to the leader; the leader evaluates them.
+// tickLiveness sends this member's observations to the leader; the leader records its own
+// and evaluates all targets.
 func (c *Core) tickLiveness(now kernel.Instant) {
 	if now.Before(c.liveness.nextReport) {
 		return
 	}
 	c.liveness.nextReport = now.Add(livenessInterval)
 	seen := c.drainObservations(now)
-	c.removeEndedTargets()
+	c.sweepLiveness()
 	if c.IsLeader() {
 		c.recordObservations(now, seen)
 		c.evaluateTargets(now)
@@ -76,7 +77,8 @@
 	c.sendToMember(c.address(c.replica.Node.Leader()), seen.frame())
 }
 
-// drainObservations returns and clears the observations since the last message.
+// drainObservations returns and clears the observations since the last message. Answers are
+// included only of queried targets.
 func (c *Core) drainObservations(now kernel.Instant) observations {
 	seen := observations{From: c.settings.Address}
 	seen.Heartbeats = slices.Sorted(maps.Keys(c.liveness.unsentHeartbeats))
@@ -95,17 +97,17 @@
 // recordObservations adds a member's observations to the leader's tables.
 func (c *Core) recordObservations(now kernel.Instant, seen observations) {
 	for _, token := range seen.Heartbeats {
-		c.liveness.status(token).lastHeartbeat = now
+		c.liveness.target(token).lastHeartbeat = now
 	}
 	for _, token := range seen.Evidence.Answering {
-		c.liveness.status(token).lastAnswer = now
+		c.liveness.target(token).lastAnswer = now
 	}
 	c.openings.record(now, seen.Evidence.Openings)
 	c.recordOutcomes(now, seen)
 	for _, refused := range seen.Evidence.Refused {
-		c.liveness.status(refused.Token).recordRefusal(now, seen.From, refused)
+		c.liveness.target(refused.Token).recordRefusal(now, seen.From, refused)
 	}
 	for _, silent := range seen.Evidence.Silent {
-		c.liveness.status(silent.Token).recordSilence(now, seen.From, silent)
+		c.liveness.target(silent.Token).recordSilence(now, seen.From, silent)
 	}
 }
--- a/internal/registry/openings.go
+++ b/internal/registry/openings.go
@@ -11,14 +11,14 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Targets that are down refuse opening packets or do not answer them. All nodes together
-// detect within a fraction of a second that a target, or most of a zone, accepts none. New
-// flows then avoid the target until it shows a sign of life, and the zone for a limited
-// time. Open flows are not affected.
+// Targets that are down refuse opening packets or do not answer them; both are counted as
+// refusals. All nodes together detect within a fraction of a second that a target, or most
+// of a zone, accepts none. New flows then avoid the target until it answers or sends a
+// heartbeat, and the zone for a limited time. Open flows are not affected.
 
 const (
-	// refusalLifetime is how long a report of refused opening packets is valid.
-	refusalLifetime = 500 * time.Millisecond
+	// refusalReportTTL is how long a report of refused opening packets is valid.
+	refusalReportTTL = 500 * time.Millisecond
 	// minRefusals is the number of refused opening packets, at minSilentNodes nodes or
 	// more, that makes a target suspect.
 	minRefusals = 3
@@ -32,8 +32,8 @@
 	// zoneRefusedShare is the share of refused opening packets from which a zone is
 	// avoided. It is well above what links with 10 % packet loss cause.
 	zoneRefusedShare = 0.6
-	// zoneAvoidTime is how long a zone is avoided. It doubles, up to maxZoneAvoidTime, when
-	// the zone refuses again within zoneAvoidTime of the end.
+	// zoneAvoidTime is how long a zone is avoided. The time doubles, up to maxZoneAvoidTime,
+	// if the zone refuses again within zoneAvoidTime after the end of the last avoidance.
 	zoneAvoidTime    = time.Second
 	maxZoneAvoidTime = 2 * time.Second
 )
@@ -157,12 +157,12 @@
 }
 
 // recordRefusal adds a member's report of refused opening packets.
-func (s *targetStatus) recordRefusal(now kernel.Instant, from string, refused SilentTarget) {
+func (s *targetLiveness) recordRefusal(now kernel.Instant, from string, refused SilentTarget) {
 	if s.refusals == nil {
 		s.refusals = map[string]silenceReport{}
 	}
 	report := s.refusals[from]
-	if now.Sub(report.at) >= refusalLifetime {
+	if now.Sub(report.at) >= refusalReportTTL {
 		report = silenceReport{}
 	}
 	report.Weight += refused.Weight
@@ -172,11 +172,11 @@
 }
 
 // isRefusing reports whether a target is suspect because it refuses opening packets. A
-// later sign of life clears that.
-func (s *targetStatus) isRefusing(now kernel.Instant) bool {
+// later heartbeat or answer ends that.
+func (s *targetLiveness) isRefusing(now kernel.Instant) bool {
 	var weight, nodes uint32
 	for _, report := range s.refusals {
-		if now.Sub(report.at) < refusalLifetime {
+		if now.Sub(report.at) < refusalReportTTL {
 			weight += report.Weight
 			nodes += report.Nodes
 		}
--- a/internal/registry/openings_test.go
+++ b/internal/registry/openings_test.go
@@ -66,12 +66,12 @@
 	assert.Empty(t, b.verdicts().AvoidedZones)
 }
 
-// Packet loss, a few targets that are down and little traffic must not make a zone avoided.
+// A zone must not be avoided because of packet loss, targets that are down or little traffic.
 func TestMostlyAcceptingZoneIsNotAvoided(t *testing.T) {
 	cases := map[string]directory.ZoneOpenings{
-		"lossy":        {Opened: 20, Refused: 8},
-		"half of them": {Opened: 10, Refused: 10},
-		"idle":         {Refused: 1},
+		"lossy":     {Opened: 20, Refused: 8},
+		"half down": {Opened: 10, Refused: 10},
+		"idle":      {Refused: 1},
 	}
 	for name, counted := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// In overload the targets of all zones refuse; there is nowhere else to send flows.
+// When the targets of most zones refuse, there is nowhere else to send flows.
 func TestNoZoneIsAvoidedWhenMostRefuse(t *testing.T) {
 	b := newOpeningFixture(t)
 	b.report(time.Second, 3, Evidence{Openings: []directory.ZoneOpenings{{Zone: "zone-0", Refused: 9}, {Zone: "zone-1", Refused: 9}}})
@@ -110,7 +110,7 @@
 }
 
 func TestAnswerClearsRefusalSuspicion(t *testing.T) {
-	s := &targetStatus{lastHeartbeat: kernel.Instant(time.Second)}
+	s := &targetLiveness{lastHeartbeat: kernel.Instant(time.Second)}
 	now := kernel.Instant(time.Minute)
 	s.recordRefusal(now, "m1", SilentTarget{Weight: 2, Nodes: 1})
 	assert.False(t, s.isRefusing(now), "too few refusals")
--- a/internal/registry/operator.go
+++ b/internal/registry/operator.go
@@ -67,7 +67,8 @@
 type OperatorRequest struct {
 	Action OperatorAction
 	Zone   string
-	// Target is the ID of a target. The response always includes this target.
+	// Target is the ID of a target. If ready, it is included in the response even in the
+	// default state.
 	Target string
 	// Version identifies a version of a service.
 	Version directory.ServiceVersion
@@ -114,8 +115,8 @@
 	Rejected bool
 	// Zones are the zones of all services, sorted by service and zone.
 	Zones []ZoneStatus
-	// Targets are those that are not in the default state, and the one that the request
-	// names.
+	// Targets are the ready targets that are not in the default state, and the one that the
+	// request names.
 	Targets []TargetStatus
 	// Versions are the versions of all services, sorted by service and version.
 	Versions []VersionStatus
--- a/internal/registry/outliers.go
+++ b/internal/registry/outliers.go
@@ -170,9 +170,10 @@
 	}
 }
 
-// ejectOutliers adds the targets to eject and those on probation to the verdicts. Targets
-// without new flows are left out: those not ready, held for lost or in evacuated zones.
-// They do not count towards the limit on the share of ejected targets either.
+// ejectOutliers adds the targets to eject and those on probation to the verdicts; between
+// two evaluations these stay the same. Targets without new flows are left out: those not
+// ready, marked as lost or in evacuated zones. They do not count towards the limit on the
+// share of ejected targets either.
 func (c *Core) ejectOutliers(now kernel.Instant, next *leaderVerdicts) {
 	if now.Before(c.outcomes.nextEvaluation) {
 		next.Ejected = c.liveness.verdicts.Ejected
@@ -197,8 +198,8 @@
 	}
 }
 
-// outlierTarget returns the detector's input for a target. A target that is cold, or was
-// within the detector's window, is no evidence about its version.
+// outlierTarget returns the detector's input for a target. The outcomes of a target that is
+// cold, or was within the detector's window, are no evidence about its version.
 func (c *Core) outlierTarget(now kernel.Instant, target *directory.Target) outlier.Target {
 	return outlier.Target{
 		Token: target.Token, Service: target.Service, Zone: target.Zone, Order: c.state.TargetOrder(target.ID),
--- a/internal/registry/outliers_test.go
+++ b/internal/registry/outliers_test.go
@@ -67,7 +67,7 @@
 }
 
 // reportExchanges lets nodes report outcomes for a duration: one exchange with each target
-// per liveness interval, at a random node. Each node reports to a fixed member.
+// per livenessInterval, at a random node. Each node reports to a fixed member.
 func (b *outcomeFixture) reportExchanges(duration time.Duration) {
 	for end := b.now.Add(duration); b.now < end; b.run(livenessInterval) {
 		for _, target := range b.targets {
@@ -309,8 +309,8 @@
 	assert.Equal(t, 1, b.events[eventlog.TargetEjected])
 }
 
-// A lost target gets no flows anyway. When it is heard again it must start without an
-// ejection.
+// A lost target gets no flows anyway. Once it sends heartbeats again it must not still be
+// ejected.
 func TestLostTargetIsNoLongerEjected(t *testing.T) {
 	b := newOutcomeFixture(t)
 	b.reportExchanges(3 * time.Second)
@@ -353,11 +353,11 @@
 // At most a third of the targets outside the evacuated zone may be ejected.
 func TestEjectionLimitIgnoresEvacuatedTargets(t *testing.T) {
 	b := newOutcomeFixture(t)
-	away := b.targets[0].Zone
-	evacuation := directory.Evacuation{Zone: away, Active: true}
+	evacuated := b.targets[0].Zone
+	evacuation := directory.Evacuation{Zone: evacuated, Active: true}
 	require.NoError(t, b.submit(b.leader, directory.Command{Kind: directory.CommandEvacuate, Evacuation: evacuation}).Err)
 	all := b.targets
-	b.targets = slices.DeleteFunc(slices.Clone(all), func(target directory.Target) bool { return target.Zone == away })
+	b.targets = slices.DeleteFunc(slices.Clone(all), func(target directory.Target) bool { return target.Zone == evacuated })
 	b.reportExchanges(3 * time.Second)
 	for _, target := range b.targets[:4] {
 		b.failing[target.Token] = true
@@ -368,7 +368,7 @@
 	}
 }
 
-// Evaluating a large fleet at every liveness interval would use a whole core.
+// Evaluating a large fleet at every livenessInterval would use a whole CPU core.
 func TestLargeFleetIsEvaluatedLessOften(t *testing.T) {
 	b := newOutcomeFixture(t)
 	b.failing[b.targets[0].Token] = true
--- a/internal/registry/persistedstate_test.go
+++ b/internal/registry/persistedstate_test.go
@@ -35,8 +35,8 @@
 	serviceOf map[string]string
 	// rememberedVersions are the versions that members read from disk as committed.
 	rememberedVersions map[uint64]bool
-	// placedByMemory counts how often a node could route by remembered state.
-	placedByMemory int
+	// rememberedUses counts how often a node could route by remembered state.
+	rememberedUses int
 }
 
 func newRememberedRun(t *testing.T, seed uint64) *rememberedRun {
@@ -114,7 +114,7 @@
 		}
 		node.core.ApplyRemembered(r.now, remembered, node.startedAt.Add(RememberedTTL))
 		if node.core.UsesRemembered() {
-			r.placedByMemory++
+			r.rememberedUses++
 		}
 	case wire.FrameUpdate:
 		update, err := directory.DecodeUpdate(message.Frame.Payload)
@@ -128,7 +128,7 @@
 // Checks under random faults that remembered versions were committed, and that the version
 // of a node never decreases.
 func TestRememberedConfigurationWasCommitted(t *testing.T) {
-	byMemory := 0
+	rememberedUses := 0
 	for seed := range uint64(20) {
 		r := newRememberedRun(t, seed)
 		r.waitForLeader()
@@ -145,10 +145,10 @@
 		for _, node := range r.nodes {
 			require.LessOrEqual(t, node.highestVersion, version, context)
 		}
-		byMemory += r.placedByMemory
+		rememberedUses += r.rememberedUses
 	}
-	assert.Greater(t, byMemory, 20, "the faults must let nodes use remembered state")
-	t.Log(byMemory, "nodes used remembered state")
+	assert.Greater(t, rememberedUses, 20, "the faults must let nodes use remembered state")
+	t.Log(rememberedUses, "nodes used remembered state")
 }
 
 func restoredLog(commit uint64, commands ...directory.Command) raft.Restored {
@@ -168,8 +168,8 @@
 func TestPersistedStateUsesCommittedConfiguration(t *testing.T) {
 	commands := []directory.Command{publishCommand(3, directory.Configuration{}), publishCommand(5, configurationOf(3)), publishCommand(8, configurationOf(5))}
 	for commit, want := range []uint64{0, 3, 5, 8} {
-		memory := readPersistedState(restoredLog(uint64(commit), commands...))
-		assert.Equal(t, want, memory.configuration.Version)
+		persisted := readPersistedState(restoredLog(uint64(commit), commands...))
+		assert.Equal(t, want, persisted.configuration.Version)
 	}
 	state := directory.New()
 	state.Apply(1, commands[0])
@@ -177,9 +177,10 @@
 	assert.Equal(t, uint64(3), readPersistedState(snapshot).configuration.Version, "snapshots hold committed entries only")
 }
 
-// rememberedState returns the state in which a remembered target is sent to nodes.
-func rememberedState(t *testing.T, memory persistedState, id string) directory.TargetState {
-	for _, target := range memory.targets() {
+// rememberedState returns the state in which a remembered target is sent to nodes, or
+// TargetEnded if it is not sent.
+func rememberedState(t *testing.T, persisted persistedState, id string) directory.TargetState {
+	for _, target := range persisted.targets() {
 		if target.ID == id {
 			assert.Nil(t, target.Warmup)
 			return target.State
@@ -209,19 +210,19 @@
 		{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "back", Active: true}},
 		{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "back", Revision: 11, Warmups: budget}},
 	}
-	memory := readPersistedState(restoredLog(uint64(len(commands)), commands...))
+	persisted := readPersistedState(restoredLog(uint64(len(commands)), commands...))
 	for id, want := range map[string]directory.TargetState{
 		"warm": directory.TargetReady, "spared": directory.TargetReady,
 		"cold": directory.TargetLeaving, "far": directory.TargetLeaving, "back": directory.TargetLeaving,
 		"ejected": directory.TargetLeaving, "draining": directory.TargetLeaving, "ended": directory.TargetEnded,
 	} {
-		assert.Equal(t, want, rememberedState(t, memory, id), id)
+		assert.Equal(t, want, rememberedState(t, persisted, id), id)
 	}
-	takenBack := directory.Command{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "far", Revision: 10}}
-	uncertain := readPersistedState(restoredLog(uint64(len(commands)), append(commands, takenBack)...))
-	assert.Equal(t, directory.TargetLeaving, rememberedState(t, uncertain, "far"), "the order that ends the evacuation may not be committed")
-	certain := readPersistedState(restoredLog(uint64(len(commands)+1), append(commands, takenBack)...))
-	assert.Equal(t, directory.TargetLeaving, rememberedState(t, certain, "back"))
+	endEvacuation := directory.Command{Kind: directory.CommandEvacuate, Evacuation: directory.Evacuation{Zone: "far", Revision: 10}}
+	uncommitted := readPersistedState(restoredLog(uint64(len(commands)), append(commands, endEvacuation)...))
+	assert.Equal(t, directory.TargetLeaving, rememberedState(t, uncommitted, "far"), "the order that ends the evacuation may not be committed")
+	committed := readPersistedState(restoredLog(uint64(len(commands)+1), append(commands, endEvacuation)...))
+	assert.Equal(t, directory.TargetLeaving, rememberedState(t, committed, "back"))
 }
 
 // startWithoutPeers returns a member that has restarted while the other members are down.
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -35,12 +35,12 @@
 	reopenInterval = 500 * time.Millisecond
 )
 
-// Settings are the settings of a member's process.
+// Settings configure a member's process.
 type Settings struct {
 	Name       string
 	DataFolder string
 	Core       CoreSettings
-	// Zones are the zones named in the settings.
+	// Zones are the configured zones. They can be evacuated even without targets.
 	Zones []string
 	// Strength is the stated capacity of the machine.
 	Strength strength.Resources
--- a/internal/registry/reload.go
+++ b/internal/registry/reload.go
@@ -6,18 +6,18 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Connections returns the limit on the connections of HTTP clients.
+// Connections returns the limiter of the connections of HTTP clients.
 func (p *Process) Connections() *hosting.Connections { return p.connections }
 
 // ApplySettings applies changed settings without a restart.
 func (p *Process) ApplySettings(next hosting.Changeable) {
 	p.connections.SetLimit(next.Strength.MaxConnections())
-	p.inputs.Push(changeInput{next: next})
+	p.inputs.Push(settingsInput{next: next})
 }
 
-type changeInput struct{ next hosting.Changeable }
+type settingsInput struct{ next hosting.Changeable }
 
-func (i changeInput) handle(p *Process, _ kernel.Instant) Output {
+func (i settingsInput) handle(p *Process, _ kernel.Instant) Output {
 	p.settings.Strength = i.next.Strength
 	p.settings.Core.Seeds = i.next.Seeds
 	if p.core != nil {
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -17,8 +17,8 @@
 	// maxInFlight limits the requests of a member that are pending at the leader. Further
 	// requests wait at the member.
 	maxInFlight = 64
-	// maxPending limits the requests that wait at a member. Further requests are rejected
-	// at once, so that callers try another member.
+	// maxPending limits the open requests of a member, in flight or waiting. Further
+	// requests are rejected at once, so that callers try another member.
 	maxPending = 256
 )
 
@@ -72,7 +72,8 @@
 	c.dispatchRequest(now, req)
 }
 
-// dispatchRequest proposes a request at the leader, or forwards it to the leader.
+// dispatchRequest proposes a request if this member is the leader, and forwards it to the
+// leader otherwise.
 func (c *Core) dispatchRequest(now kernel.Instant, req *request) {
 	if c.replica.Node == nil {
 		return
@@ -139,8 +140,8 @@
 	return nil
 }
 
-func (c *Core) receiveForwarded(payload []byte) error {
-	message, err := decodeForwarded(payload)
+func (c *Core) receiveForwardReply(payload []byte) error {
+	message, err := decodeForwardReply(payload)
 	if err != nil {
 		return err
 	}
@@ -161,7 +162,8 @@
 	req.result = result
 }
 
-// completeAnswered completes the requests whose result this member has applied.
+// completeAnswered completes the requests up to whose result this member has applied the
+// log.
 func (c *Core) completeAnswered(now kernel.Instant) {
 	if len(c.requests) == 0 {
 		return
@@ -194,7 +196,7 @@
 			continue
 		}
 		if err == nil {
-			c.sendToMember(w.origin, forwarded{Ticket: w.ticket, Result: req.result}.frame())
+			c.sendToMember(w.origin, forwardReply{Ticket: w.ticket, Result: req.result}.frame())
 		}
 	}
 }
--- a/internal/registry/settings.go
+++ b/internal/registry/settings.go
@@ -7,7 +7,7 @@
 	"github.com/beamdoor/beamdoor/internal/raft"
 )
 
-// CoreSettings are the settings of a member's core.
+// CoreSettings configure a member's core.
 type CoreSettings struct {
 	Raft raft.Settings
 	// Address is where other members and nodes reach this member.
@@ -15,7 +15,8 @@
 	Zone    string
 	// Seeds are addresses of members, some of which may no longer exist.
 	Seeds []string
-	// Bootstrap is set at the first start of the whole group.
+	// Bootstrap lets this member bootstrap the group. It is set at the first start of the
+	// whole group.
 	Bootstrap bool
 	// Voters is the intended number of voters.
 	Voters int
--- a/internal/registry/sightings.go
+++ b/internal/registry/sightings.go
@@ -2,22 +2,22 @@
 
 import "github.com/beamdoor/beamdoor/internal/directory"
 
-// statusSweepSlack is how far the number of statuses must exceed twice the number of
-// targets before those of ended targets are removed. It limits how often all are scanned.
-const statusSweepSlack = 64
+// livenessSweepSlack is by how many the entries of the liveness table must exceed twice the
+// number of targets before it is swept. It limits how often all are scanned.
+const livenessSweepSlack = 64
 
-// removeEndedTargets removes the statuses of ended targets once enough have accumulated.
-func (c *Core) removeEndedTargets() {
-	if len(c.liveness.statuses) <= statusSweepSlack {
+// sweepLiveness removes ended targets from the liveness table once enough have accumulated.
+func (c *Core) sweepLiveness() {
+	if len(c.liveness.targets) <= livenessSweepSlack {
 		return
 	}
-	if len(c.liveness.statuses) <= 2*c.state.TargetCount()+statusSweepSlack {
+	if len(c.liveness.targets) <= 2*c.state.TargetCount()+livenessSweepSlack {
 		return
 	}
-	for token := range c.liveness.statuses {
+	for token := range c.liveness.targets {
 		target, known := c.state.TargetByToken(token)
 		if !known || target.State == directory.TargetEnded {
-			delete(c.liveness.statuses, token)
+			delete(c.liveness.targets, token)
 		}
 	}
 }
--- a/internal/registry/sightings_test.go
+++ b/internal/registry/sightings_test.go
@@ -11,9 +11,9 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// Every start of a target gets a new token, so that statuses of ended targets would
+// Every start of a target gets a new token, so that entries of ended targets would
 // accumulate with each release.
-func TestStatusesOfEndedTargetsAreRemoved(t *testing.T) {
+func TestLivenessTableRemovesEndedTargets(t *testing.T) {
 	c := newCluster(t, 5, 3)
 	leader := c.waitForLeader()
 	for number := range 300 {
@@ -34,12 +34,12 @@
 		m := c.machines[name]
 		m.core.RecordHeartbeat(c.now, directory.Start{ID: "i-299"})
 		c.run(livenessInterval)
-		assert.LessOrEqual(t, len(m.core.liveness.statuses), 2+statusSweepSlack, name)
-		assert.Contains(t, m.core.liveness.statuses, last.Token)
+		assert.LessOrEqual(t, len(m.core.liveness.targets), 2+livenessSweepSlack, name)
+		assert.Contains(t, m.core.liveness.targets, last.Token)
 	}
 }
 
-// At most half of the living targets may be held for lost, however many have ended.
+// At most half of the targets that have not ended may be marked as lost, however many have.
 func TestEndedTargetsDoNotRaiseLossLimit(t *testing.T) {
 	c := newCluster(t, 6, 3)
 	leader := c.waitForLeader()
--- a/internal/registry/silence.go
+++ b/internal/registry/silence.go
@@ -6,9 +6,9 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// unreliableSilenceTime is the silence after which unreliable evidence counts. It exceeds the
-// longest gap between two signs of life of a healthy target over congested links, plus the
-// time until the leader learns of an answer.
+// unreliableSilenceTime is the silence after which unreliable evidence counts. It exceeds
+// the longest time without an answer or heartbeat of a healthy target over congested links,
+// plus the time until the leader learns of an answer.
 const unreliableSilenceTime = 1300 * time.Millisecond
 
 // silenceReport is a member's newest report that a target leaves flows unanswered.
@@ -21,13 +21,13 @@
 func (s silenceReport) totalWeight() uint32 { return s.Weight + s.UnreliableWeight }
 
 // meetsThreshold reports whether evidence of this weight, from this many nodes, is enough
-// to hold a target for lost.
+// to mark a target as lost.
 func meetsThreshold(weight, nodes uint32) bool {
 	return weight >= minSilentWeight && nodes >= minSilentNodes
 }
 
 // currentSilence adds up the reports that have not expired.
-func (s *targetStatus) currentSilence(now kernel.Instant) silenceReport {
+func (s *targetLiveness) currentSilence(now kernel.Instant) silenceReport {
 	var sum silenceReport
 	for _, report := range s.silences {
 		if now.Sub(report.at) < silenceReportTTL {
@@ -39,7 +39,7 @@
 
 // isSilent reports whether there is enough evidence that a target is silent. Unreliable
 // evidence counts only after a longer silence.
-func (s *targetStatus) isSilent(now kernel.Instant) bool {
+func (s *targetLiveness) isSilent(now kernel.Instant) bool {
 	sum := s.currentSilence(now)
 	if meetsThreshold(sum.Weight, sum.Nodes) {
 		return true
@@ -48,6 +48,6 @@
 }
 
 // recordSilence stores a member's newest report of silence.
-func (s *targetStatus) recordSilence(now kernel.Instant, from string, silent SilentTarget) {
+func (s *targetLiveness) recordSilence(now kernel.Instant, from string, silent SilentTarget) {
 	s.silences[from] = silenceReport{SilentTarget: silent, at: now}
 }
--- a/internal/registry/silence_test.go
+++ b/internal/registry/silence_test.go
@@ -9,7 +9,7 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Nodes that lose packets of their callers see healthy targets as silent.
+// Nodes that lose packets of their callers report healthy targets as silent.
 func TestUnreliableEvidenceNeedsLongerSilence(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -30,11 +30,11 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			now := kernel.Instant(time.Hour)
-			status := &targetStatus{silences: map[string]silenceReport{}, lastHeartbeat: now.Add(-test.quiet)}
+			liveness := &targetLiveness{silences: map[string]silenceReport{}, lastHeartbeat: now.Add(-test.quiet)}
 			for number := range test.nodes {
-				status.recordSilence(now, address(number), test.reported.FromSingleNode())
+				liveness.recordSilence(now, address(number), test.reported.FromSingleNode())
 			}
-			assert.Equal(t, test.silent, status.isSilent(now))
+			assert.Equal(t, test.silent, liveness.isSilent(now))
 		})
 	}
 }
--- a/internal/registry/speeds.go
+++ b/internal/registry/speeds.go
@@ -29,12 +29,12 @@
 	// estimateTimePerTarget, times the number of targets, is the time between two
 	// estimates. It limits the CPU time that a leader of many targets spends on them.
 	estimateTimePerTarget = 100 * time.Microsecond
-	// inheritedStepLifetime is how long a new leader keeps the previous step of a target
+	// inheritedStepTTL is how long a new leader keeps the previous step of a target
 	// with too few samples.
-	inheritedStepLifetime = 5 * time.Minute
-	// stepLifetime is how long a member keeps a step that the leader does not repeat. A
+	inheritedStepTTL = 5 * time.Minute
+	// stepTTL is how long a member keeps a step that the leader does not repeat. A
 	// reset to the usual time is sent only once and may be lost.
-	stepLifetime = 10 * time.Minute
+	stepTTL = 10 * time.Minute
 	// maxSamplesPerNode limits the weight of one node in the sums of a target, so that a
 	// faulty or congested node cannot dominate them.
 	maxSamplesPerNode = 16
@@ -60,10 +60,10 @@
 	// unsentSums are the targets whose newest sums the leader does not have yet, oldest
 	// first.
 	unsentSums tokenQueue
-	// leader is the address of the leader that gets the sums, and leadingSince when that
-	// leader was first seen.
-	leader       string
-	leadingSince kernel.Instant
+	// leader is the address of the leader that gets the sums, and leaderSince when this
+	// member learned of it.
+	leader      string
+	leaderSince kernel.Instant
 	// term is that of the leader whose steps these are. Targets that take the usual time
 	// have no entry in steps.
 	term  uint64
@@ -77,7 +77,7 @@
 	memberCursor, nodeCursor int
 	// unsentSteps are the targets whose newest step has not been sent to nodes.
 	unsentSteps tokenQueue
-	// unevenServices are the services whose targets differ in response time.
+	// unevenServices are the services whose targets differ much in response time.
 	unevenServices                   map[string]bool
 	nextRun, nextEstimate, nextSweep kernel.Instant
 }
@@ -129,21 +129,21 @@
 		if _, known := c.state.TargetByToken(report.Token); !known {
 			continue
 		}
-		c.speeds.nodeSums.Record(now, connection, report.Token, report.Capped(maxSamplesPerNode))
-		c.speeds.unsentSums.push(report.Token)
+		c.responseTimes.nodeSums.Record(now, connection, report.Token, report.Capped(maxSamplesPerNode))
+		c.responseTimes.unsentSums.push(report.Token)
 	}
 }
 
-// tickResponseTimes sends new sums to the leader and new steps to the nodes; the leader
-// also sends steps to the members.
+// tickResponseTimes sends changed sums to the leader and steps to the nodes; the leader also
+// sends steps to the members.
 func (c *Core) tickResponseTimes(now kernel.Instant) {
-	if now.Before(c.speeds.nextRun) {
+	if now.Before(c.responseTimes.nextRun) {
 		return
 	}
-	c.speeds.nextRun = now.Add(responseTimeInterval)
+	c.responseTimes.nextRun = now.Add(responseTimeInterval)
 	c.detectLeaderChange(now)
 	c.sendSums(now)
-	if c.IsLeader() && now.Sub(c.speeds.leadingSince) >= leaderSettleTime {
+	if c.IsLeader() && now.Sub(c.responseTimes.leaderSince) >= leaderSettleTime {
 		c.sendStepsToMembers(now)
 	}
 	c.sendStepsToNodes()
@@ -153,25 +153,25 @@
 // detectLeaderChange queues the sums of all targets for a new leader.
 func (c *Core) detectLeaderChange(now kernel.Instant) {
 	leader := c.address(c.replica.Node.Leader())
-	if leader == c.speeds.leader {
+	if leader == c.responseTimes.leader {
 		return
 	}
-	c.speeds.leader = leader
-	c.speeds.leadingSince = now
-	c.speeds.memberSums = speed.NewTable[string](speed.MemberHalfLife)
-	for _, token := range c.speeds.nodeSums.Tokens() {
-		c.speeds.unsentSums.push(token)
+	c.responseTimes.leader = leader
+	c.responseTimes.leaderSince = now
+	c.responseTimes.memberSums = speed.NewTable[string](speed.MemberHalfLife)
+	for _, token := range c.responseTimes.nodeSums.Tokens() {
+		c.responseTimes.unsentSums.push(token)
 	}
 }
 
 // sendSums sends the changed sums to the leader, or records them if this member leads.
 func (c *Core) sendSums(now kernel.Instant) {
-	if c.speeds.leader == "" {
+	if c.responseTimes.leader == "" {
 		return
 	}
 	var reports []speed.Report
-	for _, token := range c.speeds.unsentSums.pop(maxSumsPerMessage) {
-		reports = append(reports, speed.Report{Token: token, Sums: c.speeds.nodeSums.Total(now, token)})
+	for _, token := range c.responseTimes.unsentSums.pop(maxSumsPerMessage) {
+		reports = append(reports, speed.Report{Token: token, Sums: c.responseTimes.nodeSums.Total(now, token)})
 	}
 	if len(reports) == 0 {
 		return
@@ -180,12 +180,12 @@
 		c.recordSums(now, c.settings.Address, reports)
 		return
 	}
-	c.sendToMember(c.speeds.leader, speed.ReportFrame(c.settings.Address, reports))
+	c.sendToMember(c.responseTimes.leader, speed.ReportFrame(c.settings.Address, reports))
 }
 
 func (c *Core) recordSums(now kernel.Instant, member string, reports []speed.Report) {
 	for _, report := range reports {
-		c.speeds.memberSums.Record(now, member, report.Token, report.Sums)
+		c.responseTimes.memberSums.Record(now, member, report.Token, report.Sums)
 	}
 }
 
@@ -201,10 +201,10 @@
 		}
 		return nil
 	}
-	if message.Term < c.speeds.term {
+	if message.Term < c.responseTimes.term {
 		return nil
 	}
-	c.speeds.term = message.Term
+	c.responseTimes.term = message.Term
 	c.applySteps(now, message.Steps)
 	return nil
 }
@@ -212,13 +212,13 @@
 // sendStepsToMembers sends the members the changed steps and some of the others to refresh
 // them.
 func (c *Core) sendStepsToMembers(now kernel.Instant) {
-	c.speeds.term = c.replica.Term
-	steps := append(c.estimateSteps(now), c.speeds.nextRefresh(&c.speeds.memberCursor)...)
+	c.responseTimes.term = c.replica.Term
+	steps := append(c.estimateSteps(now), c.responseTimes.nextRefresh(&c.responseTimes.memberCursor)...)
 	c.applySteps(now, steps)
 	if len(steps) == 0 {
 		return
 	}
-	frame := speed.StepFrame(c.speeds.term, steps)
+	frame := speed.StepFrame(c.responseTimes.term, steps)
 	for _, member := range c.state.Members() {
 		c.sendToMember(member.Address, frame)
 	}
@@ -226,7 +226,7 @@
 
 // estimateSteps returns the targets whose step changes, largest change first.
 func (c *Core) estimateSteps(now kernel.Instant) []speed.TargetStep {
-	if now.Before(c.speeds.nextEstimate) {
+	if now.Before(c.responseTimes.nextEstimate) {
 		return nil
 	}
 	services := map[string][]directory.Token{}
@@ -237,8 +237,8 @@
 			count++
 		}
 	})
-	maps.DeleteFunc(c.speeds.unevenServices, func(service string, _ bool) bool { return services[service] == nil })
-	c.speeds.nextEstimate = now.Add(time.Duration(count) * estimateTimePerTarget)
+	maps.DeleteFunc(c.responseTimes.unevenServices, func(service string, _ bool) bool { return services[service] == nil })
+	c.responseTimes.nextEstimate = now.Add(time.Duration(count) * estimateTimePerTarget)
 	var changes []speed.TargetStep
 	for _, service := range slices.Sorted(maps.Keys(services)) {
 		tokens := services[service]
@@ -246,7 +246,7 @@
 		changes = append(changes, c.estimateServiceSteps(now, service, tokens)...)
 	}
 	slices.SortStableFunc(changes, func(a, b speed.TargetStep) int {
-		return cmp.Compare(c.speeds.stepDistance(b), c.speeds.stepDistance(a))
+		return cmp.Compare(c.responseTimes.stepDistance(b), c.responseTimes.stepDistance(a))
 	})
 	return changes[:min(maxChangesPerMessage, len(changes))]
 }
@@ -262,14 +262,14 @@
 func (c *Core) estimateServiceSteps(now kernel.Instant, service string, tokens []directory.Token) []speed.TargetStep {
 	sums := make([]speed.Sums, len(tokens))
 	for position, token := range tokens {
-		sums[position] = c.speeds.memberSums.Total(now, token)
+		sums[position] = c.responseTimes.memberSums.Total(now, token)
 	}
 	var changes []speed.TargetStep
 	var slowest, fastest speed.Step
 	for position, estimate := range speed.Estimate(sums) {
-		before := c.speeds.steps[tokens[position]]
+		before := c.responseTimes.steps[tokens[position]]
 		next := before.Next(estimate)
-		if sums[position].Count < speed.MinCount && now.Sub(c.speeds.leadingSince) < inheritedStepLifetime {
+		if sums[position].Count < speed.MinCount && now.Sub(c.responseTimes.leaderSince) < inheritedStepTTL {
 			next = before
 		}
 		if next != before {
@@ -289,37 +289,37 @@
 	evenRatio   = 1.2
 )
 
-// logUnevenService logs when the targets of a service begin or cease to differ in response
-// time.
+// logUnevenService logs when a service becomes uneven or even again.
 func (c *Core) logUnevenService(service string, slowest, fastest speed.Step) {
 	ratio := slowest.TimeRatio() / fastest.TimeRatio()
 	switch {
-	case !c.speeds.unevenServices[service] && ratio >= unevenRatio:
-		c.speeds.unevenServices[service] = true
+	case !c.responseTimes.unevenServices[service] && ratio >= unevenRatio:
+		c.responseTimes.unevenServices[service] = true
 		c.logEvent(eventlog.SpeedsDiffer, "service", service, "slowest", slowest.TimeRatio(), "fastest", fastest.TimeRatio())
-	case c.speeds.unevenServices[service] && ratio < evenRatio:
-		delete(c.speeds.unevenServices, service)
+	case c.responseTimes.unevenServices[service] && ratio < evenRatio:
+		delete(c.responseTimes.unevenServices, service)
 		c.logEvent(eventlog.SpeedsAlike, "service", service, "slowest", slowest.TimeRatio(), "fastest", fastest.TimeRatio())
 	}
 }
 
-// applySteps sets the steps that the leader sent and queues the changed ones for the nodes.
+// applySteps stores steps and queues the changed ones for the nodes. Step 0 resets a target
+// to the usual time.
 func (c *Core) applySteps(now kernel.Instant, steps []speed.TargetStep) {
 	for _, entry := range steps {
-		before := c.speeds.steps[entry.Token]
+		before := c.responseTimes.steps[entry.Token]
 		if entry.Step != 0 {
-			c.speeds.receivedAt[entry.Token] = now
+			c.responseTimes.receivedAt[entry.Token] = now
 		}
 		if before == entry.Step {
 			continue
 		}
-		c.speeds.unsentSteps.push(entry.Token)
+		c.responseTimes.unsentSteps.push(entry.Token)
 		if entry.Step == 0 {
-			c.speeds.removeStep(entry.Token)
+			c.responseTimes.removeStep(entry.Token)
 			continue
 		}
-		c.speeds.steps[entry.Token] = entry.Step
-		c.speeds.isOrderStale = c.speeds.isOrderStale || before == 0
+		c.responseTimes.steps[entry.Token] = entry.Step
+		c.responseTimes.isOrderStale = c.responseTimes.isOrderStale || before == 0
 	}
 }
 
@@ -363,13 +363,13 @@
 // sendStepsToNodes sends nodes the changed steps and some of the others to refresh them. A
 // new node also gets all steps, in parts.
 func (c *Core) sendStepsToNodes() {
-	c.speeds.updateRefreshOrder()
-	steps := c.speeds.stepsOf(c.speeds.unsentSteps.pop(maxStepsPerNodeMessage))
-	steps = append(steps, c.speeds.nextRefresh(&c.speeds.nodeCursor)...)
-	shared := speed.StepFrame(c.speeds.term, steps)
+	c.responseTimes.updateRefreshOrder()
+	steps := c.responseTimes.stepsOf(c.responseTimes.unsentSteps.pop(maxStepsPerNodeMessage))
+	steps = append(steps, c.responseTimes.nextRefresh(&c.responseTimes.nodeCursor)...)
+	shared := speed.StepFrame(c.responseTimes.term, steps)
 	for _, connection := range c.sortedConnections() {
 		if initial := c.nextInitialSteps(c.nodes[connection]); len(initial) > 0 {
-			c.sendToNode(connection, speed.StepFrame(c.speeds.term, slices.Concat(steps, initial)))
+			c.sendToNode(connection, speed.StepFrame(c.responseTimes.term, slices.Concat(steps, initial)))
 		} else if len(steps) > 0 {
 			c.sendToNode(connection, shared)
 		}
@@ -379,46 +379,48 @@
 // nextInitialSteps returns the next part of the steps that a new node has not been sent
 // yet.
 func (c *Core) nextInitialSteps(node *subscription) []speed.TargetStep {
-	from := min(node.stepsSent, len(c.speeds.refreshOrder))
-	to := min(from+maxStepsPerNodeMessage, len(c.speeds.refreshOrder))
+	from := min(node.stepsSent, len(c.responseTimes.refreshOrder))
+	to := min(from+maxStepsPerNodeMessage, len(c.responseTimes.refreshOrder))
 	if node.hasAllSteps {
 		return nil
 	}
 	node.stepsSent = to
-	node.hasAllSteps = to == len(c.speeds.refreshOrder)
-	return c.speeds.stepsOf(c.speeds.refreshOrder[from:to])
+	node.hasAllSteps = to == len(c.responseTimes.refreshOrder)
+	return c.responseTimes.stepsOf(c.responseTimes.refreshOrder[from:to])
 }
 
-// sweepResponseTimes removes ended targets, departed nodes and members, and expired
-// reports.
+// sweepResponseTimes removes expired reports, those of departed nodes and members, and the
+// steps of ended targets.
 func (c *Core) sweepResponseTimes(now kernel.Instant) {
-	if now.Before(c.speeds.nextSweep) {
+	if now.Before(c.responseTimes.nextSweep) {
 		return
 	}
-	c.speeds.nextSweep = now.Add(speed.SweepInterval)
-	left := c.speeds.nodeSums.RetainSources(now, func(connection ConnectionID) bool { return c.nodes[connection] != nil })
+	c.responseTimes.nextSweep = now.Add(speed.SweepInterval)
+	left := c.responseTimes.nodeSums.RetainSources(now, func(connection ConnectionID) bool { return c.nodes[connection] != nil })
 	slices.Sort(left)
 	for _, token := range left {
-		c.speeds.unsentSums.push(token)
+		c.responseTimes.unsentSums.push(token)
 	}
-	c.speeds.nodeSums.Sweep(now)
+	c.responseTimes.nodeSums.Sweep(now)
 	group := map[string]bool{}
 	for _, member := range c.state.Members() {
 		group[member.Address] = true
 	}
-	c.speeds.memberSums.RetainSources(now, func(address string) bool { return group[address] })
-	c.speeds.memberSums.Sweep(now)
+	c.responseTimes.memberSums.RetainSources(now, func(address string) bool { return group[address] })
+	c.responseTimes.memberSums.Sweep(now)
 	c.sweepSteps(now)
 }
 
+// sweepSteps removes the steps of ended targets and, unless this member leads, resets those
+// that the leader has not repeated for stepTTL.
 func (c *Core) sweepSteps(now kernel.Instant) {
 	var expired []speed.TargetStep
-	for token := range c.speeds.steps {
+	for token := range c.responseTimes.steps {
 		target, known := c.state.TargetByToken(token)
 		switch {
 		case !known || target.State == directory.TargetEnded:
-			c.speeds.removeStep(token)
-		case !c.IsLeader() && now.Sub(c.speeds.receivedAt[token]) > stepLifetime:
+			c.responseTimes.removeStep(token)
+		case !c.IsLeader() && now.Sub(c.responseTimes.receivedAt[token]) > stepTTL:
 			expired = append(expired, speed.TargetStep{Token: token})
 		}
 	}
--- a/internal/registry/speeds_test.go
+++ b/internal/registry/speeds_test.go
@@ -63,9 +63,9 @@
 // target.
 func (b *responseTimeFixture) assertSteps(m *machine, reference directory.Token) {
 	b.Helper()
-	scale := m.core.speeds.steps[reference].TimeRatio() / b.timeRatios[reference]
+	scale := m.core.responseTimes.steps[reference].TimeRatio() / b.timeRatios[reference]
 	for _, target := range b.targets {
-		assert.InEpsilon(b, b.timeRatios[target.Token]*scale, m.core.speeds.steps[target.Token].TimeRatio(), 0.25, target.ID)
+		assert.InEpsilon(b, b.timeRatios[target.Token]*scale, m.core.responseTimes.steps[target.Token].TimeRatio(), 0.25, target.ID)
 	}
 }
 
@@ -85,7 +85,7 @@
 	}
 	b.reportTimes(20 * time.Second)
 	for _, m := range b.machines {
-		assert.LessOrEqual(t, len(m.core.speeds.steps), 2)
+		assert.LessOrEqual(t, len(m.core.responseTimes.steps), 2)
 	}
 	assert.Zero(t, b.events[eventlog.SpeedsDiffer])
 }
@@ -102,7 +102,7 @@
 			b.assertSteps(m, b.targets[1].Token)
 		}
 	}
-	assert.Greater(t, next.core.speeds.term, b.leader.core.speeds.term)
+	assert.Greater(t, next.core.responseTimes.term, b.leader.core.responseTimes.term)
 	b.timeRatios[b.targets[0].Token] = 3
 	b.reportTimes(40 * time.Second)
 	b.assertSteps(b.reporters[0], b.targets[1].Token)
@@ -129,11 +129,11 @@
 	require.NotEqual(t, old.Token, started.Token)
 	b.run(responseTimeInterval)
 	for _, m := range b.reporters {
-		assert.Zero(t, m.core.speeds.steps[started.Token])
+		assert.Zero(t, m.core.responseTimes.steps[started.Token])
 	}
 	b.reportTimes(2 * speed.SweepInterval)
 	for _, m := range b.reporters {
-		assert.Zero(t, m.core.speeds.steps[old.Token], "the target has ended")
+		assert.Zero(t, m.core.responseTimes.steps[old.Token], "the target has ended")
 	}
 }
 
@@ -149,17 +149,17 @@
 	refreshed := b.targets[1].Token
 	missed := b.targets[2].Token
 	b.leader.core.applySteps(b.now, []speed.TargetStep{{Token: missed}})
-	require.NotZero(t, m.speeds.steps[missed])
-	later := b.now.Add(stepLifetime + time.Second)
+	require.NotZero(t, m.responseTimes.steps[missed])
+	later := b.now.Add(stepTTL + time.Second)
 	b.leader.core.sweepSteps(later)
-	assert.NotZero(t, b.leader.core.speeds.steps[refreshed], "the leader keeps its own steps")
-	m.applySteps(later, []speed.TargetStep{{Token: refreshed, Step: m.speeds.steps[refreshed]}})
-	m.speeds.unsentSteps = newTokenQueue()
+	assert.NotZero(t, b.leader.core.responseTimes.steps[refreshed], "the leader keeps its own steps")
+	m.applySteps(later, []speed.TargetStep{{Token: refreshed, Step: m.responseTimes.steps[refreshed]}})
+	m.responseTimes.unsentSteps = newTokenQueue()
 	m.sweepSteps(later)
-	assert.NotZero(t, m.speeds.steps[refreshed])
-	assert.NotContains(t, m.speeds.steps, missed)
-	assert.NotContains(t, m.speeds.receivedAt, missed)
-	assert.Contains(t, m.speeds.unsentSteps.tokens, missed, "the reset is queued for the nodes")
+	assert.NotZero(t, m.responseTimes.steps[refreshed])
+	assert.NotContains(t, m.responseTimes.steps, missed)
+	assert.NotContains(t, m.responseTimes.receivedAt, missed)
+	assert.Contains(t, m.responseTimes.unsentSteps.tokens, missed, "the reset is queued for the nodes")
 }
 
 // All steps must be repeated before members drop them.
@@ -169,9 +169,9 @@
 	from := b.now
 	b.reportTimes(stepRefreshInterval + 2*responseTimeInterval)
 	for _, m := range b.machines {
-		require.NotEmpty(t, m.core.speeds.steps)
-		for token := range m.core.speeds.steps {
-			assert.True(t, from.Before(m.core.speeds.receivedAt[token]), "target %d at %s", token, m.address)
+		require.NotEmpty(t, m.core.responseTimes.steps)
+		for token := range m.core.responseTimes.steps {
+			assert.True(t, from.Before(m.core.responseTimes.receivedAt[token]), "target %d at %s", token, m.address)
 		}
 	}
 }
@@ -183,9 +183,9 @@
 	token := b.targets[0].Token
 	core := b.leader.core
 	core.recordSums(b.now, "gone", []speed.Report{{Token: token, Sums: speed.Sums{Count: 1000, Total: 1000, Squares: 1000}}})
-	require.Greater(t, core.speeds.memberSums.Total(b.now, token).Count, 1000.0)
+	require.Greater(t, core.responseTimes.memberSums.Total(b.now, token).Count, 1000.0)
 	b.reportTimes(speed.SweepInterval)
-	assert.Less(t, core.speeds.memberSums.Total(b.now, token).Count, 500.0)
+	assert.Less(t, core.responseTimes.memberSums.Total(b.now, token).Count, 500.0)
 }
 
 // Samples of nodes that left a member must leave the leader's sums too.
@@ -193,13 +193,13 @@
 	b := newResponseTimeFixture(t)
 	b.reportTimes(10 * time.Second)
 	token, m := b.targets[0].Token, b.reporters[0]
-	before := b.leader.core.speeds.memberSums.Total(b.now, token).Count
+	before := b.leader.core.responseTimes.memberSums.Total(b.now, token).Count
 	for node := 0; node < fixtureNodes; node += len(b.reporters) {
 		m.core.Unsubscribe(b.subscribe(m, node))
 	}
 	b.run(speed.SweepInterval + 2*responseTimeInterval)
 	maxShare := 1 - 1/float64(len(b.reporters))
-	assert.Less(t, b.leader.core.speeds.memberSums.Total(b.now, token).Count, maxShare*before)
+	assert.Less(t, b.leader.core.responseTimes.memberSums.Total(b.now, token).Count, maxShare*before)
 }
 
 // A single node with false reports must move a step only slightly.
@@ -216,7 +216,7 @@
 		b.reportTimes(responseTimeInterval)
 	}
 	for _, target := range b.targets[:6] {
-		ratio := m.core.speeds.steps[target.Token].TimeRatio() / m.core.speeds.steps[b.targets[7].Token].TimeRatio()
+		ratio := m.core.responseTimes.steps[target.Token].TimeRatio() / m.core.responseTimes.steps[b.targets[7].Token].TimeRatio()
 		assert.InEpsilon(t, b.timeRatios[target.Token]/b.timeRatios[b.targets[7].Token], ratio, 0.3)
 	}
 }
@@ -228,7 +228,7 @@
 	for token := range directory.Token(10_000) {
 		m.core.RecordResponseTimes(b.now, b.subscribe(m, 1), []speed.Report{{Token: token, Sums: speed.Sums{Count: 1}}})
 	}
-	assert.Empty(t, m.core.speeds.nodeSums.Tokens())
+	assert.Empty(t, m.core.responseTimes.nodeSums.Tokens())
 }
 
 // Even if all of 36,000 targets change constantly, a node must get at most 3 kB/s and still
--- a/internal/registry/start_test.go
+++ b/internal/registry/start_test.go
@@ -62,9 +62,9 @@
 func checkRefused(t *testing.T, c *cluster, m *machine, late directory.Command) {
 	t.Helper()
 	token := func() directory.Token { target, _ := m.core.State().Target("i-1"); return target.Token }()
-	lastHeartbeat := m.core.liveness.status(token).lastHeartbeat
+	lastHeartbeat := m.core.liveness.target(token).lastHeartbeat
 	m.core.RecordHeartbeat(c.now, late.Target.Start())
-	assert.Equal(t, lastHeartbeat, m.core.liveness.status(token).lastHeartbeat, "must not count as a heartbeat of the later start")
+	assert.Equal(t, lastHeartbeat, m.core.liveness.target(token).lastHeartbeat, "must not count as a heartbeat of the later start")
 	require.False(t, m.core.IsRegistered(late.Target))
 	_, _, err := m.core.Register(c.now, late.Target)
 	var problem *directory.Problem
@@ -102,7 +102,7 @@
 }
 
 // With long heartbeat intervals the holder's last heartbeat may be older than
-// addressHoldTime; requests of processes started before the holder must still be refused.
+// addressHoldTime. Processes started before the holder must still be refused.
 func TestOlderProcessCannotTakeAddressOfRecentHolder(t *testing.T) {
 	for _, test := range []struct {
 		born  uint64
--- a/internal/registry/startfaults_test.go
+++ b/internal/registry/startfaults_test.go
@@ -37,7 +37,8 @@
 	lastBorn     uint64
 }
 
-// submitAsProcess submits a command in the same way as Process.
+// submitAsProcess submits a command in the same way as Process.HandleHeartbeat and
+// Process.EndTarget.
 func (r *startRun) submitAsProcess(m *machine, command directory.Command) {
 	if command.Kind == directory.CommandPutTarget {
 		m.core.RecordHeartbeat(r.now, command.Target.Start())
@@ -83,7 +84,7 @@
 	r.submitAsProcess(m, command)
 }
 
-// collectAcknowledged records the acknowledged commands.
+// collectAcknowledged records the targets of acknowledged commands.
 func (r *startRun) collectAcknowledged() {
 	var remaining []submittedCommand
 	for _, submitted := range r.pending {
--- a/internal/registry/streams.go
+++ b/internal/registry/streams.go
@@ -82,7 +82,7 @@
 	p.mutex.Unlock()
 	queue := ring.New[wire.Frame](nodeQueueCapacity)
 	go p.writeNode(connection, queue)
-	p.inputs.Push(nodeOpened{connection: id, subscribe: subscribe, queue: queue})
+	p.inputs.Push(subscribeInput{connection: id, subscribe: subscribe, queue: queue})
 	for {
 		frame, err := wire.ReadFrame(reader)
 		if err != nil {
@@ -90,7 +90,7 @@
 		}
 		p.receiveFromNode(id, frame)
 	}
-	p.inputs.Push(nodeClosed{connection: id})
+	p.inputs.Push(unsubscribeInput{connection: id})
 }
 
 // refer sends a node its referral without involving the core.
@@ -110,7 +110,7 @@
 	case wire.FrameRoom:
 		p.receiveLinkReport(connection, frame)
 	case wire.FrameSpeeds:
-		p.receiveSpeeds(connection, frame)
+		p.receiveResponseTimes(connection, frame)
 	case wire.FrameSubscribe:
 		p.receiveStrength(connection, frame)
 	}
@@ -126,25 +126,25 @@
 	p.inputs.TryPush(evidenceInput{connection: connection, evidence: evidence})
 }
 
-// receiveSpeeds processes a node's report of target response times. It may be dropped under
-// load, since the next report replaces it.
-func (p *Process) receiveSpeeds(connection ConnectionID, frame wire.Frame) {
+// receiveResponseTimes processes a node's report of target response times. The report may be
+// dropped under load, since the next one replaces it.
+func (p *Process) receiveResponseTimes(connection ConnectionID, frame wire.Frame) {
 	report, err := speed.Decode(frame.Payload)
 	if err != nil {
 		p.logger.Sampled(eventlog.BadFrame, "connection", connection, "kind", frame.Kind, "err", err)
 		return
 	}
-	p.inputs.TryPush(speedsInput{connection: connection, words: report.Reports})
+	p.inputs.TryPush(responseTimesInput{connection: connection, reports: report.Reports})
 }
 
-type speedsInput struct {
+type responseTimesInput struct {
 	connection ConnectionID
-	words      []speed.Report
+	reports    []speed.Report
 }
 
-func (i speedsInput) handle(p *Process, now kernel.Instant) Output {
+func (i responseTimesInput) handle(p *Process, now kernel.Instant) Output {
 	if p.core != nil {
-		p.core.RecordResponseTimes(now, i.connection, i.words)
+		p.core.RecordResponseTimes(now, i.connection, i.reports)
 	}
 	return Output{}
 }
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -11,8 +11,8 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// weightInterval is the time between two computations of the weights while nobody needs
-// them. It batches the changes when many nodes subscribe at once.
+// weightInterval is the minimum time between two computations of the weights that nothing
+// but the log needs. It batches the changes when many nodes subscribe at once.
 const weightInterval = time.Second
 
 // strengthTable holds the weights of the nodes that follow this member.
@@ -41,8 +41,8 @@
 	return c.takeOutput()
 }
 
-// tickStrengths recomputes stale weights now and then, so that an implausible strength is
-// logged even if nobody needs the weights.
+// tickStrengths recomputes stale weights at most once per weightInterval, so that an
+// implausible strength is logged even if the weights are not used.
 func (c *Core) tickStrengths(now kernel.Instant) {
 	if c.strengths.isStale && now.Sub(c.strengths.computedAt) >= weightInterval {
 		c.strengths.computedAt = now
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -20,7 +20,7 @@
 // resourcesSize is the encoded size of the strength at the end of a subscription.
 const resourcesSize = 32
 
-// Subscriptions of older nodes end before the strength.
+// The subscriptions of older nodes end before the strength.
 func TestSubscriptionWithoutStrength(t *testing.T) {
 	subscribe := Subscribe{Node: "edge-1", Zone: "north", HeartbeatAddress: "10.0.0.1:1", CachesVerdicts: true, Strength: strength.Resources{CPUShare: 0.25, CPUCores: 2}}
 	payload := subscribe.Frame().Payload
@@ -67,7 +67,7 @@
 	assert.InDelta(t, weak, counts[directory.NodeKey("edge-8")], targets/15, "a node without a strength counts as the median")
 }
 
-// A node with a lower strength must not take targets from other nodes.
+// A node whose strength drops must not take targets from other nodes.
 func TestStrengthChangeKeepsOtherStewards(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := leaderWithShares(c, 0.1, 0.1, 0.1, 0.1, 0.1, 0.2)
@@ -152,7 +152,7 @@
 		disk  int64
 		fills bool
 	}{{0, false}, {held * 2, false}, {held * 3 / 2, false}, {held + held/10, true}, {held * 3 / 2, true}, {held * 2, false}, {held * 3 / 2, false}, {held, true}, {0, false}} {
-		process.handleBatch([]input{changeInput{next: hosting.Changeable{Strength: strength.Resources{Disk: test.disk}}}})
+		process.handleBatch([]input{settingsInput{next: hosting.Changeable{Strength: strength.Resources{Disk: test.disk}}}})
 		assert.Equal(t, test.fills, process.diskNearlyFull, "%d of %d", held, test.disk)
 	}
 	assert.NoError(t, disk.Close())
--- a/internal/registry/targetrule.go
+++ b/internal/registry/targetrule.go
@@ -56,8 +56,8 @@
 }
 
 // SetTargetRule sets whether a target is judged, ejected or exempt. It returns once a
-// quorum has the rule on disk. It fails when another rule for the target was committed
-// after this call; that rule then applies.
+// quorum has the rule on disk. It fails if another rule for the target is committed first;
+// that rule then applies.
 func (p *Process) SetTargetRule(ctx context.Context, id string, rule directory.TargetRule) error {
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
 		order := directory.TargetOrder{ID: id, Rule: rule, Revision: core.State().TargetOrder(id).Revision}
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// targetStatuses returns the targets that are not in the default state, and the one with
-// the given ID.
+// targetStatuses returns the ready targets that are not in the default state, and the one
+// with the given ID if it is ready.
 func (c *Core) targetStatuses(id string) []TargetStatus {
 	verdicts := c.liveness.verdicts.Verdicts
 	var targets []TargetStatus
--- a/internal/registry/upload_test.go
+++ b/internal/registry/upload_test.go
@@ -90,7 +90,7 @@
 	return decision.Action
 }
 
-// acknowledge updates what the caller knows and sends more packets.
+// acknowledge tells the caller which packets the target has, and sends more.
 func (u *upload) acknowledge() {
 	if u.ended || slices.Equal(u.received, u.confirmed) {
 		return
@@ -133,8 +133,8 @@
 	})
 }
 
-// answered lets the caller acknowledge the target's answer, and then reuse or close the
-// flow.
+// answered lets the caller acknowledge the target's answer, unless the target has died, and
+// then reuse or close the flow.
 func (u *upload) answered() {
 	b := u.simulation
 	if b.dead[u.token] {
--- a/internal/registry/versionrule.go
+++ b/internal/registry/versionrule.go
@@ -54,8 +54,8 @@
 }
 
 // SetVersionRule sets whether a version of a service is judged, held or released. It
-// returns once a quorum has the rule on disk. It fails when another rule for the version
-// was committed after this call; that rule then applies.
+// returns once a quorum has the rule on disk. It fails if another rule for the version is
+// committed first; that rule then applies.
 func (p *Process) SetVersionRule(ctx context.Context, version directory.ServiceVersion, rule directory.VersionRule) error {
 	result, err := p.call(ctx, func(core *Core, now kernel.Instant) (Ticket, Output) {
 		order := directory.VersionOrder{ServiceVersion: version, Rule: rule, Revision: core.State().VersionOrder(version).Revision}
--- a/internal/registry/versionrule_test.go
+++ b/internal/registry/versionrule_test.go
@@ -15,7 +15,7 @@
 )
 
 // newTwoVersionFixture returns a group with one service, half of whose targets in each zone
-// have a new version, and the tokens of these targets.
+// have the newer version, and the tokens of these targets.
 func newTwoVersionFixture(t *testing.T) (*outcomeFixture, []directory.Token) {
 	b := &outcomeFixture{cluster: newCluster(t, 5, 3), failing: map[directory.Token]bool{}}
 	b.leader = b.waitForLeader()
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// WarmupLimits limit the new flows of a cold target per second to Factor times its rate
-// plus Slack.
+// WarmupLimits limit the budget of a cold target, in new flows per second, to Factor times
+// its rate plus Slack.
 type WarmupLimits struct{ Factor, Slack float64 }
 
 const (
@@ -56,8 +56,8 @@
 	minWarmupSweep = 256
 )
 
-// warmupTable tracks until when targets are cold, on this member's clock. Warm-ups loaded
-// from disk or from a snapshot count from when they were loaded.
+// warmupTable tracks when warm-ups started on this member's clock. Those loaded from disk or
+// from a snapshot count from when they were loaded.
 type warmupTable struct {
 	loadedAt  kernel.Instant
 	startedAt map[directory.Token]kernel.Instant
@@ -88,8 +88,8 @@
 
 // remaining returns how much longer a target is cold.
 func (w *warmupTable) remaining(now kernel.Instant, target directory.Target) time.Duration {
-	since, noted := w.startedAt[target.Token]
-	if !noted {
+	since, known := w.startedAt[target.Token]
+	if !known {
 		since = w.loadedAt
 	}
 	return target.Warmup.Remaining - now.Sub(since)
@@ -98,8 +98,8 @@
 // remainingInZone returns how much longer the targets of a zone whose evacuation ended are
 // cold.
 func (w *warmupTable) remainingInZone(now kernel.Instant, zone string, warmup directory.Warmup) time.Duration {
-	since, noted := w.reopenedAt[zone]
-	if !noted {
+	since, known := w.reopenedAt[zone]
+	if !known {
 		since = w.loadedAt
 	}
 	return warmup.Remaining - now.Sub(since)
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -125,7 +125,7 @@
 }
 
 // When a whole fleet starts cold, a sweep for each target would make the cost quadratic.
-func TestWarmupTableSweepsRarely(t *testing.T) {
+func TestWarmupTableIsSweptRarely(t *testing.T) {
 	const targets = 20_000
 	now := kernel.Instant(time.Minute)
 	table := newWarmupTable(now)
@@ -141,8 +141,8 @@
 	assert.LessOrEqual(t, sweeps, 7, "each at twice the size of the previous one")
 }
 
-// A restarted member without state does not know the budget, so that all nodes would send
-// flows to a cold target that it registers.
+// A restarted member that is not current does not know the budget. If it registered a cold
+// target, all nodes would send flows there.
 func TestStaleMemberRegistersNoColdTarget(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leaderWithNodes(c, 4)
--- a/internal/registry/zones_test.go
+++ b/internal/registry/zones_test.go
@@ -71,12 +71,12 @@
 	for seed := range uint64(15) {
 		c := newZonedCluster(t, seed, 9)
 		for round := range 4 {
-			victims := c.membersInZone(fmt.Sprint("zone-", (round+int(seed))%testZones))
-			for _, name := range victims[:2] {
+			names := c.membersInZone(fmt.Sprint("zone-", (round+int(seed))%testZones))
+			for _, name := range names[:2] {
 				c.wipe(name)
 			}
 			c.run(4 * time.Second)
-			for _, name := range victims[:2] {
+			for _, name := range names[:2] {
 				c.start(name)
 			}
 			c.waitForSpread()
@@ -127,7 +127,7 @@
 // Moving a voter must never reduce the number of voters.
 func TestMovingVoterKeepsVoterCount(t *testing.T) {
 	c := newZonedCluster(t, 1, 9)
-	fewest := c.voterCount
+	minVoters := c.voterCount
 	c.kill(c.membersInZone("zone-0")[0], true)
 	c.kill(c.membersInZone("zone-0")[1], true)
 	c.kill(c.membersInZone("zone-0")[2], true)
@@ -137,11 +137,11 @@
 		c.start(name)
 	}
 	c.runUntil(15*time.Second, "the voters are spread", func() bool {
-		fewest = min(fewest, len(c.voters()))
+		minVoters = min(minVoters, len(c.voters()))
 		leader := c.leader()
 		return leader != nil && len(c.voters()) == 5 && leader.core.ToleratesZoneLoss()
 	})
-	assert.Equal(t, 5, fewest)
+	assert.Equal(t, 5, minVoters)
 	assert.Positive(t, c.events[eventlog.ZoneToleranceChanged])
 }
 
--- a/scripts/ablation/mechanisms.py
+++ b/scripts/ablation/mechanisms.py
@@ -26,7 +26,7 @@
     "remembered-targets": [("internal/registry/nodes.go", "\tc.sendRemembered(now, connection)\n", "")],
     "release-window": [(WAITLIST, "releaseWindow = 6", "releaseWindow = 1000")],
     "suspicion": [(SETTINGS, "SuspectAfter:    3200 * time.Millisecond", "SuspectAfter:    3200 * time.Hour")],
-    "lost-verdict": [(LIVENESS, "if c.isLost(now, target, status) {", "if false && c.isLost(now, target, status) {")],
+    "lost-verdict": [(LIVENESS, "if c.isLost(now, target, liveness) {", "if false && c.isLost(now, target, liveness) {")],
     "questions": [(LIVENESS, "queryDuration = 250 * time.Millisecond", "queryDuration = 0 * time.Millisecond")],
     "half-of-all": [(LIVENESS, "verdictShareDivisor = 2", "verdictShareDivisor = 1")],
     "two-observers": [(LIVENESS, "minSilentNodes = 2", "minSilentNodes = 1")],
