--- a/internal/registry/announcer.go
+++ b/internal/registry/announcer.go
@@ -47,9 +47,9 @@
 	// queue holds this member's subscribers and nodes reported by other members until they
 	// are added to the roster.
 	queue *ring.Ring[rosterEntry]
-	// announcedOnce is set after the first announcement, and wasCurrent once the member has
-	// been current. Both belong to the goroutine that owns the core.
-	announcedOnce, wasCurrent bool
+	// announcedOnce is set once an announcement has been due, and hasBeenCurrent once the
+	// member has been current. Both belong to the goroutine that owns the core.
+	announcedOnce, hasBeenCurrent bool
 	// announcing is set while announcements are being sent.
 	announcing atomic.Bool
 
@@ -210,9 +210,9 @@
 // the member first becomes current, unless an announcement is still running.
 func (a *announcer) announceIfDue(now kernel.Instant, core *Core) {
 	isCurrent := core.IsCurrent(now)
-	due := !a.announcedOnce || isCurrent && !a.wasCurrent
+	due := !a.announcedOnce || isCurrent && !a.hasBeenCurrent
 	a.announcedOnce = true
-	a.wasCurrent = a.wasCurrent || isCurrent
+	a.hasBeenCurrent = a.hasBeenCurrent || isCurrent
 	if !due || len(a.previousNodes) == 0 || !a.announcing.CompareAndSwap(false, true) {
 		return
 	}
--- a/internal/registry/lossdetection_test.go
+++ b/internal/registry/lossdetection_test.go
@@ -25,7 +25,8 @@
 	ejected bool
 }
 
-// timeUntilLost lets a target die, with or without outlier ejection.
+// timeUntilLost lets a target die, with or without outlier ejection, and returns how the
+// death was detected.
 func timeUntilLost(t *testing.T, seed uint64, test deathCase, withEjection bool) detection {
 	b := newUploadSimulation(newCluster(t, 300+seed, 3), 6, deathTestNodes, test.callers)
 	b.packets = test.packets
--- a/internal/registry/metrics.go
+++ b/internal/registry/metrics.go
@@ -31,8 +31,8 @@
 	voters       prometheus.Gauge
 	// votersMissing is the number of voters missing for the configured tolerance.
 	votersMissing prometheus.Gauge
-	// bearsLostZones is 1 while the voters tolerate the loss of LostZones zones.
-	bearsLostZones prometheus.Gauge
+	// toleratesZoneLoss is 1 while a quorum survives the loss of any LostZones zones.
+	toleratesZoneLoss prometheus.Gauge
 	// requestSeconds is the duration of calls in seconds.
 	requestSeconds prometheus.Histogram
 	// saveSeconds is the time to persist a batch in seconds.
@@ -67,7 +67,7 @@
 		versionsHeld:         set.Gauge("versions_held", "versions of services whose targets get trial flows only, at the leader"),
 		voters:               set.Gauge("voters", "voters of the group that this member knows of"),
 		votersMissing:        set.Gauge("voters_missing", "voters that the stated tolerance needs and the group has not"),
-		bearsLostZones:       set.Gauge("bears_lost_zones", "1 while a quorum is left after the loss of the zones that must be borne"),
+		toleratesZoneLoss:    set.Gauge("bears_lost_zones", "1 while a quorum is left after the loss of the zones that must be borne"),
 		requestSeconds:       set.Seconds("request_seconds", "time from a call to its outcome"),
 		saveSeconds:          set.Seconds("save_seconds", "time of the disk to make a batch last"),
 		frameBytes:           set.CounterVec("frame_bytes_total", "bytes of frames sent to members and nodes", "kind"),
@@ -82,7 +82,7 @@
 // observe sets the gauges from the state of the core.
 func (m *metrics) observe(core *Core) {
 	m.leader.Set(gaugeValue(core.IsLeader()))
-	m.bearsLostZones.Set(gaugeValue(core.ToleratesZoneLoss()))
+	m.toleratesZoneLoss.Set(gaugeValue(core.ToleratesZoneLoss()))
 	m.term.Set(float64(core.replica.Term))
 	m.revision.Set(float64(core.state.Revision()))
 	m.version.Set(float64(core.state.Configuration().Version))
--- a/internal/registry/speeds.go
+++ b/internal/registry/speeds.go
@@ -64,8 +64,8 @@
 	// member learned of it.
 	leader      string
 	leaderSince kernel.Instant
-	// term is that of the leader whose steps these are. Targets that take the usual time
-	// have no entry in steps.
+	// term is that of the leader whose steps these are. Targets that take the usual time of
+	// their service have no entry in steps.
 	term  uint64
 	steps map[directory.Token]speed.Step
 	// receivedAt is when each step was last received.
--- a/internal/registry/streams.go
+++ b/internal/registry/streams.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// serve reads frames from another member, or serves a node if one subscribes.
+// serve reads frames from another member, or serves a node that subscribes or an operator.
 func (p *Process) serve(connection net.Conn) {
 	done := make(chan struct{})
 	defer close(done)
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -165,7 +165,7 @@
 		process.heartbeatDistributor.AddNode(uint64(connection), "north", address)
 		process.heartbeatDistributor.SetStrength(uint64(connection), strength.Resources{CPUShare: 0.1})
 	}
-	second := func(call int) (count int) {
+	assignedToSecond := func(call int) (count int) {
 		for number := range 400 {
 			if process.heartbeatDistributor.Assign("north", fmt.Sprint("i-", call, number)) == "10.0.0.2:1" {
 				count++
@@ -173,7 +173,7 @@
 		}
 		return count
 	}
-	assert.InDelta(t, 200, second(1), 60)
+	assert.InDelta(t, 200, assignedToSecond(1), 60)
 	frame := Subscribe{Node: "edge-2", Strength: strength.Resources{CPUShare: 0.7}}.Frame()
 	process.receiveStrength(1, wire.Frame{Kind: wire.FrameEvidence, Payload: frame.Payload})
 	process.receiveStrength(1, wire.Frame{Kind: wire.FrameSubscribe, Payload: []byte{0}})
@@ -181,5 +181,5 @@
 	batch, _ := process.inputs.PopBatch(nil, 10)
 	require.Len(t, batch, 1, "malformed and other frames are ignored")
 	process.handleBatch(batch)
-	assert.InDelta(t, 350, second(2), 40)
+	assert.InDelta(t, 350, assignedToSecond(2), 40)
 }
