--- a/internal/registry/nodes.go
+++ b/internal/registry/nodes.go
@@ -37,8 +37,8 @@
 	// waitingSince is when the node began to wait for its initial state.
 	waitingSince  kernel.Instant
 	nextKeepalive kernel.Instant
-	// current and verdicts are whether this member was current at the last keepalive, and
-	// its verdicts then.
+	// current is whether this member was current at the last keepalive, and verdicts are
+	// the ones it had then.
 	current  bool
 	verdicts directory.Verdicts
 	// cachesVerdicts is set for a node that keeps the last verdicts, and verdictsSent when
--- a/internal/registry/openings.go
+++ b/internal/registry/openings.go
@@ -33,7 +33,7 @@
 	// avoided. It is well above what links with 10 % packet loss cause.
 	zoneRefusedShare = 0.6
 	// zoneAvoidTime is how long a zone is avoided. The time doubles, up to maxZoneAvoidTime,
-	// if the zone refuses again within zoneAvoidTime after the end of the last avoidance.
+	// if the zone refuses again within zoneAvoidTime after it was last avoided.
 	zoneAvoidTime    = time.Second
 	maxZoneAvoidTime = 2 * time.Second
 )
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -162,8 +162,8 @@
 	req.result = result
 }
 
-// completeAnswered completes the requests up to whose result this member has applied the
-// log.
+// completeAnswered completes the answered requests once this member has applied the log up
+// to the revision of their results.
 func (c *Core) completeAnswered(now kernel.Instant) {
 	if len(c.requests) == 0 {
 		return
--- a/internal/registry/strengths.go
+++ b/internal/registry/strengths.go
@@ -11,8 +11,8 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// weightInterval is the minimum time between two computations of the weights that nothing
-// but the log needs. It batches the changes when many nodes subscribe at once.
+// weightInterval is the minimum time between two computations of the weights in
+// tickStrengths. It batches the changes when many nodes subscribe at once.
 const weightInterval = time.Second
 
 // strengthTable holds the weights of the nodes that follow this member.
