--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -13,22 +13,22 @@
 	n.electionAt = now.Add(timeout + spread)
 }
 
-// preVoteRetryDivisor gives the time between two requests for pre-votes as a
-// part of the election timeout.
+// preVoteRetryDivisor is the ratio of the election timeout to the pre-vote retry
+// interval.
 const preVoteRetryDivisor = 12
 
-// retryPreVoteSoon asks again before a whole election timeout has passed. A
-// pre-vote changes nothing, and most refusals end within that time: after a
-// restart of the whole group the others are bound for the rest of it.
-func (n *Node) retryPreVoteSoon(now kernel.Instant) {
+// schedulePreVoteRetry schedules another pre-vote well before a full election timeout.
+// Pre-votes change no term, and rejections are often temporary: a restarted voter, for
+// example, withholds votes only for the rest of its election timeout.
+func (n *Node) schedulePreVoteRetry(now kernel.Instant) {
 	pause := n.settings.ElectionTimeout / preVoteRetryDivisor
 	spread := time.Duration(n.settings.Random.Int64N(int64(pause)))
 	n.electionAt = now.Add(pause + spread)
 }
 
-// bound reports whether this member may not vote yet: it hears from a leader,
-// or it restarted so recently that it may have promised one its support.
-func (n *Node) bound(now kernel.Instant) bool {
+// mustWithholdVote reports whether this member must deny votes: it has heard from a
+// leader within the election timeout, or may have done so shortly before a restart.
+func (n *Node) mustWithholdVote(now kernel.Instant) bool {
 	if n.settings.Mechanisms.NoStickiness {
 		return false
 	}
@@ -42,9 +42,9 @@
 	return n.heardLeader && now.Sub(n.leaderContact) < n.settings.ElectionTimeout
 }
 
-// upToDate reports whether the candidate's log is no older than this one's
-// (Raft paper, section 5.4.1).
-func (n *Node) upToDate(message Message) bool {
+// candidateIsUpToDate reports whether the candidate's log is at least as up to date as
+// this member's log (Raft paper, section 5.4.1).
+func (n *Node) candidateIsUpToDate(message Message) bool {
 	if message.LogTerm != n.log.lastTerm() {
 		return message.LogTerm > n.log.lastTerm()
 	}
@@ -59,28 +59,28 @@
 	n.role = PreCandidate
 	n.leader = NoMember
 	n.votes = map[MemberID]bool{n.settings.ID: true}
-	if n.won() {
+	if n.hasVoteQuorum() {
 		n.becomeCandidate(now)
 		return
 	}
-	n.askForVotes(MessagePreVote, n.hard.Term+1)
+	n.requestVotes(MessagePreVote, n.hard.Term+1)
 }
 
 func (n *Node) becomeCandidate(now kernel.Instant) {
 	n.role = Candidate
 	n.leader = NoMember
 	n.hard = HardState{Term: n.hard.Term + 1, Vote: n.settings.ID}
-	n.hardChanged = true
+	n.hardStateChanged = true
 	n.votes = map[MemberID]bool{n.settings.ID: true}
 	n.resetElectionTimer(now)
-	if n.won() {
+	if n.hasVoteQuorum() {
 		n.becomeLeader(now)
 		return
 	}
-	n.askForVotes(MessageVote, n.hard.Term)
+	n.requestVotes(MessageVote, n.hard.Term)
 }
 
-func (n *Node) askForVotes(kind MessageKind, term uint64) {
+func (n *Node) requestVotes(kind MessageKind, term uint64) {
 	for _, id := range without(n.membership.Voters, n.settings.ID) {
 		n.send(Message{
 			Kind:     kind,
@@ -92,7 +92,7 @@
 	}
 }
 
-func (n *Node) won() bool {
+func (n *Node) hasVoteQuorum() bool {
 	granted := 0
 	for _, id := range n.membership.Voters {
 		if n.votes[id] {
@@ -104,11 +104,11 @@
 
 func (n *Node) becomeFollower(now kernel.Instant, term uint64, leader MemberID) {
 	if n.role == Leader {
-		n.ledUntil = n.quorumContact(now)
+		n.lastQuorumAsLeader = n.quorumContact(now)
 	}
 	if term != n.hard.Term {
 		n.hard = HardState{Term: term}
-		n.hardChanged = true
+		n.hardStateChanged = true
 	}
 	n.role = Follower
 	n.leader = leader
@@ -123,11 +123,11 @@
 	n.electedAt = now
 	n.peers = map[MemberID]*progress{}
 	n.electedIndex = n.log.lastIndex() + 1
-	n.appendOwn(now, EntryNoOp, nil)
+	n.appendAsLeader(now, EntryNoOp, nil)
 }
 
 func (n *Node) handlePreVote(now kernel.Instant, message Message) {
-	granted := message.Term > n.hard.Term && !n.bound(now) && n.upToDate(message) && n.pledge(now, message.From)
+	granted := message.Term > n.hard.Term && !n.mustWithholdVote(now) && n.candidateIsUpToDate(message) && n.grantPreVote(now, message.From)
 	reply := Message{Kind: MessagePreVoteReply, To: message.From, Reject: !granted}
 	if granted {
 		reply.Term = message.Term
@@ -135,32 +135,31 @@
 	n.send(reply)
 }
 
-// pledge promises a pre-vote to one member at a time, and puts off this one's own
-// request meanwhile. Members that have waited for the same third one would
-// otherwise get its support together, become candidates together and split the
-// vote.
-func (n *Node) pledge(now kernel.Instant, to MemberID) bool {
-	if n.pledgedTo != to && now.Before(n.pledgedUntil) {
+// grantPreVote grants a pre-vote to one member at a time and postpones this member's
+// own pre-vote. Granting several at once would let their senders become candidates
+// together and split the vote.
+func (n *Node) grantPreVote(now kernel.Instant, to MemberID) bool {
+	if n.preVotedFor != to && now.Before(n.preVoteUntil) {
 		return false
 	}
-	n.pledgedTo = to
-	n.pledgedUntil = now.Add(n.settings.ElectionTimeout / preVoteRetryDivisor)
+	n.preVotedFor = to
+	n.preVoteUntil = now.Add(n.settings.ElectionTimeout / preVoteRetryDivisor)
 	if n.role == PreCandidate {
-		n.retryPreVoteSoon(now)
+		n.schedulePreVoteRetry(now)
 	}
 	return true
 }
 
 func (n *Node) handleVote(now kernel.Instant, message Message) {
-	if message.Term < n.hard.Term || n.bound(now) {
+	if message.Term < n.hard.Term || n.mustWithholdVote(now) {
 		n.send(Message{Kind: MessageVoteReply, To: message.From, Reject: true})
 		return
 	}
 	free := n.hard.Vote == NoMember || n.hard.Vote == message.From
-	granted := message.Term == n.hard.Term && free && n.upToDate(message)
+	granted := message.Term == n.hard.Term && free && n.candidateIsUpToDate(message)
 	if granted {
 		n.hard.Vote = message.From
-		n.hardChanged = true
+		n.hardStateChanged = true
 		n.resetElectionTimer(now)
 	}
 	n.send(Message{Kind: MessageVoteReply, To: message.From, Reject: !granted})
@@ -173,7 +172,7 @@
 		return
 	}
 	n.votes[message.From] = true
-	if !n.won() {
+	if !n.hasVoteQuorum() {
 		return
 	}
 	if preVote {
@@ -183,8 +182,8 @@
 	n.becomeLeader(now)
 }
 
-// quorumContact returns the newest instant at which a quorum of voters is
-// known to have heard from this leader.
+// quorumContact returns the latest instant at which a quorum of voters is known to
+// have been in contact with this leader.
 func (n *Node) quorumContact(now kernel.Instant) kernel.Instant {
 	var contacts []kernel.Instant
 	for _, id := range n.membership.Voters {
@@ -192,7 +191,7 @@
 			contacts = append(contacts, now)
 			continue
 		}
-		contacts = append(contacts, n.peer(id).acked)
+		contacts = append(contacts, n.peer(id).ackedSentAt)
 	}
 	if len(contacts) == 0 {
 		return now
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -15,7 +15,7 @@
 	return term
 }
 
-// term returns the term of the entry at index, and false if it is not held.
+// term returns the term of the entry at index, or false if the log does not hold it.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
@@ -26,7 +26,7 @@
 	return l.entries[index-l.firstIndex()].Term, true
 }
 
-// slice returns the entries from first to last, both included.
+// slice returns the entries from first to last inclusive, or nil if the range is not held.
 func (l *entryLog) slice(first, last uint64) []Entry {
 	if first < l.firstIndex() || first > last || last > l.lastIndex() {
 		return nil
@@ -34,7 +34,7 @@
 	return l.entries[first-l.firstIndex() : last-l.firstIndex()+1]
 }
 
-// truncate drops the entry at index and all that follow.
+// truncate removes the entry at index and all later entries.
 func (l *entryLog) truncate(index uint64) {
 	if index < l.firstIndex() {
 		l.entries = nil
@@ -48,7 +48,8 @@
 
 func (l *entryLog) append(entries ...Entry) { l.entries = append(l.entries, entries...) }
 
-// compact replaces the entries up to the snapshot's index by the snapshot.
+// compact discards the entries that the snapshot covers. If the log conflicts with
+// the snapshot, later entries are discarded too.
 func (l *entryLog) compact(snapshot Snapshot) {
 	if snapshot.Index <= l.snapshot.Index {
 		return
@@ -61,8 +62,8 @@
 	l.entries = rest
 }
 
-// membership returns the newest membership in the log or the snapshot, and
-// the index at which it stands.
+// membership returns the newest membership in the log or the snapshot, and the
+// index of the entry that set it. Raft uses it whether or not it is committed.
 func (l *entryLog) membership() (Membership, uint64) {
 	for i := len(l.entries) - 1; i >= 0; i-- {
 		if l.entries[i].Kind != EntryMembership {
@@ -75,7 +76,7 @@
 	return l.snapshot.Membership, l.snapshot.Index
 }
 
-// membershipAt returns the membership in force at index.
+// membershipAt returns the membership in effect at index.
 func (l *entryLog) membershipAt(index uint64) Membership {
 	for i := len(l.entries) - 1; i >= 0; i-- {
 		entry := l.entries[i]
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -7,24 +7,22 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// Membership is the set of members at one point of the log. It also holds the
-// identity of each member's data folder: a member that lost its disk has
-// forgotten its votes and what it acknowledged, and comes back with another
-// identity, so that nobody who knows it as a member counts it.
+// Membership is the set of members at one log position. It records the identity of
+// each member's data directory: a member that lost its disk has also lost its votes
+// and acknowledgements, and its messages are rejected because its identity changed.
 type Membership struct {
 	Voters     []MemberID
 	Learners   []MemberID
 	Identities map[MemberID]uint64
-	// Addresses tells where members are reached. It stands in the log with the
-	// membership, so that members find each other after a restart of all,
-	// before anyone knows which entries are committed. It may be empty where
-	// the caller knows the addresses otherwise.
+	// Addresses holds the network addresses of the members. They are part of the log so
+	// that members can connect after a full restart, before any entry is known to be
+	// committed. It may be empty if the caller has the addresses from another source.
 	Addresses map[MemberID]string
-	// Highest is the highest ID that any member has had.
+	// Highest is the highest member ID ever assigned.
 	Highest MemberID
 }
 
-// NewMembership returns the membership of a new group of voters.
+// NewMembership returns a membership in which every given member is a voter.
 func NewMembership(identities map[MemberID]uint64) Membership {
 	var membership Membership
 	for _, id := range slices.Sorted(maps.Keys(identities)) {
@@ -33,15 +31,15 @@
 	return membership
 }
 
-// IsVoter reports whether the member votes.
+// IsVoter reports whether the member is a voter.
 func (m Membership) IsVoter(id MemberID) bool { return slices.Contains(m.Voters, id) }
 
-// Contains reports whether the member votes or learns.
+// Contains reports whether the member is a voter or a learner.
 func (m Membership) Contains(id MemberID) bool {
 	return m.IsVoter(id) || slices.Contains(m.Learners, id)
 }
 
-// Quorum returns the number of voters that decide.
+// Quorum returns the size of a majority of the voters.
 func (m Membership) Quorum() int { return len(m.Voters)/2 + 1 }
 
 func without(list []MemberID, id MemberID) []MemberID {
@@ -61,7 +59,7 @@
 	return append(slices.Clone(list), id)
 }
 
-// AddLearner returns the membership with one more learner.
+// AddLearner returns the membership with a learner added. An existing member is left unchanged.
 func (m Membership) AddLearner(id MemberID, identity uint64) Membership {
 	if m.Contains(id) {
 		return m
@@ -80,7 +78,7 @@
 	}
 }
 
-// WithAddress returns the membership with the address of a member.
+// WithAddress returns the membership with the address of a member set.
 func (m Membership) WithAddress(id MemberID, address string) Membership {
 	addresses := maps.Clone(m.Addresses)
 	if addresses == nil {
@@ -91,14 +89,14 @@
 	return m
 }
 
-// Promote returns the membership with a learner made a voter.
+// Promote returns the membership with a learner turned into a voter.
 func (m Membership) Promote(id MemberID) Membership {
 	m.Voters = with(m.Voters, id)
 	m.Learners = without(m.Learners, id)
 	return m
 }
 
-// Demote returns the membership with a voter made a learner.
+// Demote returns the membership with a voter turned into a learner.
 func (m Membership) Demote(id MemberID) Membership {
 	m.Voters = without(m.Voters, id)
 	m.Learners = with(m.Learners, id)
@@ -181,14 +179,14 @@
 	return addresses
 }
 
-// EncodeMembership returns the data of an EntryMembership.
+// EncodeMembership encodes a membership as the data of an EntryMembership.
 func EncodeMembership(membership Membership) []byte {
 	var encoder wire.Encoder
 	membership.encode(&encoder)
 	return encoder.Buffer
 }
 
-// DecodeMembership reads the data of an EntryMembership.
+// DecodeMembership decodes the data of an EntryMembership.
 func DecodeMembership(data []byte) (Membership, error) {
 	decoder := wire.NewDecoder(data)
 	membership := decodeMembership(decoder)
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -11,14 +11,14 @@
 // NoMember is the absent member.
 const NoMember MemberID = 0
 
-// EntryKind tells what a log entry holds.
+// EntryKind is the type of a log entry.
 type EntryKind uint8
 
 // The kinds of log entries.
 const (
-	// EntryNoOp is appended by a new leader (Raft paper, section 8).
+	// EntryNoOp is the empty entry that a new leader appends (Raft paper, section 8).
 	EntryNoOp EntryKind = iota
-	// EntryCommand holds a command of the state machine.
+	// EntryCommand holds a state machine command.
 	EntryCommand
 	// EntryMembership holds an encoded Membership.
 	EntryMembership
@@ -32,12 +32,12 @@
 	Data  []byte
 }
 
-// HardState must be on disk before a message that depends on it is sent.
+// HardState is persisted before any message that depends on it is sent.
 type HardState struct {
 	Term uint64
 	Vote MemberID
-	// Commit is the position up to which the log was known to be committed when this was
-	// written. It never falls, and nothing waits for it to be on disk.
+	// Commit is the commit index known at the time of writing. It never decreases, and
+	// does not need to be synced.
 	Commit uint64
 }
 
@@ -49,10 +49,10 @@
 	Data       []byte
 }
 
-// MessageKind tells the purpose of a message between members.
+// MessageKind is the type of a message between members.
 type MessageKind uint8
 
-// The kinds of messages between members.
+// The message kinds.
 const (
 	// MessagePreVote asks whether a vote would be granted (Raft thesis, section 9.6).
 	MessagePreVote MessageKind = iota + 1
@@ -62,44 +62,45 @@
 	MessageVote
 	// MessageVoteReply answers MessageVote.
 	MessageVoteReply
-	// MessageAppend carries entries, or none as a heartbeat.
+	// MessageAppend carries log entries; without entries it is a heartbeat.
 	MessageAppend
 	// MessageAppendReply answers MessageAppend.
 	MessageAppendReply
 	// MessageSnapshot carries one chunk of a snapshot.
 	MessageSnapshot
-	// MessageSnapshotReply asks for the chunk at Offset.
+	// MessageSnapshotReply requests the chunk at Offset.
 	MessageSnapshotReply
 )
 
-// Message travels between two members.
+// Message is a message between two members.
 type Message struct {
 	Kind MessageKind
 	From MemberID
 	To   MemberID
-	// Identity is the random number of the sender's data folder. A member
-	// that lost its disk has another one than the membership says and is not
-	// listened to.
+	// Identity is the random identity of the sender's data directory. Messages whose
+	// identity does not match the membership are dropped.
 	Identity uint64
 	Term     uint64
-	// LogIndex and LogTerm describe the entry before Entries, the last entry
-	// of a candidate, or the last entry of a snapshot.
+	// LogIndex and LogTerm identify the entry preceding Entries, the candidate's last
+	// entry, or the last entry covered by a snapshot. In a reply, LogIndex is the last
+	// matching index.
 	LogIndex uint64
 	LogTerm  uint64
 	Commit   uint64
 	Entries  []Entry
-	// Reject refuses a vote or an append; then LogIndex is a hint where to retry.
+	// Reject denies a vote or an append; for an append, LogIndex is then the index
+	// after which to retry.
 	Reject bool
-	// SentAt is the leader's clock when it sent an append; the reply echoes it.
+	// SentAt is the leader's clock when it sent the message; the reply echoes it.
 	SentAt kernel.Instant
-	// Offset, Data, Last and Membership belong to snapshots.
+	// Offset, Data, Last and Membership are used by snapshot messages.
 	Offset     uint64
 	Data       []byte
 	Last       bool
 	Membership Membership
 }
 
-// EncodeEntry returns the bytes of one entry, for the disk and the network.
+// EncodeEntry encodes an entry. The same format is used on disk and on the network.
 func EncodeEntry(entry Entry) []byte {
 	var encoder wire.Encoder
 	encodeEntry(&encoder, entry)
@@ -123,14 +124,14 @@
 	return entry
 }
 
-// DecodeEntry reads one entry and copies its data.
+// DecodeEntry decodes an entry. The result does not alias data.
 func DecodeEntry(data []byte) (Entry, error) {
 	decoder := wire.NewDecoder(data)
 	entry := decodeEntry(decoder)
 	return entry, decoder.Err("raft.decode_entry")
 }
 
-// EncodeMessage returns the bytes of one message.
+// EncodeMessage encodes a message.
 func EncodeMessage(message Message) []byte {
 	var encoder wire.Encoder
 	encoder.Uint8(uint8(message.Kind))
@@ -154,10 +155,10 @@
 	return encoder.Buffer
 }
 
-// smallestEntry is the size of an entry without data, in bytes.
-const smallestEntry = 21
+// minEntrySize is the encoded size of an entry without data, in bytes.
+const minEntrySize = 21
 
-// DecodeMessage reads one message.
+// DecodeMessage decodes a message. The result does not alias data.
 func DecodeMessage(data []byte) (Message, error) {
 	decoder := wire.NewDecoder(data)
 	message := Message{
@@ -176,7 +177,7 @@
 	}
 	message.Membership = decodeMembership(decoder)
 	message.Data = append([]byte(nil), decoder.Bytes()...)
-	for count := decoder.Count(smallestEntry); count > 0; count-- {
+	for count := decoder.Count(minEntrySize); count > 0; count-- {
 		message.Entries = append(message.Entries, decodeEntry(decoder))
 	}
 	return message, decoder.Err("raft.decode_message")
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -1,12 +1,12 @@
-// Package raft provides the deterministic core of the replicated log that
-// the control members share: leader election, replication, snapshots and
-// membership changes of one member at a time.
+// Package raft implements the Raft consensus algorithm as a deterministic state
+// machine: leader election with pre-vote, log replication, snapshots and
+// single-member membership changes.
 //
-// Source: D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus
-// Algorithm", 2014, and D. Ongaro, "Consensus: Bridging Theory and Practice",
-// 2014 (sections 4.1 membership, 6.4 reads, 9.6 pre-vote). The core does no
-// input or output; the caller persists what Ready returns before it sends the
-// messages that come with it.
+// References: D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus
+// Algorithm", 2014 (the Raft paper), and D. Ongaro, "Consensus: Bridging Theory and
+// Practice", 2014 (the Raft thesis; sections 4.1 membership changes, 6.4 reads,
+// 9.6 pre-vote). The package performs no I/O: the caller persists the contents of a
+// Ready before it sends the messages in it.
 package raft
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// Role is the role of a member in its term.
+// Role is the role of a member in the current term.
 type Role uint8
 
-// The roles of a member.
+// The member roles.
 const (
 	Follower Role = iota
 	PreCandidate
@@ -27,64 +27,66 @@
 	Leader
 )
 
-// String returns the role in lower case.
+// String returns the lower-case name of the role.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Mechanisms switches off single mechanisms, so that a test can show that a
-// rule rests on them. All false is the product.
+// Mechanisms disables individual mechanisms for ablation tests. The zero value enables
+// all of them.
 type Mechanisms struct {
-	// NoPreVote lets a member raise its term without asking first.
+	// NoPreVote starts elections without a pre-vote round.
 	NoPreVote bool
-	// NoCheckQuorum lets a leader go on without hearing from a quorum.
+	// NoCheckQuorum keeps a leader in office without contact to a quorum.
 	NoCheckQuorum bool
-	// NoStickiness lets a member vote while it hears from a leader.
+	// NoStickiness lets a member grant votes while it is in contact with a leader, or
+	// just after a restart.
 	NoStickiness bool
-	// NoIdentityCheck listens to a member that lost its disk.
+	// NoIdentityCheck accepts messages from a member that lost its disk.
 	NoIdentityCheck bool
-	// NoCommitTermCheck counts replicas of entries of earlier terms (Raft paper, figure 8).
+	// NoCommitTermCheck commits entries of earlier terms by counting replicas (Raft
+	// paper, figure 8).
 	NoCommitTermCheck bool
-	// NoStallCheck holds others for silent after this process had no time.
+	// NoStallCheck lets timeouts expire immediately after a stall of this process.
 	NoStallCheck bool
 }
 
-// Settings are the fixed settings of a member.
+// Settings is the configuration of a member.
 type Settings struct {
 	ID MemberID
-	// Identity is the random number drawn when the data folder was made.
+	// Identity is the random number generated when the data directory was created.
 	Identity uint64
-	// ElectionTimeout is the shortest time without a leader before an
-	// election; the time used is drawn between one and two of it.
+	// ElectionTimeout is the minimum election timeout; the actual one is random
+	// between one and two times this value.
 	ElectionTimeout time.Duration
-	// Heartbeat is the time between two appends of an idle leader.
+	// Heartbeat is the interval between heartbeats of an idle leader.
 	Heartbeat time.Duration
-	// MaxAppend is the largest number of entries in one message.
+	// MaxAppend is the maximum number of entries in one message.
 	MaxAppend int
-	// ChunkSize is the size of a snapshot chunk in bytes.
+	// ChunkSize is the maximum size of a snapshot chunk in bytes.
 	ChunkSize int
-	// VoteAfterRestart lets a member vote at once after its restart, though it
-	// may have supported a leader just before. HasLease proves nothing then;
-	// reads must wait for ConfirmedSince.
+	// VoteAfterRestart lets a member vote immediately after a restart, although it may
+	// have acknowledged a leader just before. HasLease is then unsafe, and reads must
+	// use ConfirmedSince.
 	VoteAfterRestart bool
 	Random           *rand.Rand
 	Mechanisms       Mechanisms
 }
 
-// driftDivisor gives the share of the election timeout that is kept back
-// from the read lease against clocks that run apart: one tenth.
+// driftDivisor is the ratio of the election timeout to the safety margin that a read
+// lease keeps for clock drift.
 const driftDivisor = 10
 
-// PersistentState is what a member finds on its disk.
+// PersistentState is the state that a member restores from disk at start.
 type PersistentState struct {
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
 }
 
-// Ready is work for the caller, in this order: persist Snapshot, Entries,
-// HardState and sync; call Advance; send Messages; restore Snapshot
-// into the state machine; apply Committed.
+// Ready is work for the caller, to be done in this order: persist Snapshot, Entries and
+// HardState and sync; call Advance; send Messages; restore Snapshot into the state
+// machine; apply Committed.
 type Ready struct {
 	HardState        HardState
 	HardStateChanged bool
@@ -94,29 +96,29 @@
 	Committed        []Entry
 }
 
-// progress is what a leader knows of another member.
+// progress is the leader's view of the replication state of another member.
 type progress struct {
 	match uint64
 	next  uint64
-	// acked is the newest SentAt that the member has echoed.
-	acked kernel.Instant
-	// resetAt is when next last went back: refusals of what was sent before then
-	// tell nothing new.
-	resetAt kernel.Instant
-	// due is set while an append is to go out with the next Ready, also without
-	// entries if beat is set; dueAt is when it was last asked for.
-	due, beat bool
-	dueAt     kernel.Instant
-	// probedAt is when entries last went to a member that has not agreed on where
-	// the logs meet, or 0 when it has answered since.
+	// ackedSentAt is the latest SentAt that the member has echoed.
+	ackedSentAt kernel.Instant
+	// nextLoweredAt is when next was last lowered; rejections of messages sent before
+	// then are ignored.
+	nextLoweredAt kernel.Instant
+	// appendPending schedules an append for the next Ready, and heartbeatPending makes it
+	// go out even without entries. requestedAt is the time of the latest request.
+	appendPending, heartbeatPending bool
+	requestedAt                     kernel.Instant
+	// probedAt is when entries were last sent to a member whose match index is unknown,
+	// or 0 if it has replied since.
 	probedAt kernel.Instant
-	// lastSent is when the leader last sent anything.
+	// lastSent is when the leader last sent the member a message.
 	lastSent       kernel.Instant
 	snapshotIndex  uint64
 	snapshotOffset uint64
 }
 
-// Node is one member. It is not safe for concurrent use.
+// Node is one member of a Raft group. It is not safe for concurrent use.
 type Node struct {
 	settings Settings
 	log      entryLog
@@ -125,43 +127,41 @@
 	role   Role
 	leader MemberID
 	commit uint64
-	// restoredCommit is how far the log was known to be committed by this member's disk.
-	restoredCommit uint64
-	applied        uint64
-	persisted      uint64
-	membership     Membership
-	membershipIdx  uint64
+	// restoredCommit is the commit index read from disk at start.
+	restoredCommit  uint64
+	applied         uint64
+	persisted       uint64
+	membership      Membership
+	membershipIndex uint64
 
 	startedAt     kernel.Instant
 	leaderContact kernel.Instant
 	heardLeader   bool
-	// ledUntil is when a quorum had last heard from this member when it gave up
-	// leading.
-	ledUntil   kernel.Instant
-	electionAt kernel.Instant
-	// pledgedTo is the member that has this one's pre-vote until pledgedUntil.
-	pledgedTo    MemberID
-	pledgedUntil kernel.Instant
-	// tickedAt is when Tick was last called.
-	tickedAt kernel.Instant
-	// patientUntil is when others may be held for silent again after a stall.
-	patientUntil kernel.Instant
-	electedAt    kernel.Instant
-	electedIndex uint64
-	votes        map[MemberID]bool
-	peers        map[MemberID]*progress
-	incoming     incomingSnapshot
-
-	hardChanged bool
-	unsavedFrom uint64
-	newSnapshot *Snapshot
-	outbox      []Message
-	// appendsDue is set while an append to some member is due.
-	appendsDue bool
-	ignored    uint64
+	// lastQuorumAsLeader is the quorum contact at the time this member last stepped down.
+	lastQuorumAsLeader kernel.Instant
+	electionAt         kernel.Instant
+	// preVotedFor is the member that holds this member's pre-vote until preVoteUntil.
+	preVotedFor  MemberID
+	preVoteUntil kernel.Instant
+	lastTick     kernel.Instant
+	// stallGraceUntil is the time until which timeouts are suppressed after a stall.
+	stallGraceUntil kernel.Instant
+	electedAt       kernel.Instant
+	electedIndex    uint64
+	votes           map[MemberID]bool
+	peers           map[MemberID]*progress
+	incoming        incomingSnapshot
+
+	hardStateChanged bool
+	unstableFrom     uint64
+	pendingSnapshot  *Snapshot
+	outbox           []Message
+	// appendsPending is set while an append to any member is scheduled.
+	appendsPending     bool
+	identityMismatches uint64
 }
 
-// NewNode returns a member that starts from what its disk held.
+// NewNode returns a member that starts as a follower with the restored state.
 func NewNode(now kernel.Instant, settings Settings, restored PersistentState) *Node {
 	node := &Node{
 		settings:  settings,
@@ -178,13 +178,13 @@
 	node.reloadMembership()
 	node.resetElectionTimer(now)
 	if settings.VoteAfterRestart {
-		node.retryPreVoteSoon(now)
+		node.schedulePreVoteRetry(now)
 	}
 	return node
 }
 
 func (n *Node) reloadMembership() {
-	n.membership, n.membershipIdx = n.log.membership()
+	n.membership, n.membershipIndex = n.log.membership()
 }
 
 // Role returns the role in the current term.
@@ -193,7 +193,7 @@
 // Term returns the current term.
 func (n *Node) Term() uint64 { return n.hard.Term }
 
-// Leader returns the leader of the current term as far as it is known.
+// Leader returns the leader of the current term, or NoMember if it is unknown.
 func (n *Node) Leader() MemberID { return n.leader }
 
 // Commit returns the index of the last committed entry.
@@ -202,18 +202,18 @@
 // LastIndex returns the index of the last entry in the log.
 func (n *Node) LastIndex() uint64 { return n.log.lastIndex() }
 
-// SnapshotIndex returns the index of the last entry that a snapshot replaces.
+// SnapshotIndex returns the index of the last entry covered by the snapshot.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snapshot.Index }
 
-// Membership returns the newest membership in the log.
+// Membership returns the newest membership in the log, committed or not.
 func (n *Node) Membership() Membership { return n.membership }
 
-// IdentityMismatches returns the number of messages dropped because their sender's data
-// folder is not the one it had before.
-func (n *Node) IdentityMismatches() uint64 { return n.ignored }
+// IdentityMismatches returns the number of messages dropped because the identity of
+// the sender's data directory does not match the membership.
+func (n *Node) IdentityMismatches() uint64 { return n.identityMismatches }
 
-// Match returns the last index known to be on the member's disk; only a
-// leader knows it.
+// Match returns the highest index known to be persisted by the member. For other
+// members it is valid only on the leader.
 func (n *Node) Match(id MemberID) uint64 {
 	if id == n.settings.ID {
 		return n.persisted
@@ -224,39 +224,38 @@
 	return 0
 }
 
-// LastContact returns when the leader last heard from a member, on the
-// leader's clock; only a leader knows it.
+// LastContact returns the send time, on the leader's clock, of the latest message that
+// the member has acknowledged. It is valid only on the leader.
 func (n *Node) LastContact(id MemberID) kernel.Instant {
 	if peer, ok := n.peers[id]; ok {
-		return peer.acked
+		return peer.ackedSentAt
 	}
 	return n.electedAt
 }
 
-// LastLeaderContact returns when this member last heard from a leader, and false
-// if it has not since its start.
+// LastLeaderContact returns when this member last heard from a leader, or false if it
+// has not since it started.
 func (n *Node) LastLeaderContact() (kernel.Instant, bool) { return n.leaderContact, n.heardLeader }
 
-// LeaderlessSince returns the newest instant at which this member heard from a
-// leader or led itself; its start when neither has been.
+// LeaderlessSince returns the latest instant at which this member heard from a leader
+// or led with contact to a quorum, or its start time if it has done neither.
 func (n *Node) LeaderlessSince(now kernel.Instant) kernel.Instant {
 	if n.role == Leader {
 		return n.quorumContact(now)
 	}
-	return max(n.startedAt, n.leaderContact, n.ledUntil)
+	return max(n.startedAt, n.leaderContact, n.lastQuorumAsLeader)
 }
 
-// KnowsCommit reports whether this member has learned, in the current term,
-// how far the log is committed. Before that it may lack entries that were
-// committed long ago: after a restart it knows none.
+// KnowsCommit reports whether the last known committed entry is of the current term.
+// Until then, in particular after a restart, the commit index may be far behind.
 func (n *Node) KnowsCommit() bool {
 	term, held := n.log.term(n.commit)
 	return held && term == n.hard.Term
 }
 
-// HasLease reports whether a leader can answer a linearizable read, or grant
-// a lease, without asking: a quorum has heard from it so recently that no
-// other leader can exist, and an entry of its term is committed.
+// HasLease reports whether this member holds a leader lease and may serve linearizable
+// reads without a round trip: a quorum has acknowledged it so recently that there can
+// be no other leader, and an entry of its term is committed.
 func (n *Node) HasLease(now kernel.Instant) bool {
 	if n.role != Leader || n.commit < n.electedIndex {
 		return false
@@ -265,14 +264,15 @@
 	return now.Before(n.quorumContact(now).Add(n.settings.ElectionTimeout - margin))
 }
 
-// ConfirmedSince reports whether a quorum has heard from this leader at or
-// after an instant, and an entry of its term is committed: what was committed
-// anywhere at that instant is then known here (Raft thesis, section 6.4).
+// ConfirmedSince reports whether a quorum has acknowledged this leader at or after an
+// instant and an entry of its term is committed. Everything committed before that
+// instant is then known here (Raft thesis, section 6.4).
 func (n *Node) ConfirmedSince(now, since kernel.Instant) bool {
 	return n.role == Leader && n.commit >= n.electedIndex && n.quorumContact(now) >= since
 }
 
-// BroadcastHeartbeat sends a heartbeat to all members, for readers that wait.
+// BroadcastHeartbeat sends a heartbeat to all members, so that pending reads are
+// confirmed without waiting for the next interval.
 func (n *Node) BroadcastHeartbeat(now kernel.Instant) {
 	if n.role != Leader {
 		return
@@ -285,13 +285,13 @@
 // ElectedAt returns when this member last became leader.
 func (n *Node) ElectedAt() kernel.Instant { return n.electedAt }
 
-// Step handles a message from another member.
+// Step processes a message from another member.
 func (n *Node) Step(now kernel.Instant, message Message) {
-	if !n.isGenuine(message) {
-		n.ignored++
+	if !n.identityMatches(message) {
+		n.identityMismatches++
 		return
 	}
-	if message.Term > n.hard.Term && n.raisesTerm(now, message) {
+	if message.Term > n.hard.Term && n.adoptsTerm(now, message) {
 		n.becomeFollower(now, message.Term, NoMember)
 	}
 	switch message.Kind {
@@ -312,10 +312,10 @@
 	}
 }
 
-// isGenuine reports whether a message comes from the data folder that the
-// membership names for its sender. Of a sender that is in no membership here
-// nothing is known, and it counts for nothing either.
-func (n *Node) isGenuine(message Message) bool {
+// identityMatches reports whether the message's identity is the one that the membership
+// records for its sender. Senders without a recorded identity are accepted; they are
+// not voters in this member's view.
+func (n *Node) identityMatches(message Message) bool {
 	if n.settings.Mechanisms.NoIdentityCheck {
 		return true
 	}
@@ -323,24 +323,25 @@
 	return !known || identity == message.Identity
 }
 
-// raisesTerm reports whether the message's higher term is to be adopted.
-// Requests of pre-vote never are, and requests for a vote only when this
-// member would consider them at all.
-func (n *Node) raisesTerm(now kernel.Instant, message Message) bool {
+// adoptsTerm reports whether to adopt the higher term of the message. The term of a
+// pre-vote request is never adopted, that of a vote request only if this member is
+// free to vote, and that of a pre-vote reply only if it is a rejection.
+func (n *Node) adoptsTerm(now kernel.Instant, message Message) bool {
 	switch message.Kind {
 	case MessagePreVote:
 		return false
 	case MessagePreVoteReply:
 		return message.Reject
 	case MessageVote:
-		return !n.bound(now)
+		return !n.mustWithholdVote(now)
 	}
 	return true
 }
 
-// Tick lets time pass: elections, heartbeats and the check of the quorum.
+// Tick advances time: it starts elections, sends heartbeats and checks the leader's
+// contact with a quorum.
 func (n *Node) Tick(now kernel.Instant) {
-	n.noteStall(now)
+	n.detectStall(now)
 	if n.role == Leader {
 		n.tickLeader(now)
 		return
@@ -353,28 +354,29 @@
 		n.startElection(now)
 	}
 	if n.role == PreCandidate {
-		n.retryPreVoteSoon(now)
+		n.schedulePreVoteRetry(now)
 	}
 }
 
-// stallLimit is the longest time between two ticks of a process that runs.
+// stallLimit is the interval between two ticks above which the process counts as
+// stalled.
 const stallLimit = 100 * time.Millisecond
 
-// noteStall gives a process whose ticks came late the time to read what has
-// arrived meanwhile, before it holds others for silent.
-func (n *Node) noteStall(now kernel.Instant) {
-	late := n.tickedAt != 0 && now.Sub(n.tickedAt) > stallLimit
-	n.tickedAt = now
+// detectStall suppresses timeouts after a late tick, so that messages received during
+// the stall are processed first.
+func (n *Node) detectStall(now kernel.Instant) {
+	late := n.lastTick != 0 && now.Sub(n.lastTick) > stallLimit
+	n.lastTick = now
 	if !late || n.settings.Mechanisms.NoStallCheck {
 		return
 	}
-	n.patientUntil = now.Add(stallLimit)
-	n.electionAt = max(n.electionAt, n.patientUntil)
+	n.stallGraceUntil = now.Add(stallLimit)
+	n.electionAt = max(n.electionAt, n.stallGraceUntil)
 }
 
 func (n *Node) tickLeader(now kernel.Instant) {
 	silence := now.Sub(n.quorumContact(now))
-	patient := now.Before(n.patientUntil)
+	patient := now.Before(n.stallGraceUntil)
 	if silence > 2*n.settings.ElectionTimeout && !patient && !n.settings.Mechanisms.NoCheckQuorum {
 		n.becomeFollower(now, n.hard.Term, NoMember)
 		return
@@ -386,7 +388,7 @@
 	}
 }
 
-// others returns all members but this one.
+// others returns all members except this one.
 func (n *Node) others() []MemberID {
 	all := append(append([]MemberID{}, n.membership.Voters...), n.membership.Learners...)
 	return without(all, n.settings.ID)
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -13,23 +13,23 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// group runs members in memory: messages arrive at the next step.
+// group runs members in memory. Messages are delivered at the next step.
 type group struct {
-	t     *testing.T
-	now   kernel.Instant
-	nodes map[MemberID]*Node
-	cut   map[MemberID]bool
-	inbox []Message
-	// applied holds the commands that each member has applied, in order.
-	applied map[MemberID][]string
-	change  func(*Settings)
-	// entriesTo counts the entries sent to each member.
+	t           *testing.T
+	now         kernel.Instant
+	nodes       map[MemberID]*Node
+	partitioned map[MemberID]bool
+	inFlight    []Message
+	// applied holds the commands applied by each member, in order.
+	applied   map[MemberID][]string
+	configure func(*Settings)
+	// entriesTo counts the entries sent to each member, including resent ones.
 	entriesTo map[MemberID]int
 }
 
-const step = 20 * time.Millisecond
+const tickInterval = 20 * time.Millisecond
 
-func settingsOf(id MemberID) Settings {
+func testSettings(id MemberID) Settings {
 	return Settings{
 		ID:              id,
 		Identity:        uint64(100 + id),
@@ -41,8 +41,8 @@
 	}
 }
 
-func newGroup(t *testing.T, size int, change func(*Settings)) *group {
-	g := &group{t: t, nodes: map[MemberID]*Node{}, cut: map[MemberID]bool{}, applied: map[MemberID][]string{}, change: change, entriesTo: map[MemberID]int{}}
+func newGroup(t *testing.T, size int, configure func(*Settings)) *group {
+	g := &group{t: t, nodes: map[MemberID]*Node{}, partitioned: map[MemberID]bool{}, applied: map[MemberID][]string{}, configure: configure, entriesTo: map[MemberID]int{}}
 	identities := map[MemberID]uint64{}
 	for id := MemberID(1); id <= MemberID(size); id++ {
 		identities[id] = uint64(100 + id)
@@ -55,19 +55,19 @@
 }
 
 func (g *group) start(id MemberID, restored PersistentState) *Node {
-	settings := settingsOf(id)
-	if g.change != nil {
-		g.change(&settings)
+	settings := testSettings(id)
+	if g.configure != nil {
+		g.configure(&settings)
 	}
 	g.nodes[id] = NewNode(g.now, settings, restored)
 	return g.nodes[id]
 }
 
-func (g *group) flush(node *Node) {
+func (g *group) processReady(node *Node) {
 	for node.HasReady() {
 		ready := node.Ready()
 		node.Advance(g.now)
-		g.inbox = append(g.inbox, ready.Messages...)
+		g.inFlight = append(g.inFlight, ready.Messages...)
 		for _, message := range ready.Messages {
 			g.entriesTo[message.To] += len(message.Entries)
 		}
@@ -79,22 +79,22 @@
 	}
 }
 
-func (g *group) run(length time.Duration) {
-	for end := g.now.Add(length); g.now < end; g.now = g.now.Add(step) {
-		arriving := g.inbox
-		g.inbox = nil
-		for _, message := range arriving {
+func (g *group) advance(length time.Duration) {
+	for end := g.now.Add(length); g.now < end; g.now = g.now.Add(tickInterval) {
+		delivered := g.inFlight
+		g.inFlight = nil
+		for _, message := range delivered {
 			to := g.nodes[message.To]
-			if to == nil || g.cut[message.From] || g.cut[message.To] {
+			if to == nil || g.partitioned[message.From] || g.partitioned[message.To] {
 				continue
 			}
 			to.Step(g.now, message)
-			g.flush(to)
+			g.processReady(to)
 		}
 		for id := MemberID(1); id < 20; id++ {
 			if node := g.nodes[id]; node != nil {
 				node.Tick(g.now)
-				g.flush(node)
+				g.processReady(node)
 			}
 		}
 	}
@@ -103,8 +103,8 @@
 func (g *group) leader() *Node {
 	var found *Node
 	for id, node := range g.nodes {
-		if node.Role() == Leader && !g.cut[id] {
-			require.Nil(g.t, found, "two leaders that can reach the others")
+		if node.Role() == Leader && !g.partitioned[id] {
+			require.Nil(g.t, found, "two connected leaders")
 			found = node
 		}
 	}
@@ -115,17 +115,17 @@
 func (g *group) propose(node *Node, command string) {
 	_, _, err := node.Propose(g.now, []byte(command))
 	require.NoError(g.t, err)
-	g.flush(node)
+	g.processReady(node)
 }
 
-func TestWritesReachEveryMember(t *testing.T) {
+func TestReplication(t *testing.T) {
 	g := newGroup(t, 3, nil)
-	g.run(2 * time.Second)
+	g.advance(2 * time.Second)
 	leader := g.leader()
 	for i := range 20 {
 		g.propose(leader, fmt.Sprint(i))
 	}
-	g.run(time.Second)
+	g.advance(time.Second)
 	for id := range g.nodes {
 		assert.Len(t, g.applied[id], 20)
 		assert.Equal(t, g.applied[1], g.applied[id])
@@ -133,137 +133,137 @@
 	assert.True(t, leader.HasLease(g.now))
 }
 
-func TestNoQuorumNoCommit(t *testing.T) {
+func TestLeaderWithoutQuorumStepsDown(t *testing.T) {
 	g := newGroup(t, 3, nil)
-	g.run(2 * time.Second)
+	g.advance(2 * time.Second)
 	leader := g.leader()
 	for id := range g.nodes {
-		g.cut[id] = id != leader.settings.ID
+		g.partitioned[id] = id != leader.settings.ID
 	}
 	g.propose(leader, "lost")
-	g.run(3 * time.Second)
+	g.advance(3 * time.Second)
 	assert.Empty(t, g.applied[leader.settings.ID])
-	assert.NotEqual(t, Leader, leader.Role(), "a leader without a quorum steps down")
+	assert.NotEqual(t, Leader, leader.Role(), "a leader without a quorum must step down")
 	assert.False(t, leader.HasLease(g.now))
 }
 
-func TestReturningMemberDeposesNobody(t *testing.T) {
+func TestPreVotePreventsDisruption(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"product":     nil,
+		"default":     nil,
 		"no pre-vote": func(s *Settings) { s.Mechanisms = Mechanisms{NoPreVote: true, NoStickiness: true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGroup(t, 3, change)
-			g.run(2 * time.Second)
+			g.advance(2 * time.Second)
 			leader := g.leader()
 			term := leader.Term()
-			var away MemberID
+			var isolated MemberID
 			for id := range g.nodes {
 				if id != leader.settings.ID {
-					away = id
+					isolated = id
 				}
 			}
-			g.cut[away] = true
-			g.run(30 * time.Second)
-			g.cut[away] = false
-			g.run(3 * time.Second)
+			g.partitioned[isolated] = true
+			g.advance(30 * time.Second)
+			g.partitioned[isolated] = false
+			g.advance(3 * time.Second)
 			if change == nil {
 				assert.Equal(t, term, g.leader().Term())
 			} else {
-				assert.Greater(t, g.leader().Term(), term, "without it the test shows a change")
+				assert.Greater(t, g.leader().Term(), term, "without pre-vote the returning member must force a new term")
 			}
 		})
 	}
 }
 
-func TestLostDiskIsNotListenedTo(t *testing.T) {
+func TestIdentityMismatchIsIgnored(t *testing.T) {
 	g := newGroup(t, 3, nil)
-	g.run(2 * time.Second)
+	g.advance(2 * time.Second)
 	leader := g.leader()
 	g.propose(leader, "kept")
-	g.run(time.Second)
-	var wiped, other MemberID
+	g.advance(time.Second)
+	var wiped, survivor MemberID
 	for id := range g.nodes {
 		if id == leader.settings.ID {
 			continue
 		}
-		wiped, other = id, wiped
-		if other == 0 {
-			other = id
+		wiped, survivor = id, wiped
+		if survivor == 0 {
+			survivor = id
 		}
 	}
-	g.change = func(s *Settings) { s.Identity = 999 }
+	g.configure = func(s *Settings) { s.Identity = 999 }
 	g.start(wiped, PersistentState{})
-	g.cut[leader.settings.ID] = true
-	g.run(10 * time.Second)
+	g.partitioned[leader.settings.ID] = true
+	g.advance(10 * time.Second)
 	assert.NotEqual(t, Leader, g.nodes[wiped].Role())
-	assert.NotEqual(t, Leader, g.nodes[other].Role(), "the wiped member's vote does not count")
-	assert.NotZero(t, g.nodes[other].IdentityMismatches())
+	assert.NotEqual(t, Leader, g.nodes[survivor].Role(), "the vote of the wiped member must not count")
+	assert.NotZero(t, g.nodes[survivor].IdentityMismatches())
 }
 
-func TestMembershipChangesOneAtATime(t *testing.T) {
+func TestSingleMembershipChange(t *testing.T) {
 	g := newGroup(t, 3, nil)
-	g.run(2 * time.Second)
+	g.advance(2 * time.Second)
 	leader := g.leader()
 	next := leader.Membership().AddLearner(4, 104)
 	_, _, err := leader.ProposeMembership(g.now, next)
 	require.NoError(t, err)
 	_, _, err = leader.ProposeMembership(g.now, next.AddLearner(5, 105))
 	assert.ErrorContains(t, err, "not committed yet")
-	g.flush(leader)
+	g.processReady(leader)
 	_, _, err = leader.ProposeMembership(g.now, next.Promote(4))
-	assert.Error(t, err, "a learner that has not caught up does not vote")
+	assert.Error(t, err, "a change is rejected while the previous one is not committed")
 	g.start(4, PersistentState{})
-	g.run(time.Second)
+	g.advance(time.Second)
 	_, _, err = leader.ProposeMembership(g.now, next.Promote(4))
 	require.NoError(t, err)
-	g.flush(leader)
-	g.run(time.Second)
+	g.processReady(leader)
+	g.advance(time.Second)
 	assert.True(t, g.nodes[4].Membership().IsVoter(4))
 	_, _, err = leader.ProposeMembership(g.now, Membership{})
 	assert.ErrorContains(t, err, "last voter")
 }
 
-func TestLeaderThatRemovesItselfStepsDown(t *testing.T) {
+func TestRemovedLeaderStepsDown(t *testing.T) {
 	g := newGroup(t, 3, nil)
-	g.run(2 * time.Second)
+	g.advance(2 * time.Second)
 	leader := g.leader()
 	_, _, err := leader.ProposeMembership(g.now, leader.Membership().Remove(leader.settings.ID))
 	require.NoError(t, err)
-	g.flush(leader)
-	g.run(5 * time.Second)
+	g.processReady(leader)
+	g.advance(5 * time.Second)
 	assert.NotEqual(t, leader, g.leader())
 	assert.NotEqual(t, Leader, leader.Role())
 }
 
-func TestSnapshotInChunks(t *testing.T) {
+func TestChunkedSnapshotTransfer(t *testing.T) {
 	g := newGroup(t, 3, nil)
-	g.run(2 * time.Second)
+	g.advance(2 * time.Second)
 	leader := g.leader()
-	var behind MemberID
+	var lagging MemberID
 	for id := range g.nodes {
 		if id != leader.settings.ID {
-			behind = id
+			lagging = id
 		}
 	}
-	g.cut[behind] = true
+	g.partitioned[lagging] = true
 	for i := range 50 {
 		g.propose(leader, fmt.Sprint(i))
 	}
-	g.run(time.Second)
+	g.advance(time.Second)
 	leader.Compact(leader.Commit(), []byte("a state of the machine that needs several chunks"))
-	g.cut[behind] = false
-	g.run(3 * time.Second)
-	assert.Equal(t, leader.Commit(), g.nodes[behind].Commit())
-	assert.Equal(t, "a state of the machine that needs several chunks", string(g.nodes[behind].PersistentState().Snapshot.Data))
+	g.partitioned[lagging] = false
+	g.advance(3 * time.Second)
+	assert.Equal(t, leader.Commit(), g.nodes[lagging].Commit())
+	assert.Equal(t, "a state of the machine that needs several chunks", string(g.nodes[lagging].PersistentState().Snapshot.Data))
 }
 
-// An entry of an earlier term is not committed by counting its replicas alone
-// (Raft paper, figure 8).
-func TestEarlierTermIsNotCommittedByCounting(t *testing.T) {
-	for name, mechanisms := range map[string]Mechanisms{"product": {}, "counting": {NoCommitTermCheck: true}} {
+// Counting replicas must not commit an entry of an earlier term (Raft paper,
+// figure 8).
+func TestCommitOnlyCurrentTerm(t *testing.T) {
+	for name, mechanisms := range map[string]Mechanisms{"default": {}, "counting": {NoCommitTermCheck: true}} {
 		t.Run(name, func(t *testing.T) {
-			settings := settingsOf(1)
+			settings := testSettings(1)
 			settings.Mechanisms = mechanisms
 			identities := map[MemberID]uint64{1: 101, 2: 102, 3: 103}
 			node := NewNode(0, settings, PersistentState{
@@ -284,7 +284,7 @@
 	}
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	message := Message{
 		Kind: MessageSnapshot, From: 1, To: 2, Identity: 3, Term: 4, LogIndex: 5, LogTerm: 6, Commit: 7, SentAt: 8,
 		Entries: []Entry{{Term: 1, Index: 2, Kind: EntryCommand, Data: []byte("x")}},
@@ -313,14 +313,13 @@
 	})
 }
 
-// A member that had no time took the leader for silent, since it had not read
-// what had arrived; 175 changes of role in 48 s kept a group of busy members
-// without a leader (own copy of a site with 300 machines, 00fa0c5b).
-func TestAMemberWhoseTicksComeLateDoesNotHoldOthersForSilent(t *testing.T) {
+// A stalled member must process queued messages before its election timer expires;
+// otherwise overloaded members keep deposing their leader.
+func TestStallSuppressesTimeouts(t *testing.T) {
 	for _, without := range []bool{false, true} {
-		t.Run(fmt.Sprint("without ", without), func(t *testing.T) {
+		t.Run(fmt.Sprint("NoStallCheck=", without), func(t *testing.T) {
 			g := newGroup(t, 3, func(s *Settings) { s.Mechanisms.NoStallCheck = without })
-			g.run(3 * time.Second)
+			g.advance(3 * time.Second)
 			term := g.leader().Term()
 			stalled := g.now.Add(3 * time.Second)
 			roles := map[MemberID]Role{}
@@ -334,7 +333,7 @@
 				changed = changed || node.Role() == PreCandidate || node.Role() == Candidate || (roles[id] == Follower && node.Leader() == NoMember)
 			}
 			assert.Equal(t, without, changed)
-			g.run(time.Second)
+			g.advance(time.Second)
 			if !without {
 				assert.Equal(t, term, g.leader().Term())
 			}
@@ -342,68 +341,65 @@
 	}
 }
 
-func TestAStallDoesNotPutOffAnElectionForLong(t *testing.T) {
+func TestElectionAfterStall(t *testing.T) {
 	g := newGroup(t, 3, nil)
-	g.run(3 * time.Second)
+	g.advance(3 * time.Second)
 	dead := g.leader().settings.ID
-	g.cut[dead] = true
+	g.partitioned[dead] = true
 	g.now = g.now.Add(3 * time.Second)
-	g.run(3 * time.Second)
+	g.advance(3 * time.Second)
 	assert.NotEqual(t, dead, g.leader().settings.ID)
 }
 
-// One lost append made the follower refuse all that were under way behind it, and
-// each refusal brought the whole tail again: 100 MB for 3,000 entries (own copy of
-// a site with 300 machines).
-func TestOneLostAppendBringsTheTailOnce(t *testing.T) {
+// After a lost append the follower rejects every append behind it. The leader must
+// not resend the log tail for each rejection.
+func TestLostAppendResendsTailOnce(t *testing.T) {
 	g := newGroup(t, 3, func(s *Settings) { s.MaxAppend = 64 })
-	g.run(3 * time.Second)
+	g.advance(3 * time.Second)
 	leader := g.leader()
 	other := MemberID(1)
 	if other == leader.settings.ID {
 		other = 2
 	}
-	g.inbox = nil
+	g.inFlight = nil
 	clear(g.entriesTo)
 	const commands = 30
 	for number := range commands {
 		g.now = g.now.Add(time.Millisecond)
 		g.propose(leader, fmt.Sprint("command ", number))
 	}
-	lost := slices.IndexFunc(g.inbox, func(m Message) bool { return m.To == other && len(m.Entries) > 0 })
+	lost := slices.IndexFunc(g.inFlight, func(m Message) bool { return m.To == other && len(m.Entries) > 0 })
 	require.GreaterOrEqual(t, lost, 0)
-	g.inbox = slices.Delete(g.inbox, lost, lost+1)
-	g.run(time.Second)
+	g.inFlight = slices.Delete(g.inFlight, lost, lost+1)
+	g.advance(time.Second)
 	assert.Len(t, g.applied[other], commands)
 	assert.LessOrEqual(t, g.entriesTo[other], 3*commands)
 }
 
-func TestAMemberThatDoesNotAnswerGetsNoEndlessTail(t *testing.T) {
+func TestReplicationWindowLimitsUnresponsiveFollower(t *testing.T) {
 	g := newGroup(t, 3, nil)
-	g.run(3 * time.Second)
+	g.advance(3 * time.Second)
 	leader := g.leader()
 	other := MemberID(1)
 	if other == leader.settings.ID {
 		other = 2
 	}
-	g.cut[other] = true
+	g.partitioned[other] = true
 	clear(g.entriesTo)
 	for number := range 200 {
 		g.propose(leader, fmt.Sprint("command ", number))
-		g.run(step)
+		g.advance(tickInterval)
 	}
-	assert.LessOrEqual(t, g.entriesTo[other], inFlightAppends*leader.settings.MaxAppend)
-	g.cut[other] = false
-	g.run(3 * time.Second)
+	assert.LessOrEqual(t, g.entriesTo[other], maxInflightAppends*leader.settings.MaxAppend)
+	g.partitioned[other] = false
+	g.advance(3 * time.Second)
 	assert.Len(t, g.applied[other], 200)
 }
 
-// Each proposal went to each member in a message of its own, though those of a
-// batch share one sync: 24,000 messages for 3,000 registrations of targets (own
-// copy of a site with 300 machines).
-func TestProposalsOfABatchTravelTogether(t *testing.T) {
+// Proposals made between two Ready calls must be batched into one message per member.
+func TestProposalsAreBatched(t *testing.T) {
 	g := newGroup(t, 3, func(s *Settings) { s.MaxAppend = 64 })
-	g.run(3 * time.Second)
+	g.advance(3 * time.Second)
 	leader := g.leader()
 	const commands = 30
 	for number := range commands {
@@ -411,17 +407,17 @@
 		require.NoError(t, err)
 	}
 	ready := leader.Ready()
-	assert.Len(t, ready.Messages, 2, "one for each other member")
+	assert.Len(t, ready.Messages, 2, "one message per follower")
 	for _, message := range ready.Messages {
 		assert.Len(t, message.Entries, commands)
 	}
 }
 
-func TestMoreProposalsThanAMessageHoldsGoOutAtOnce(t *testing.T) {
+func TestPipelinedAppendsFillWindow(t *testing.T) {
 	g := newGroup(t, 3, nil)
-	g.run(3 * time.Second)
+	g.advance(3 * time.Second)
 	leader := g.leader()
-	wanted := inFlightAppends * leader.settings.MaxAppend
+	wanted := maxInflightAppends * leader.settings.MaxAppend
 	for number := range wanted + 10 {
 		_, _, err := leader.Propose(g.now, []byte(fmt.Sprint("command ", number)))
 		require.NoError(t, err)
@@ -436,12 +432,11 @@
 	assert.Len(t, sent, 2)
 }
 
-// A new leader does not know where a member's log ends. Until the member has
-// answered, all that follows the first message is refused: 7,600 of 25,500
-// entries were sent twice (the same copy).
-func TestAMemberThatHasNotAnsweredGetsOneMessageAHeartbeat(t *testing.T) {
+// A new leader does not know where a follower's log ends. It must not pipeline
+// entries that the follower would reject until the first probe is answered.
+func TestOneProbePerHeartbeat(t *testing.T) {
 	g := newGroup(t, 3, func(s *Settings) { s.MaxAppend = 64 })
-	g.run(3 * time.Second)
+	g.advance(3 * time.Second)
 	old := g.leader()
 	behind, next := MemberID(0), MemberID(0)
 	for id := range g.nodes {
@@ -449,22 +444,22 @@
 			behind, next = next, id
 		}
 	}
-	g.cut[behind] = true
-	const missed, later = 40, 60
-	for number := range missed {
+	g.partitioned[behind] = true
+	const missedCommands, later = 40, 60
+	for number := range missedCommands {
 		g.propose(old, fmt.Sprint("missed ", number))
-		g.run(step)
+		g.advance(tickInterval)
 	}
-	g.cut[behind] = false
-	g.cut[old.settings.ID] = true
+	g.partitioned[behind] = false
+	g.partitioned[old.settings.ID] = true
 	for g.nodes[next].Role() != Leader {
-		g.run(step)
+		g.advance(tickInterval)
 	}
 	clear(g.entriesTo)
 	for number := range later {
 		g.propose(g.nodes[next], fmt.Sprint("later ", number))
 	}
-	g.run(2 * time.Second)
-	assert.Len(t, g.applied[behind], missed+later)
-	assert.LessOrEqual(t, g.entriesTo[behind], missed+later+5)
+	g.advance(2 * time.Second)
+	assert.Len(t, g.applied[behind], missedCommands+later)
+	assert.LessOrEqual(t, g.entriesTo[behind], missedCommands+later+5)
 }
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -2,56 +2,56 @@
 
 import "github.com/beamdoor/beamdoor/internal/kernel"
 
-// HasReady reports whether Ready would return work.
+// HasReady reports whether Ready has work for the caller.
 func (n *Node) HasReady() bool {
-	return n.hardChanged || n.unsavedFrom != 0 || n.newSnapshot != nil ||
-		len(n.outbox) > 0 || n.appendsDue || n.applied < n.commit
+	return n.hardStateChanged || n.unstableFrom != 0 || n.pendingSnapshot != nil ||
+		len(n.outbox) > 0 || n.appendsPending || n.applied < n.commit
 }
 
-// Ready returns the work that has come up since the last call.
+// Ready returns the work accumulated since the last call and marks it as handed out.
 func (n *Node) Ready() Ready {
 	n.buildAppends()
 	ready := Ready{
 		HardState:        n.hardState(),
-		HardStateChanged: n.hardChanged,
-		Snapshot:         n.newSnapshot,
+		HardStateChanged: n.hardStateChanged,
+		Snapshot:         n.pendingSnapshot,
 		Messages:         n.outbox,
 	}
-	if n.unsavedFrom != 0 {
-		ready.Entries = append(ready.Entries, n.log.slice(n.unsavedFrom, n.log.lastIndex())...)
+	if n.unstableFrom != 0 {
+		ready.Entries = append(ready.Entries, n.log.slice(n.unstableFrom, n.log.lastIndex())...)
 	}
 	if n.applied < n.commit {
 		ready.Committed = append(ready.Committed, n.log.slice(n.applied+1, n.commit)...)
 		n.applied = n.commit
 	}
-	n.hardChanged = false
-	n.unsavedFrom = 0
-	n.newSnapshot = nil
+	n.hardStateChanged = false
+	n.unstableFrom = 0
+	n.pendingSnapshot = nil
 	n.outbox = nil
 	return ready
 }
 
-// hardState returns what the disk is to hold. A member that has restarted learns anew
-// how far the log is committed; until then what its disk told still holds.
+// hardState returns the hard state to persist. After a restart the commit index
+// starts over at the snapshot, so the restored one is kept until it is exceeded.
 func (n *Node) hardState() HardState {
 	hard := n.hard
 	hard.Commit = max(n.commit, n.restoredCommit)
 	return hard
 }
 
-// Advance tells the node that all that the last Ready held is on the disk.
+// Advance tells the node that the contents of the last Ready are persisted.
 func (n *Node) Advance(now kernel.Instant) {
-	if n.unsavedFrom == 0 {
+	if n.unstableFrom == 0 {
 		n.persisted = n.log.lastIndex()
 	} else {
-		n.persisted = n.unsavedFrom - 1
+		n.persisted = n.unstableFrom - 1
 	}
 	if n.role == Leader {
 		n.advanceCommit(now)
 	}
 }
 
-// Compact tells the node that the state machine was saved at index.
+// Compact replaces the log up to index by a snapshot with the given state machine data.
 func (n *Node) Compact(index uint64, data []byte) Snapshot {
 	term, _ := n.log.term(index)
 	snapshot := Snapshot{
@@ -67,7 +67,7 @@
 // Entries returns the entries after the last snapshot.
 func (n *Node) Entries() []Entry { return n.log.entries }
 
-// PersistentState returns all that the disk must hold, for a rewrite of the log.
+// PersistentState returns the complete state to persist when the log is rewritten.
 func (n *Node) PersistentState() PersistentState {
 	return PersistentState{HardState: n.hardState(), Snapshot: n.log.snapshot, Entries: n.log.entries}
 }
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -8,58 +8,58 @@
 	"github.com/beamdoor/beamdoor/internal/kernel"
 )
 
-// peer returns what the leader knows of a member, and starts the record.
+// peer returns the replication progress of a member and creates it if it is missing.
 func (n *Node) peer(id MemberID) *progress {
 	if n.peers == nil {
 		n.peers = map[MemberID]*progress{}
 	}
 	peer, known := n.peers[id]
 	if !known {
-		peer = &progress{next: n.log.lastIndex() + 1, acked: n.electedAt}
+		peer = &progress{next: n.log.lastIndex() + 1, ackedSentAt: n.electedAt}
 		n.peers[id] = peer
 	}
 	return peer
 }
 
-// inFlightAppends bounds what a member that has answered this leader may have under
-// way, in appends of the largest size.
-const inFlightAppends = 8
+// maxInflightAppends is the replication window of a member whose match index is known,
+// in units of MaxAppend entries.
+const maxInflightAppends = 8
 
-// sendAppend lets an append go to a member with the next Ready: all that comes up
-// until then travels in one message. An idle member gets one only as a heartbeat.
+// sendAppend schedules an append for the next Ready, so that entries proposed until
+// then are batched. Without new entries it is scheduled only for a heartbeat.
 func (n *Node) sendAppend(now kernel.Instant, id MemberID, heartbeat bool) {
 	peer := n.peer(id)
 	if !heartbeat && peer.next > n.log.lastIndex() {
 		return
 	}
-	peer.due = true
-	peer.beat = peer.beat || heartbeat
-	peer.dueAt = max(peer.dueAt, now)
-	n.appendsDue = true
+	peer.appendPending = true
+	peer.heartbeatPending = peer.heartbeatPending || heartbeat
+	peer.requestedAt = max(peer.requestedAt, now)
+	n.appendsPending = true
 }
 
-// buildAppends makes the messages of all appends that are due.
+// buildAppends creates the messages for all scheduled appends.
 func (n *Node) buildAppends() {
-	if !n.appendsDue {
+	if !n.appendsPending {
 		return
 	}
-	n.appendsDue = false
+	n.appendsPending = false
 	for _, id := range slices.Sorted(maps.Keys(n.peers)) {
 		peer := n.peers[id]
-		if !peer.due {
+		if !peer.appendPending {
 			continue
 		}
-		heartbeat := peer.beat
-		peer.due, peer.beat = false, false
-		for n.buildAppend(peer.dueAt, id, heartbeat) {
+		heartbeat := peer.heartbeatPending
+		peer.appendPending, peer.heartbeatPending = false, false
+		for n.buildAppend(peer.requestedAt, id, heartbeat) {
 			heartbeat = false
 		}
 	}
 }
 
-// buildAppend makes a message with the entries that the member lacks, a snapshot
-// chunk if the log no longer holds them, or an empty append as a heartbeat. It
-// returns whether the member can take another one.
+// buildAppend creates a message with the entries the member is missing, a snapshot
+// chunk if those entries are compacted, or an empty append as a heartbeat. It reports
+// whether there may be room for another full message.
 func (n *Node) buildAppend(now kernel.Instant, id MemberID, heartbeat bool) (more bool) {
 	peer := n.peer(id)
 	previous := peer.next - 1
@@ -91,14 +91,14 @@
 	return peer.match > 0 && len(entries) == n.settings.MaxAppend
 }
 
-// lastToSend returns the index of the last entry that can go to a member in one
-// message. One that has not yet agreed on where the logs meet gets one message a
-// heartbeat: it would refuse all that goes out behind it.
+// lastToSend returns the index of the last entry to send to a member in one message.
+// While its match index is unknown, a member gets one probe per heartbeat interval,
+// since it would reject anything sent after a failed probe.
 func (n *Node) lastToSend(now kernel.Instant, peer *progress) uint64 {
 	previous := peer.next - 1
 	last := min(n.log.lastIndex(), previous+uint64(n.settings.MaxAppend))
 	if peer.match > 0 {
-		return min(last, max(previous, peer.match+inFlightAppends*uint64(n.settings.MaxAppend)))
+		return min(last, max(previous, peer.match+maxInflightAppends*uint64(n.settings.MaxAppend)))
 	}
 	if peer.probedAt != 0 && now.Sub(peer.probedAt) < n.settings.Heartbeat {
 		return previous
@@ -130,8 +130,8 @@
 	n.send(reply)
 }
 
-// rejectHint returns the index from which the leader should try again: the
-// end of the log, or the entry before the term that does not agree.
+// rejectHint returns the index after which the leader should retry: the end of the
+// log, or the last entry before the conflicting term.
 func (n *Node) rejectHint(index uint64) uint64 {
 	if index > n.log.lastIndex() {
 		return n.log.lastIndex()
@@ -147,8 +147,8 @@
 	return index
 }
 
-// acceptLeader reports whether the sender leads the current term, and tells
-// an old leader of the newer one.
+// acceptLeader reports whether the sender is the leader of the current or a newer
+// term. A stale leader gets a rejection that carries the current term.
 func (n *Node) acceptLeader(now kernel.Instant, message Message) bool {
 	if message.Term < n.hard.Term {
 		n.send(Message{Kind: MessageAppendReply, To: message.From, Reject: true, LogIndex: n.commit})
@@ -174,7 +174,7 @@
 		}
 		rest := entries[position:]
 		n.log.append(rest...)
-		n.markUnsaved(entry.Index)
+		n.markUnstable(entry.Index)
 		n.reloadMembership()
 		return
 	}
@@ -185,11 +185,11 @@
 		return
 	}
 	peer := n.peer(message.From)
-	if message.SentAt > peer.acked {
-		peer.acked = message.SentAt
+	if message.SentAt > peer.ackedSentAt {
+		peer.ackedSentAt = message.SentAt
 	}
 	if message.Reject {
-		n.handleRefusal(now, message, peer)
+		n.handleReject(now, message, peer)
 		return
 	}
 	peer.probedAt = 0
@@ -203,23 +203,23 @@
 	}
 }
 
-// handleRefusal goes back to where the member's log agrees and sends from there.
-// One lost append makes a member refuse all that were under way behind it; only
-// the first refusal counts.
-func (n *Node) handleRefusal(now kernel.Instant, message Message, peer *progress) {
-	if message.SentAt < peer.resetAt {
+// handleReject lowers next to the member's hint and resends. After a lost append the
+// member rejects every append behind it, so rejections of messages sent before next
+// was lowered are ignored.
+func (n *Node) handleReject(now kernel.Instant, message Message, peer *progress) {
+	if message.SentAt < peer.nextLoweredAt {
 		return
 	}
 	if message.LogIndex+1 < peer.next && message.LogIndex >= peer.match {
 		peer.next = message.LogIndex + 1
-		peer.resetAt = now
+		peer.nextLoweredAt = now
 		peer.probedAt = 0
 	}
 	n.sendAppend(now, message.From, true)
 }
 
-// advanceCommit commits the newest entry of this term that a quorum of voters
-// has on disk (Raft paper, section 5.4.2).
+// advanceCommit commits the newest entry of the current term that a quorum of voters
+// has persisted (Raft paper, section 5.4.2).
 func (n *Node) advanceCommit(now kernel.Instant) {
 	var matches []uint64
 	for _, id := range n.membership.Voters {
@@ -236,7 +236,7 @@
 		return
 	}
 	n.commit = index
-	if n.commit >= n.membershipIdx && !n.membership.IsVoter(n.settings.ID) {
+	if n.commit >= n.membershipIndex && !n.membership.IsVoter(n.settings.ID) {
 		n.becomeFollower(now, n.hard.Term, NoMember)
 		return
 	}
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -2,15 +2,15 @@
 
 import "github.com/beamdoor/beamdoor/internal/kernel"
 
-// incomingSnapshot collects the chunks of a snapshot.
+// incomingSnapshot is a snapshot that is being received in chunks.
 type incomingSnapshot struct {
 	index uint64
 	term  uint64
 	data  []byte
 }
 
-// sendSnapshot sends the chunk that the member has asked for. Without a
-// reply the same chunk goes out again with the next heartbeat.
+// sendSnapshot starts a snapshot transfer, or resends the current chunk on a heartbeat
+// if the member has not replied.
 func (n *Node) sendSnapshot(now kernel.Instant, id MemberID, peer *progress, heartbeat bool) {
 	snapshot := n.log.snapshot
 	fresh := peer.snapshotIndex != snapshot.Index
@@ -82,10 +82,10 @@
 	n.log.compact(snapshot)
 	n.commit = snapshot.Index
 	n.applied = snapshot.Index
-	n.newSnapshot = &snapshot
-	n.unsavedFrom = 0
+	n.pendingSnapshot = &snapshot
+	n.unstableFrom = 0
 	if len(n.log.entries) > 0 {
-		n.markUnsaved(n.log.firstIndex())
+		n.markUnstable(n.log.firstIndex())
 	}
 	n.reloadMembership()
 	n.send(Message{Kind: MessageAppendReply, To: message.From, LogIndex: snapshot.Index, SentAt: message.SentAt})
@@ -96,8 +96,8 @@
 		return
 	}
 	peer := n.peer(message.From)
-	if message.SentAt > peer.acked {
-		peer.acked = message.SentAt
+	if message.SentAt > peer.ackedSentAt {
+		peer.ackedSentAt = message.SentAt
 	}
 	if message.LogIndex != peer.snapshotIndex || peer.snapshotIndex != n.log.snapshot.Index {
 		return
--- a/scripts/ablation/mechanisms.py
+++ b/scripts/ablation/mechanisms.py
@@ -33,7 +33,7 @@
     "pre-vote": [(SETTINGS, "VoteAfterRestart: true,", "VoteAfterRestart: true,\n\t\t\tMechanisms: raft.Mechanisms{NoPreVote: true},")],
     "check-quorum": [(SETTINGS, "VoteAfterRestart: true,", "VoteAfterRestart: true,\n\t\t\tMechanisms: raft.Mechanisms{NoCheckQuorum: true},")],
     "unbound-restart": [(SETTINGS, "VoteAfterRestart: true,", "VoteAfterRestart: false,")],
-    "pledge": [(ELECTION, " && n.pledge(now, message.From)\n\treply", "\n\treply")],
+    "pledge": [(ELECTION, " && n.grantPreVote(now, message.From)\n\treply", "\n\treply")],
     "voter-replacement": [(MEMBERSHIP, "return silent, silent != raft.NoMember", "return silent, false")],
     "overlapping-dials": [("internal/peerlink/dial.go", "dialStagger = 40 * time.Millisecond", "dialStagger = 200 * time.Millisecond")],
     "update-pacing": [("internal/registry/nodes.go", "updateIntervalPerNode = 2 * time.Millisecond", "updateIntervalPerNode = 0 * time.Millisecond")],
