--- a/internal/store/main_test.go
+++ b/internal/store/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives the property tests a fixed seed, so that each run has the same
-// verdict; -rapid.seed=0 draws one.
+// TestMain fixes the seed of the property tests to make their results reproducible.
+// Use -rapid.seed=0 for a random seed.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/wal/filesystem.go
+++ b/internal/wal/filesystem.go
@@ -15,34 +15,34 @@
 type File interface {
 	// Write appends bytes.
 	Write(data []byte) (int, error)
-	// Sync returns once all that was written survives a crash.
+	// Sync flushes all written data to stable storage.
 	Sync() error
-	// Close releases the file.
+	// Close closes the file without syncing it.
 	Close() error
 }
 
-// FileSystem is the folder of one member. The simulator has its own, which
-// loses what was not synced.
+// FileSystem gives access to the data directory of one member. The simulator
+// implements one that loses unsynced data on a crash.
 type FileSystem interface {
-	// Create makes an empty file, or empties an existing one.
+	// Create creates a file, or truncates an existing one.
 	Create(name string) (File, error)
 	// OpenAppend opens an existing file for appending.
 	OpenAppend(name string) (File, error)
-	// ReadFile returns the whole content of a file.
+	// ReadFile returns the contents of a file.
 	ReadFile(name string) ([]byte, error)
-	// Truncate cuts a file to a size in bytes.
+	// Truncate shortens a file to size bytes and syncs it.
 	Truncate(name string, size int64) error
-	// List returns the names of all files in order.
+	// List returns the names of all regular files in lexical order.
 	List() ([]string, error)
-	// Rename replaces newName by oldName.
+	// Rename renames oldName to newName and replaces an existing newName.
 	Rename(oldName, newName string) error
-	// Remove deletes a file.
+	// Remove deletes a file. A missing file is not an error.
 	Remove(name string) error
-	// SyncDir makes creations, renames and removals survive a crash.
+	// SyncDir syncs the directory, which makes creations, renames and removals durable.
 	SyncDir() error
 }
 
-// Dir is the FileSystem of a real process.
+// Dir is a FileSystem in a directory of the operating system.
 type Dir struct {
 	path string
 }
@@ -50,14 +50,14 @@
 var _ FileSystem = (*Dir)(nil)
 
 const (
-	folderMode = 0o750
-	fileMode   = 0o640
+	dirMode  = 0o750
+	fileMode = 0o640
 )
 
-// OpenDir makes the folder if it is missing and syncs its parent.
+// OpenDir creates the directory if it is missing and syncs its parent.
 func OpenDir(path string) (*Dir, error) {
 	const step = "wal.open_folder"
-	if err := os.MkdirAll(path, folderMode); err != nil {
+	if err := os.MkdirAll(path, dirMode); err != nil {
 		return nil, steperror.Wrap(step, path, err)
 	}
 	if err := syncPath(filepath.Dir(path)); err != nil {
@@ -74,8 +74,8 @@
 	return errors.Join(handle.Sync(), handle.Close())
 }
 
-// folderFile is an open file of a folder.
-type folderFile struct{ *os.File }
+// dirFile is an open file of a Dir. Its writes and syncs can fail by injected faults.
+type dirFile struct{ *os.File }
 
 func openFile(path string, flags int) (File, error) {
 	if err := faultlayer.InjectDiskFault(); err != nil {
@@ -85,11 +85,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return folderFile{file}, nil
+	return dirFile{file}, nil
 }
 
 // Write implements File.
-func (f folderFile) Write(data []byte) (int, error) {
+func (f dirFile) Write(data []byte) (int, error) {
 	if err := faultlayer.InjectDiskFault(); err != nil {
 		return 0, err
 	}
@@ -97,7 +97,7 @@
 }
 
 // Sync implements File.
-func (f folderFile) Sync() error {
+func (f dirFile) Sync() error {
 	if err := faultlayer.InjectDiskFault(); err != nil {
 		return err
 	}
--- a/internal/wal/reader.go
+++ b/internal/wal/reader.go
@@ -8,7 +8,7 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// reader rebuilds the state of a member from its folder.
+// reader restores the state of a member from its data directory.
 type reader struct {
 	files       FileSystem
 	restored    raft.PersistentState
@@ -16,7 +16,8 @@
 	lastSegment string
 	sequence    uint64
 	validBytes  int64
-	// segmentBytes and snapshotBytes are the sizes of what was read and counts.
+	// segmentBytes is the valid size of all segments read, snapshotBytes the size of the
+	// newest snapshot.
 	segmentBytes, snapshotBytes int64
 }
 
@@ -57,7 +58,7 @@
 	}
 	kind, payload, _, ok := parseRecord(data)
 	if !ok || kind != recordSnapshot {
-		return steperror.New(step, newest, "snapshot is damaged (checksum does not match)")
+		return steperror.New(step, newest, "snapshot is damaged: checksum mismatch")
 	}
 	snapshot, err := decodeSnapshot(payload)
 	if err != nil {
@@ -85,7 +86,7 @@
 		if !ok {
 			break
 		}
-		if err := r.apply(kind, payload); err != nil {
+		if err := r.addRecord(kind, payload); err != nil {
 			return steperror.Wrap(step, name, err)
 		}
 		r.report.Records++
@@ -96,7 +97,7 @@
 	if offset == len(data) {
 		return nil
 	}
-	if !last || holdsMarker(data[offset+1:]) {
+	if !last || containsMarker(data[offset+1:]) {
 		reason := fmt.Sprintf("record at byte %d is damaged and a synced batch follows", offset)
 		return steperror.New(step, name, reason)
 	}
@@ -104,7 +105,7 @@
 	return nil
 }
 
-func (r *reader) apply(kind recordKind, payload []byte) error {
+func (r *reader) addRecord(kind recordKind, payload []byte) error {
 	var err error
 	switch kind {
 	case recordEntry:
@@ -121,8 +122,8 @@
 	return err
 }
 
-// addEntry appends the entry; an entry whose index is already held replaces
-// it and all that followed.
+// addEntry appends an entry. An entry at an existing index replaces that entry and
+// all later ones.
 func (r *reader) addEntry(entry raft.Entry) {
 	if entry.Index <= r.restored.Snapshot.Index {
 		return
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -9,26 +9,26 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// recordKind tells what a record of the log holds.
+// recordKind is the type of a log record.
 type recordKind uint8
 
 const (
 	recordEntry recordKind = iota + 1
 	recordHardState
-	// recordMarker follows a batch that was synced. It holds nothing; it tells
-	// a record before it that has gone bad from one that was never whole.
+	// recordMarker is an empty record appended after a batch was synced. It distinguishes
+	// damaged records before it from a torn tail.
 	recordMarker
 	recordSnapshot
 )
 
-// A record is a length (4 bytes), a CRC-32C over kind and payload (4 bytes),
-// the kind (1 byte) and the payload.
+// A record consists of the payload length (4 bytes), a CRC-32C over kind and payload
+// (4 bytes), the kind (1 byte) and the payload.
 const (
 	lengthSize = 4
 	headerSize = 9
 )
 
-// castagnoli is made on first use: processes without a log need none.
+// castagnoli is built on first use, because most processes open no log.
 var castagnoli = sync.OnceValue(func() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) })
 
 func appendRecord(buffer []byte, kind recordKind, payload []byte) []byte {
@@ -39,8 +39,8 @@
 	return append(buffer, payload...)
 }
 
-// parseRecord reads the record at the start of data. It returns false when
-// the bytes there are not a whole record with a right checksum.
+// parseRecord parses the record at the start of data. It returns false if the record is
+// incomplete or its checksum does not match.
 func parseRecord(data []byte) (kind recordKind, payload []byte, size int, ok bool) {
 	if len(data) < headerSize {
 		return 0, nil, 0, false
@@ -58,11 +58,10 @@
 	return recordKind(body[0]), body[1:], size, true
 }
 
-// holdsMarker reports whether a marker stands anywhere in data. A marker after
-// a broken record shows that what is broken was synced: it went bad. Without
-// one, all that follows belongs to a batch whose sync was not reached, of which
-// any part may be missing.
-func holdsMarker(data []byte) bool {
+// containsMarker reports whether data contains a marker at any offset. A marker after an
+// invalid record means that the record was synced and later damaged. Without one, the
+// rest belongs to an unsynced batch, any part of which may be missing.
+func containsMarker(data []byte) bool {
 	for offset := 0; offset+headerSize <= len(data); offset++ {
 		kind, _, _, ok := parseRecord(data[offset:])
 		if ok && kind == recordMarker {
@@ -83,7 +82,7 @@
 func decodeHardState(data []byte) (raft.HardState, error) {
 	decoder := wire.NewDecoder(data)
 	state := raft.HardState{Term: decoder.Uint64(), Vote: raft.MemberID(decoder.Uint32())}
-	// Records of versions that kept no commit index end here.
+	// Records written by older versions have no commit index.
 	if decoder.HasMore() {
 		state.Commit = decoder.Uint64()
 	}
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,6 +1,6 @@
-// Package wal provides the durable state of a control member: a write-ahead
-// log in segments with a checksum on each record, snapshots, and the identity
-// of the data folder. What Save returned for survives a crash.
+// Package wal stores the persistent state of a Raft member: a segmented write-ahead
+// log with a checksum per record, snapshots, and the identity of the data directory.
+// Data is durable once Save has returned without an error.
 package wal
 
 import (
@@ -16,22 +16,22 @@
 const (
 	segmentPrefix  = "wal-"
 	snapshotPrefix = "snapshot-"
-	temporaryName  = "snapshot.tmp"
+	tempName       = "snapshot.tmp"
 	identityName   = "identity"
 )
 
-// Log is the open durable state. After the first failed write or sync every
-// further Save fails: what the disk then holds is not known.
+// Log is an open write-ahead log. After the first failed write or sync every later
+// Save fails, because the contents of the disk are then unknown.
 type Log struct {
 	files    FileSystem
 	segment  File
 	sequence uint64
-	broken   error
-	// segmentBytes and snapshotBytes are the sizes of the files that count.
+	err      error
+	// segmentBytes is the size of the live segments, snapshotBytes that of the snapshot.
 	segmentBytes, snapshotBytes int64
-	// commit is the commit index that was written last.
+	// commit is the commit index last written.
 	commit uint64
-	// SkipSync leaves out the sync, for tests that show what rests on it.
+	// SkipSync omits syncs; used by ablation tests.
 	SkipSync bool
 }
 
@@ -39,19 +39,19 @@
 
 func snapshotName(index uint64) string { return fmt.Sprintf("%s%016x", snapshotPrefix, index) }
 
-// Report tells what Open found and mended.
+// Report describes what was read from the data directory.
 type Report struct {
-	// TornBytes is the size of the incomplete record cut from the end.
+	// TornBytes is the size of the torn tail, which Open truncates.
 	TornBytes int
 	// Segments is the number of log segments read.
 	Segments int
-	// Records is the number of whole records read.
+	// Records is the number of valid records read.
 	Records int
 }
 
-// Open reads the folder, cuts a torn tail and opens the log for appending.
-// Damage anywhere but at the very end is an error: acknowledged entries may
-// be gone, and the member must be replaced rather than guess.
+// Open reads the data directory, truncates a torn tail and opens the log for appending.
+// Damage to synced data is an error: acknowledged entries may be lost, and the member
+// has to be replaced.
 func Open(files FileSystem) (*Log, raft.PersistentState, Report, error) {
 	reader := &reader{files: files}
 	if err := reader.read(); err != nil {
@@ -72,7 +72,7 @@
 	return log, reader.restored, reader.report, nil
 }
 
-// Verify reads the folder without changing it.
+// Verify reads the data directory without modifying it.
 func Verify(files FileSystem) (raft.PersistentState, Report, error) {
 	reader := &reader{files: files}
 	err := reader.read()
@@ -94,14 +94,14 @@
 	return steperror.Wrap("wal.sync_folder", "", l.files.SyncDir())
 }
 
-// Save writes what a Ready asks to be durable and returns after the sync. The commit
-// index goes with what is written in any case: by itself it is worth no sync.
-func (l *Log) Save(ready raft.Ready, whole raft.PersistentState) error {
-	if l.broken != nil {
-		return l.broken
+// Save persists the snapshot, entries and hard state of a Ready and syncs them. A new
+// commit index alone does not cause a write; it is saved with the next entries.
+func (l *Log) Save(ready raft.Ready, state raft.PersistentState) error {
+	if l.err != nil {
+		return l.err
 	}
 	if ready.Snapshot != nil {
-		return l.fail(l.Rewrite(whole))
+		return l.recordError(l.Rewrite(state))
 	}
 	var buffer []byte
 	for _, entry := range ready.Entries {
@@ -114,23 +114,23 @@
 		return nil
 	}
 	if _, err := l.segment.Write(buffer); err != nil {
-		return l.fail(steperror.Wrap("wal.append", "", err))
+		return l.recordError(steperror.Wrap("wal.append", "", err))
 	}
 	if err := l.sync(l.segment); err != nil {
-		return l.fail(steperror.Wrap("wal.sync", "", err))
+		return l.recordError(steperror.Wrap("wal.sync", "", err))
 	}
 	l.segmentBytes += int64(len(buffer))
 	l.commit = max(l.commit, ready.HardState.Commit)
-	return l.mark()
+	return l.appendMarker()
 }
 
-// mark notes that all before was synced. The marker itself is not: when it is
-// lost, the last batch is taken for one that may not have been.
-func (l *Log) mark() error {
+// appendMarker appends a marker after a synced batch. The marker itself is not synced; without
+// it, the last batch counts as possibly unsynced when the log is read.
+func (l *Log) appendMarker() error {
 	marker := appendRecord(nil, recordMarker, nil)
 	_, err := l.segment.Write(marker)
 	l.segmentBytes += int64(len(marker))
-	return l.fail(steperror.Wrap("wal.mark", "", err))
+	return l.recordError(steperror.Wrap("wal.mark", "", err))
 }
 
 func (l *Log) sync(file File) error {
@@ -140,28 +140,28 @@
 	return file.Sync()
 }
 
-func (l *Log) fail(err error) error {
-	if err != nil && l.broken == nil {
-		l.broken = err
+func (l *Log) recordError(err error) error {
+	if err != nil && l.err == nil {
+		l.err = err
 	}
 	return err
 }
 
-// Rewrite saves a snapshot with the entries after it and removes the segments
-// and snapshots before.
-func (l *Log) Rewrite(whole raft.PersistentState) error {
-	if err := l.writeSnapshot(whole.Snapshot); err != nil {
-		return l.fail(err)
+// Rewrite writes a snapshot and a new segment with the entries after it, then removes
+// the old segments and snapshots.
+func (l *Log) Rewrite(state raft.PersistentState) error {
+	if err := l.writeSnapshot(state.Snapshot); err != nil {
+		return l.recordError(err)
 	}
-	if err := l.startSegment(whole); err != nil {
-		return l.fail(err)
+	if err := l.startSegment(state); err != nil {
+		return l.recordError(err)
 	}
-	return l.fail(l.removeOld(whole.Snapshot.Index))
+	return l.recordError(l.removeOld(state.Snapshot.Index))
 }
 
 func (l *Log) writeSnapshot(snapshot raft.Snapshot) error {
 	const step = "wal.write_snapshot"
-	file, err := l.files.Create(temporaryName)
+	file, err := l.files.Create(tempName)
 	if err != nil {
 		return steperror.Wrap(step, "", err)
 	}
@@ -176,21 +176,21 @@
 	if err := file.Close(); err != nil {
 		return steperror.Wrap(step, "", err)
 	}
-	if err := l.files.Rename(temporaryName, snapshotName(snapshot.Index)); err != nil {
+	if err := l.files.Rename(tempName, snapshotName(snapshot.Index)); err != nil {
 		return steperror.Wrap(step, "", err)
 	}
 	return steperror.Wrap(step, "", l.files.SyncDir())
 }
 
-func (l *Log) startSegment(whole raft.PersistentState) error {
+func (l *Log) startSegment(state raft.PersistentState) error {
 	const step = "wal.start_segment"
 	name := segmentName(l.sequence + 1)
 	file, err := l.files.Create(name)
 	if err != nil {
 		return steperror.Wrap(step, name, err)
 	}
-	buffer := appendRecord(nil, recordHardState, encodeHardState(whole.HardState))
-	for _, entry := range whole.Entries {
+	buffer := appendRecord(nil, recordHardState, encodeHardState(state.HardState))
+	for _, entry := range state.Entries {
 		buffer = appendRecord(buffer, recordEntry, raft.EncodeEntry(entry))
 	}
 	if _, err := file.Write(buffer); err != nil {
@@ -206,7 +206,7 @@
 	l.segment = file
 	l.segmentBytes = int64(len(buffer))
 	l.sequence++
-	l.commit = max(l.commit, whole.HardState.Commit)
+	l.commit = max(l.commit, state.HardState.Commit)
 	return nil
 }
 
@@ -229,16 +229,16 @@
 	return steperror.Wrap(step, "", l.files.SyncDir())
 }
 
-// PeakDiskUsage returns the bytes that the log takes on the disk while the next snapshot, as
-// large as the last, is written beside it.
+// PeakDiskUsage returns the disk space in bytes needed while the next snapshot is
+// written, assuming that it is as large as the last one.
 func (l *Log) PeakDiskUsage() int64 { return l.segmentBytes + 2*l.snapshotBytes }
 
-// Close releases the open segment.
+// Close closes the open segment.
 func (l *Log) Close() error { return l.segment.Close() }
 
-// LoadIdentity returns the random number of the data folder, and draws one
-// when the folder is new.
-func LoadIdentity(files FileSystem, draw func() uint64) (uint64, error) {
+// LoadIdentity returns the random identity of the data directory. It generates and
+// stores one if there is none.
+func LoadIdentity(files FileSystem, generate func() uint64) (uint64, error) {
 	const step = "wal.identity"
 	names, err := files.List()
 	if err != nil {
@@ -256,7 +256,7 @@
 		identity := decoder.Uint64()
 		return identity, decoder.Err(step)
 	}
-	identity, err := writeIdentity(files, draw())
+	identity, err := writeIdentity(files, generate())
 	return identity, steperror.Wrap(step, "", err)
 }
 
@@ -266,10 +266,10 @@
 	return identity, WriteFileAtomic(files, identityName, encoder.Buffer)
 }
 
-// WriteFileAtomic writes a whole file so that a loss of power leaves the old one or the new
-// one.
+// WriteFileAtomic replaces a file through a temporary file and a rename. After a crash
+// the file holds either the old or the new contents.
 func WriteFileAtomic(files FileSystem, name string, data []byte) error {
-	file, err := files.Create(temporaryName)
+	file, err := files.Create(tempName)
 	if err != nil {
 		return err
 	}
@@ -282,15 +282,14 @@
 	if err := file.Close(); err != nil {
 		return err
 	}
-	if err := files.Rename(temporaryName, name); err != nil {
+	if err := files.Rename(tempName, name); err != nil {
 		return err
 	}
 	return files.SyncDir()
 }
 
-// Clear removes all files of a folder that no longer counts. The identity goes
-// first, so that an interruption never leaves an old identity with less state
-// than it had.
+// Clear removes all files of the data directory. It removes the identity first, so
+// that an interrupted run never leaves an identity with incomplete state.
 func Clear(files FileSystem) error {
 	const step = "wal.clear"
 	if err := files.Remove(identityName); err != nil {
--- a/internal/wal/wal_bench_test.go
+++ b/internal/wal/wal_bench_test.go
@@ -12,14 +12,14 @@
 	"github.com/beamdoor/beamdoor/internal/wal"
 )
 
-// BenchmarkSaveRatio compares a save with a bare append and sync of the same
-// bytes on the same disk, in turns.
+// BenchmarkSaveRatio alternates Save with a plain append and sync of the same size on
+// the same disk, and reports the ratio of their times.
 func BenchmarkSaveRatio(b *testing.B) {
 	folder, err := wal.OpenDir(filepath.Join(b.TempDir(), "log"))
 	require.NoError(b, err)
 	log, _, _, err := wal.Open(folder)
 	require.NoError(b, err)
-	bare, err := os.Create(filepath.Join(b.TempDir(), "bare"))
+	plain, err := os.Create(filepath.Join(b.TempDir(), "bare"))
 	require.NoError(b, err)
 	data := make([]byte, 512)
 	var saving, appending time.Duration
@@ -30,9 +30,9 @@
 		require.NoError(b, log.Save(raft.Ready{Entries: []raft.Entry{{Term: 1, Index: index, Data: data}}}, raft.PersistentState{}))
 		saving += time.Since(start)
 		start = time.Now()
-		_, err := bare.Write(data)
+		_, err := plain.Write(data)
 		require.NoError(b, err)
-		require.NoError(b, bare.Sync())
+		require.NoError(b, plain.Sync())
 		appending += time.Since(start)
 	}
 	b.ReportMetric(float64(saving)/float64(appending), "of-bare-append")
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -43,7 +43,7 @@
 	require.NoError(t, log.Save(ready, raft.PersistentState{}))
 }
 
-func TestSavedSurvivesACrash(t *testing.T) {
+func TestSaveIsDurable(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 3)...)
@@ -53,7 +53,7 @@
 	assert.Equal(t, raft.HardState{Term: 1, Vote: 2}, restored.HardState)
 }
 
-func TestSkippedSyncLosesWhatWasAcknowledged(t *testing.T) {
+func TestSkipSyncLosesAcknowledgedEntries(t *testing.T) {
 	fewest := 40
 	for seed := range uint64(10) {
 		files := disk.New(rand.New(rand.NewPCG(seed, 1)))
@@ -62,8 +62,8 @@
 		log.SkipSync = true
 		save(t, log, entries(2, 40)...)
 		files.Crash()
-		// A marker that outlives the batch before it makes the log refuse to
-		// open: it was told that the batch was synced.
+		// If a marker survives without its batch, Open reports damage, because the
+		// marker says that the batch was synced.
 		_, restored, _, err := wal.Open(files)
 		if err != nil {
 			require.ErrorContains(t, err, "damaged")
@@ -74,7 +74,7 @@
 	assert.Less(t, fewest, 40)
 }
 
-func TestTornTailIsCutAtEveryByte(t *testing.T) {
+func TestTornTailIsTruncated(t *testing.T) {
 	reference := newDisk()
 	log, _ := open(t, reference)
 	save(t, log, entries(1, 2)...)
@@ -96,9 +96,9 @@
 	}
 }
 
-// A power loss may lose the marker of a batch and keep the next batch, which
-// nobody was told of: the log must open, with all that was acknowledged.
-func TestALostMarkerBeforeAnUnsyncedBatchIsATornTail(t *testing.T) {
+// A crash may lose a marker and keep the unsynced batch after it. The log must open
+// with all acknowledged entries.
+func TestLostMarkerBeforeUnsyncedBatch(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 2)...)
@@ -114,9 +114,9 @@
 	assert.GreaterOrEqual(t, len(restored.Entries), 2)
 }
 
-// Whatever a power loss leaves of writes that were not synced, the log opens
-// with all that was acknowledged.
-func TestEveryCrashKeepsWhatWasAcknowledged(t *testing.T) {
+// Whatever part of the unsynced writes survives a crash, the log must open with all
+// acknowledged entries.
+func TestCrashKeepsAcknowledgedEntries(t *testing.T) {
 	for seed := range uint64(400) {
 		files := disk.New(rand.New(rand.NewPCG(seed, 7)))
 		log, _ := open(t, files)
@@ -137,9 +137,9 @@
 	}
 }
 
-// Every byte of an acknowledged batch that goes bad is noticed, also in the
-// newest batch, and never taken for a tail that was not written.
-func TestEveryBadBitIsRefused(t *testing.T) {
+// A damaged byte in an acknowledged batch, including the newest one, must be reported
+// as damage and never truncated as a torn tail.
+func TestDamageIsDetected(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 2)...)
@@ -158,7 +158,7 @@
 	assert.Zero(t, report.TornBytes)
 }
 
-func TestFailedWriteOrSyncStopsTheLog(t *testing.T) {
+func TestFailedWriteOrSyncIsSticky(t *testing.T) {
 	for name, breakDisk := range map[string]func(*disk.Disk){
 		"full": func(files *disk.Disk) { files.Full = true },
 		"sync": func(files *disk.Disk) { files.FailSyncs = true },
@@ -172,16 +172,16 @@
 			require.Error(t, log.Save(ready, raft.PersistentState{}))
 			files.Full = false
 			files.FailSyncs = false
-			assert.Error(t, log.Save(ready, raft.PersistentState{}), "what the disk holds is not known any more")
+			assert.Error(t, log.Save(ready, raft.PersistentState{}), "the contents of the disk are unknown")
 		})
 	}
 }
 
-func TestRewriteReplacesTheLog(t *testing.T) {
+func TestRewrite(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 9)...)
-	whole := raft.PersistentState{
+	state := raft.PersistentState{
 		HardState: raft.HardState{Term: 3, Vote: 1},
 		Snapshot: raft.Snapshot{
 			Index: 7, Term: 1, Data: []byte("state"),
@@ -189,18 +189,18 @@
 		},
 		Entries: entries(8, 9),
 	}
-	require.NoError(t, log.Rewrite(whole))
+	require.NoError(t, log.Rewrite(state))
 	save(t, log, entry(10))
 	files.Crash()
 	_, restored := open(t, files)
-	assert.Equal(t, whole.Snapshot, restored.Snapshot)
+	assert.Equal(t, state.Snapshot, restored.Snapshot)
 	assert.Equal(t, entries(8, 10), restored.Entries)
 	names, err := files.List()
 	require.NoError(t, err)
-	assert.NotContains(t, names, firstSegment, "old segments are removed")
+	assert.NotContains(t, names, firstSegment, "old segments must be removed")
 }
 
-func TestMissingEntryIsRefused(t *testing.T) {
+func TestMissingEntryIsDetected(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entry(1))
@@ -209,7 +209,7 @@
 	assert.ErrorContains(t, err, "entry 2 is missing")
 }
 
-func TestIdentityIsDrawnOnce(t *testing.T) {
+func TestLoadIdentity(t *testing.T) {
 	files := newDisk()
 	draws := uint64(0)
 	draw := func() uint64 { draws++; return draws }
@@ -222,10 +222,10 @@
 	files.Wipe()
 	third, err := wal.LoadIdentity(files, draw)
 	require.NoError(t, err)
-	assert.NotEqual(t, first, third, "a lost disk has another identity")
+	assert.NotEqual(t, first, third, "a wiped disk must get a new identity")
 }
 
-func TestRealFolder(t *testing.T) {
+func TestDir(t *testing.T) {
 	folder, err := wal.OpenDir(t.TempDir())
 	require.NoError(t, err)
 	log, _ := open(t, folder)
@@ -236,8 +236,8 @@
 	assert.Equal(t, entries(4, 5), restored.Entries)
 }
 
-// Any mix of saves, rewrites and crashes keeps all that was saved.
-func TestLogAgainstASimpleOracle(t *testing.T) {
+// Any sequence of saves, rewrites and crashes must preserve all saved entries.
+func TestLogAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		files := disk.New(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		log, _ := open(t, files)
@@ -302,8 +302,8 @@
 	})
 }
 
-// What a log says that it holds is the size of its files, with room for the next snapshot.
-func TestWhatALogHoldsIsTheSizeOfItsFiles(t *testing.T) {
+// PeakDiskUsage must equal the size of all files plus that of the next snapshot.
+func TestPeakDiskUsage(t *testing.T) {
 	path := t.TempDir()
 	folder, err := wal.OpenDir(path)
 	require.NoError(t, err)
@@ -338,13 +338,13 @@
 	require.NoError(t, log.Close())
 }
 
-func TestTheCommitIndexGoesWithWhatIsWritten(t *testing.T) {
+func TestCommitIndexIsSavedWithEntries(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 3)...)
 	ready := raft.Ready{Entries: entries(4, 5), HardState: raft.HardState{Term: 1, Vote: 2, Commit: 3}}
 	require.NoError(t, log.Save(ready, raft.PersistentState{}))
-	require.NoError(t, log.Save(raft.Ready{HardState: raft.HardState{Term: 1, Vote: 2, Commit: 5}}, raft.PersistentState{}), "nothing else is to be written")
+	require.NoError(t, log.Save(raft.Ready{HardState: raft.HardState{Term: 1, Vote: 2, Commit: 5}}, raft.PersistentState{}), "a commit index alone must not cause a write")
 	files.Crash()
 	_, restored := open(t, files)
 	assert.Equal(t, raft.HardState{Term: 1, Vote: 2, Commit: 3}, restored.HardState)
