--- a/internal/store/command.go
+++ b/internal/store/command.go
@@ -8,10 +8,10 @@
 	"github.com/beamdoor/beamdoor/internal/wire"
 )
 
-// CommandKind tells which request a command of the replicated log holds.
+// CommandKind identifies the request type that a command holds.
 type CommandKind uint8
 
-// The kinds of commands.
+// The command kinds.
 const (
 	// CommandApply holds an ApplyRequest.
 	CommandApply CommandKind = iota + 1
@@ -21,14 +21,14 @@
 	CommandRemoveBalancer
 	// CommandChangeView holds a ViewChange.
 	CommandChangeView
-	// CommandSetMember holds a ChangeMemberRequest: the addresses of a member.
+	// CommandSetMember holds a ChangeMemberRequest, which sets or removes a member's addresses.
 	CommandSetMember
 )
 
-// Command is one write to the replicated state.
+// Command is a write to the replicated state.
 type Command struct {
 	Kind CommandKind
-	// UnixMilliseconds is the leader's wall clock, for the history only.
+	// UnixMilliseconds is the leader's wall clock time, used only in the history.
 	UnixMilliseconds int64
 	Body             proto.Message
 }
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// EncodeCommand returns the bytes of a command for the log.
+// EncodeCommand encodes a command for the log.
 func EncodeCommand(command Command) ([]byte, error) {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(command.Body)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return encoder.Buffer, nil
 }
 
-// DecodeCommand reads a command from the log.
+// DecodeCommand decodes a command from the log.
 func DecodeCommand(data []byte) (Command, error) {
 	const step = "store.decode_command"
 	decoder := wire.NewDecoder(data)
--- a/internal/store/restore.go
+++ b/internal/store/restore.go
@@ -6,21 +6,21 @@
 	beamdoorv1 "github.com/beamdoor/beamdoor/api/beamdoor/v1"
 )
 
-// restoreJump is the distance that a restored state keeps from the backup:
-// revisions and IDs that were given out after it are never given out again.
-const restoreJump = 1 << 20
+// restoreOffset is added to the revision and the next ID of a backup, so that values
+// allocated after the backup are not reused.
+const restoreOffset = 1 << 20
 
-// RestoreFromBackup prepares a state from a backup for a new group: everything in it
-// counts as newer than whatever a balancer may have, and the group has one
-// member. It returns the new revision.
+// RestoreFromBackup turns a state decoded from a backup into the initial state of a new
+// single-member group. All objects get a revision newer than any a balancer may hold.
+// It returns that revision.
 func (s *Store) RestoreFromBackup(first *beamdoorv1.Member) uint64 {
 	backupRevision := s.revision
-	s.revision += restoreJump
-	s.nextID += restoreJump
+	s.revision += restoreOffset
+	s.nextID += restoreOffset
 	s.operatorRevision = s.revision
 	s.operatorAuthor = controlAuthor
 	s.tombstones = nil
-	s.forgotten = s.revision
+	s.tombstoneHorizon = s.revision
 	for _, service := range s.Services() {
 		service.Revision = s.revision
 		s.putService(service)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
-// Package store provides the replicated state of the control plane:
-// services, policies, the views of the cells, the history, and the answers
-// to request identities. It is deterministic: the same commands in the same
-// order give the same state on every member.
+// Package store implements the replicated state machine of the control plane:
+// services, policies, cell views, the change history and the stored results of
+// requests. It is deterministic: applying the same commands in the same order yields
+// the same state on every member.
 package store
 
 import (
@@ -14,29 +14,29 @@
 )
 
 const (
-	// AnswerLimit is the number of request identities whose answer is kept.
-	// A resend is safe until so many other writes were accepted.
+	// AnswerLimit is the number of request results kept for deduplication. A request
+	// is no longer deduplicated after that many newer requests.
 	AnswerLimit = 4096
-	// HistoryLimit is the number of changes kept for History and Watch.
+	// HistoryLimit is the number of changes retained for History and Watch.
 	HistoryLimit = 1024
-	// TombstoneLimit is the number of removed services remembered.
+	// TombstoneLimit is the number of retained tombstones of removed services.
 	TombstoneLimit = 4096
-	// RequestIDSize is the size of a request identity in bytes.
+	// RequestIDSize is the size of a request ID in bytes.
 	RequestIDSize = 16
 )
 
-// ErrorCode classifies a refused write.
+// ErrorCode classifies a rejected write.
 type ErrorCode uint32
 
-// The classes of refused writes.
+// The error codes.
 const (
-	// ErrorNone is an accepted write.
+	// ErrorNone means that the write was accepted.
 	ErrorNone ErrorCode = iota
-	// ErrorConflict is a lost race: another write came first.
+	// ErrorConflict means that a concurrent write was accepted first.
 	ErrorConflict
-	// ErrorInvalid is a write that can never be accepted as it is.
+	// ErrorInvalid means that the request is invalid.
 	ErrorInvalid
-	// ErrorNotFound names something that does not exist.
+	// ErrorNotFound means that the request refers to an object that does not exist.
 	ErrorNotFound
 )
 
@@ -45,17 +45,18 @@
 	Revision uint64
 	Code     ErrorCode
 	Reason   string
-	// ConflictRevision is the revision of the write that came first.
+	// ConflictRevision is the revision of the conflicting write.
 	ConflictRevision uint64
-	// Repeated says that the answer was kept from an earlier command.
+	// Repeated is set if this is the stored result of an earlier request with the
+	// same ID.
 	Repeated bool
 }
 
-// Options switches off single mechanisms for tests.
+// Options disables individual mechanisms for ablation tests.
 type Options struct {
-	// NoRequestDeduplication runs a repeated write again.
+	// NoRequestDeduplication executes repeated requests again.
 	NoRequestDeduplication bool
-	// NoCompareAndSet ignores the base revision.
+	// NoCompareAndSet ignores the base revision of a request.
 	NoCompareAndSet bool
 }
 
@@ -63,25 +64,25 @@
 type Store struct {
 	options  Options
 	revision uint64
-	// operatorRevision is the newest revision made by an operator; a write
-	// conflicts with it, but not with a change of a view.
+	// operatorRevision is the newest revision written by an operator. Writes conflict
+	// with it, but not with view changes.
 	operatorRevision uint64
 	operatorAuthor   string
 	nextID           uint32
 	services         map[string]*beamdoorv1.Service
-	// cells indexes the services by cell, with the newest revision of each.
-	cells       map[uint32]*cellIndex
-	policies    map[string]*beamdoorv1.Policy
-	views       map[uint32]*beamdoorv1.View
-	members     map[uint32]*beamdoorv1.Member
-	answers     []*beamdoorv1.StoredAnswer
-	answerIndex map[string]*beamdoorv1.StoredAnswer
-	history     []*beamdoorv1.HistoryEntry
-	tombstones  []*beamdoorv1.Tombstone
-	forgotten   uint64
+	// cells indexes services and revisions by cell.
+	cells            map[uint32]*cellIndex
+	policies         map[string]*beamdoorv1.Policy
+	views            map[uint32]*beamdoorv1.View
+	members          map[uint32]*beamdoorv1.Member
+	answers          []*beamdoorv1.StoredAnswer
+	answerIndex      map[string]*beamdoorv1.StoredAnswer
+	history          []*beamdoorv1.HistoryEntry
+	tombstones       []*beamdoorv1.Tombstone
+	tombstoneHorizon uint64
 }
 
-// New returns an empty state.
+// New returns an empty store.
 func New(options Options) *Store {
 	return &Store{
 		options:     options,
@@ -95,31 +96,31 @@
 	}
 }
 
-// Revision returns the newest revision.
+// Revision returns the current revision.
 func (s *Store) Revision() uint64 { return s.revision }
 
-// Service returns a service by name, or nil.
+// Service returns the named service, or nil.
 func (s *Store) Service(name string) *beamdoorv1.Service { return s.services[name] }
 
-// Policy returns a policy by name, or nil.
+// Policy returns the named policy, or nil.
 func (s *Store) Policy(name string) *beamdoorv1.Policy { return s.policies[name] }
 
-// View returns the view of a cell, or nil.
+// View returns the current view of a cell, or nil.
 func (s *Store) View(cell uint32) *beamdoorv1.View { return s.views[cell] }
 
-// Views returns the views of all cells in order.
+// Views returns the views of all cells, sorted by cell.
 func (s *Store) Views() []*beamdoorv1.View { return sorted(s.views) }
 
-// Services returns all services in order of their names.
+// Services returns all services, sorted by name.
 func (s *Store) Services() []*beamdoorv1.Service { return sorted(s.services) }
 
-// Policies returns all policies in order of their names.
+// Policies returns all policies, sorted by name.
 func (s *Store) Policies() []*beamdoorv1.Policy { return sorted(s.policies) }
 
-// Members returns the known control members in order.
+// Members returns the known control plane members, sorted by ID.
 func (s *Store) Members() []*beamdoorv1.Member { return sorted(s.members) }
 
-// History returns up to limit changes, the newest first.
+// History returns up to limit changes, newest first.
 func (s *Store) History(limit int) []*beamdoorv1.HistoryEntry {
 	var entries []*beamdoorv1.HistoryEntry
 	for i := len(s.history) - 1; i >= 0 && len(entries) < limit; i-- {
@@ -128,7 +129,7 @@
 	return entries
 }
 
-// HistoryAfter returns the changes that came after a revision, oldest first.
+// HistoryAfter returns the retained changes after a revision, oldest first.
 func (s *Store) HistoryAfter(revision uint64) []*beamdoorv1.HistoryEntry {
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].Revision > revision })
 	return s.history[first:]
@@ -151,30 +152,31 @@
 	return list
 }
 
-// requestIdentity is a write of an operator that can be resent.
-type requestIdentity interface {
+// identifiedRequest is implemented by requests that carry a request ID.
+type identifiedRequest interface {
 	GetRequestId() []byte
 }
 
-// Apply runs one command and returns its outcome.
+// Apply applies a command and returns its result. A request whose ID was seen before
+// gets the stored result.
 func (s *Store) Apply(command Command) Result {
 	identity := requestID(command.Body)
-	if kept := s.keptAnswer(identity); kept != nil {
+	if kept := s.storedResult(identity); kept != nil {
 		return *kept
 	}
-	result := s.run(command)
-	s.keepAnswer(identity, result)
+	result := s.execute(command)
+	s.storeResult(identity, result)
 	return result
 }
 
 func requestID(body proto.Message) []byte {
-	if request, ok := body.(requestIdentity); ok {
+	if request, ok := body.(identifiedRequest); ok {
 		return request.GetRequestId()
 	}
 	return nil
 }
 
-func (s *Store) run(command Command) Result {
+func (s *Store) execute(command Command) Result {
 	switch body := command.Body.(type) {
 	case *beamdoorv1.ApplyRequest:
 		return s.applyRequest(command, body)
@@ -187,14 +189,14 @@
 	case *beamdoorv1.ChangeMemberRequest:
 		return s.setMember(command, body)
 	}
-	return s.refuse(ErrorInvalid, "unknown command")
+	return s.reject(ErrorInvalid, "unknown command")
 }
 
-func (s *Store) refuse(code ErrorCode, reason string) Result {
+func (s *Store) reject(code ErrorCode, reason string) Result {
 	return Result{Revision: s.revision, Code: code, Reason: reason}
 }
 
-func (s *Store) keptAnswer(identity []byte) *Result {
+func (s *Store) storedResult(identity []byte) *Result {
 	if len(identity) == 0 || s.options.NoRequestDeduplication {
 		return nil
 	}
@@ -211,7 +213,7 @@
 	}
 }
 
-func (s *Store) keepAnswer(identity []byte, result Result) {
+func (s *Store) storeResult(identity []byte, result Result) {
 	if len(identity) == 0 {
 		return
 	}
@@ -230,7 +232,7 @@
 	}
 }
 
-// accept makes the next revision and enters it into the history.
+// accept allocates the next revision and appends it to the history.
 func (s *Store) accept(command Command, author, summary string) uint64 {
 	s.revision++
 	s.history = append(s.history, &beamdoorv1.HistoryEntry{
@@ -252,7 +254,7 @@
 	return revision
 }
 
-// Encode returns a snapshot of the state.
+// Encode serializes the state to a snapshot.
 func (s *Store) Encode() ([]byte, error) {
 	state := &beamdoorv1.State{
 		Revision:          s.revision,
@@ -266,13 +268,13 @@
 		OperatorRevision:  s.operatorRevision,
 		OperatorAuthor:    s.operatorAuthor,
 		Tombstones:        s.tombstones,
-		ForgottenRevision: s.forgotten,
+		ForgottenRevision: s.tombstoneHorizon,
 	}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(state)
 	return data, steperror.Wrap("store.encode", "", err)
 }
 
-// Decode returns the state of a snapshot.
+// Decode restores a store from a snapshot.
 func Decode(data []byte, options Options) (*Store, error) {
 	state := &beamdoorv1.State{}
 	if err := proto.Unmarshal(data, state); err != nil {
@@ -285,12 +287,12 @@
 	s.nextID = max(state.NextId, 1)
 	s.history = state.History
 	s.tombstones = state.Tombstones
-	s.forgotten = state.ForgottenRevision
+	s.tombstoneHorizon = state.ForgottenRevision
 	for _, service := range state.Services {
 		s.putService(service)
 	}
 	for _, tombstone := range s.tombstones {
-		s.cell(tombstone.Cell).touch(tombstone.Revision)
+		s.cell(tombstone.Cell).raiseRevision(tombstone.Revision)
 	}
 	for _, policy := range state.Policies {
 		s.policies[policy.Name] = policy
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -43,20 +43,20 @@
 	return apply(state, state.Revision(), &beamdoorv1.ApplyRequest{Author: "test", Services: services})
 }
 
-func TestEqualBasesHaveOneWinner(t *testing.T) {
+func TestConflictingWrites(t *testing.T) {
 	state := New(Options{})
 	first := apply(state, 0, &beamdoorv1.ApplyRequest{Author: "ana", Services: []*beamdoorv1.Service{service("a", 1)}})
 	require.Equal(t, ErrorNone, first.Code)
 	second := apply(state, 0, &beamdoorv1.ApplyRequest{Author: "ben", Services: []*beamdoorv1.Service{service("b", 2)}})
 	assert.Equal(t, ErrorConflict, second.Code)
-	assert.Equal(t, first.Revision, second.ConflictRevision, "the loser hears the winner's revision")
+	assert.Equal(t, first.Revision, second.ConflictRevision, "a conflict must report the revision of the accepted write")
 	assert.Contains(t, second.Reason, "ana")
 	assert.Nil(t, state.Service("b"))
 	future := apply(state, 99, &beamdoorv1.ApplyRequest{Services: []*beamdoorv1.Service{service("b", 2)}})
 	assert.Equal(t, ErrorInvalid, future.Code)
 }
 
-func TestChangeOfViewDoesNotConflictWithOperators(t *testing.T) {
+func TestViewChangeDoesNotConflictWithOperators(t *testing.T) {
 	state := New(Options{})
 	base := applyServices(state, service("a", 1)).Revision
 	change := &beamdoorv1.ViewChange{Cell: 1, Added: []*beamdoorv1.Balancer{{Name: "b1", Nonce: 1}}}
@@ -64,7 +64,7 @@
 	assert.Equal(t, ErrorNone, apply(state, base, &beamdoorv1.ApplyRequest{Services: []*beamdoorv1.Service{service("b", 2)}}).Code)
 }
 
-func TestResendGetsTheFirstAnswerAlsoAfterASnapshot(t *testing.T) {
+func TestRequestDeduplicationAcrossSnapshot(t *testing.T) {
 	state := New(Options{})
 	request := &beamdoorv1.ApplyRequest{RequestId: identity(1), Services: []*beamdoorv1.Service{service("a", 1)}}
 	first := apply(state, 0, request)
@@ -76,10 +76,10 @@
 	again := apply(restored, 0, request)
 	assert.True(t, again.Repeated)
 	assert.Equal(t, first.Revision, again.Revision)
-	assert.Equal(t, state.Revision(), restored.Revision(), "nothing was written twice")
+	assert.Equal(t, state.Revision(), restored.Revision(), "the request must not be applied twice")
 }
 
-func TestTargetKeepsItsIDAndItsDrain(t *testing.T) {
+func TestTargetKeepsIDAndDraining(t *testing.T) {
 	state := New(Options{})
 	applyServices(state, service("a", 1, target("t1", "10.0.0.1:1"), target("t2", "10.0.0.2:1")))
 	before := proto.CloneOf(state.Service("a"))
@@ -88,11 +88,11 @@
 	applyServices(state, service("a", 1, target("t1", "10.0.0.1:1"), target("t2", "10.0.0.9:1")))
 	after := state.Service("a")
 	assert.Equal(t, before.Targets[0].Id, after.Targets[0].Id)
-	assert.True(t, after.Targets[0].Draining, "a file that does not know of the drain does not end it")
-	assert.NotEqual(t, before.Targets[1].Id, after.Targets[1].Id, "another address is another target")
+	assert.True(t, after.Targets[0].Draining, "applying a file must not end a drain")
+	assert.NotEqual(t, before.Targets[1].Id, after.Targets[1].Id, "a target with a new address must get a new ID")
 }
 
-func TestRefusedWritesNameTheFieldAndChangeNothing(t *testing.T) {
+func TestInvalidWritesAreRejected(t *testing.T) {
 	state := New(Options{})
 	applyServices(state, service("a", 1, target("t1", "10.0.0.1:1")))
 	revision := state.Revision()
@@ -113,7 +113,7 @@
 	assert.Equal(t, ErrorNotFound, state.Apply(Command{Kind: CommandSetDraining, Body: missing}).Code)
 }
 
-func TestOldViewChangeHasNoEffect(t *testing.T) {
+func TestStaleViewChangeIsRejected(t *testing.T) {
 	state := New(Options{})
 	add := func(base uint64, name string, nonce uint64) Result {
 		change := &beamdoorv1.ViewChange{Cell: 1, BaseNumber: base, Added: []*beamdoorv1.Balancer{{Name: name, Nonce: nonce}}}
@@ -128,13 +128,13 @@
 	assert.NotEqual(t, state.View(1).Members[0].Id, state.View(1).Members[1].Id)
 }
 
-// balancerCopy is what a balancer makes of differences.
+// balancerCopy is a balancer's configuration, built from incremental updates.
 type balancerCopy struct {
 	revision uint64
 	services map[string]*beamdoorv1.Service
 }
 
-func (c *balancerCopy) take(config *beamdoorv1.CellConfig) {
+func (c *balancerCopy) update(config *beamdoorv1.CellConfig) {
 	if config.BaseRevision == 0 {
 		c.services = map[string]*beamdoorv1.Service{}
 	}
@@ -147,23 +147,23 @@
 	c.revision = config.Revision
 }
 
-// TestStoreAgainstASimpleOracle writes at random, with races, resends,
-// snapshots and balancers that take differences now and then.
-func TestStoreAgainstASimpleOracle(t *testing.T) {
+// Compares the store with a model under random conflicting writes, resends, snapshots
+// and incremental updates of balancers.
+func TestStoreAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := New(Options{})
-		oracle := map[string]string{}
+		model := map[string]string{}
 		answers := map[uint64]Result{}
 		newest := uint64(0)
-		var numbers uint64
+		var requests uint64
 		copies := []*balancerCopy{{services: map[string]*beamdoorv1.Service{}}, {services: map[string]*beamdoorv1.Service{}}}
 		name := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		write := func(t *rapid.T, request *beamdoorv1.ApplyRequest, change func()) {
-			numbers++
-			request.RequestId = identity(numbers)
+			requests++
+			request.RequestId = identity(requests)
 			base := rapid.SampledFrom([]uint64{state.Revision(), newest, newest / 2}).Draw(t, "base")
 			result := apply(state, base, request)
-			answers[numbers] = result
+			answers[requests] = result
 			if base < newest {
 				assert.Equal(t, ErrorConflict, result.Code)
 				return
@@ -178,17 +178,17 @@
 				chosen := name.Draw(t, "name")
 				number := rapid.IntRange(1, 6).Draw(t, "number")
 				put := service(chosen, number)
-				write(t, &beamdoorv1.ApplyRequest{Services: []*beamdoorv1.Service{put}}, func() { oracle[chosen] = put.Address })
+				write(t, &beamdoorv1.ApplyRequest{Services: []*beamdoorv1.Service{put}}, func() { model[chosen] = put.Address })
 			},
 			"remove": func(t *rapid.T) {
 				chosen := name.Draw(t, "name")
-				write(t, &beamdoorv1.ApplyRequest{RemovedServices: []string{chosen}}, func() { delete(oracle, chosen) })
+				write(t, &beamdoorv1.ApplyRequest{RemovedServices: []string{chosen}}, func() { delete(model, chosen) })
 			},
 			"resend": func(t *rapid.T) {
-				if numbers == 0 {
-					t.Skip("nothing was sent")
+				if requests == 0 {
+					t.Skip("no request to resend")
 				}
-				number := rapid.Uint64Range(1, numbers).Draw(t, "request")
+				number := rapid.Uint64Range(1, requests).Draw(t, "request")
 				again := apply(state, 0, &beamdoorv1.ApplyRequest{RequestId: identity(number)})
 				assert.True(t, again.Repeated)
 				assert.Equal(t, answers[number].Revision, again.Revision)
@@ -202,15 +202,15 @@
 			},
 			"balancer": func(t *rapid.T) {
 				taker := rapid.SampledFrom(copies).Draw(t, "copy")
-				taker.take(state.CellConfig(1, taker.revision))
-				assert.Len(t, taker.services, len(oracle))
-				for chosen, address := range oracle {
+				taker.update(state.CellConfig(1, taker.revision))
+				assert.Len(t, taker.services, len(model))
+				for chosen, address := range model {
 					assert.Equal(t, address, taker.services[chosen].GetAddress())
 				}
 			},
 			"": func(t *rapid.T) {
-				assert.Len(t, state.Services(), len(oracle))
-				for chosen, address := range oracle {
+				assert.Len(t, state.Services(), len(model))
+				for chosen, address := range model {
 					assert.Equal(t, address, state.Service(chosen).GetAddress())
 				}
 			},
@@ -218,7 +218,7 @@
 	})
 }
 
-func TestForgottenRemovalsGiveTheWholeConfiguration(t *testing.T) {
+func TestExpiredTombstoneForcesFullConfig(t *testing.T) {
 	state := New(Options{})
 	applyServices(state, service("kept", 250))
 	for i := range TombstoneLimit + 2 {
@@ -226,7 +226,7 @@
 		applyServices(state, service(name, 1))
 		apply(state, state.Revision(), &beamdoorv1.ApplyRequest{RemovedServices: []string{name}})
 	}
-	assert.Zero(t, state.CellConfig(1, 2).BaseRevision, "too old for a difference")
+	assert.Zero(t, state.CellConfig(1, 2).BaseRevision, "a revision before the oldest tombstone must get the full configuration")
 	recent := state.CellConfig(1, state.Revision()-2)
 	assert.NotZero(t, recent.BaseRevision)
 }
@@ -256,8 +256,7 @@
 	})
 }
 
-// BenchmarkEncodeAtSize encodes and decodes the state of three sizes; the
-// largest is the two-year size.
+// BenchmarkEncodeAtSize encodes states of three sizes.
 func BenchmarkEncodeAtSize(b *testing.B) {
 	for _, services := range []int{2750, 5500, 11000} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
--- a/internal/store/view.go
+++ b/internal/store/view.go
@@ -10,13 +10,13 @@
 
 const controlAuthor = "control"
 
-// changeView makes the next view of a cell. A change that was proposed on an
-// older view has no effect.
+// changeView creates the next view of a cell. A change based on an older view is
+// rejected as a conflict.
 func (s *Store) changeView(command Command, change *beamdoorv1.ViewChange) Result {
 	previous := s.views[change.Cell]
 	if previous.GetNumber() != change.BaseNumber {
 		reason := fmt.Sprintf("view %d of cell %d is not the newest", change.BaseNumber, change.Cell)
-		return s.refuse(ErrorConflict, reason)
+		return s.reject(ErrorConflict, reason)
 	}
 	next := &beamdoorv1.View{
 		Cell:     change.Cell,
@@ -35,7 +35,7 @@
 	}
 	for _, added := range change.Added {
 		member := proto.CloneOf(added)
-		member.Id = s.takeID()
+		member.Id = s.allocateID()
 		member.State = beamdoorv1.BalancerState_BALANCER_STATE_ACTIVE
 		next.Members = append(next.Members, member)
 	}
@@ -55,8 +55,8 @@
 	return false
 }
 
-// removeBalancer marks a balancer as leaving; it is dropped from the view
-// once it has handed over.
+// removeBalancer marks a balancer as leaving. A later view change removes it once it
+// has handed over its flows.
 func (s *Store) removeBalancer(command Command, request *beamdoorv1.RemoveBalancerRequest) Result {
 	for _, view := range sorted(s.views) {
 		for _, member := range view.Members {
@@ -70,15 +70,15 @@
 			})
 		}
 	}
-	return s.refuse(ErrorNotFound, fmt.Sprintf("balancer %q does not exist", request.Name))
+	return s.reject(ErrorNotFound, fmt.Sprintf("balancer %q does not exist", request.Name))
 }
 
-// CellConfig returns what a balancer of the cell needs when it already has
-// the given revision: a difference, or everything when it has none or has
-// been away for longer than removals are remembered.
+// CellConfig returns the configuration of a cell for a balancer at revision have: an
+// incremental update, or the full configuration if the balancer has none or its
+// revision is older than the retained tombstones.
 func (s *Store) CellConfig(cell uint32, have uint64) *beamdoorv1.CellConfig {
 	config := &beamdoorv1.CellConfig{Revision: s.revision, BaseRevision: have}
-	if have > s.revision || have < s.forgotten {
+	if have > s.revision || have < s.tombstoneHorizon {
 		config.BaseRevision = 0
 	}
 	for _, service := range sorted(s.cell(cell).services) {
@@ -104,17 +104,17 @@
 	return config
 }
 
-// CellRevision returns the newest revision that changed anything in the
-// cell; a balancer at or above it is up to date.
+// CellRevision returns the newest revision that changed the cell. A balancer at or
+// above it is up to date.
 func (s *Store) CellRevision(cell uint32) uint64 { return s.cell(cell).revision }
 
-// cellIndex holds what concerns one cell.
+// cellIndex holds the services of one cell and the cell's newest revision.
 type cellIndex struct {
 	services map[string]*beamdoorv1.Service
 	revision uint64
 }
 
-func (c *cellIndex) touch(revision uint64) { c.revision = max(c.revision, revision) }
+func (c *cellIndex) raiseRevision(revision uint64) { c.revision = max(c.revision, revision) }
 
 func (s *Store) cell(number uint32) *cellIndex {
 	index, known := s.cells[number]
@@ -129,15 +129,15 @@
 	s.services[service.Name] = service
 	index := s.cell(service.Cell)
 	index.services[service.Name] = service
-	index.touch(service.Revision)
+	index.raiseRevision(service.Revision)
 }
 
-func (s *Store) dropService(service *beamdoorv1.Service) {
+func (s *Store) deleteService(service *beamdoorv1.Service) {
 	delete(s.services, service.Name)
 	delete(s.cell(service.Cell).services, service.Name)
 }
 
 func (s *Store) putView(view *beamdoorv1.View) {
 	s.views[view.Cell] = view
-	s.cell(view.Cell).touch(view.Revision)
+	s.cell(view.Cell).raiseRevision(view.Revision)
 }
--- a/internal/store/write.go
+++ b/internal/store/write.go
@@ -9,18 +9,18 @@
 	beamdoorv1 "github.com/beamdoor/beamdoor/api/beamdoor/v1"
 )
 
-// checkBase compares the revision a writer has read with the newest write of
-// an operator.
+// checkBase rejects a write whose base revision is older than the newest operator
+// write, or newer than the current revision.
 func (s *Store) checkBase(base uint64) *Result {
 	if s.options.NoCompareAndSet || base >= s.operatorRevision && base <= s.revision {
 		return nil
 	}
 	if base > s.revision {
-		result := s.refuse(ErrorInvalid, fmt.Sprintf("base_revision %d is newer than the newest revision %d", base, s.revision))
+		result := s.reject(ErrorInvalid, fmt.Sprintf("base_revision %d is newer than the newest revision %d", base, s.revision))
 		return &result
 	}
 	reason := fmt.Sprintf("base_revision %d is older than revision %d, written by %q", base, s.operatorRevision, s.operatorAuthor)
-	result := s.refuse(ErrorConflict, reason)
+	result := s.reject(ErrorConflict, reason)
 	result.ConflictRevision = s.operatorRevision
 	return &result
 }
@@ -30,7 +30,7 @@
 		return *conflict
 	}
 	if problem := s.checkApply(request); problem != "" {
-		return s.refuse(ErrorInvalid, problem)
+		return s.reject(ErrorInvalid, problem)
 	}
 	summary := request.Summary
 	if summary == "" {
@@ -54,9 +54,9 @@
 	return Result{Revision: revision}
 }
 
-// writeService stores a service. A target keeps its ID, and so its flows, as
-// long as its name and address stay the same. It also stays draining: a file
-// that does not know of the drain must not end it.
+// writeService stores a service. A target keeps its ID, and with it its flows, while
+// its name and address and the service's address and cell are unchanged. It also keeps
+// draining, because the applied file may predate the drain.
 func (s *Store) writeService(service *beamdoorv1.Service, revision uint64) {
 	stored := proto.CloneOf(service)
 	previous := s.services[service.Name]
@@ -70,10 +70,10 @@
 	moved := previous != nil && (previous.Address != stored.Address || previous.Cell != stored.Cell)
 	if moved {
 		s.addTombstone(previous, revision)
-		s.dropService(previous)
+		s.deleteService(previous)
 	}
 	if previous == nil || moved {
-		stored.Id = s.takeID()
+		stored.Id = s.allocateID()
 	}
 	stored.Revision = revision
 	for _, target := range stored.Targets {
@@ -83,12 +83,12 @@
 			target.Draining = target.Draining || old.Draining
 			continue
 		}
-		target.Id = s.takeID()
+		target.Id = s.allocateID()
 	}
 	s.putService(stored)
 }
 
-func (s *Store) takeID() uint32 {
+func (s *Store) allocateID() uint32 {
 	id := s.nextID
 	s.nextID++
 	return id
@@ -97,25 +97,25 @@
 func (s *Store) removeService(name string, revision uint64) {
 	if service, exists := s.services[name]; exists {
 		s.addTombstone(service, revision)
-		s.dropService(service)
+		s.deleteService(service)
 	}
 }
 
 func (s *Store) addTombstone(service *beamdoorv1.Service, revision uint64) {
-	s.cell(service.Cell).touch(revision)
+	s.cell(service.Cell).raiseRevision(revision)
 	s.tombstones = append(s.tombstones, &beamdoorv1.Tombstone{
 		Name:     service.Name,
 		Cell:     service.Cell,
 		Revision: revision,
 	})
 	if len(s.tombstones) > TombstoneLimit {
-		s.forgotten = s.tombstones[0].Revision
+		s.tombstoneHorizon = s.tombstones[0].Revision
 		s.tombstones = s.tombstones[1:]
 	}
 }
 
-// checkApply returns what is wrong with the state that the request would
-// make, or "".
+// checkApply validates the state that would result from the request. It returns a
+// description of the first problem, or "".
 func (s *Store) checkApply(request *beamdoorv1.ApplyRequest) string {
 	after := map[string]*beamdoorv1.Service{}
 	for name, service := range s.services {
@@ -169,7 +169,7 @@
 	return ""
 }
 
-// BuiltinPrefix starts the names of the policies that come with the program.
+// BuiltinPrefix is the name prefix of built-in policies.
 const BuiltinPrefix = "builtin/"
 
 func (s *Store) setDraining(command Command, request *beamdoorv1.SetDrainingRequest) Result {
@@ -180,13 +180,13 @@
 	}
 	service, exists := s.services[request.Service]
 	if !exists {
-		return s.refuse(ErrorNotFound, fmt.Sprintf("service %q does not exist", request.Service))
+		return s.reject(ErrorNotFound, fmt.Sprintf("service %q does not exist", request.Service))
 	}
 	stored := proto.CloneOf(service)
 	for _, name := range request.Targets {
 		target := targetNamed(stored, name)
 		if target == nil {
-			return s.refuse(ErrorNotFound, fmt.Sprintf("service %q has no target %q", request.Service, name))
+			return s.reject(ErrorNotFound, fmt.Sprintf("service %q has no target %q", request.Service, name))
 		}
 		target.Draining = request.Draining
 	}
