--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -59,7 +59,8 @@
 	return append(slices.Clone(list), id)
 }
 
-// AddLearner returns the membership with a learner added. An existing member is left unchanged.
+// AddLearner returns the membership with a learner added. An existing member is left
+// unchanged.
 func (m Membership) AddLearner(id MemberID, identity uint64) Membership {
 	if m.Contains(id) {
 		return m
--- a/internal/store/command.go
+++ b/internal/store/command.go
@@ -21,7 +21,8 @@
 	CommandRemoveBalancer
 	// CommandChangeView holds a ViewChange.
 	CommandChangeView
-	// CommandSetMember holds a ChangeMemberRequest, which sets or removes a member's addresses.
+	// CommandSetMember holds a ChangeMemberRequest, which sets or removes a member's
+	// addresses.
 	CommandSetMember
 )
 
