--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -201,11 +201,11 @@
 				require.NoError(t, err)
 			},
 			"balancer": func(t *rapid.T) {
-				taker := rapid.SampledFrom(balancers).Draw(t, "copy")
-				taker.update(state.CellConfig(1, taker.revision))
-				assert.Len(t, taker.services, len(model))
+				balancer := rapid.SampledFrom(balancers).Draw(t, "copy")
+				balancer.update(state.CellConfig(1, balancer.revision))
+				assert.Len(t, balancer.services, len(model))
 				for chosen, address := range model {
-					assert.Equal(t, address, taker.services[chosen].GetAddress())
+					assert.Equal(t, address, balancer.services[chosen].GetAddress())
 				}
 			},
 			"": func(t *rapid.T) {
--- a/internal/wal/wal_bench_test.go
+++ b/internal/wal/wal_bench_test.go
@@ -15,9 +15,9 @@
 // BenchmarkSaveRatio alternates Save with a plain append and sync of the same size on
 // the same disk, and reports the ratio of their times.
 func BenchmarkSaveRatio(b *testing.B) {
-	folder, err := wal.OpenDir(filepath.Join(b.TempDir(), "log"))
+	dir, err := wal.OpenDir(filepath.Join(b.TempDir(), "log"))
 	require.NoError(b, err)
-	log, _, _, err := wal.Open(folder)
+	log, _, _, err := wal.Open(dir)
 	require.NoError(b, err)
 	plain, err := os.Create(filepath.Join(b.TempDir(), "bare"))
 	require.NoError(b, err)
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -226,13 +226,13 @@
 }
 
 func TestDir(t *testing.T) {
-	folder, err := wal.OpenDir(t.TempDir())
+	dir, err := wal.OpenDir(t.TempDir())
 	require.NoError(t, err)
-	log, _ := open(t, folder)
+	log, _ := open(t, dir)
 	save(t, log, entries(1, 5)...)
 	require.NoError(t, log.Rewrite(raft.PersistentState{Snapshot: raft.Snapshot{Index: 3, Term: 1}, Entries: entries(4, 5)}))
 	require.NoError(t, log.Close())
-	_, restored := open(t, folder)
+	_, restored := open(t, dir)
 	assert.Equal(t, entries(4, 5), restored.Entries)
 }
 
@@ -305,9 +305,9 @@
 // PeakDiskUsage must equal the size of all files plus that of the next snapshot.
 func TestPeakDiskUsage(t *testing.T) {
 	path := t.TempDir()
-	folder, err := wal.OpenDir(path)
+	dir, err := wal.OpenDir(path)
 	require.NoError(t, err)
-	log, _ := open(t, folder)
+	log, _ := open(t, dir)
 	check := func(snapshot int64) {
 		t.Helper()
 		files, err := os.ReadDir(path)
@@ -333,7 +333,7 @@
 	save(t, log, entries(31, 33)...)
 	check(info.Size())
 	require.NoError(t, log.Close())
-	log, _ = open(t, folder)
+	log, _ = open(t, dir)
 	check(info.Size())
 	require.NoError(t, log.Close())
 }
