--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -43,7 +43,7 @@
 	require.NoError(t, log.Save(ready, raft.PersistentState{}))
 }
 
-func TestSavedSurvivesACrash(t *testing.T) {
+func TestSaveIsDurable(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 3)...)
@@ -53,7 +53,7 @@
 	assert.Equal(t, raft.HardState{Term: 1, Vote: 2}, restored.HardState)
 }
 
-func TestSkippedSyncLosesWhatWasAcknowledged(t *testing.T) {
+func TestSkipSyncLosesAcknowledgedEntries(t *testing.T) {
 	fewest := 40
 	for seed := range uint64(10) {
 		files := disk.New(rand.New(rand.NewPCG(seed, 1)))
@@ -62,8 +62,8 @@
 		log.SkipSync = true
 		save(t, log, entries(2, 40)...)
 		files.Crash()
-		// A marker that outlives the batch before it makes the log refuse to
-		// open: it was told that the batch was synced.
+		// If a marker survives without its batch, Open reports damage, because the
+		// marker says that the batch was synced.
 		_, restored, _, err := wal.Open(files)
 		if err != nil {
 			require.ErrorContains(t, err, "damaged")
@@ -74,14 +74,14 @@
 	assert.Less(t, fewest, 40)
 }
 
-func TestTornTailIsCutAtEveryByte(t *testing.T) {
+func TestTornTailIsTruncated(t *testing.T) {
 	reference := newDisk()
 	log, _ := open(t, reference)
 	save(t, log, entries(1, 2)...)
-	kept := reference.Size(firstSegment)
+	ackedSize := reference.Size(firstSegment)
 	save(t, log, entries(3, 4)...)
-	whole := reference.Size(firstSegment)
-	for size := kept; size < whole; size++ {
+	fullSize := reference.Size(firstSegment)
+	for size := ackedSize; size < fullSize; size++ {
 		files := newDisk()
 		log, _ := open(t, files)
 		save(t, log, entries(1, 2)...)
@@ -96,9 +96,9 @@
 	}
 }
 
-// A power loss may lose the marker of a batch and keep the next batch, which
-// nobody was told of: the log must open, with all that was acknowledged.
-func TestALostMarkerBeforeAnUnsyncedBatchIsATornTail(t *testing.T) {
+// A crash may lose a marker and keep the unsynced batch after it. The log must open
+// with all acknowledged entries.
+func TestLostMarkerBeforeUnsyncedBatch(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 2)...)
@@ -114,9 +114,9 @@
 	assert.GreaterOrEqual(t, len(restored.Entries), 2)
 }
 
-// Whatever a power loss leaves of writes that were not synced, the log opens
-// with all that was acknowledged.
-func TestEveryCrashKeepsWhatWasAcknowledged(t *testing.T) {
+// Whatever part of the unsynced writes survives a crash, the log must open with all
+// acknowledged entries.
+func TestCrashKeepsAcknowledgedEntries(t *testing.T) {
 	for seed := range uint64(400) {
 		files := disk.New(rand.New(rand.NewPCG(seed, 7)))
 		log, _ := open(t, files)
@@ -137,9 +137,9 @@
 	}
 }
 
-// Every byte of an acknowledged batch that goes bad is noticed, also in the
-// newest batch, and never taken for a tail that was not written.
-func TestEveryBadBitIsRefused(t *testing.T) {
+// A damaged byte in an acknowledged batch, including the newest one, must be reported
+// as damage and never truncated as a torn tail.
+func TestDamageIsDetected(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 2)...)
@@ -158,7 +158,7 @@
 	assert.Zero(t, report.TornBytes)
 }
 
-func TestFailedWriteOrSyncStopsTheLog(t *testing.T) {
+func TestFailedWriteOrSyncIsSticky(t *testing.T) {
 	for name, breakDisk := range map[string]func(*disk.Disk){
 		"full": func(files *disk.Disk) { files.Full = true },
 		"sync": func(files *disk.Disk) { files.FailSyncs = true },
@@ -172,16 +172,16 @@
 			require.Error(t, log.Save(ready, raft.PersistentState{}))
 			files.Full = false
 			files.FailSyncs = false
-			assert.Error(t, log.Save(ready, raft.PersistentState{}), "what the disk holds is not known any more")
+			assert.Error(t, log.Save(ready, raft.PersistentState{}), "the contents of the disk are unknown")
 		})
 	}
 }
 
-func TestRewriteReplacesTheLog(t *testing.T) {
+func TestRewrite(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 9)...)
-	whole := raft.PersistentState{
+	state := raft.PersistentState{
 		HardState: raft.HardState{Term: 3, Vote: 1},
 		Snapshot: raft.Snapshot{
 			Index: 7, Term: 1, Data: []byte("state"),
@@ -189,18 +189,18 @@
 		},
 		Entries: entries(8, 9),
 	}
-	require.NoError(t, log.Rewrite(whole))
+	require.NoError(t, log.Rewrite(state))
 	save(t, log, entry(10))
 	files.Crash()
 	_, restored := open(t, files)
-	assert.Equal(t, whole.Snapshot, restored.Snapshot)
+	assert.Equal(t, state.Snapshot, restored.Snapshot)
 	assert.Equal(t, entries(8, 10), restored.Entries)
 	names, err := files.List()
 	require.NoError(t, err)
-	assert.NotContains(t, names, firstSegment, "old segments are removed")
+	assert.NotContains(t, names, firstSegment, "old segments must be removed")
 }
 
-func TestMissingEntryIsRefused(t *testing.T) {
+func TestMissingEntryIsDetected(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entry(1))
@@ -209,7 +209,7 @@
 	assert.ErrorContains(t, err, "entry 2 is missing")
 }
 
-func TestIdentityIsDrawnOnce(t *testing.T) {
+func TestLoadIdentity(t *testing.T) {
 	files := newDisk()
 	draws := uint64(0)
 	draw := func() uint64 { draws++; return draws }
@@ -222,59 +222,59 @@
 	files.Wipe()
 	third, err := wal.LoadIdentity(files, draw)
 	require.NoError(t, err)
-	assert.NotEqual(t, first, third, "a lost disk has another identity")
+	assert.NotEqual(t, first, third, "a wiped disk must get a new identity")
 }
 
-func TestRealFolder(t *testing.T) {
-	folder, err := wal.OpenDir(t.TempDir())
+func TestDir(t *testing.T) {
+	dir, err := wal.OpenDir(t.TempDir())
 	require.NoError(t, err)
-	log, _ := open(t, folder)
+	log, _ := open(t, dir)
 	save(t, log, entries(1, 5)...)
 	require.NoError(t, log.Rewrite(raft.PersistentState{Snapshot: raft.Snapshot{Index: 3, Term: 1}, Entries: entries(4, 5)}))
 	require.NoError(t, log.Close())
-	_, restored := open(t, folder)
+	_, restored := open(t, dir)
 	assert.Equal(t, entries(4, 5), restored.Entries)
 }
 
-// Any mix of saves, rewrites and crashes keeps all that was saved.
-func TestLogAgainstASimpleOracle(t *testing.T) {
+// Any sequence of saves, rewrites and crashes must preserve all saved entries.
+func TestLogAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		files := disk.New(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
 		log, _ := open(t, files)
-		var kept []raft.Entry
+		var saved []raft.Entry
 		var snapshot raft.Snapshot
 		next := uint64(1)
 		t.Repeat(map[string]func(*rapid.T){
 			"save": func(t *rapid.T) {
 				save(t, log, entry(next))
-				kept = append(kept, entry(next))
+				saved = append(saved, entry(next))
 				next++
 			},
 			"replace": func(t *rapid.T) {
-				if len(kept) == 0 {
+				if len(saved) == 0 {
 					t.Skip("nothing to replace")
 				}
-				changed := kept[len(kept)-1]
+				changed := saved[len(saved)-1]
 				changed.Term++
 				save(t, log, changed)
-				kept[len(kept)-1] = changed
+				saved[len(saved)-1] = changed
 			},
 			"compact": func(t *rapid.T) {
-				if len(kept) == 0 {
+				if len(saved) == 0 {
 					t.Skip("nothing to compact")
 				}
-				snapshot = raft.Snapshot{Index: kept[0].Index, Term: kept[0].Term, Data: []byte("s")}
-				kept = append([]raft.Entry(nil), kept[1:]...)
-				require.NoError(t, log.Rewrite(raft.PersistentState{Snapshot: snapshot, Entries: kept}))
+				snapshot = raft.Snapshot{Index: saved[0].Index, Term: saved[0].Term, Data: []byte("s")}
+				saved = append([]raft.Entry(nil), saved[1:]...)
+				require.NoError(t, log.Rewrite(raft.PersistentState{Snapshot: snapshot, Entries: saved}))
 			},
 			"crash": func(t *rapid.T) {
 				files.Crash()
 				var restored raft.PersistentState
 				log, restored = open(t, files)
 				assert.Equal(t, snapshot.Index, restored.Snapshot.Index)
-				assert.Equal(t, len(kept), len(restored.Entries))
-				for i := range kept {
-					assert.Equal(t, kept[i], restored.Entries[i])
+				assert.Equal(t, len(saved), len(restored.Entries))
+				for i := range saved {
+					assert.Equal(t, saved[i], restored.Entries[i])
 				}
 			},
 		})
@@ -302,23 +302,23 @@
 	})
 }
 
-// What a log says that it holds is the size of its files, with room for the next snapshot.
-func TestWhatALogHoldsIsTheSizeOfItsFiles(t *testing.T) {
+// PeakDiskUsage must equal the size of all files plus that of the next snapshot.
+func TestPeakDiskUsage(t *testing.T) {
 	path := t.TempDir()
-	folder, err := wal.OpenDir(path)
+	dir, err := wal.OpenDir(path)
 	require.NoError(t, err)
-	log, _ := open(t, folder)
+	log, _ := open(t, dir)
 	check := func(snapshot int64) {
 		t.Helper()
 		files, err := os.ReadDir(path)
 		require.NoError(t, err)
-		held := snapshot
+		want := snapshot
 		for _, file := range files {
 			info, err := file.Info()
 			require.NoError(t, err)
-			held += info.Size()
+			want += info.Size()
 		}
-		assert.Equal(t, held, log.PeakDiskUsage())
+		assert.Equal(t, want, log.PeakDiskUsage())
 	}
 	check(0)
 	save(t, log, entries(1, 30)...)
@@ -333,18 +333,18 @@
 	save(t, log, entries(31, 33)...)
 	check(info.Size())
 	require.NoError(t, log.Close())
-	log, _ = open(t, folder)
+	log, _ = open(t, dir)
 	check(info.Size())
 	require.NoError(t, log.Close())
 }
 
-func TestTheCommitIndexGoesWithWhatIsWritten(t *testing.T) {
+func TestCommitIndexIsSavedWithEntries(t *testing.T) {
 	files := newDisk()
 	log, _ := open(t, files)
 	save(t, log, entries(1, 3)...)
 	ready := raft.Ready{Entries: entries(4, 5), HardState: raft.HardState{Term: 1, Vote: 2, Commit: 3}}
 	require.NoError(t, log.Save(ready, raft.PersistentState{}))
-	require.NoError(t, log.Save(raft.Ready{HardState: raft.HardState{Term: 1, Vote: 2, Commit: 5}}, raft.PersistentState{}), "nothing else is to be written")
+	require.NoError(t, log.Save(raft.Ready{HardState: raft.HardState{Term: 1, Vote: 2, Commit: 5}}, raft.PersistentState{}), "a commit index alone must not cause a write")
 	files.Crash()
 	_, restored := open(t, files)
 	assert.Equal(t, raft.HardState{Term: 1, Vote: 2, Commit: 3}, restored.HardState)
