--- a/internal/eventlog/bounded.go
+++ b/internal/eventlog/bounded.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// boundedCapacity is the number of lines that wait for the writer.
-	boundedCapacity = 1024
-	// sampledPerSecond is the number of sampled lines that a process writes
-	// in a second; what is beyond is counted.
+	// queueCapacity is the number of lines that AsyncWriter buffers.
+	queueCapacity = 1024
+	// sampledPerSecond is the number of sampled lines that a logger writes per second;
+	// the rest are counted and dropped.
 	sampledPerSecond = 60
 )
 
-// AsyncWriter is a sink that never blocks its caller: lines wait in a bounded ring
-// for a goroutine that writes them, and lines that find no room are counted.
+// AsyncWriter writes lines to a sink without blocking the caller. A goroutine drains a
+// bounded ring buffer; lines that do not fit are dropped and counted.
 type AsyncWriter struct {
 	lines   *ring.Ring[[]byte]
 	sink    io.Writer
@@ -31,13 +31,13 @@
 
 // NewAsyncWriter returns a writer that passes lines on to the sink.
 func NewAsyncWriter(sink io.Writer) *AsyncWriter {
-	writer := &AsyncWriter{lines: ring.New[[]byte](boundedCapacity), sink: sink}
+	writer := &AsyncWriter{lines: ring.New[[]byte](queueCapacity), sink: sink}
 	writer.done.Add(1)
 	go writer.run()
 	return writer
 }
 
-// Write queues one line. It never fails and never blocks.
+// Write queues one line, or drops it if the buffer is full. It never blocks or fails.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	if !w.lines.TryPush(bytes.Clone(line)) {
 		w.dropped.Add(1)
@@ -45,10 +45,10 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that found no room.
+// Dropped returns the number of lines dropped because the buffer was full.
 func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
 
-// Close writes what is queued and ends the goroutine.
+// Close flushes the queued lines and stops the goroutine.
 func (w *AsyncWriter) Close() {
 	w.lines.Close()
 	w.done.Wait()
@@ -59,7 +59,7 @@
 	var batch [][]byte
 	for {
 		var open bool
-		batch, open = w.lines.PopBatch(batch[:0], boundedCapacity)
+		batch, open = w.lines.PopBatch(batch[:0], queueCapacity)
 		if !open {
 			return
 		}
@@ -67,39 +67,39 @@
 	}
 }
 
-// budget counts sampled lines in the current second.
-type budget struct {
-	mutex   sync.Mutex
-	second  time.Time
-	used    int
-	leftOut int
+// rateLimiter limits sampled lines per one-second window.
+type rateLimiter struct {
+	mutex      sync.Mutex
+	second     time.Time
+	used       int
+	suppressed int
 }
 
-// take reports whether one more line may be written, and how many lines of
-// the seconds before were left out.
-func (b *budget) take(now time.Time) (allowed bool, leftOut int) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if now.Sub(b.second) >= time.Second {
-		b.second = now
-		b.used = 0
-		leftOut = b.leftOut
-		b.leftOut = 0
+// allow reports whether one more line may be written. The first call in a new window also
+// returns the number of lines suppressed since the previous report.
+func (r *rateLimiter) allow(now time.Time) (allowed bool, suppressed int) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if now.Sub(r.second) >= time.Second {
+		r.second = now
+		r.used = 0
+		suppressed = r.suppressed
+		r.suppressed = 0
 	}
-	if b.used >= sampledPerSecond {
-		b.leftOut++
-		return false, leftOut
+	if r.used >= sampledPerSecond {
+		r.suppressed++
+		return false, suppressed
 	}
-	b.used++
-	return true, leftOut
+	r.used++
+	return true, suppressed
 }
 
-// Sampled writes an event that may come with every packet: at most
-// sampledPerSecond lines a second, the others are counted.
+// Sampled writes an event that may occur for every packet, at most sampledPerSecond
+// lines per second. Suppressed lines are reported as LinesLeftOut.
 func (l *Logger) Sampled(id ID, fields ...any) {
-	allowed, leftOut := l.budget.take(time.Now())
-	if leftOut > 0 {
-		l.Event(LinesLeftOut, "lines", leftOut)
+	allowed, suppressed := l.limiter.allow(time.Now())
+	if suppressed > 0 {
+		l.Event(LinesLeftOut, "lines", suppressed)
 	}
 	if allowed {
 		l.Event(id, fields...)
--- a/internal/eventlog/bounded_test.go
+++ b/internal/eventlog/bounded_test.go
@@ -9,20 +9,20 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// stuckSink is a reader of the log that has stopped reading.
-type stuckSink struct{ release chan struct{} }
+// blockedSink is a sink whose writes block until it is released.
+type blockedSink struct{ release chan struct{} }
 
-func (s *stuckSink) Write(data []byte) (int, error) {
+func (s *blockedSink) Write(data []byte) (int, error) {
 	<-s.release
 	return len(data), nil
 }
 
-func TestAReaderThatStopsNeverHoldsUpTheWriter(t *testing.T) {
-	sink := &stuckSink{release: make(chan struct{})}
+func TestAsyncWriterNeverBlocksOnStalledSink(t *testing.T) {
+	sink := &blockedSink{release: make(chan struct{})}
 	writer := NewAsyncWriter(sink)
 	done := make(chan struct{})
 	go func() {
-		for range 3 * boundedCapacity {
+		for range 3 * queueCapacity {
 			_, _ = writer.Write([]byte("line\n"))
 		}
 		close(done)
@@ -30,14 +30,14 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the writer was held up")
+		t.Fatal("Write blocked on a stalled sink")
 	}
-	assert.GreaterOrEqual(t, writer.Dropped(), uint64(boundedCapacity))
+	assert.GreaterOrEqual(t, writer.Dropped(), uint64(queueCapacity))
 	close(sink.release)
 	writer.Close()
 }
 
-func TestAllLinesArriveWhenTheReaderReads(t *testing.T) {
+func TestAsyncWriterDeliversAllLines(t *testing.T) {
 	var sink bytes.Buffer
 	writer := NewAsyncWriter(&sink)
 	for range 100 {
@@ -48,17 +48,17 @@
 	assert.Zero(t, writer.Dropped())
 }
 
-func TestSampledLinesAreBoundedAndCounted(t *testing.T) {
-	var b budget
+func TestRateLimiterCountsSuppressedLines(t *testing.T) {
+	var limiter rateLimiter
 	now := time.Now()
 	allowed := 0
 	for range 3 * sampledPerSecond {
-		if ok, _ := b.take(now); ok {
+		if ok, _ := limiter.allow(now); ok {
 			allowed++
 		}
 	}
 	assert.Equal(t, sampledPerSecond, allowed)
-	ok, leftOut := b.take(now.Add(time.Second))
+	ok, suppressed := limiter.allow(now.Add(time.Second))
 	assert.True(t, ok)
-	assert.Equal(t, 2*sampledPerSecond, leftOut)
+	assert.Equal(t, 2*sampledPerSecond, suppressed)
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,5 +1,5 @@
-// Package eventlog provides the structured log: every line carries a numbered
-// event, and docs/EVENTS.md explains each number to operators.
+// Package eventlog writes structured log lines, each with a numbered event that
+// docs/EVENTS.md documents for operators.
 package eventlog
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/go-kit/log"
 )
 
-// ID is the number of an event. A number is never reused.
+// ID is the number of an event. Numbers are stable and never reused.
 type ID uint16
 
 // Events of the control members (1000 to 1999).
@@ -147,11 +147,11 @@
 	RememberedOver      ID = 2171
 )
 
-// Description explains one event.
+// Description is the catalogue entry of an event.
 type Description struct {
 	ID   ID
 	Name string
-	// Text says what happened, in one sentence for the log line.
+	// Text is the message of the log line.
 	Text string
 }
 
@@ -162,124 +162,124 @@
 	{RoleChanged, "role_changed", "role or term of the member changed"},
 	{SnapshotSaved, "snapshot_saved", "snapshot saved and log compacted"},
 	{SnapshotInstalled, "snapshot_installed", "snapshot of the leader installed"},
-	{DiskFailed, "disk_failed", "disk write failed and the member stops"},
-	{TailCut, "tail_cut", "incomplete record cut from the end of the log"},
-	{GroupFounded, "group_founded", "all founders have empty data folders and the group was founded"},
-	{FoundingRefused, "founding_refused", "this data folder is empty but the group exists: remove this member and add it under a new id"},
-	{BadFrame, "bad_frame", "frame could not be read"},
+	{DiskFailed, "disk_failed", "disk write failed; the member stops"},
+	{TailCut, "tail_cut", "incomplete record truncated from the end of the log"},
+	{GroupFounded, "group_founded", "all initial members have empty data folders; the group was bootstrapped"},
+	{FoundingRefused, "founding_refused", "bootstrap refused: the data folder is empty but the group exists; remove this member and add it under a new id"},
+	{BadFrame, "bad_frame", "frame could not be decoded"},
 	{PeerConnected, "peer_connected", "connection to a control member opened"},
 	{PeerLost, "peer_lost", "connection to a control member lost"},
 	{ViewChanged, "view_changed", "view of a cell changed"},
-	{BalancerExpired, "balancer_expired", "lease of a balancer ran out"},
-	{LeaderStalled, "leader_stalled", "the leader was stopped for a while and gives all balancers a new lease's time"},
+	{BalancerExpired, "balancer_expired", "lease of a balancer expired"},
+	{LeaderStalled, "leader_stalled", "the leader was paused; the leases of all balancers are extended"},
 	{WriteAccepted, "write_accepted", "write of an operator accepted"},
 	{WriteRefused, "write_refused", "write of an operator refused"},
-	{PolicyFailed, "policy_failed", "policy program failed and its last verdict stays in force"},
+	{PolicyFailed, "policy_failed", "policy program failed; its last verdict stays in force"},
 	{TargetVerdict, "target_verdict", "verdict on a target changed"},
-	{MemberNumbered, "member_numbered", "this member takes part in the group under a number"},
+	{MemberNumbered, "member_numbered", "member joined the group under its number"},
 	{MembersChanged, "members_changed", "control member added or removed"},
-	{MembershipProposed, "membership_proposed", "change of the voters and learners proposed"},
-	{MembershipRefused, "membership_refused", "change of the members could not be proposed"},
-	{MemberRemoved, "member_removed", "the group has removed this member, which begins anew with an empty folder"},
-	{GroupSizeChanged, "group_size_changed", "the group became too small for the losses that it must bear, or large enough"},
-	{QuorumMissing, "quorum_missing", "this member has heard no leader for long: too few voters can be reached"},
-	{ZoneToleranceChanged, "zone_tolerance_changed", "the voters of the group became unable to bear the loss of the stated zones, or able again"},
-	{NodeSubscribed, "node_subscribed", "node asked for updates"},
-	{NodeReferred, "node_referred", "node that knows only seeds was sent on to members of its zone"},
-	{RosterRead, "roster_read", "the nodes of the member's last life were read from its disk"},
-	{RosterFailed, "roster_failed", "the nodes that follow this member could not be read, written or told"},
-	{NodesAnnounced, "nodes_announced", "the nodes that this member remembers were told where it is"},
-	{VersionAccepted, "version_accepted", "configuration is on the disks of a quorum"},
+	{MembershipProposed, "membership_proposed", "membership change proposed"},
+	{MembershipRefused, "membership_refused", "membership change could not be proposed"},
+	{MemberRemoved, "member_removed", "this member was removed from the group and restarts with an empty data folder"},
+	{GroupSizeChanged, "group_size_changed", "the group became too small to tolerate the required member failures, or large enough again"},
+	{QuorumMissing, "quorum_missing", "no leader heard for a long time; too few voters are reachable"},
+	{ZoneToleranceChanged, "zone_tolerance_changed", "the voters became unable to tolerate the loss of the configured zones, or able again"},
+	{NodeSubscribed, "node_subscribed", "node subscribed to updates"},
+	{NodeReferred, "node_referred", "node that knows only seed members was referred to members of its zone"},
+	{RosterRead, "roster_read", "node roster of the member's previous run read from disk"},
+	{RosterFailed, "roster_failed", "node roster could not be read or written, or its nodes not notified"},
+	{NodesAnnounced, "nodes_announced", "this member's address announced to the nodes in its roster"},
+	{VersionAccepted, "version_accepted", "configuration committed by a quorum"},
 	{VersionRefused, "version_refused", "configuration refused"},
-	{VersionUnanswered, "version_unanswered", "the group did not take the configuration in time"},
-	{VersionInForce, "version_in_force", "configuration holds"},
-	{RequestGivenUp, "request_given_up", "request of this member was not answered by the group in time"},
-	{TargetStage, "target_stage", "target reached a stage of its life"},
-	{TargetsSuspected, "targets_suspected", "set of targets not heard from lately changed"},
-	{TargetHeldLost, "target_held_lost", "target is held for dead: callers wait for answers and nobody has a sign of life"},
-	{ZoneAvoided, "zone_avoided", "most opening packets to a zone found no taker, and new flows avoid it for a while"},
-	{TargetEjected, "target_ejected", "a target fails its work far more than the others of its service, and gets no new flows for a while"},
-	{TargetOnProbation, "target_on_probation", "a target that was ejected gets a few flows of repeatable work"},
-	{TargetReadmitted, "target_readmitted", "a target on probation serves again, or nothing was seen of it, and gets new flows as before"},
-	{AddressTaken, "address_taken", "a first heartbeat names the address of a target that was heard lately, and is refused"},
-	{SettingsReloaded, "settings_reloaded", "settings file read again"},
-	{EvacuationAccepted, "evacuation_accepted", "order about the evacuation of a zone is on the disks of a quorum"},
-	{EvacuationRefused, "evacuation_refused", "order about the evacuation of a zone refused"},
-	{EvacuationUnanswered, "evacuation_unanswered", "the group did not take the order about the evacuation of a zone"},
-	{EvacuationInForce, "evacuation_in_force", "evacuation of a zone began or ended"},
-	{WarmthUnreadable, "warmth_unreadable", "what a service states about its cold targets cannot be read and counts as nothing"},
-	{TargetOrderAccepted, "target_order_accepted", "an order about a target is on the disks of a quorum"},
-	{TargetOrderRefused, "target_order_refused", "an order names a target that is not known"},
-	{TargetOrderUnanswered, "target_order_unanswered", "an order about a target was not taken in time"},
-	{TargetOrderInForce, "target_order_in_force", "an order about a target holds at this member"},
-	{CallRefused, "call_refused", "a call over HTTP was not taken"},
-	{StrengthChanged, "strength_changed", "a node that follows this member states another strength"},
-	{StrengthBounded, "strength_bounded", "a node states far more than the others and counts for less than it says"},
-	{DiskFilling, "disk_filling", "what this member keeps nearly fills its disk"},
-	{DiskRelieved, "disk_relieved", "what this member keeps leaves room on its disk again"},
-	{MemberConnectionsFull, "member_connections_full", "calls at the member are refused: callers hold as many connections as they may"},
-	{ZoneShortOfRoom, "zone_short_of_room", "most nodes of a zone refuse new flows"},
-	{ZonesHaveRoom, "zones_have_room", "no zone has most of its nodes refusing new flows any more"},
-	{SpeedsDiffer, "speeds_differ", "the targets of a service take unequal times for equal work"},
-	{SpeedsAlike, "speeds_alike", "the targets of a service take equal times again"},
-	{VersionHeld, "version_held", "the targets of a version get no new flows but those of trials"},
-	{VersionOnTrial, "version_on_trial", "a few targets of a version that is held get a few flows of repeatable work"},
-	{VersionReadmitted, "version_readmitted", "a version that was held gets new flows as the others"},
-	{VersionOrderAccepted, "version_order_accepted", "an order about a version is on the disks of a quorum"},
-	{VersionOrderRefused, "version_order_refused", "an order about a version was not taken"},
-	{StateRemembered, "state_remembered", "nodes without state are told what is on this member's disk until it is current"},
-	{ConfigApplied, "config_applied", "configuration put in force"},
-	{ConfigIgnored, "config_ignored", "configuration older than the one in force ignored"},
-	{LeaseLost, "lease_lost", "lease lapsed and new work is left to other balancers"},
+	{VersionUnanswered, "version_unanswered", "timed out waiting for the group to commit the configuration"},
+	{VersionInForce, "version_in_force", "configuration version in force"},
+	{RequestGivenUp, "request_given_up", "request of this member to the group timed out"},
+	{TargetStage, "target_stage", "lifecycle state of a target changed"},
+	{TargetsSuspected, "targets_suspected", "set of suspected targets, which missed recent heartbeats, changed"},
+	{TargetHeldLost, "target_held_lost", "target considered dead: callers wait for responses and no node has seen it alive"},
+	{ZoneAvoided, "zone_avoided", "most opening packets to a zone went unanswered; new flows avoid it temporarily"},
+	{TargetEjected, "target_ejected", "target ejected: its failure rate is far above that of the others of its service; it gets no new flows for the hold time"},
+	{TargetOnProbation, "target_on_probation", "ejected target on probation: it gets a few flows of idempotent requests"},
+	{TargetReadmitted, "target_readmitted", "target readmitted after probation: it succeeds or had no traffic, and gets new flows again"},
+	{AddressTaken, "address_taken", "first heartbeat refused: its address belongs to another target heard recently"},
+	{SettingsReloaded, "settings_reloaded", "settings file reloaded"},
+	{EvacuationAccepted, "evacuation_accepted", "zone evacuation order committed by a quorum"},
+	{EvacuationRefused, "evacuation_refused", "zone evacuation order refused"},
+	{EvacuationUnanswered, "evacuation_unanswered", "the group did not commit the zone evacuation order"},
+	{EvacuationInForce, "evacuation_in_force", "zone evacuation started or ended"},
+	{WarmthUnreadable, "warmth_unreadable", "cold-start settings of a service cannot be parsed and are ignored"},
+	{TargetOrderAccepted, "target_order_accepted", "target order committed by a quorum"},
+	{TargetOrderRefused, "target_order_refused", "target order refused: unknown target"},
+	{TargetOrderUnanswered, "target_order_unanswered", "timed out waiting for the group to commit a target order"},
+	{TargetOrderInForce, "target_order_in_force", "target order in force at this member"},
+	{CallRefused, "call_refused", "HTTP request refused"},
+	{StrengthChanged, "strength_changed", "node subscribed to this member reported a different strength"},
+	{StrengthBounded, "strength_bounded", "node reported a strength far above the others; the value is capped"},
+	{DiskFilling, "disk_filling", "disk usage of this member's data is near the limit"},
+	{DiskRelieved, "disk_relieved", "disk usage of this member's data is below the limit again"},
+	{MemberConnectionsFull, "member_connections_full", "HTTP connections to the member refused: connection limit reached"},
+	{ZoneShortOfRoom, "zone_short_of_room", "most nodes of a zone refuse new flows for lack of capacity"},
+	{ZonesHaveRoom, "zones_have_room", "no zone has most of its nodes refusing new flows any longer"},
+	{SpeedsDiffer, "speeds_differ", "targets of a service differ in service time for equal work"},
+	{SpeedsAlike, "speeds_alike", "targets of a service have similar service times again"},
+	{VersionHeld, "version_held", "version held: its targets get no new flows except trial flows"},
+	{VersionOnTrial, "version_on_trial", "held version on trial: a few of its targets get a few flows of idempotent requests"},
+	{VersionReadmitted, "version_readmitted", "held version readmitted: it gets new flows again"},
+	{VersionOrderAccepted, "version_order_accepted", "version order committed by a quorum"},
+	{VersionOrderRefused, "version_order_refused", "version order refused"},
+	{StateRemembered, "state_remembered", "nodes without state are sent this member's persisted state until the member is current"},
+	{ConfigApplied, "config_applied", "configuration applied"},
+	{ConfigIgnored, "config_ignored", "configuration older than the current one ignored"},
+	{LeaseLost, "lease_lost", "lease expired; new work is left to other balancers"},
 	{LeaseGained, "lease_gained", "lease granted"},
-	{ViewAdopted, "view_adopted", "new view of the cell in force"},
-	{HandoverDone, "handover_done", "records handed over for the view"},
-	{HistoryUnknown, "history_unknown", "records of earlier requests lost; outcomes are unknown for the retransmission span"},
-	{HandoverPlanned, "handover_planned", "records are to be handed over for the view"},
-	{TargetLost, "target_lost", "target is dead and its flows end"},
-	{TargetRestarted, "target_restarted", "target has started anew and what its earlier run knew ends"},
+	{ViewAdopted, "view_adopted", "new view of the cell adopted"},
+	{HandoverDone, "handover_done", "record handover for the view completed"},
+	{HistoryUnknown, "history_unknown", "records of earlier requests lost; their outcomes are unknown for the retransmission span"},
+	{HandoverPlanned, "handover_planned", "record handover for the view planned"},
+	{TargetLost, "target_lost", "target is dead; its flows are terminated"},
+	{TargetRestarted, "target_restarted", "target restarted; flows of its previous run are terminated"},
 	{PacketRefused, "packet_refused", "packet refused"},
 	{ControlLost, "control_lost", "connection to the control plane lost"},
 	{ControlConnected, "control_connected", "connection to the control plane opened"},
-	{ControlRegained, "control_regained", "a control member is current again after a time without one"},
-	{FlowTableFull, "flow_table_full", "flow table is full and new flows are not kept here"},
-	{LedgerFull, "ledger_full", "no room for more records of requests and new ones end with unknown outcome"},
+	{ControlRegained, "control_regained", "a current control member is available again"},
+	{FlowTableFull, "flow_table_full", "flow table is full; new flows are not tracked"},
+	{LedgerFull, "ledger_full", "request ledger is full; new requests end with unknown outcome"},
 	{RequestUnknown, "request_unknown", "request ended with unknown outcome"},
 	{SocketFailed, "socket_failed", "socket operation failed"},
-	{DrainLingerExpired, "drain_linger_expired", "stop forced before all work under way was done"},
-	{DirectoryUpdated, "directory_updated", "update of configuration and targets in force"},
-	{DirectoryRefused, "directory_refused", "update does not fit what the node has and the whole state is asked for"},
-	{MemberNotCurrent, "member_not_current", "the control member is not current and another one is tried"},
-	{TargetsRemembered, "targets_remembered", "what a member's disk remembers was taken, before any member is current"},
-	{ZonesEvacuated, "zones_evacuated", "the zones whose targets take no new flows at this node have changed"},
-	{MemberAnnounced, "member_announced", "a member announced itself to a node without one"},
-	{AnnouncementsOff, "announcements_off", "the node takes no announcements of members"},
-	{ReadinessChanged, "readiness_changed", "node reports another readiness"},
-	{FlowPlaced, "flow_placed", "new flow sent to a target"},
-	{FlowPlacedAgain, "flow_placed_again", "copy of an opening packet sent to another target"},
+	{DrainLingerExpired, "drain_linger_expired", "drain timeout expired before all work in progress completed"},
+	{DirectoryUpdated, "directory_updated", "update of configuration and targets applied"},
+	{DirectoryRefused, "directory_refused", "update does not match the node's state; full state requested"},
+	{MemberNotCurrent, "member_not_current", "control member is not current; trying another one"},
+	{TargetsRemembered, "targets_remembered", "targets from a member's persisted state accepted before any member is current"},
+	{ZonesEvacuated, "zones_evacuated", "set of evacuated zones at this node changed"},
+	{MemberAnnounced, "member_announced", "member announced itself to this node"},
+	{AnnouncementsOff, "announcements_off", "member announcements are disabled on this node"},
+	{ReadinessChanged, "readiness_changed", "readiness of the node changed"},
+	{FlowPlaced, "flow_placed", "new flow assigned to a target"},
+	{FlowPlacedAgain, "flow_placed_again", "copy of an opening packet sent to a second target"},
 	{FlowReset, "flow_reset", "flow reset by the node"},
 	{PacketDropped, "packet_dropped", "packet dropped"},
-	{ProbeNotMade, "probe_not_made", "no connection could be opened to ask whether a target lives"},
-	{LinesLeftOut, "lines_left_out", "log lines left out to keep the volume bounded"},
-	{LinkCongested, "link_congested", "datagrams wait long for the node's own link"},
-	{LinkRelieved, "link_relieved", "datagrams no longer wait long for the node's own link"},
-	{FlowWaitedForLink, "flow_waited_for_link", "packet waited long for the node's own link"},
-	{LinkNarrower, "link_narrower", "the node's own link carries less than stated"},
-	{LinkAsStated, "link_as_stated", "the node's own link carries what is stated again"},
-	{BoundsSet, "bounds_set", "the node's own bounds follow its machine"},
-	{FlowsFull, "flows_full", "a new flow is served but not kept: the node keeps as many as it may"},
-	{WaitlistFull, "waitlist_full", "a packet that came before the node was ready found no room to wait"},
-	{NodeConnectionsFull, "node_connections_full", "calls at the node are refused: its callers hold as many connections as they may"},
-	{StrengthTold, "strength_told", "the node has told its member of another strength"},
-	{NodeRefuses, "node_refuses", "new flows are refused since other nodes of the zone have more room"},
-	{NodeTakesAll, "node_takes_all", "no new flow is refused for lack of room any more"},
-	{OpeningHeld, "opening_held", "opening packet held until its data had room on the node's own link"},
-	{SpeedsTaken, "speeds_taken", "the node was told how long targets take"},
-	{RememberedInUse, "remembered_in_use", "new flows are placed by what a member's disk remembers"},
-	{RememberedOver, "remembered_over", "new flows are no longer placed by what a member's disk remembers"},
+	{ProbeNotMade, "probe_not_made", "liveness probe of a target not made: no connection could be opened"},
+	{LinesLeftOut, "lines_left_out", "log lines suppressed by rate limiting"},
+	{LinkCongested, "link_congested", "queueing delay on the node's own link is high"},
+	{LinkRelieved, "link_relieved", "queueing delay on the node's own link is normal again"},
+	{FlowWaitedForLink, "flow_waited_for_link", "packet had a long queueing delay on the node's own link"},
+	{LinkNarrower, "link_narrower", "rate of the node's own link is below the configured rate"},
+	{LinkAsStated, "link_as_stated", "rate of the node's own link is at the configured rate again"},
+	{BoundsSet, "bounds_set", "resource limits of the node set from its machine"},
+	{FlowsFull, "flows_full", "flow limit reached: new flow forwarded without tracking"},
+	{WaitlistFull, "waitlist_full", "packet received before the node was ready dropped: wait queue full"},
+	{NodeConnectionsFull, "node_connections_full", "HTTP connections to the node refused: connection limit reached"},
+	{StrengthTold, "strength_told", "node reported a changed strength to its member"},
+	{NodeRefuses, "node_refuses", "new flows are refused because other nodes of the zone have more capacity"},
+	{NodeTakesAll, "node_takes_all", "no new flow is refused for lack of capacity any longer"},
+	{OpeningHeld, "opening_held", "opening packet held until the node's own link had capacity for its data"},
+	{SpeedsTaken, "speeds_taken", "service times of targets received"},
+	{RememberedInUse, "remembered_in_use", "new flows are placed by a member's persisted state"},
+	{RememberedOver, "remembered_over", "new flows are no longer placed by a member's persisted state"},
 }
 
-// Catalogue returns all events in the order of their numbers.
+// Catalogue returns the descriptions of all events, ordered by ID.
 func Catalogue() []Description { return catalogue }
 
 func describe(id ID) Description {
@@ -291,23 +291,23 @@
 	return Description{ID: id, Name: "unknown", Text: fmt.Sprintf("event %d", id)}
 }
 
-// Logger writes numbered events.
+// Logger writes numbered events as logfmt lines.
 type Logger struct {
-	base   log.Logger
-	budget budget
+	base    log.Logger
+	limiter rateLimiter
 }
 
-// New returns a logger that writes one logfmt line an event.
+// New returns a logger that writes one logfmt line per event.
 func New(writer io.Writer, process string) *Logger {
 	base := log.NewLogfmtLogger(log.NewSyncWriter(writer))
 	base = log.With(base, "ts", log.TimestampFormat(time.Now, time.RFC3339Nano), "process", process)
 	return &Logger{base: base}
 }
 
-// Discard returns a logger that writes nothing.
+// Discard returns a logger that drops all events.
 func Discard() *Logger { return &Logger{base: log.NewNopLogger()} }
 
-// Event writes one event with key-value fields.
+// Event writes an event with alternating keys and values.
 func (l *Logger) Event(id ID, fields ...any) {
 	description := describe(id)
 	line := append([]any{"event", uint16(id), "name", description.Name, "msg", description.Text}, fields...)
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestNumbersAreUniqueAndInOrder(t *testing.T) {
+func TestCatalogueIsUniqueAndOrdered(t *testing.T) {
 	last := ID(0)
 	names := map[string]bool{}
 	for _, description := range Catalogue() {
--- a/internal/explain/ejection.go
+++ b/internal/explain/ejection.go
@@ -8,7 +8,7 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// Keys of the fields about targets that were passed over.
+// Keys of the fields in placement and ejection events.
 const (
 	keyEjected = "ejected"
 	keyService = "service"
@@ -16,62 +16,62 @@
 	keyCause   = "cause"
 )
 
-// ejectionReach is how long before a flow an ejection may still have kept new flows from
-// a target: the longest hold and the longest probation.
-const ejectionReach = 75 * time.Second
+// ejectionLookback is how long before a flow's placement an ejection can still affect it:
+// the longest hold plus the longest probation.
+const ejectionLookback = 75 * time.Second
 
 var ejectionEvents = []string{
 	eventNumber(eventlog.TargetEjected), eventNumber(eventlog.TargetOnProbation), eventNumber(eventlog.TargetReadmitted),
 	eventNumber(eventlog.VersionHeld), eventNumber(eventlog.VersionOnTrial), eventNumber(eventlog.VersionReadmitted),
 }
 
-// passedOver says whose ejections belong to the story of a flow.
-type passedOver struct {
-	// any is set when the flow's placement passed over ejected targets.
-	any bool
-	// services are those of the flow's targets; none where the logs do not name them.
+// ejectionScope selects the ejection events that are relevant to a flow.
+type ejectionScope struct {
+	// active is set if a placement of the flow skipped ejected targets.
+	active bool
+	// services are the services of the flow's targets; empty if the logs do not name them.
 	services    map[string]bool
 	first, last time.Time
 }
 
-// passedOverBy works out whose ejections a flow met.
-func passedOverBy(lines []Line, caller string, targets map[string]bool) passedOver {
-	passed := passedOver{services: map[string]bool{}}
+// ejectionScopeOf returns the scope for the flow of a caller.
+func ejectionScopeOf(lines []Line, caller string, targets map[string]bool) ejectionScope {
+	scope := ejectionScope{services: map[string]bool{}}
 	for _, line := range lines {
 		if service := line.Value(keyService); service != "" && targets[line.Value(keyTarget)] {
-			passed.services[service] = true
+			scope.services[service] = true
 		}
 		count, err := strconv.Atoi(line.Value(keyEjected))
 		if line.Value(keyCaller) != caller || err != nil || count == 0 {
 			continue
 		}
-		if !passed.any {
-			passed.first = line.Time
+		if !scope.active {
+			scope.first = line.Time
 		}
-		passed.any = true
-		passed.last = line.Time
+		scope.active = true
+		scope.last = line.Time
 	}
-	return passed
+	return scope
 }
 
-// includes reports whether a line is about a target that the flow was kept from.
-func (p passedOver) includes(line Line) bool {
-	if !p.any || !slices.Contains(ejectionEvents, line.Event) {
+// includes reports whether a line is an ejection event within the scope.
+func (s ejectionScope) includes(line Line) bool {
+	if !s.active || !slices.Contains(ejectionEvents, line.Event) {
 		return false
 	}
-	if len(p.services) > 0 && !p.services[line.Value(keyService)] {
+	if len(s.services) > 0 && !s.services[line.Value(keyService)] {
 		return false
 	}
-	return line.Time.After(p.first.Add(-ejectionReach)) && line.Time.Before(p.last.Add(around))
+	return line.Time.After(s.first.Add(-ejectionLookback)) && line.Time.Before(s.last.Add(contextWindow))
 }
 
-// remark returns what an operator reads first in a line, or "".
-func remark(line Line) string {
+// annotation returns the reason to print beside the message of a line, or "".
+func annotation(line Line) string {
 	switch line.Event {
 	case eventNumber(eventlog.TargetEjected):
-		return " (passed over: " + line.Value(keyReason) + ")"
+		return " (skipped: " + line.Value(keyReason) + ")"
 	case eventNumber(eventlog.VersionHeld):
-		return " (version " + line.Value(keyVersion) + " passed over: " + line.Value(keyCause) + ")"
+		return " (version " + line.Value(keyVersion) + " skipped: " + line.Value(keyCause) + ")"
 	}
 	return ""
 }
--- a/internal/explain/ejection_test.go
+++ b/internal/explain/ejection_test.go
@@ -19,45 +19,45 @@
 ts=2026-01-01T00:02:36Z process=core-1 event=1096 name=target_readmitted msg="serves" target=i-2 token=0000bbbb service=booking reason="0 of 8 exchanges ended unanswered"
 `
 
-func storyOf(t *testing.T, logs string, question Query) []Line {
-	lines, err := Read(strings.NewReader(logs), question)
+func timelineFromLogs(t *testing.T, logs string, query Query) []Line {
+	lines, err := Read(strings.NewReader(logs), query)
 	require.NoError(t, err)
-	return Timeline(lines, question)
+	return Timeline(lines, query)
 }
 
-// The placement says how many targets were passed over; the story tells which, and why.
-func TestTheStoryOfAFlowTellsWhichTargetsWerePassedOver(t *testing.T) {
-	story := storyOf(t, ejectionLogs, Query{Caller: "10.0.0.1:5"})
-	assert.Equal(t, []string{"target_ejected", "flow_placed", "target_on_probation", "target_readmitted"}, names(story))
+// The placement event only counts the skipped targets; the timeline names them with the reason.
+func TestFlowTimelineIncludesSkippedTargets(t *testing.T) {
+	timeline := timelineFromLogs(t, ejectionLogs, Query{Caller: "10.0.0.1:5"})
+	assert.Equal(t, []string{"target_ejected", "flow_placed", "target_on_probation", "target_readmitted"}, eventNames(timeline))
 	var text strings.Builder
-	require.NoError(t, Print(&text, story))
-	assert.Contains(t, text.String(), "passed over: 12 of 13 exchanges ended unanswered")
+	require.NoError(t, Print(&text, timeline))
+	assert.Contains(t, text.String(), "skipped: 12 of 13 exchanges ended unanswered")
 	assert.Contains(t, text.String(), "ejected=1")
 	assert.NotContains(t, text.String(), "i-3", "another service")
-	assert.NotContains(t, text.String(), "i-0", "too long ago")
+	assert.NotContains(t, text.String(), "i-0", "outside the lookback")
 }
 
-func TestTheStoryOfAFlowThatPassedNoTargetOver(t *testing.T) {
-	story := storyOf(t, ejectionLogs, Query{Caller: "10.0.0.2:5"})
-	assert.Equal(t, []string{"flow_placed"}, names(story))
+func TestFlowTimelineWithoutSkippedTargets(t *testing.T) {
+	timeline := timelineFromLogs(t, ejectionLogs, Query{Caller: "10.0.0.2:5"})
+	assert.Equal(t, []string{"flow_placed"}, eventNames(timeline))
 }
 
-func TestTheStoryOfATargetThatWasEjected(t *testing.T) {
-	story := storyOf(t, ejectionLogs, Query{Target: "i-2"})
-	assert.Equal(t, []string{"target_ejected", "target_on_probation", "target_readmitted"}, names(story))
+func TestTargetTimelineIncludesEjection(t *testing.T) {
+	timeline := timelineFromLogs(t, ejectionLogs, Query{Target: "i-2"})
+	assert.Equal(t, []string{"target_ejected", "target_on_probation", "target_readmitted"}, eventNames(timeline))
 	var text strings.Builder
-	require.NoError(t, Print(&text, story))
-	assert.Contains(t, text.String(), "passed over: 12 of 13 exchanges ended unanswered")
+	require.NoError(t, Print(&text, timeline))
+	assert.Contains(t, text.String(), "skipped: 12 of 13 exchanges ended unanswered")
 }
 
-// A version's lines name no target: they belong to the flows of its service.
-func TestTheStoryOfAFlowTellsWhichVersionWasPassedOver(t *testing.T) {
+// Version events name no target and are matched by service.
+func TestFlowTimelineIncludesSkippedVersion(t *testing.T) {
 	held := `ts=2026-01-01T00:02:29Z process=core-1 event=1135 name=version_held msg="held" service=booking version=v8 targets=5 cause="it fails far more requests than the earlier versions" reason="30 of 40 exchanges ended unanswered" hold=2s
 ts=2026-01-01T00:02:29Z process=core-1 event=1135 name=version_held msg="held" service=stock version=v3 targets=2 cause=ordered hold=2s
 `
-	story := storyOf(t, ejectionLogs+held, Query{Caller: "10.0.0.1:5"})
-	assert.Equal(t, []string{"target_ejected", "version_held", "flow_placed", "target_on_probation", "target_readmitted"}, names(story))
+	timeline := timelineFromLogs(t, ejectionLogs+held, Query{Caller: "10.0.0.1:5"})
+	assert.Equal(t, []string{"target_ejected", "version_held", "flow_placed", "target_on_probation", "target_readmitted"}, eventNames(timeline))
 	var text strings.Builder
-	require.NoError(t, Print(&text, story))
-	assert.Contains(t, text.String(), "version v8 passed over: it fails far more requests than the earlier versions")
+	require.NoError(t, Print(&text, timeline))
+	assert.Contains(t, text.String(), "version v8 skipped: it fails far more requests than the earlier versions")
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -1,6 +1,6 @@
-// Package explain reads the structured logs of several processes and tells the
-// story of one flow, one target or one configuration: what each process
-// decided, what it believed then, and how old that was.
+// Package explain merges the structured logs of several processes into a timeline
+// for one flow, target or configuration version: the decisions of each process, with
+// the age of the state that they were based on.
 package explain
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// Keys of the fields that every line has, and of those that link lines.
+// Keys of the fields that every line has, and of those that correlate lines.
 const (
 	keyTime        = "ts"
 	keyProcess     = "process"
@@ -30,16 +30,16 @@
 	keySuspects    = "suspects"
 )
 
-// maxLine is the largest line in bytes that is read.
+// maxLine is the size in bytes of the longest line that is accepted.
 const maxLine = 1 << 20
 
-// Field is one key with its value.
+// Field is a key-value pair of a line.
 type Field struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Process string    `json:"process"`
@@ -47,12 +47,12 @@
 	Name    string    `json:"name"`
 	Message string    `json:"message"`
 	Fields  []Field   `json:"fields"`
-	// StateAge is how long before this line the process last took an update of
-	// configuration and targets; negative when that is not in the logs.
+	// StateAge is the time since the process last applied an update of configuration
+	// and targets; negative if the logs contain none.
 	StateAge time.Duration `json:"stateAgeNanoseconds"`
 }
 
-// Value returns the value of a field, or "".
+// Value returns the value of the first field with the key, or "".
 func (l Line) Value(key string) string {
 	for _, field := range l.Fields {
 		if field.Key == key {
@@ -62,18 +62,17 @@
 	return ""
 }
 
-// Read reads the lines of a log that can belong to the answer of a question.
-// What stands before the time stamp of a line is skipped, and lines without one
-// are left out. Lines about single flows, by far the most of a large fleet, are
-// kept only for the flow that is asked about.
-func Read(reader io.Reader, question Query) ([]Line, error) {
+// Read reads the lines of a log that can match a query. Text before the timestamp of
+// a line is ignored, and lines without a timestamp are skipped. Lines of flows other
+// than the queried one are dropped, since they are most of a large fleet's logs.
+func Read(reader io.Reader, query Query) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
 		text := scanner.Text()
 		start := strings.Index(text, keyTime+"=")
-		if start < 0 || question.excludes(text[start:]) {
+		if start < 0 || query.skips(text[start:]) {
 			continue
 		}
 		if line, ok := parse(text[start:]); ok {
@@ -83,11 +82,11 @@
 	return lines, steperror.Wrap("explain.read", "", scanner.Err())
 }
 
-// excludes reports whether a line is about a flow that is not asked about, by
-// its text alone: parsing takes far longer.
-func (q Query) excludes(text string) bool {
-	_, rest, aboutFlow := strings.Cut(text, " "+keyCaller+"=")
-	if !aboutFlow {
+// skips reports whether a line belongs to a flow other than the queried one. It
+// searches the unparsed text because parsing is far slower.
+func (q Query) skips(text string) bool {
+	_, rest, hasCaller := strings.Cut(text, " "+keyCaller+"=")
+	if !hasCaller {
 		return false
 	}
 	caller, _, _ := strings.Cut(rest, " ")
--- a/internal/explain/spread.go
+++ b/internal/explain/spread.go
@@ -17,74 +17,74 @@
 	keyState    = "state"
 )
 
-// mostShare is the share of the nodes by which a change has reached most of them.
-const mostShare = 0.99
+// highPercentile is the percentile that Propagation.P99 reports.
+const highPercentile = 0.99
 
-// Propagation tells how long changes of one kind took from the first member that had them to
-// the nodes. Nodes that started later do not count.
+// Propagation holds the delays of changes of one kind from the first control member that
+// applied them to the nodes. Nodes that started after a change are not counted.
 type Propagation struct {
-	// Kind is a version, or the stage that targets came to.
+	// Kind is a configuration version or a target state.
 	Kind    string `json:"kind"`
 	Changes int    `json:"changes"`
-	// Nodes is the number of nodes that the last change reached.
+	// Nodes is the number of nodes reached by the last change that reached any.
 	Nodes int `json:"nodes"`
-	// First, Median, P99 and Last are the longest times of these changes until the first
-	// node, half of them, 99 of 100 and the last one had it.
+	// First, Median, P99 and Last are the delays to the first node, to 50 % and 99 % of
+	// the nodes, and to the last node, each the maximum over the changes.
 	First  time.Duration `json:"firstNanoseconds"`
 	Median time.Duration `json:"halfNanoseconds"`
 	P99    time.Duration `json:"mostNanoseconds"`
 	Last   time.Duration `json:"lastNanoseconds"`
 }
 
-// change is a change of the directory, when the first member had it.
+// change is a directory change with the time at which the first member logged it.
 type change struct {
 	kind     string
 	revision uint64
 	at       time.Time
 }
 
-// applied is a revision that a node put in force at a time.
-type applied struct {
+// appliedUpdate is a revision and the time at which a node applied it.
+type appliedUpdate struct {
 	revision uint64
 	at       time.Time
 }
 
-// Propagations returns the spread of each version, in their order, and then that of each stage
-// of targets. Clocks of machines may differ; the times do by as much.
+// Propagations returns the propagation of each version, in log order, and then of each
+// target state. Clock skew between machines adds to the delays.
 func Propagations(lines []Line) []Propagation {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	nodes := appliedBy(lines)
-	var spreads []Propagation
-	numbers := map[string]int{}
-	for _, c := range changesIn(lines) {
-		number, known := numbers[c.kind]
+	updates := updatesByNode(lines)
+	var propagations []Propagation
+	indexes := map[string]int{}
+	for _, c := range firstChanges(lines) {
+		index, known := indexes[c.kind]
 		if !known {
-			number = len(spreads)
-			numbers[c.kind] = number
-			spreads = append(spreads, Propagation{Kind: c.kind})
+			index = len(propagations)
+			indexes[c.kind] = index
+			propagations = append(propagations, Propagation{Kind: c.kind})
 		}
-		spreads[number].add(delays(nodes, c))
+		propagations[index].add(delays(updates, c))
 	}
-	return spreads
+	return propagations
 }
 
-// appliedBy returns what each node put in force, in the order of time.
-func appliedBy(lines []Line) map[string][]applied {
-	nodes := map[string][]applied{}
+// updatesByNode returns the updates that each node applied, ordered by time.
+func updatesByNode(lines []Line) map[string][]appliedUpdate {
+	nodes := map[string][]appliedUpdate{}
 	for _, line := range lines {
 		if line.Event != eventNumber(eventlog.DirectoryUpdated) {
 			continue
 		}
 		if revision, err := strconv.ParseUint(line.Value(keyRevision), 10, 64); err == nil {
-			nodes[line.Process] = append(nodes[line.Process], applied{revision: revision, at: line.Time})
+			nodes[line.Process] = append(nodes[line.Process], appliedUpdate{revision: revision, at: line.Time})
 		}
 	}
 	return nodes
 }
 
-// changesIn returns the changes that members wrote, each once: versions first.
-func changesIn(lines []Line) []change {
+// firstChanges returns the first occurrence of each change, versions before target states.
+func firstChanges(lines []Line) []change {
 	var versions, stages []change
 	seen := map[string]bool{}
 	for _, line := range lines {
@@ -110,12 +110,12 @@
 	return append(versions, stages...)
 }
 
-// delays returns how long a change took to each node that had an older revision when it
-// was made, in order.
-func delays(nodes map[string][]applied, c change) []time.Duration {
+// delays returns the sorted delays of a change to the nodes that had applied an older
+// revision before it.
+func delays(nodes map[string][]appliedUpdate, c change) []time.Duration {
 	var list []time.Duration
 	for _, updates := range nodes {
-		first := slices.IndexFunc(updates, func(a applied) bool { return a.revision >= c.revision })
+		first := slices.IndexFunc(updates, func(a appliedUpdate) bool { return a.revision >= c.revision })
 		if first > 0 && updates[0].at.Before(c.at) {
 			list = append(list, max(0, updates[first].at.Sub(c.at)))
 		}
@@ -129,19 +129,19 @@
 	if len(delays) == 0 {
 		return
 	}
-	at := func(share float64) time.Duration { return delays[min(int(share*float64(len(delays))), len(delays)-1)] }
+	percentile := func(share float64) time.Duration { return delays[min(int(share*float64(len(delays))), len(delays)-1)] }
 	s.Nodes = len(delays)
 	s.First = max(s.First, delays[0])
-	s.Median = max(s.Median, at(0.5))
-	s.P99 = max(s.P99, at(mostShare))
+	s.Median = max(s.Median, percentile(0.5))
+	s.P99 = max(s.P99, percentile(highPercentile))
 	s.Last = max(s.Last, delays[len(delays)-1])
 }
 
-// PrintPropagations writes spreads as a table.
-func PrintPropagations(writer io.Writer, spreads []Propagation) error {
+// PrintPropagations writes propagations as a table.
+func PrintPropagations(writer io.Writer, propagations []Propagation) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "change\tnumber\tnodes\tfirst\thalf\t99 of 100\tlast")
-	for _, s := range spreads {
+	for _, s := range propagations {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%v\t%v\t%v\t%v\n", s.Kind, s.Changes, s.Nodes, s.First, s.Median, s.P99, s.Last)
 	}
 	return table.Flush()
--- a/internal/explain/spread_test.go
+++ b/internal/explain/spread_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleetLog is the log of 200 nodes and two members: version 4 reaches node n after n ms,
-// a target drains, and a node that starts later has both at once.
+// fleetLog is the log of 200 nodes and two members: version 4 and a draining target reach
+// node n after n ms. A node that starts later applies both with its first update.
 func fleetLog() string {
 	var log strings.Builder
 	at := func(ms int) string {
@@ -31,7 +31,7 @@
 	return log.String()
 }
 
-func TestTheSpreadOfChangesOverAFleet(t *testing.T) {
+func TestPropagations(t *testing.T) {
 	lines, err := Read(strings.NewReader(fleetLog()), Query{})
 	require.NoError(t, err)
 	ms := time.Millisecond
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -11,37 +11,37 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// Query says what a story is about. Exactly one of the fields is set.
+// Query selects what a timeline is about. Exactly one of the fields is set.
 type Query struct {
-	// Caller is a flow's caller as IP:PORT.
+	// Caller is the client address of a flow as IP:PORT.
 	Caller string
 	// Target is the name of a target.
 	Target string
-	// Version is the version of a configuration.
+	// Version is a configuration version.
 	Version string
 }
 
-// around is how far before and after the lines of a flow the fate of its
-// targets is told.
-const around = 10 * time.Second
+// contextWindow is how far before and after a flow's own lines events about its
+// targets are included.
+const contextWindow = 10 * time.Second
 
-// Timeline returns the lines that answer a question, in the order of their times.
-// Clocks of machines may differ; lines of one process keep their order.
-func Timeline(lines []Line, question Query) []Line {
+// Timeline returns the lines that match a query, ordered by time.
+// Clock skew between machines is not corrected; lines of one process keep their order.
+func Timeline(lines []Line, query Query) []Line {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	setAges(lines)
+	setStateAges(lines)
 	switch {
-	case question.Caller != "":
-		return storyOfFlow(lines, question.Caller)
-	case question.Target != "":
-		return storyOfTarget(lines, question.Target)
+	case query.Caller != "":
+		return flowTimeline(lines, query.Caller)
+	case query.Target != "":
+		return targetTimeline(lines, query.Target)
 	}
-	return storyOfVersion(lines, question.Version)
+	return versionTimeline(lines, query.Version)
 }
 
-// setAges works out how old each process's state was at each of its lines.
-func setAges(lines []Line) {
+// setStateAges sets StateAge on each line from the last update of its process.
+func setStateAges(lines []Line) {
 	updated := map[string]time.Time{}
 	for position := range lines {
 		line := &lines[position]
@@ -56,8 +56,8 @@
 
 func eventNumber(id eventlog.ID) string { return strconv.Itoa(int(id)) }
 
-// storyOfFlow returns the decisions on a flow and what became of its targets.
-func storyOfFlow(lines []Line, caller string) []Line {
+// flowTimeline returns the lines of a flow and the nearby events about its targets.
+func flowTimeline(lines []Line, caller string) []Line {
 	var first, last time.Time
 	tokens := map[string]bool{}
 	targets := map[string]bool{}
@@ -77,21 +77,21 @@
 	delete(tokens, "")
 	delete(tokens, "00000000")
 	delete(targets, "")
-	passed := passedOverBy(lines, caller, targets)
+	scope := ejectionScopeOf(lines, caller, targets)
 	return slices.DeleteFunc(slices.Clone(lines), func(line Line) bool {
 		if line.Value(keyCaller) != "" {
 			return line.Value(keyCaller) != caller
 		}
-		if passed.includes(line) {
+		if scope.includes(line) {
 			return false
 		}
-		near := !first.IsZero() && line.Time.After(first.Add(-around)) && line.Time.Before(last.Add(around))
-		return !near || !concerns(line, targets, tokens)
+		near := !first.IsZero() && line.Time.After(first.Add(-contextWindow)) && line.Time.Before(last.Add(contextWindow))
+		return !near || !refersTo(line, targets, tokens)
 	})
 }
 
-// concerns reports whether a line is about one of the targets.
-func concerns(line Line, targets, tokens map[string]bool) bool {
+// refersTo reports whether a line names one of the targets or their tokens.
+func refersTo(line Line, targets, tokens map[string]bool) bool {
 	if targets[line.Value(keyTarget)] || tokens[line.Value(keyToken)] {
 		return true
 	}
@@ -105,8 +105,8 @@
 	return false
 }
 
-// storyOfTarget returns what the control members believed of a target.
-func storyOfTarget(lines []Line, target string) []Line {
+// targetTimeline returns the lines about a target, without those of single flows.
+func targetTimeline(lines []Line, target string) []Line {
 	tokens := map[string]bool{}
 	for _, line := range lines {
 		if line.Value(keyTarget) == target && line.Value(keyCaller) == "" {
@@ -115,13 +115,13 @@
 	}
 	delete(tokens, "")
 	return slices.DeleteFunc(slices.Clone(lines), func(line Line) bool {
-		return line.Value(keyCaller) != "" || !concerns(line, map[string]bool{target: true}, tokens)
+		return line.Value(keyCaller) != "" || !refersTo(line, map[string]bool{target: true}, tokens)
 	})
 }
 
-// storyOfVersion returns the way of a configuration, and the changes of leaders
-// and of readiness while it was on its way.
-func storyOfVersion(lines []Line, version string) []Line {
+// versionTimeline returns the lines of a configuration version, and the role changes,
+// timed-out requests and disk failures during its rollout.
+func versionTimeline(lines []Line, version string) []Line {
 	var first, last time.Time
 	for _, line := range lines {
 		if line.Value(keyVersion) != version || line.Value(keyCaller) != "" {
@@ -132,35 +132,35 @@
 		}
 		last = line.Time
 	}
-	leaders := []string{
+	contextEvents := []string{
 		eventNumber(eventlog.RoleChanged), eventNumber(eventlog.RequestGivenUp), eventNumber(eventlog.DiskFailed),
 	}
 	return slices.DeleteFunc(slices.Clone(lines), func(line Line) bool {
 		if line.Value(keyVersion) == version {
 			return line.Value(keyCaller) != ""
 		}
-		near := !first.IsZero() && line.Time.After(first.Add(-around)) && !line.Time.After(last)
-		return !near || !slices.Contains(leaders, line.Event)
+		near := !first.IsZero() && line.Time.After(first.Add(-contextWindow)) && !line.Time.After(last)
+		return !near || !slices.Contains(contextEvents, line.Event)
 	})
 }
 
-// Print writes a timeline with times from its first line.
-func Print(writer io.Writer, story []Line) error {
-	if len(story) == 0 {
-		_, err := fmt.Fprintln(writer, "no line of these logs is about it; was it left out (event 2130), or another time?")
+// Print writes a timeline with times relative to its first line.
+func Print(writer io.Writer, timeline []Line) error {
+	if len(timeline) == 0 {
+		_, err := fmt.Fprintln(writer, "no matching lines; lines may have been dropped by rate limiting (event 2130), or the logs cover another time")
 		return err
 	}
-	start := story[0].Time
-	for _, line := range story {
+	start := timeline[0].Time
+	for _, line := range timeline {
 		var text strings.Builder
-		fmt.Fprintf(&text, "%+10.3fs  %-22s %s %s%s", line.Time.Sub(start).Seconds(), line.Process, line.Event, line.Message, remark(line))
+		fmt.Fprintf(&text, "%+10.3fs  %-22s %s %s%s", line.Time.Sub(start).Seconds(), line.Process, line.Event, line.Message, annotation(line))
 		for _, field := range line.Fields {
 			if field.Value != "" {
 				fmt.Fprintf(&text, "\n%36s%s=%s", "", field.Key, field.Value)
 			}
 		}
 		if line.StateAge >= 0 {
-			fmt.Fprintf(&text, "\n%36sage of its state: %v", "", line.StateAge.Round(time.Millisecond))
+			fmt.Fprintf(&text, "\n%36sstate age: %v", "", line.StateAge.Round(time.Millisecond))
 		}
 		if _, err := fmt.Fprintln(writer, text.String()); err != nil {
 			return err
--- a/internal/explain/story_test.go
+++ b/internal/explain/story_test.go
@@ -19,45 +19,45 @@
 ts=2026-01-01T00:00:05Z process=core-1 event=1010 name=role_changed msg="role" role=follower
 ts=2026-01-01T00:00:06Z process=core-2 event=1083 name=version_in_force msg="holds" version=4
 ts=broken process=core-2 event=1
-no log line at all
+not a log line
 `
 
-func names(story []Line) []string {
+func eventNames(timeline []Line) []string {
 	var list []string
-	for _, line := range story {
+	for _, line := range timeline {
 		list = append(list, line.Name)
 	}
 	return list
 }
 
-// flowLines is the number of lines about flows in the logs, and otherLines that of
-// all others.
+// flowLines is the number of valid lines with a caller in the logs, and otherLines the
+// number without.
 const (
 	flowLines  = 3
 	otherLines = 9 - flowLines
 )
 
-func read(t *testing.T, question Query) []Line {
-	lines, err := Read(strings.NewReader(logs), question)
+func read(t *testing.T, query Query) []Line {
+	lines, err := Read(strings.NewReader(logs), query)
 	require.NoError(t, err)
 	return lines
 }
 
-func story(t *testing.T, question Query) []Line { return Timeline(read(t, question), question) }
+func timelineOf(t *testing.T, query Query) []Line { return Timeline(read(t, query), query) }
 
-// Of the 83,000 lines of 300 machines in 75 s more than half are about single flows.
-func TestLinesAboutFlowsThatAreNotAskedForAreNotKept(t *testing.T) {
+// Read must drop the lines of other flows, which are most of a large fleet's logs.
+func TestReadSkipsLinesOfOtherFlows(t *testing.T) {
 	assert.Len(t, read(t, Query{Caller: "10.0.0.1:5"}), otherLines+flowLines-1, "one line is about another flow")
-	assert.Len(t, read(t, Query{Caller: "10.0.0.1"}), otherLines, "part of a caller is no caller")
+	assert.Len(t, read(t, Query{Caller: "10.0.0.1"}), otherLines, "a prefix of a caller does not match")
 	assert.Len(t, read(t, Query{Target: "i-1"}), otherLines)
 	assert.Len(t, read(t, Query{Version: "4"}), otherLines)
 }
 
-func TestTheStoryOfAFlowHoldsItsDecisionsAndTheFateOfItsTarget(t *testing.T) {
-	story := story(t, Query{Caller: "10.0.0.1:5"})
-	assert.Equal(t, []string{"flow_placed", "target_held_lost", "targets_suspected", "flow_reset"}, names(story))
-	assert.Equal(t, float64(1), story[0].StateAge.Seconds())
-	assert.Negative(t, story[3].StateAge, "front-2 has no update in the logs")
+func TestFlowTimelineIncludesTargetEvents(t *testing.T) {
+	timeline := timelineOf(t, Query{Caller: "10.0.0.1:5"})
+	assert.Equal(t, []string{"flow_placed", "target_held_lost", "targets_suspected", "flow_reset"}, eventNames(timeline))
+	assert.Equal(t, float64(1), timeline[0].StateAge.Seconds())
+	assert.Negative(t, timeline[3].StateAge, "front-2 has no update in the logs")
 }
 
 const waitLogs = `
@@ -66,43 +66,43 @@
 ts=2026-01-01T00:00:02Z process=front-1 event=2142 name=flow_waited_for_link msg="packet waited long" caller=10.0.0.2:5 virtual=198.18.0.1:443 wait=210ms urgency=2 bytes=1268
 `
 
-func TestTheStoryOfAFlowTellsThatItWaitedForALink(t *testing.T) {
-	question := Query{Caller: "10.0.0.1:5"}
-	lines, err := Read(strings.NewReader(waitLogs), question)
+func TestFlowTimelineIncludesLinkWait(t *testing.T) {
+	query := Query{Caller: "10.0.0.1:5"}
+	lines, err := Read(strings.NewReader(waitLogs), query)
 	require.NoError(t, err)
-	story := Timeline(lines, question)
-	require.Equal(t, []string{"flow_waited_for_link"}, names(story))
-	assert.Equal(t, "250ms", story[0].Value("wait"))
+	timeline := Timeline(lines, query)
+	require.Equal(t, []string{"flow_waited_for_link"}, eventNames(timeline))
+	assert.Equal(t, "250ms", timeline[0].Value("wait"))
 }
 
-func TestTheStoryOfATarget(t *testing.T) {
-	story := story(t, Query{Target: "i-1"})
-	assert.Equal(t, []string{"target_held_lost", "targets_suspected"}, names(story))
+func TestTargetTimeline(t *testing.T) {
+	timeline := timelineOf(t, Query{Target: "i-1"})
+	assert.Equal(t, []string{"target_held_lost", "targets_suspected"}, eventNames(timeline))
 }
 
-func TestTheStoryOfAVersionHoldsTheChangesOfLeaders(t *testing.T) {
-	story := story(t, Query{Version: "4"})
-	assert.Equal(t, []string{"role_changed", "version_in_force"}, names(story))
+func TestVersionTimelineIncludesRoleChanges(t *testing.T) {
+	timeline := timelineOf(t, Query{Version: "4"})
+	assert.Equal(t, []string{"role_changed", "version_in_force"}, eventNames(timeline))
 }
 
 func TestPrint(t *testing.T) {
 	var text strings.Builder
-	require.NoError(t, Print(&text, story(t, Query{Caller: "10.0.0.1:5"})))
+	require.NoError(t, Print(&text, timelineOf(t, Query{Caller: "10.0.0.1:5"})))
 	assert.Contains(t, text.String(), "+2.000s  front-2")
 	assert.Contains(t, text.String(), "reason=lost")
-	assert.Contains(t, text.String(), "age of its state: 1s")
+	assert.Contains(t, text.String(), "state age: 1s")
 	text.Reset()
 	require.NoError(t, Print(&text, nil))
-	assert.Contains(t, text.String(), "no line")
+	assert.Contains(t, text.String(), "no matching lines")
 }
 
 func FuzzRead(f *testing.F) {
 	f.Add(logs)
 	f.Fuzz(func(t *testing.T, text string) {
-		question := Query{Caller: "10.0.0.1:5"}
-		lines, err := Read(strings.NewReader(text), question)
+		query := Query{Caller: "10.0.0.1:5"}
+		lines, err := Read(strings.NewReader(text), query)
 		if err == nil {
-			Timeline(lines, question)
+			Timeline(lines, query)
 		}
 	})
 }
