--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -1,5 +1,5 @@
-// Package adminclient calls the administration API on whichever control member
-// leads. The command line and the experiments use it.
+// Package adminclient is a client of the administration API. It retries on other
+// control members and follows redirects to the leader.
 package adminclient
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/beamdoor/beamdoor/internal/store"
 )
 
-const retryPause = 150 * time.Millisecond
+const retryInterval = 150 * time.Millisecond
 
 // Client calls the administration API. It is not safe for concurrent use.
 type Client struct {
@@ -32,41 +32,41 @@
 	return &Client{addresses: addresses, timeout: timeout, http: &http.Client{}}
 }
 
-// Addresses returns the administration addresses.
+// Addresses returns the administration addresses that New was given.
 func (c *Client) Addresses() []string { return c.addresses }
 
-// HTTP returns the client's HTTP client.
+// HTTP returns the underlying HTTP client.
 func (c *Client) HTTP() *http.Client { return c.http }
 
-// NewRequestID draws the identity of a write.
+// NewRequestID returns a random ID that makes retries of a write idempotent.
 func NewRequestID() []byte {
 	id := make([]byte, store.RequestIDSize)
 	_, _ = rand.Read(id)
 	return id
 }
 
-// UnavailableError says that no control member with a quorum answered in time.
+// UnavailableError means that no control member with a quorum answered before the timeout.
 type UnavailableError struct{ Cause error }
 
 var _ error = (*UnavailableError)(nil)
 
-// Error returns the cause.
+// Error returns the message of the cause.
 func (e *UnavailableError) Error() string { return e.Cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the last attempt.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// Request is one request to the API.
+// Request sends one request through an API client.
 type Request[T any] func(context.Context, beamdoorv1connect.AdminServiceClient) (*connect.Response[T], error)
 
-// Call runs one request, and again on another member while it is not known to
-// have been answered. That is safe for writes because each carries the same
-// request identity every time.
+// Call sends a request and retries it, on the leader named by the error or on the next
+// member, until it is answered or the client's timeout expires. Retrying writes is safe
+// because every attempt carries the same request ID.
 func Call[T any](ctx context.Context, c *Client, run Request[T]) (*T, error) {
 	const step = "adminclient.call"
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var last error
+	var lastErr error
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		address := c.leader
 		if address == "" {
@@ -81,13 +81,13 @@
 		if !retryable(err) {
 			return nil, steperror.Wrap(step, address, err)
 		}
-		if ctx.Err() == nil || last == nil {
-			last = steperror.Wrap(step, address, err)
+		if ctx.Err() == nil || lastErr == nil {
+			lastErr = steperror.Wrap(step, address, err)
 		}
 		c.leader = Detail(err).LeaderAdmin
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
-	return nil, &UnavailableError{Cause: last}
+	return nil, &UnavailableError{Cause: lastErr}
 }
 
 func retryable(err error) bool {
@@ -95,7 +95,7 @@
 	return code == connect.CodeUnavailable || code == connect.CodeUnknown || code == connect.CodeDeadlineExceeded
 }
 
-// Detail returns the details of an API error, or empty ones.
+// Detail returns the ErrorDetail of an API error, or an empty one.
 func Detail(err error) *beamdoorv1.ErrorDetail {
 	var apiError *connect.Error
 	if errors.As(err, &apiError) {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// execute runs a command and returns its output and exit code.
+// execute runs a command and returns its output, exit code and error.
 func execute(t *testing.T, arguments ...string) (string, int, error) {
 	var out bytes.Buffer
 	root := NewRoot()
@@ -28,7 +28,7 @@
 	return path
 }
 
-func TestCheckReportsEveryMistake(t *testing.T) {
+func TestCheckReportsAllErrors(t *testing.T) {
 	good := writeFile(t, "good.yaml", "services:\n  - {name: a, address: '10.0.0.1:1'}\n")
 	_, code, err := execute(t, "check", good)
 	require.NoError(t, err)
@@ -40,7 +40,7 @@
 	assert.ErrorContains(t, err, "services[0].address")
 	policy := writeFile(t, "p.star", "def weight(target):\n  return 'x'")
 	_, code, _ = execute(t, "check", "--kind", "policy", policy)
-	assert.Equal(t, ExitOK, code, "a wrong result shows only when it runs")
+	assert.Equal(t, ExitOK, code, "check does not run the program")
 	_, code, _ = execute(t, "check", "--kind", "nonsense", policy)
 	assert.Equal(t, ExitUsage, code)
 }
@@ -55,7 +55,7 @@
 		{"bad format", []string{"status", "-o", "xml"}, ExitUsage},
 		{"bad timeout", []string{"status", "--timeout", "0s"}, ExitUsage},
 		{"missing file", []string{"apply", "-f", "missing.yaml"}, ExitUsage},
-		{"nobody answers", []string{"status", "--control", "127.0.0.1:1", "--timeout", "300ms"}, ExitUnavailable},
+		{"no member answers", []string{"status", "--control", "127.0.0.1:1", "--timeout", "300ms"}, ExitUnavailable},
 		{"no such folder", []string{"data", "verify", "/no/such/folder"}, ExitNotFound},
 		{"restore without addresses", []string{"data", "restore", "/tmp/x"}, ExitUsage},
 		{"settings", []string{"balancer", "--settings", "missing.yaml"}, ExitUsage},
@@ -78,7 +78,7 @@
 	assert.Contains(t, out, "full")
 }
 
-func TestHelpHasExamples(t *testing.T) {
+func TestCommandsHaveShortHelp(t *testing.T) {
 	for _, command := range NewRoot().Commands() {
 		if !command.IsAvailableCommand() || command.HasSubCommands() || command.Name() == "completion" {
 			continue
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -1,4 +1,4 @@
-// Package cli provides the commands of the beamdoor program.
+// Package cli implements the commands of the beamdoor program.
 package cli
 
 import (
@@ -13,13 +13,13 @@
 // Exit codes of the program, for scripts.
 const (
 	ExitOK = 0
-	// ExitFailed is any failure that has no code of its own.
+	// ExitFailed is a failure without a more specific code.
 	ExitFailed = 1
-	// ExitUsage is a wrong flag, argument or file.
+	// ExitUsage is an invalid flag, argument or file.
 	ExitUsage = 2
-	// ExitConflict is a lost race: somebody else's write came first.
+	// ExitConflict means that a concurrent write was accepted first.
 	ExitConflict = 3
-	// ExitNotFound names something that does not exist.
+	// ExitNotFound means that a named object does not exist.
 	ExitNotFound = 4
 	// ExitUnavailable means that no control member with a quorum answered in time.
 	ExitUnavailable = 5
@@ -33,10 +33,10 @@
 
 var _ error = (*ExitError)(nil)
 
-// Error returns the cause.
+// Error returns the message of the cause.
 func (e *ExitError) Error() string { return e.Cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *ExitError) Unwrap() error { return e.Cause }
 
 // ExitCode returns the exit code for an error of a command.
@@ -51,7 +51,7 @@
 	return ExitFailed
 }
 
-// call runs one request of a command and gives a failure its exit code.
+// call sends an API request and wraps a failure in an ExitError.
 func call[T any](ctx context.Context, c *adminclient.Client, run adminclient.Request[T]) (*T, error) {
 	response, err := adminclient.Call(ctx, c, run)
 	if err != nil {
--- a/internal/cli/offline.go
+++ b/internal/cli/offline.go
@@ -19,7 +19,7 @@
 	"github.com/beamdoor/beamdoor/internal/wal"
 )
 
-// Kinds of files that check reads.
+// Values of check --kind.
 const (
 	kindConfig   = "config"
 	kindControl  = "control"
@@ -31,7 +31,7 @@
 	kind := kindConfig
 	command := &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check configurations, settings and policy programs without starting anything",
+		Short: "Validate configurations, settings and policy programs offline",
 		Example: `  beamdoor check service.yaml
   beamdoor check --kind balancer balancer-1.yaml
   beamdoor check --kind policy night.star`,
@@ -72,7 +72,7 @@
 	return err
 }
 
-// loadPolicy compiles a program from a file, or one that comes with beamdoor.
+// loadPolicy compiles a policy program from a file or a built-in one.
 func loadPolicy(name string) (*policy.Program, error) {
 	if strings.HasPrefix(name, policy.BuiltinPrefix) {
 		source, err := policy.Builtin(name)
@@ -89,7 +89,7 @@
 }
 
 func policyCommand() *cobra.Command {
-	parent := &cobra.Command{Use: "policy", Short: "Work with policy programs"}
+	parent := &cobra.Command{Use: "policy", Short: "Test and list policy programs"}
 	var samples string
 	test := &cobra.Command{
 		Use:   "test PROGRAM",
@@ -109,7 +109,7 @@
 			}
 			shown := &table{header: []string{"TARGET", "WEIGHT", "LEAVE ALONE"}}
 			for _, sample := range list {
-				weight, reason, err := decide(program, sample)
+				weight, reason, err := evaluateSample(program, sample)
 				if err != nil {
 					return err
 				}
@@ -122,7 +122,7 @@
 	_ = test.MarkFlagRequired("samples")
 	list := &cobra.Command{
 		Use:   "list",
-		Short: "List the policy programs that come with beamdoor",
+		Short: "List the built-in policy programs",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			for _, name := range policy.BuiltinNames() {
@@ -145,7 +145,7 @@
 	return list, collector.Err()
 }
 
-func decide(program *policy.Program, sample policy.Sample) (weight, reason string, err error) {
+func evaluateSample(program *policy.Program, sample policy.Sample) (weight, reason string, err error) {
 	weight, reason = "-", "-"
 	if program.SharesWork() {
 		value, err := program.Weight(sample)
@@ -166,10 +166,10 @@
 }
 
 func dataCommand() *cobra.Command {
-	parent := &cobra.Command{Use: "data", Short: "Work with a control member's data folder while it is stopped"}
+	parent := &cobra.Command{Use: "data", Short: "Verify or restore the data folder of a stopped control member"}
 	verify := &cobra.Command{
 		Use:     "verify FOLDER",
-		Short:   "Read a data folder without changing it and report its state",
+		Short:   "Check a data folder without changing it and report its state",
 		Example: "  beamdoor data verify /var/lib/beamdoor/control-1",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -188,15 +188,15 @@
 	var backup string
 	command := &cobra.Command{
 		Use:   "restore FOLDER",
-		Short: "Fill an empty data folder with a backup, as the first member of a new group",
-		Long: `Fill an empty data folder with a backup, as the first and only member of a new
-group. Start it without bootstrap and add the other members. What was accepted
-after the backup is lost; its revisions and ids are not used again.`,
+		Short: "Restore a backup into an empty data folder, as the first member of a new group",
+		Long: `Restore a backup into an empty data folder, as the first and only member of a new
+group. Start it without bootstrap and add the other members. Changes accepted
+after the backup are lost; their revisions and IDs are not reused.`,
 		Example: "  beamdoor data restore --backup beamdoor.state --id 11 --peer 10.0.0.1:7100 --nodes 10.0.0.1:7200 --admin 10.0.0.1:7300 /var/lib/beamdoor",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if member.Id == 0 || member.Peer == "" || member.Nodes == "" || member.Admin == "" {
-				return usageError("--id, --peer, --nodes and --admin are needed")
+				return usageError("--id, --peer, --nodes and --admin are required")
 			}
 			data, err := os.ReadFile(backup)
 			if err != nil {
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -12,14 +12,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Formats of the output.
+// Values of --output.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
 	formatYAML  = "yaml"
 )
 
-// table is what a command shows as text.
+// table is the text output of a command, with aligned columns.
 type table struct {
 	header []string
 	rows   [][]string
@@ -42,7 +42,7 @@
 	return aligned.Flush()
 }
 
-// show writes a message in the chosen format.
+// show writes a message as JSON or YAML, or calls asTable for the table format.
 func show(writer io.Writer, format string, message proto.Message, asTable func() *table) error {
 	if format == formatTable {
 		return asTable().write(writer)
--- a/internal/cli/processes.go
+++ b/internal/cli/processes.go
@@ -40,7 +40,7 @@
 	command.Flags().StringVar(&file, "settings", "", "settings file (YAML)")
 	command.Flags().Uint32("id", 0, "number of this member")
 	command.Flags().String("data-folder", "", "folder for the member's state")
-	command.Flags().Bool("bootstrap", false, "make the first membership if the data folder is new")
+	command.Flags().Bool("bootstrap", false, "initialize the membership if the data folder is empty")
 	return command
 }
 
@@ -49,7 +49,7 @@
 	command := &cobra.Command{
 		Use:     "balancer",
 		Short:   "Run a balancer",
-		Long:    "Run a balancer. The first SIGTERM starts a planned leave that cuts nothing under way; a second one ends the process at once.",
+		Long:    "Run a balancer. The first SIGTERM or SIGINT starts a graceful shutdown that waits for work in progress; the second stops the process immediately.",
 		Example: "  beamdoor balancer --settings balancer-1.yaml\n  beamdoor balancer --settings balancer-1.yaml --zone quito-2",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -72,8 +72,8 @@
 	command.Flags().String("callers", "", "UDP address for packets from callers")
 	command.Flags().String("targets", "", "UDP address for packets from targets")
 	command.Flags().String("peers", "", "UDP address for packets from other balancers")
-	command.Flags().String("fabric", "", "UDP address that takes packets for callers")
-	command.Flags().String("admin", "", "HTTP address of metrics, health and explanations")
+	command.Flags().String("fabric", "", "UDP address to which packets for callers are sent")
+	command.Flags().String("admin", "", "HTTP address of the metrics, health and explain endpoints")
 	return command
 }
 
--- a/internal/cli/reads.go
+++ b/internal/cli/reads.go
@@ -115,7 +115,7 @@
 	return time.UnixMilli(entry.UnixMs).UTC().Format(time.RFC3339)
 }
 
-// leaderStatus asks for the status until the member that answers leads.
+// leaderStatus returns the status as reported by the leader.
 func (o *options) leaderStatus(ctx context.Context, api *adminclient.Client) (*beamdoorv1.StatusResponse, error) {
 	return call(ctx, api, func(ctx context.Context, admin beamdoorv1connect.AdminServiceClient) (*connect.Response[beamdoorv1.StatusResponse], error) {
 		response, err := admin.Status(ctx, connect.NewRequest(&beamdoorv1.StatusRequest{}))
@@ -125,12 +125,12 @@
 		if response.Msg.LeaderId == response.Msg.MemberId {
 			return response, nil
 		}
-		return nil, followLeader(response.Msg)
+		return nil, notLeaderError(response.Msg)
 	})
 }
 
-// followLeader returns an error that leads the next call to the leader.
-func followLeader(status *beamdoorv1.StatusResponse) error {
+// notLeaderError returns a retryable error whose detail names the leader, if known.
+func notLeaderError(status *beamdoorv1.StatusResponse) error {
 	failure := connect.NewError(connect.CodeUnavailable, errors.New("no leader with a quorum is known"))
 	for _, member := range status.Members {
 		if !member.Leader {
@@ -195,7 +195,7 @@
 func traceCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:     "trace REVISION",
-		Short:   "Show when each balancer put a revision in force",
+		Short:   "Show when each balancer applied a revision",
 		Example: "  beamdoor trace 17",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -224,7 +224,7 @@
 	var from uint64
 	command := &cobra.Command{
 		Use:     "watch",
-		Short:   "Print accepted changes as they come, until interrupted or --timeout",
+		Short:   "Print changes as they are accepted, until interrupted or --timeout expires",
 		Example: "  beamdoor watch --from 10 --timeout 1m",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -253,7 +253,7 @@
 func explainCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:     "explain SERVICE CALLER",
-		Short:   "Show why a caller's flow goes where it goes",
+		Short:   "Show how the target of a flow was chosen",
 		Example: "  beamdoor explain booking 127.0.0.1:40123",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -270,33 +270,34 @@
 	}
 }
 
-// explain asks any balancer who the flow's primary is, and then the primary.
+// explain asks any balancer for the flow's primary, then asks the primary. If the primary
+// does not answer, it returns the first balancer's answer.
 func (o *options) explain(ctx context.Context, status *beamdoorv1.StatusResponse, service, caller string) (*beamdoorv1.ExplainResponse, error) {
 	api := o.client()
 	admins := map[string]string{}
 	for _, entry := range status.Balancers {
 		admins[entry.Balancer.Name] = entry.Balancer.Admin
 	}
-	var last error = errors.New("no balancer is known")
+	var lastErr error = errors.New("no balancer is known")
 	for _, admin := range admins {
-		response, err := askExplain(ctx, api, admin, service, caller)
+		response, err := explainAt(ctx, api, admin, service, caller)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		primary := admins[response.Primary]
 		if primary == "" || primary == admin {
 			return response, nil
 		}
-		if decided, err := askExplain(ctx, api, primary, service, caller); err == nil {
+		if decided, err := explainAt(ctx, api, primary, service, caller); err == nil {
 			return decided, nil
 		}
 		return response, nil
 	}
-	return nil, &ExitError{Code: exitCodeOf(last), Cause: last}
+	return nil, &ExitError{Code: exitCodeOf(lastErr), Cause: lastErr}
 }
 
-func askExplain(ctx context.Context, api *adminclient.Client, address, service, caller string) (*beamdoorv1.ExplainResponse, error) {
+func explainAt(ctx context.Context, api *adminclient.Client, address, service, caller string) (*beamdoorv1.ExplainResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	admin := beamdoorv1connect.NewBalancerServiceClient(api.HTTP(), "http://"+address)
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -10,10 +10,10 @@
 	"github.com/beamdoor/beamdoor/internal/adminclient"
 )
 
-// Version is the version of the program.
+// Version is the version that --version prints.
 const Version = "0.1.0"
 
-// options are the flags that the operator's commands share.
+// options holds the persistent flags of the commands that call the API.
 type options struct {
 	control []string
 	timeout time.Duration
@@ -25,9 +25,9 @@
 
 const defaultTimeout = 10 * time.Second
 
-// NewRoot returns the beamdoor command.
+// NewRoot returns the root command with all subcommands.
 func NewRoot() *cobra.Command {
-	shared := &options{}
+	opts := &options{}
 	root := &cobra.Command{
 		Use:           "beamdoor",
 		Short:         "A layer-4 load balancer that shows why a flow went where it did",
@@ -37,21 +37,21 @@
 		Example: `  beamdoor check service.yaml
   beamdoor --control 127.0.0.1:7301 apply -f service.yaml
   beamdoor --control 127.0.0.1:7301 status`,
-		PersistentPreRunE: func(*cobra.Command, []string) error { return shared.check() },
+		PersistentPreRunE: func(*cobra.Command, []string) error { return opts.check() },
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error {
 		return &ExitError{Code: ExitUsage, Cause: err}
 	})
 	flags := root.PersistentFlags()
-	flags.StringSliceVar(&shared.control, "control", []string{"127.0.0.1:7301"}, "administration addresses of the control members")
-	flags.DurationVar(&shared.timeout, "timeout", defaultTimeout, "longest time for a command")
-	flags.StringVarP(&shared.format, "output", "o", formatTable, "output format: table, json or yaml")
-	flags.StringVar(&shared.author, "author", os.Getenv("USER"), "name that the history shows for a write")
+	flags.StringSliceVar(&opts.control, "control", []string{"127.0.0.1:7301"}, "administration addresses of the control members")
+	flags.DurationVar(&opts.timeout, "timeout", defaultTimeout, "timeout of a command")
+	flags.StringVarP(&opts.format, "output", "o", formatTable, "output format: table, json or yaml")
+	flags.StringVar(&opts.author, "author", os.Getenv("USER"), "author of a write in the history")
 	root.AddCommand(controlCommand(), balancerCommand(), checkCommand(), policyCommand(), dataCommand())
-	root.AddCommand(applyCommand(shared), drainCommand(shared, true), drainCommand(shared, false))
-	root.AddCommand(joinCommand(shared), leaveCommand(shared), memberCommand(shared), backupCommand(shared))
-	root.AddCommand(getCommand(shared), listCommand(shared), historyCommand(shared), statusCommand(shared))
-	root.AddCommand(traceCommand(shared), watchCommand(shared), explainCommand(shared))
+	root.AddCommand(applyCommand(opts), drainCommand(opts, true), drainCommand(opts, false))
+	root.AddCommand(joinCommand(opts), leaveCommand(opts), memberCommand(opts), backupCommand(opts))
+	root.AddCommand(getCommand(opts), listCommand(opts), historyCommand(opts), statusCommand(opts))
+	root.AddCommand(traceCommand(opts), watchCommand(opts), explainCommand(opts))
 	return root
 }
 
--- a/internal/cli/writes.go
+++ b/internal/cli/writes.go
@@ -15,8 +15,8 @@
 	"github.com/beamdoor/beamdoor/internal/config"
 )
 
-// baseUnset makes a write read the newest revision first.
-const baseUnset = -1
+// baseNewest is the value of --base that stands for the current revision.
+const baseNewest = -1
 
 func (o *options) read(ctx context.Context, api *adminclient.Client, stale bool) (*beamdoorv1.ReadResponse, error) {
 	return call(ctx, api, func(ctx context.Context, admin beamdoorv1connect.AdminServiceClient) (*connect.Response[beamdoorv1.ReadResponse], error) {
@@ -39,9 +39,9 @@
 	command := &cobra.Command{
 		Use:   "apply -f FILE",
 		Short: "Write services and policies in one revision",
-		Long: `Write services and policies in one revision. The write is refused when another
-operator's write came after the base revision; without --base that is the
-newest revision at the start of the command.`,
+		Long: `Write services and policies in one revision. The write is refused if another
+write was accepted after the base revision. Without --base, the base is the
+newest revision when the command starts.`,
 		Example: "  beamdoor apply -f service.yaml --summary 'two more targets' --wait 15s",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -53,16 +53,16 @@
 		},
 	}
 	command.Flags().StringVarP(&file, "file", "f", "", "configuration file (YAML)")
-	command.Flags().StringVar(&summary, "summary", "", "text that the history shows")
-	command.Flags().Int64Var(&base, "base", baseUnset, "revision that the change is based on")
-	command.Flags().DurationVar(&wait, "wait", 0, "wait so long for the change to be in force on every balancer")
+	command.Flags().StringVar(&summary, "summary", "", "description of the change in the history")
+	command.Flags().Int64Var(&base, "base", baseNewest, "revision that the change is based on")
+	command.Flags().DurationVar(&wait, "wait", 0, "how long to wait for the change to be in force on every balancer")
 	_ = command.MarkFlagRequired("file")
 	return command
 }
 
 func (o *options) apply(cmd *cobra.Command, parsed *config.Parsed, summary string, base int64, wait time.Duration) error {
 	api := o.client()
-	if base == baseUnset {
+	if base == baseNewest {
 		current, err := o.read(cmd.Context(), api, false)
 		if err != nil {
 			return err
@@ -91,8 +91,8 @@
 	return o.waitInForce(cmd, api, response.Revision, wait)
 }
 
-// waitPoll is the time between two looks at the status.
-const waitPoll = 100 * time.Millisecond
+// pollInterval is the time between two status requests.
+const pollInterval = 100 * time.Millisecond
 
 func (o *options) waitInForce(cmd *cobra.Command, api *adminclient.Client, revision uint64, wait time.Duration) error {
 	start := time.Now()
@@ -105,15 +105,15 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "in force on every balancer after %s\n", time.Since(start).Round(time.Millisecond))
 			return nil
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(pollInterval)
 	}
 	return &ExitError{Code: ExitUnavailable, Cause: fmt.Errorf("revision %d is accepted but not in force on every balancer after %s", revision, wait)}
 }
 
 func drainCommand(o *options, draining bool) *cobra.Command {
-	use, short := "drain SERVICE TARGET...", "Give targets no new flows; open ones finish"
+	use, short := "drain SERVICE TARGET...", "Stop new flows to targets; open flows finish"
 	if !draining {
-		use, short = "undrain SERVICE TARGET...", "Give drained targets new flows again"
+		use, short = "undrain SERVICE TARGET...", "Allow new flows to drained targets again"
 	}
 	return &cobra.Command{
 		Use:     use,
@@ -142,7 +142,7 @@
 func leaveCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:     "leave BALANCER",
-		Short:   "Take a balancer out of its cell in a planned way",
+		Short:   "Remove a balancer from its cell gracefully",
 		Example: "  beamdoor leave quito-b2",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -167,7 +167,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			api := o.client()
 			start := time.Now()
-			var before int64
+			var previousLeaseMs int64
 			for time.Since(start) < o.timeout {
 				status, err := o.leaderStatus(cmd.Context(), api)
 				if err != nil {
@@ -177,16 +177,16 @@
 					if entry.Balancer.Name != args[0] || entry.View == 0 {
 						continue
 					}
-					// A lease that grows is renewed now, and is not that of an
-					// earlier run which has ended.
-					renewed := before > 0 && entry.LeaseLeftMs > before
-					before = entry.LeaseLeftMs
+					// Only a renewal proves that this run holds the lease: the lease
+					// of an earlier run may not have expired yet.
+					renewed := previousLeaseMs > 0 && entry.LeaseLeftMs > previousLeaseMs
+					previousLeaseMs = entry.LeaseLeftMs
 					if renewed {
 						fmt.Fprintf(cmd.OutOrStdout(), "%s is in view %d of cell %d\n", args[0], entry.View, entry.Balancer.Cell)
 						return nil
 					}
 				}
-				time.Sleep(waitPoll)
+				time.Sleep(pollInterval)
 			}
 			return &ExitError{Code: ExitUnavailable, Cause: fmt.Errorf("balancer %q has not joined after %s", args[0], o.timeout)}
 		},
@@ -194,11 +194,11 @@
 }
 
 func memberCommand(o *options) *cobra.Command {
-	parent := &cobra.Command{Use: "member", Short: "Change the control members, one at a time"}
+	parent := &cobra.Command{Use: "member", Short: "Change the control members one at a time"}
 	member := &beamdoorv1.Member{}
 	add := &cobra.Command{
 		Use:     "add ID",
-		Short:   "Add a control member as a learner; a lost one comes back under a new ID",
+		Short:   "Add a control member as a learner; a lost member needs a new ID",
 		Example: "  beamdoor member add 4 --peer 127.0.0.1:7104 --admin 127.0.0.1:7304 --nodes 127.0.0.1:7204",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -210,7 +210,7 @@
 	add.Flags().StringVar(&member.Nodes, "nodes", "", "TCP address for balancers")
 	promote := &cobra.Command{
 		Use:   "promote ID",
-		Short: "Make a learner that has caught up a voter",
+		Short: "Promote a caught-up learner to voter",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return o.changeMember(cmd, args[0], &beamdoorv1.Member{}, beamdoorv1.MemberChange_MEMBER_CHANGE_PROMOTE)
@@ -218,7 +218,7 @@
 	}
 	remove := &cobra.Command{
 		Use:   "remove ID",
-		Short: "Remove a control member for good",
+		Short: "Remove a control member permanently",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return o.changeMember(cmd, args[0], &beamdoorv1.Member{}, beamdoorv1.MemberChange_MEMBER_CHANGE_REMOVE)
@@ -230,7 +230,7 @@
 
 func (o *options) changeMember(cmd *cobra.Command, id string, member *beamdoorv1.Member, change beamdoorv1.MemberChange) error {
 	if _, err := fmt.Sscan(id, &member.Id); err != nil || member.Id == 0 {
-		return usageError("ID: %q: must be a number from 1 on", id)
+		return usageError("ID: %q: must be a positive number", id)
 	}
 	request := &beamdoorv1.ChangeMemberRequest{RequestId: adminclient.NewRequestID(), Change: change, Member: member}
 	response, err := call(cmd.Context(), o.client(), func(ctx context.Context, admin beamdoorv1connect.AdminServiceClient) (*connect.Response[beamdoorv1.WriteResponse], error) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,7 +27,7 @@
           return 100
 `
 
-func TestValidFileGetsDefaults(t *testing.T) {
+func TestParseAppliesDefaults(t *testing.T) {
 	parsed, err := Parse("f.yaml", []byte(validFile))
 	require.NoError(t, err)
 	require.Len(t, parsed.Services, 1)
@@ -39,7 +39,7 @@
 	assert.Equal(t, "mine", parsed.Policies[0].Name)
 }
 
-func TestEveryMistakeIsReportedWithItsField(t *testing.T) {
+func TestParseReportsAllInvalidFields(t *testing.T) {
 	tests := map[string]struct {
 		file string
 		want []string
@@ -49,14 +49,14 @@
 		"bad address":       {"services:\n  - {name: a, address: nowhere}\n", []string{"services[0].address", "nowhere"}},
 		"bad name":          {"services:\n  - {name: A b, address: '10.0.0.1:1'}\n", []string{"services[0].name", "A b"}},
 		"bad priority":      {"services:\n  - {name: a, address: '10.0.0.1:1', priority: speed}\n", []string{"services[0].priority", "speed"}},
-		"two at an address": {"services:\n  - {name: a, address: '10.0.0.1:1'}\n  - {name: b, address: '10.0.0.1:1'}\n", []string{"services[1].address"}},
-		"two of a name":     {"services:\n  - {name: a, address: '10.0.0.1:1'}\n  - {name: a, address: '10.0.0.2:1'}\n", []string{"services[1].name"}},
+		"duplicate address": {"services:\n  - {name: a, address: '10.0.0.1:1'}\n  - {name: b, address: '10.0.0.1:1'}\n", []string{"services[1].address"}},
+		"duplicate name":    {"services:\n  - {name: a, address: '10.0.0.1:1'}\n  - {name: a, address: '10.0.0.2:1'}\n", []string{"services[1].name"}},
 		"target address": {"services:\n  - name: a\n    address: '10.0.0.1:1'\n    targets:\n      - {name: t, address: x}\n",
 			[]string{"services[0].targets[0].address"}},
 		"negative time": {"services:\n  - {name: a, address: '10.0.0.1:1', limits: {default_deadline: -1s}}\n",
 			[]string{"services[0].limits.default_deadline"}},
 		"bad policy": {"policies:\n  - {name: p, source: 'x = 1'}\n", []string{"policies[0]"}},
-		"several": {"services:\n  - {name: A, address: nowhere, priority: speed}\n",
+		"several errors": {"services:\n  - {name: A, address: nowhere, priority: speed}\n",
 			[]string{"services[0].name", "services[0].address", "services[0].priority"}},
 	}
 	for name, test := range tests {
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestPolicyFileBesideTheFile(t *testing.T) {
+func TestLoadReadsPolicyFileFromSameDirectory(t *testing.T) {
 	folder := t.TempDir()
 	program := "def weight(target):\n    return 1\n"
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "p.star"), []byte(program), 0o600))
@@ -83,7 +83,7 @@
 	assert.ErrorContains(t, err, "missing.yaml")
 }
 
-func TestRequestsAreCheckedLikeFiles(t *testing.T) {
+func TestValidateRequestReportsInvalidFields(t *testing.T) {
 	request := &beamdoorv1.ApplyRequest{
 		Services: []*beamdoorv1.Service{{Name: "BAD", Address: "x", Targets: []*beamdoorv1.Target{{Name: "t", Address: "y"}}}},
 		Policies: []*beamdoorv1.Policy{{Name: "p", Source: "("}},
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -17,7 +17,7 @@
 	"github.com/beamdoor/beamdoor/internal/policy"
 )
 
-// File is a configuration file as it is written.
+// File is the YAML form of a configuration file.
 type File struct {
 	Services       []Service `yaml:"services"`
 	Policies       []Policy  `yaml:"policies"`
@@ -25,7 +25,7 @@
 	RemovePolicies []string  `yaml:"remove_policies"`
 }
 
-// Service is a service as it is written.
+// Service is the YAML form of a service.
 type Service struct {
 	Name          string   `yaml:"name"`
 	Address       string   `yaml:"address"`
@@ -37,7 +37,7 @@
 	Targets       []Target `yaml:"targets"`
 }
 
-// Limits are a service's limits as they are written.
+// Limits is the YAML form of a service's limits.
 type Limits struct {
 	RetryPercent    uint32        `yaml:"retry_percent"`
 	QueueFactor     uint32        `yaml:"queue_factor"`
@@ -47,7 +47,7 @@
 	ColdStart       time.Duration `yaml:"cold_start"`
 }
 
-// Target is a target as it is written.
+// Target is the YAML form of a target.
 type Target struct {
 	Name             string `yaml:"name"`
 	Address          string `yaml:"address"`
@@ -59,14 +59,14 @@
 	Draining         bool   `yaml:"draining"`
 }
 
-// Policy is a policy program as it is written: in place or in a file.
+// Policy is the YAML form of a policy program, which is given inline or by file name.
 type Policy struct {
 	Name   string `yaml:"name"`
 	Source string `yaml:"source"`
 	File   string `yaml:"file"`
 }
 
-// Parsed is a valid configuration file.
+// Parsed is a validated configuration file as API messages.
 type Parsed struct {
 	Services        []*beamdoorv1.Service
 	Policies        []*beamdoorv1.Policy
@@ -74,7 +74,7 @@
 	RemovedPolicies []string
 }
 
-// Defaults for what a file leaves out.
+// Defaults for omitted fields.
 const (
 	DefaultCell          = 1
 	DefaultPriority      = "flows"
@@ -84,7 +84,7 @@
 	DefaultConnections   = 2000
 )
 
-// Bounds of what a file may hold.
+// Upper limits of field values.
 const (
 	maxDuration     = 24 * time.Hour
 	maxRetryPercent = 100
@@ -106,8 +106,8 @@
 	return Parse(path, data)
 }
 
-// Parse validates the content of a configuration file. Policy files are
-// looked for beside it.
+// Parse parses and validates the content of a configuration file. Paths of policy
+// files are relative to the directory of path.
 func Parse(path string, data []byte) (*Parsed, error) {
 	collector := &Collector{File: path}
 	var file File
@@ -118,24 +118,24 @@
 		RemovedServices: file.RemoveServices,
 		RemovedPolicies: file.RemovePolicies,
 	}
-	for i, written := range file.Policies {
+	for i, spec := range file.Policies {
 		field := fmt.Sprintf("policies[%d]", i)
-		if program := readPolicy(collector, field, filepath.Dir(path), written); program != nil {
+		if program := readPolicy(collector, field, filepath.Dir(path), spec); program != nil {
 			parsed.Policies = append(parsed.Policies, program)
 		}
 	}
 	names := map[string]bool{}
 	addresses := map[string]string{}
-	for i, written := range file.Services {
+	for i, spec := range file.Services {
 		field := fmt.Sprintf("services[%d]", i)
-		if names[written.Name] {
-			collector.Add(field+".name", written.Name, "name is used twice")
+		if names[spec.Name] {
+			collector.Add(field+".name", spec.Name, "duplicate service name")
 		}
-		names[written.Name] = true
-		parsed.Services = append(parsed.Services, readService(collector, field, written, addresses))
+		names[spec.Name] = true
+		parsed.Services = append(parsed.Services, readService(collector, field, spec, addresses))
 	}
 	if len(parsed.Services)+len(parsed.Policies)+len(file.RemoveServices)+len(file.RemovePolicies) == 0 {
-		collector.Add("file", "", "holds no services and no policies")
+		collector.Add("file", "", "contains no services or policies")
 	}
 	if err := collector.Err(); err != nil {
 		return nil, err
@@ -143,11 +143,12 @@
 	return parsed, nil
 }
 
-// DecodeStrict decodes YAML and notes every unknown field and wrong type.
-func DecodeStrict(collector *Collector, data []byte, into any) bool {
+// DecodeStrict decodes YAML into out, records errors such as unknown fields and wrong types,
+// and reports whether there were none.
+func DecodeStrict(collector *Collector, data []byte, out any) bool {
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	decoder.KnownFields(true)
-	err := decoder.Decode(into)
+	err := decoder.Decode(out)
 	if err == nil || errors.Is(err, io.EOF) {
 		return true
 	}
@@ -162,17 +163,17 @@
 	return false
 }
 
-func readPolicy(collector *Collector, field, folder string, written Policy) *beamdoorv1.Policy {
-	checkName(collector, field+".name", written.Name)
-	source := written.Source
-	if written.File != "" {
+func readPolicy(collector *Collector, field, folder string, spec Policy) *beamdoorv1.Policy {
+	checkName(collector, field+".name", spec.Name)
+	source := spec.Source
+	if spec.File != "" {
 		if source != "" {
-			collector.Add(field, "", "source and file cannot both be set")
+			collector.Add(field, "", "source and file are mutually exclusive")
 			return nil
 		}
-		data, err := os.ReadFile(filepath.Join(folder, written.File))
+		data, err := os.ReadFile(filepath.Join(folder, spec.File))
 		if err != nil {
-			collector.Add(field+".file", written.File, err.Error())
+			collector.Add(field+".file", spec.File, err.Error())
 			return nil
 		}
 		source = string(data)
@@ -181,39 +182,39 @@
 		collector.Add(field+".source", "", fmt.Sprintf("program is longer than %d bytes", maxPolicyBytes))
 		return nil
 	}
-	if _, err := policy.Compile(written.Name, source); err != nil {
+	if _, err := policy.Compile(spec.Name, source); err != nil {
 		collector.Add(field+".source", "", err.Error())
 		return nil
 	}
-	return &beamdoorv1.Policy{Name: written.Name, Source: source}
+	return &beamdoorv1.Policy{Name: spec.Name, Source: source}
 }
 
-func readService(collector *Collector, field string, written Service, addresses map[string]string) *beamdoorv1.Service {
-	checkName(collector, field+".name", written.Name)
-	checkAddress(collector, field+".address", written.Address)
-	claim(collector, field+".address", written.Address, addresses)
+func readService(collector *Collector, field string, spec Service, addresses map[string]string) *beamdoorv1.Service {
+	checkName(collector, field+".name", spec.Name)
+	checkAddress(collector, field+".address", spec.Address)
+	reserveAddress(collector, field+".address", spec.Address, addresses)
 	service := &beamdoorv1.Service{
-		Name:          written.Name,
-		Address:       written.Address,
-		Cell:          withDefault(written.Cell, DefaultCell),
-		Priority:      withDefault(written.Priority, DefaultPriority),
-		SharingPolicy: withDefault(written.SharingPolicy, DefaultSharingPolicy),
-		HealthPolicy:  withDefault(written.HealthPolicy, DefaultHealthPolicy),
-		Limits:        readLimits(collector, field+".limits", written.Limits),
+		Name:          spec.Name,
+		Address:       spec.Address,
+		Cell:          withDefault(spec.Cell, DefaultCell),
+		Priority:      withDefault(spec.Priority, DefaultPriority),
+		SharingPolicy: withDefault(spec.SharingPolicy, DefaultSharingPolicy),
+		HealthPolicy:  withDefault(spec.HealthPolicy, DefaultHealthPolicy),
+		Limits:        readLimits(collector, field+".limits", spec.Limits),
 	}
 	if service.Priority != "flows" && service.Priority != "balance" {
-		collector.Add(field+".priority", written.Priority, `must be "flows" or "balance"`)
+		collector.Add(field+".priority", spec.Priority, `must be "flows" or "balance"`)
 	}
 	checkBuiltin(collector, field+".sharing_policy", service.SharingPolicy)
 	checkBuiltin(collector, field+".health_policy", service.HealthPolicy)
 	names := map[string]bool{}
-	for i, target := range written.Targets {
-		place := fmt.Sprintf("%s.targets[%d]", field, i)
+	for i, target := range spec.Targets {
+		targetField := fmt.Sprintf("%s.targets[%d]", field, i)
 		if names[target.Name] {
-			collector.Add(place+".name", target.Name, "name is used twice in the service")
+			collector.Add(targetField+".name", target.Name, "duplicate target name in the service")
 		}
 		names[target.Name] = true
-		service.Targets = append(service.Targets, readTarget(collector, place, target, addresses))
+		service.Targets = append(service.Targets, readTarget(collector, targetField, target, addresses))
 	}
 	return service
 }
@@ -243,9 +244,9 @@
 	}
 }
 
-func claim(collector *Collector, field, address string, addresses map[string]string) {
+func reserveAddress(collector *Collector, field, address string, addresses map[string]string) {
 	if other, taken := addresses[address]; taken && address != "" {
-		collector.Add(field, address, "address is used by "+other+" too")
+		collector.Add(field, address, "address is already used by "+other)
 		return
 	}
 	addresses[address] = field
@@ -260,23 +261,23 @@
 	}
 }
 
-func readLimits(collector *Collector, field string, written Limits) *beamdoorv1.Limits {
-	if written.RetryPercent > maxRetryPercent {
-		collector.Add(field+".retry_percent", fmt.Sprint(written.RetryPercent), "must be 0 to 100")
+func readLimits(collector *Collector, field string, spec Limits) *beamdoorv1.Limits {
+	if spec.RetryPercent > maxRetryPercent {
+		collector.Add(field+".retry_percent", fmt.Sprint(spec.RetryPercent), "must be between 0 and 100")
 	}
 	return &beamdoorv1.Limits{
-		RetryPercent:      written.RetryPercent,
-		QueueFactor:       written.QueueFactor,
-		DefaultDeadlineMs: readDuration(collector, field+".default_deadline", written.DefaultDeadline),
-		RetransmitSpanMs:  readDuration(collector, field+".retransmit_span", written.RetransmitSpan),
-		IdleTimeoutMs:     readDuration(collector, field+".idle_timeout", written.IdleTimeout),
-		ColdStartMs:       readDuration(collector, field+".cold_start", written.ColdStart),
+		RetryPercent:      spec.RetryPercent,
+		QueueFactor:       spec.QueueFactor,
+		DefaultDeadlineMs: readDuration(collector, field+".default_deadline", spec.DefaultDeadline),
+		RetransmitSpanMs:  readDuration(collector, field+".retransmit_span", spec.RetransmitSpan),
+		IdleTimeoutMs:     readDuration(collector, field+".idle_timeout", spec.IdleTimeout),
+		ColdStartMs:       readDuration(collector, field+".cold_start", spec.ColdStart),
 	}
 }
 
 func readDuration(collector *Collector, field string, value time.Duration) uint32 {
 	if value < 0 || value > maxDuration {
-		collector.Add(field, value.String(), "must be from 0 to 24h")
+		collector.Add(field, value.String(), "must be between 0 and 24h")
 		return 0
 	}
 	if value > 0 && value < time.Millisecond {
@@ -286,27 +287,27 @@
 	return uint32(value.Milliseconds())
 }
 
-func readTarget(collector *Collector, field string, written Target, addresses map[string]string) *beamdoorv1.Target {
-	checkName(collector, field+".name", written.Name)
-	checkAddress(collector, field+".address", written.Address)
-	claim(collector, field+".address", written.Address, addresses)
-	if written.Admin != "" {
-		checkAddress(collector, field+".admin", written.Admin)
+func readTarget(collector *Collector, field string, spec Target, addresses map[string]string) *beamdoorv1.Target {
+	checkName(collector, field+".name", spec.Name)
+	checkAddress(collector, field+".address", spec.Address)
+	reserveAddress(collector, field+".address", spec.Address, addresses)
+	if spec.Admin != "" {
+		checkAddress(collector, field+".admin", spec.Admin)
 	}
-	if written.Slots > maxSlots {
-		collector.Add(field+".slots", fmt.Sprint(written.Slots), fmt.Sprintf("must be at most %d", maxSlots))
+	if spec.Slots > maxSlots {
+		collector.Add(field+".slots", fmt.Sprint(spec.Slots), fmt.Sprintf("must be at most %d", maxSlots))
 	}
-	if written.Connections > maxConnections {
-		collector.Add(field+".connections", fmt.Sprint(written.Connections), fmt.Sprintf("must be at most %d", maxConnections))
+	if spec.Connections > maxConnections {
+		collector.Add(field+".connections", fmt.Sprint(spec.Connections), fmt.Sprintf("must be at most %d", maxConnections))
 	}
 	return &beamdoorv1.Target{
-		Name:              written.Name,
-		Address:           written.Address,
-		Admin:             written.Admin,
-		Zone:              written.Zone,
-		Slots:             withDefault(written.Slots, DefaultSlots),
-		Connections:       withDefault(written.Connections, DefaultConnections),
-		DetectsDuplicates: written.DetectDuplicates,
-		Draining:          written.Draining,
+		Name:              spec.Name,
+		Address:           spec.Address,
+		Admin:             spec.Admin,
+		Zone:              spec.Zone,
+		Slots:             withDefault(spec.Slots, DefaultSlots),
+		Connections:       withDefault(spec.Connections, DefaultConnections),
+		DetectsDuplicates: spec.DetectDuplicates,
+		Draining:          spec.Draining,
 	}
 }
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -1,7 +1,6 @@
-// Package config reads the files that operators write: services with their
-// targets, and policy programs. Parsing fills plain structs; validation turns
-// them into the objects of the administration API and reports every mistake
-// at once.
+// Package config parses configuration files with services, their targets and policy
+// programs. Validation converts the parsed structs to administration API messages
+// and reports all errors at once.
 package config
 
 import (
@@ -9,7 +8,7 @@
 	"strings"
 )
 
-// Problem is one mistake in a file.
+// Problem is a validation error of one field.
 type Problem struct {
 	File   string
 	Field  string
@@ -17,7 +16,7 @@
 	Reason string
 }
 
-// String returns the problem in one line.
+// String formats the problem as "file: field: value: reason"; an empty value is omitted.
 func (p Problem) String() string {
 	if p.Value == "" {
 		return fmt.Sprintf("%s: %s: %s", p.File, p.Field, p.Reason)
@@ -25,14 +24,14 @@
 	return fmt.Sprintf("%s: %s: %q: %s", p.File, p.Field, p.Value, p.Reason)
 }
 
-// Problems are all mistakes of a file. It is an error when it is not empty.
+// Problems is an error that holds all validation errors of a file.
 type Problems struct {
 	List []Problem
 }
 
 var _ error = (*Problems)(nil)
 
-// Error returns all mistakes, a line each.
+// Error returns one line per problem.
 func (p *Problems) Error() string {
 	lines := make([]string, 0, len(p.List))
 	for _, problem := range p.List {
@@ -41,19 +40,19 @@
 	return strings.Join(lines, "\n")
 }
 
-// Collector gathers the mistakes of one file.
+// Collector accumulates the validation errors of one file.
 type Collector struct {
 	File     string
 	problems Problems
 }
 
-// Add notes a mistake.
+// Add records a validation error.
 func (c *Collector) Add(field, value, reason string) {
 	problem := Problem{File: c.File, Field: field, Value: value, Reason: reason}
 	c.problems.List = append(c.problems.List, problem)
 }
 
-// Err returns all mistakes as one error, or nil.
+// Err returns *Problems with all recorded errors, or nil if there are none.
 func (c *Collector) Err() error {
 	if len(c.problems.List) == 0 {
 		return nil
--- a/internal/config/request.go
+++ b/internal/config/request.go
@@ -7,8 +7,8 @@
 	"github.com/beamdoor/beamdoor/internal/policy"
 )
 
-// ValidateRequest checks a write that came through the API by the rules for
-// files, and reports every mistake.
+// ValidateRequest checks the names, addresses and policy programs of an API write by the
+// rules for files and reports all errors.
 func ValidateRequest(request *beamdoorv1.ApplyRequest) error {
 	collector := &Collector{File: "request"}
 	addresses := map[string]string{}
@@ -16,18 +16,18 @@
 		field := fmt.Sprintf("services[%d]", i)
 		checkName(collector, field+".name", service.Name)
 		checkAddress(collector, field+".address", service.Address)
-		claim(collector, field+".address", service.Address, addresses)
+		reserveAddress(collector, field+".address", service.Address, addresses)
 		for j, target := range service.Targets {
-			place := fmt.Sprintf("%s.targets[%d]", field, j)
-			checkName(collector, place+".name", target.Name)
-			checkAddress(collector, place+".address", target.Address)
-			claim(collector, place+".address", target.Address, addresses)
+			targetField := fmt.Sprintf("%s.targets[%d]", field, j)
+			checkName(collector, targetField+".name", target.Name)
+			checkAddress(collector, targetField+".address", target.Address)
+			reserveAddress(collector, targetField+".address", target.Address, addresses)
 		}
 	}
-	for i, written := range request.Policies {
+	for i, spec := range request.Policies {
 		field := fmt.Sprintf("policies[%d]", i)
-		checkName(collector, field+".name", written.Name)
-		if _, err := policy.Compile(written.Name, written.Source); err != nil {
+		checkName(collector, field+".name", spec.Name)
+		if _, err := policy.Compile(spec.Name, spec.Source); err != nil {
 			collector.Add(field+".source", "", err.Error())
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of a process from a YAML file and from
-// flags; a flag that is set wins. Unknown fields are mistakes.
+// Package settings reads the settings of a process from a YAML file and flags.
+// Flags override the file. Unknown fields are errors.
 package settings
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/beamdoor/beamdoor/internal/config"
 )
 
-// Member is one control member in the address book.
+// Member is the entry of a control member in the member list.
 type Member struct {
 	ID uint32 `yaml:"id" koanf:"id"`
 	// Peer is the TCP address for the other members.
@@ -28,38 +28,38 @@
 	Nodes string `yaml:"nodes" koanf:"nodes"`
 }
 
-// Control are the settings of a control member.
+// Control holds the settings of a control member.
 type Control struct {
 	ID         uint32 `yaml:"id" koanf:"id"`
 	DataFolder string `yaml:"data_folder" koanf:"data_folder"`
-	// Bootstrap makes the first membership from Members on an empty folder.
+	// Bootstrap initializes the membership from Members if the data folder is empty.
 	Bootstrap bool     `yaml:"bootstrap" koanf:"bootstrap"`
 	Members   []Member `yaml:"members" koanf:"members"`
 }
 
-// Balancer are the settings of a balancer.
+// Balancer holds the settings of a balancer.
 type Balancer struct {
 	Name string `yaml:"name" koanf:"name"`
 	Zone string `yaml:"zone" koanf:"zone"`
 	Cell uint32 `yaml:"cell" koanf:"cell"`
-	// Callers, Targets and Peers are the UDP addresses for packets from
+	// Callers, Targets and Peers are the UDP listen addresses for packets from
 	// callers, from targets and from other balancers.
 	Callers string `yaml:"callers" koanf:"callers"`
 	Targets string `yaml:"targets" koanf:"targets"`
 	Peers   string `yaml:"peers" koanf:"peers"`
-	// Fabric is the UDP address that takes packets for callers.
+	// Fabric is the UDP address to which packets for callers are sent.
 	Fabric string `yaml:"fabric" koanf:"fabric"`
-	// Admin is the HTTP address of metrics, health and explanations.
+	// Admin is the HTTP address of the metrics, health and explain endpoints.
 	Admin string `yaml:"admin" koanf:"admin"`
-	// Control are the TCP addresses of the control members for balancers.
+	// Control lists the TCP addresses of the control members.
 	Control []string `yaml:"control" koanf:"control"`
 }
 
-// delimiter joins the parts of a nested key.
+// delimiter separates the parts of a nested koanf key.
 const delimiter = "."
 
-// load fills into from the file and the flags.
-func load(path string, flags *pflag.FlagSet, into any) error {
+// load decodes the file and the changed flags into out.
+func load(path string, flags *pflag.FlagSet, out any) error {
 	collector := &config.Collector{File: path}
 	loader := koanf.New(delimiter)
 	if path != "" {
@@ -68,7 +68,7 @@
 			collector.Add("file", "", err.Error())
 			return collector.Err()
 		}
-		if !config.DecodeStrict(collector, data, into) {
+		if !config.DecodeStrict(collector, data, out) {
 			return collector.Err()
 		}
 		if err := loader.Load(rawbytes.Provider(data), yaml.Parser()); err != nil {
@@ -88,13 +88,13 @@
 			return collector.Err()
 		}
 	}
-	if err := loader.Unmarshal("", into); err != nil {
+	if err := loader.Unmarshal("", out); err != nil {
 		collector.Add("file", "", err.Error())
 	}
 	return collector.Err()
 }
 
-// LoadControl reads and checks the settings of a control member.
+// LoadControl reads and validates the settings of a control member.
 func LoadControl(path string, flags *pflag.FlagSet) (*Control, error) {
 	loaded := &Control{}
 	if err := load(path, flags, loaded); err != nil {
@@ -102,17 +102,17 @@
 	}
 	collector := &config.Collector{File: path}
 	if loaded.ID == 0 {
-		collector.Add("id", "0", "must be a number from 1 on that no other member has had")
+		collector.Add("id", "0", "must be a positive number never used by another member")
 	}
 	if loaded.DataFolder == "" {
-		collector.Add("data_folder", "", "must name the folder for the member's state")
+		collector.Add("data_folder", "", "is required: folder for the member's state")
 	}
 	found := false
 	seen := map[uint32]bool{}
 	for i, member := range loaded.Members {
 		field := fmt.Sprintf("members[%d]", i)
 		if seen[member.ID] || member.ID == 0 {
-			collector.Add(field+".id", fmt.Sprint(member.ID), "must be a number from 1 on, and used once")
+			collector.Add(field+".id", fmt.Sprint(member.ID), "must be a positive number, unique among the members")
 		}
 		seen[member.ID] = true
 		found = found || member.ID == loaded.ID
@@ -126,7 +126,7 @@
 	return loaded, collector.Err()
 }
 
-// Self returns the member's own entry in the address book.
+// Self returns the member's own entry in Members, or a zero Member.
 func (c *Control) Self() Member {
 	for _, member := range c.Members {
 		if member.ID == c.ID {
@@ -136,7 +136,7 @@
 	return Member{}
 }
 
-// LoadBalancer reads and checks the settings of a balancer.
+// LoadBalancer reads and validates the settings of a balancer.
 func LoadBalancer(path string, flags *pflag.FlagSet) (*Balancer, error) {
 	loaded := &Balancer{Cell: config.DefaultCell}
 	if err := load(path, flags, loaded); err != nil {
@@ -144,7 +144,7 @@
 	}
 	collector := &config.Collector{File: path}
 	if loaded.Name == "" {
-		collector.Add("name", "", "must be the balancer's name")
+		collector.Add("name", "", "is required: name of the balancer")
 	}
 	checkAddress(collector, "callers", loaded.Callers)
 	checkAddress(collector, "targets", loaded.Targets)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,18 +27,18 @@
 control: ['127.0.0.1:6']
 `
 
-func TestFlagsWinOverTheFile(t *testing.T) {
+func TestFlagsOverrideFile(t *testing.T) {
 	flags := pflag.NewFlagSet("test", pflag.ContinueOnError)
 	flags.String("zone", "", "")
 	require.NoError(t, flags.Parse([]string{"--zone", "z9"}))
 	loaded, err := LoadBalancer(write(t, balancerFile), flags)
 	require.NoError(t, err)
 	assert.Equal(t, "z9", loaded.Zone)
-	assert.Equal(t, "b1", loaded.Name, "a flag that is not given changes nothing")
+	assert.Equal(t, "b1", loaded.Name, "an unset flag does not override the file")
 	assert.Equal(t, uint32(1), loaded.Cell)
 }
 
-func TestBalancerMistakes(t *testing.T) {
+func TestLoadBalancerReportsInvalidFields(t *testing.T) {
 	_, err := LoadBalancer(write(t, "name: ''\ncallers: x\n"), nil)
 	for _, want := range []string{"name", "callers", "targets", "peers", "fabric", "admin", "control"} {
 		assert.ErrorContains(t, err, want)
@@ -49,7 +49,7 @@
 	assert.ErrorContains(t, err, "missing.yaml")
 }
 
-func TestControlMistakes(t *testing.T) {
+func TestLoadControlReportsInvalidFields(t *testing.T) {
 	loaded, err := LoadControl(write(t, `
 id: 1
 data_folder: data
