--- a/Makefile
+++ b/Makefile
@@ -8,24 +8,24 @@
 build:
 	go build -o bin/ ./cmd/...
 
-# The whole Patitas set-up on loopback with faults, in under 90 seconds.
+# Runs the Patitas deployment on loopback and injects faults.
 demo: build
 	bash scripts/demo.sh
 
-# Real edge and member processes against the stand-in of the users' platform,
-# with faults, in under a minute.
+# Runs real edge and member processes against the platform stand-in and injects
+# faults.
 demo-platform: build
 	bin/beamdoor-fleet
 
 test:
 	go test ./...
 
-# The whole set-up as separate processes for a few seconds, without faults.
+# Starts all processes for a short run under load, without faults.
 smoke: build
 	bash scripts/smoke.sh
 	bin/beamdoor-fleet --quick
 
-# Formatter, vet and linter.
+# Checks formatting, vet, staticcheck and forbidden platform names.
 check:
 	@unformatted=$$(gofmt -l $$(git ls-files '*.go')); \
 	  if [ -n "$$unformatted" ]; then echo "not formatted: $$unformatted"; exit 1; fi
@@ -34,7 +34,7 @@
 	go tool staticcheck ./...
 	bash scripts/check-platform.sh
 
-# Every scenario on a virtual clock, for both set-ups.
+# Runs all simulated scenarios for both deployments, on a virtual clock.
 sim: build
 	bin/beamdoor-lab sim --scenario all --seeds $(SEEDS) --setup patitas
 	bin/beamdoor-lab sim --scenario all --seeds $(SEEDS) --setup perth
@@ -42,37 +42,38 @@
 	BEAMDOOR_FAULT_SEEDS=1000 go test ./internal/registry -run RandomFaults
 	BEAMDOOR_START_SEEDS=500 go test ./internal/registry -run StartsUnderRandomFaults
 
-# Ratios within one run; absolute times depend on the machine.
+# Only compare results within one run; absolute times depend on the machine.
 bench:
 	go test -run '^$$' -bench . -benchtime 1s ./internal/routing
 	go test -run '^$$' -bench . -benchtime 3x ./internal/balancer
 	go test -run '^$$' -bench . -benchtime 300x ./internal/wal
 	go test -run "^$$$$" -bench . -benchtime 5x ./internal/store
 
-# Faults on real processes while load runs.
+# Injects faults into real processes under load.
 faults: build
 	bash scripts/faults.sh
 
-# The program with the layer of faults that only the soak uses.
+# Builds beamdoor-node with the fault injection layer for soak tests.
 soak-program: build
 	go build -tags soak -o bin/beamdoor-node-soak ./cmd/beamdoor-node
 
-# Random faults on real processes, with a fresh seed; SEED=N plays one again.
+# Injects random faults into real processes; SEED=N replays a run.
 soak: soak-program
 	bin/beamdoor-lab soak --minutes $(MINUTES) --seed $(or $(SEED),0) --report run/soak
 
-# Deployments drawn at random, in the simulator and with real processes.
+# Runs randomly generated deployments: drawn in the simulator, drawn-processes with
+# real processes.
 drawn: build
 	bin/beamdoor-lab drawn --seeds $(SEEDS)
 
 drawn-processes: soak-program
 	bin/beamdoor-lab drawn --processes --seeds $(or $(filter-out 1-50,$(SEEDS)),1-20)
 
-# All seeds that ever failed.
+# Replays the soak seeds that failed before.
 soak-regressions: soak-program
 	bash scripts/soak-regressions.sh
 
-# Each fuzz target for a while.
+# Runs every fuzz target for a fixed time.
 fuzz:
 	@for target in $$(grep -rlE '^func Fuzz' --include=*_test.go internal platform); do \
 	  for name in $$(sed -nE 's/^func (Fuzz[A-Za-z]+).*/\1/p' $$target); do \
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -246,7 +246,7 @@
 
 func reserveAddress(collector *Collector, field, address string, addresses map[string]string) {
 	if other, taken := addresses[address]; taken && address != "" {
-		collector.Add(field, address, "address is already used by "+other)
+		collector.Add(field, address, "address is used by "+other+" already")
 		return
 	}
 	addresses[address] = field
--- a/scripts/ablation/mechanisms.py
+++ b/scripts/ablation/mechanisms.py
@@ -1,7 +1,7 @@
-"""The mechanisms that decide, and for each the edit that switches it off.
+"""The mechanisms under ablation, each with the edits that disable it.
 
-An edit is a file, the text that stands in it once, and the text that takes its
-place. It is made on a copy of the repository, so no switch is in the product.
+An edit is (file, text, replacement); the text must occur exactly once in the file.
+Edits are applied to a clone, so the product needs no switches for them.
 """
 
 CHOICE = "internal/steer/choice.go"
--- a/scripts/ablation/run.py
+++ b/scripts/ablation/run.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Plays days of the users' bench with single mechanisms switched off.
+"""Runs scenarios of the users' bench with single mechanisms disabled.
 
     BENCH=path/of/bench SITES=folder scripts/ablation/run.py --out run/ablation \
         --plays "site.toml:day:1,2,3" --only pledge,waitlist --jobs 4
 
-Results are kept in OUT/results.json, one entry a play, so that a stopped run goes
-on where it was. The table is written to OUT/table.md.
+Results are saved in OUT/results.json, one entry per run, so that an interrupted
+ablation can be resumed. The table is written to OUT/table.md.
 """
 
 import argparse
@@ -23,18 +23,18 @@
 
 
 def key_of(name, site, day, seed):
-    """Returns the key of a play's result."""
+    """Returns the key of a run in results.json."""
     return f"{name}/{pathlib.Path(site).stem}/{pathlib.Path(day).stem}/{seed}"
 
 
 def parse_play(text):
-    """Returns (site, day, seeds) of SITE:DAY:SEED,SEED."""
+    """Parses SITE:DAY:SEED,SEED into (site, day, seeds)."""
     site, day, seeds = text.rsplit(":", 2)
     return site, day, [int(seed) for seed in seeds.split(",")]
 
 
 def switch_off(name, source, folder):
-    """Makes a copy of the repository without one mechanism."""
+    """Clones the repository and disables one mechanism in the clone."""
     if folder.exists():
         shutil.rmtree(folder)
     subprocess.run(["git", "clone", "-q", str(source), str(folder)], check=True)
@@ -47,7 +47,7 @@
 
 
 def play(bench, folder, site, day, seed, name):
-    """Plays one day and returns its worth and the rules that broke."""
+    """Runs one scenario and returns its score and the violated invariants."""
     report = folder / f"report-{key_of(name, site, day, seed).replace('/', '-')}.json"
     command = [bench, "run", site, day, "--seed", str(seed), "--jobs", "1", "--report", str(report),
                "--why", f"trial: ablation, without {name}"]
@@ -59,7 +59,7 @@
 
 
 def table(results, plays):
-    """Returns rows of median (least to most) worth by mechanism and site."""
+    """Returns a Markdown table of the mean (min to max, count) score by mechanism and site."""
     sites = sorted({pathlib.Path(site).stem for site, _, _ in plays})
     lines = ["| Without | " + " | ".join(sites) + " | rules broken |", "| --- " * (len(sites) + 2) + "|"]
     for name in MECHANISMS:
--- a/scripts/check-platform.sh
+++ b/scripts/check-platform.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Fails when anything but the programs' entry imports the platform's adapter or its stand-in,
-# when the platform's names appear in the product, or when the name of a users'
-# deployment, service, zone, kind of request or day appears in any source but tests
-# and the stand-ins of internal/lab.
+# Keeps the product independent of the platform. Fails if a package other than the main
+# packages of cmd imports the platform adapter or its stand-in, if platform names appear in
+# internal or cmd, or if names of a user's deployment appear outside tests and
+# internal/lab.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 imports=$(grep -rl '"github.com/beamdoor/beamdoor/\(platform\|standin\)' --include='*.go' internal cmd | grep -v '^cmd/[^/]*/main\.go$' || true)
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the whole Patitas set-up on loopback: applies a configuration, drives
-# load, drains a target, kills a balancer, rolls the others, prints a report
-# and stops everything. Exits 0 only if no rule was broken.
+# Runs the Patitas deployment on loopback: applies a configuration, generates load,
+# drains a target, kills a balancer, restarts the others one by one, prints a report
+# and stops all processes. Exits with 0 only if no invariant was violated.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 RUN=run/demo
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Faults on real processes while load runs and every answer is checked: packets
-# lost, doubled and overtaken, a balancer and the control leader stopped with
-# SIGSTOP, the control leader killed and its disk wiped, the member replaced,
-# two operators who race. Exits 0 only if no rule was broken.
+# Injects faults into real processes under load and checks every response: packet loss,
+# duplication and reordering, a balancer and the control leader paused with SIGSTOP, the
+# control leader killed and its disk wiped, the member replaced, and conflicting writes
+# by two operators. Exits with 0 only if no invariant was violated.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 RUN=run/faults
@@ -10,22 +10,22 @@
 trap stop_fleet EXIT
 trap "exit 1" TERM INT
 
-# leader prints the number of the control member that leads.
+# leader prints the ID of the control leader.
 leader() { status_field leader_id; }
 
-# status_field NAME prints a number out of the status.
+# status_field NAME prints the first numeric field of that name in the status.
 status_field() {
   admin status -o json | tr -d ' \n' | grep -o "\"$1\":\"*[0-9]*" | head -1 | grep -o '[0-9]*$'
 }
 
-# pause_process NAME SECONDS stops a process and lets it go on.
+# pause_process NAME SECONDS suspends a process and then resumes it.
 pause_process() {
   end "$1" STOP
   sleep "$2"
   end "$1" CONT
 }
 
-# race has two operators write on the same revision; one wins, one loses.
+# race submits two writes with the same base revision; exactly one must be accepted.
 race() {
   local base code_one=0 code_two=0 one two
   base=$(status_field revision)
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,6 +1,6 @@
-# Functions that start and stop a whole set-up on loopback as separate
-# processes. Sourced by the demo and by the fault runs. Every process is
-# recorded by its number, and only those are ended.
+# Functions that start and stop a deployment on loopback as separate processes.
+# Sourced by demo.sh, smoke.sh and faults.sh. Only processes whose PID was recorded
+# by start are signalled.
 
 BIN=${BIN:-bin}
 RUN=${RUN:-run/fleet}
@@ -15,7 +15,7 @@
 
 say() { echo "== $*"; }
 
-# start NAME COMMAND... runs a process with its own log file.
+# start NAME COMMAND... runs a background process with its own output and log files.
 start() {
   local name=$1
   shift
@@ -104,7 +104,7 @@
 
 admin() { "$BIN/beamdoor" --control "$CONTROL_ADMIN" --author demo "$@"; }
 
-# start_fleet starts everything and returns once the configuration is in force.
+# start_fleet starts all processes and returns once the configuration is in force.
 start_fleet() {
   local i
   rm -rf "$RUN"
--- a/scripts/play-days.sh
+++ b/scripts/play-days.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Plays the days of deploy/days and platform/days on the users' bench, one kind of trouble each,
-# and prints a line a day. Exits with 1 when a day broke a rule or had a fault.
-# A kind of trouble that the site does not know is listed as not played.
+# Runs the scenarios (days) of deploy/days and platform/days on the users' bench and
+# prints one line for each. Exits with 1 if a scenario violated an invariant or failed.
+# A scenario whose kind of fault the site does not support is listed as not played.
 #
 #   BENCH=/path/to/bench scripts/play-days.sh SITE [PATTERN] [JOBS]
 #
-# With SMALL=1 a day of a large site is played at a small size.
+# SMALL=1 runs the scenarios of a large site at the reduced size that the site defines.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 : "${BENCH:?set BENCH to the path of the bench}"
@@ -15,7 +15,7 @@
 results=$(mktemp -d)
 export BENCH site results
 export small=${SMALL:+--small}
-# twin is the line of the site's first day that says how its small twin looks.
+# twin is the first "small" line of the site file, which defines the reduced size.
 twin=$(grep -m1 '^small = ' "$site" || true)
 export twin
 
--- a/scripts/play-seeds.sh
+++ b/scripts/play-seeds.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Plays days of the users' bench with several seeds each and prints the bench's line
-# for each, with what broke a rule or a gate below it: one play of a day tells little.
+# Runs scenarios (days) of the users' bench with several seeds each and prints the result
+# line of each run, followed by its violations and failed gates.
 #
 #   BENCH=/path/to/bench scripts/play-seeds.sh SITE "DAY..." "SEED..." [JOBS] [WHY]
 #
-# A day is the name of a standard day or a file of deploy/days or platform/days.
+# DAY is the name of a standard scenario or a file of deploy/days or platform/days.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 : "${BENCH:?set BENCH to the path of the bench}"
--- a/scripts/regressions.sh
+++ b/scripts/regressions.sh
@@ -1,11 +1,10 @@
 #!/usr/bin/env bash
-# Scores the deployments that are played again before each landing and prints a
-# line for each; exits with 1 when a gate failed. The two large fleets have taken
-# the place of the two deployments that were served first.
+# Scores the regression deployments on the users' bench and prints one line for each.
+# Exits with 1 if a gate failed or a deployment gave no result.
 #
 #   BENCH=/path/to/bench scripts/regressions.sh FOLDER [JOBS]
 #
-# FOLDER holds the folders of the users' site files.
+# FOLDER is the root folder of the users' site files.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 : "${BENCH:?set BENCH to the path of the bench}"
--- a/scripts/repeat-test.sh
+++ b/scripts/repeat-test.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Runs tests again and again beside busy processes, to find what fails seldom, and
-# reports each failure with its seed and its log.
+# Runs tests repeatedly, optionally under CPU load, to find intermittent failures.
+# Reports each failure with its seed and its log.
 #
 #   scripts/repeat-test.sh [-n RUNS] [-p BUSY] [-o DIR] PACKAGE TEST [FLAG...]
 #
-#   -n RUNS  how often (20)         -p BUSY  busy processes beside (0)
-#   -o DIR   where the logs of failures go (run/repeat)
-#   TEST     as for go test -run; FLAG: more flags of the test, such as -rapid.checks=1000
+#   -n RUNS  number of runs (20)    -p BUSY  number of busy-loop processes (0)
+#   -o DIR   folder for the logs of failed runs (run/repeat)
+#   TEST     pattern as for go test -run; FLAG: extra test flag, such as -rapid.checks=1000
 #
 # Example: scripts/repeat-test.sh -n 50 -p 4 ./internal/edge 'TestTheWait$'
-# Exit code: 0 when no run failed, else 1.
+# Exits with 0 if no run failed, 1 if any failed and 2 on a usage error.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 runs=20 busy=0 logs=run/repeat
@@ -39,7 +39,7 @@
   while :; do :; done &
   load+=($!)
 done
-# A test's own files are beside it.
+# Tests read testdata relative to the package folder.
 cd "$(go list -f '{{.Dir}}' "$package")"
 failed=0
 for ((run = 1; run <= runs; run++)); do
--- a/scripts/smoke.sh
+++ b/scripts/smoke.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A short run of the whole set-up as separate processes, without faults. Exits
-# 0 only if no rule was broken.
+# Runs a small deployment as separate processes under load, without faults. Exits
+# with 0 only if no invariant was violated.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 RUN=run/smoke
--- a/scripts/soak-regressions.sh
+++ b/scripts/soak-regressions.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays again each seed of scripts/soak-seeds.txt, one after the other. Exits with
-# 1 when one of them breaks a rule.
+# Replays the seeds of scripts/soak-seeds.txt one after the other. Exits with 1 if
+# any of them fails.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 failed=0
