--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -53,7 +53,7 @@
 // Error returns the message of the cause.
 func (e *UnavailableError) Error() string { return e.Cause.Error() }
 
-// Unwrap returns the error of the last attempt.
+// Unwrap returns the error of the last attempt before the timeout.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
 // Request sends one request through an API client.
--- a/internal/cli/reads.go
+++ b/internal/cli/reads.go
@@ -129,7 +129,8 @@
 	})
 }
 
-// notLeaderError returns a retryable error whose detail names the leader, if known.
+// notLeaderError returns a retryable error that names the known leader in its detail, so
+// that the client's next attempt goes there.
 func notLeaderError(status *beamdoorv1.StatusResponse) error {
 	failure := connect.NewError(connect.CodeUnavailable, errors.New("no leader with a quorum is known"))
 	for _, member := range status.Members {
--- a/internal/eventlog/bounded.go
+++ b/internal/eventlog/bounded.go
@@ -69,10 +69,10 @@
 
 // rateLimiter limits sampled lines per one-second window.
 type rateLimiter struct {
-	mutex      sync.Mutex
-	second     time.Time
-	used       int
-	suppressed int
+	mutex       sync.Mutex
+	windowStart time.Time
+	used        int
+	suppressed  int
 }
 
 // allow reports whether one more line may be written. The first call in a new window also
@@ -80,8 +80,8 @@
 func (r *rateLimiter) allow(now time.Time) (allowed bool, suppressed int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if now.Sub(r.second) >= time.Second {
-		r.second = now
+	if now.Sub(r.windowStart) >= time.Second {
+		r.windowStart = now
 		r.used = 0
 		suppressed = r.suppressed
 		r.suppressed = 0
--- a/internal/explain/spread.go
+++ b/internal/explain/spread.go
@@ -112,9 +112,9 @@
 
 // delays returns the sorted delays of a change to the nodes that had applied an older
 // revision before it.
-func delays(nodes map[string][]appliedUpdate, c change) []time.Duration {
+func delays(updatesOf map[string][]appliedUpdate, c change) []time.Duration {
 	var list []time.Duration
-	for _, updates := range nodes {
+	for _, updates := range updatesOf {
 		first := slices.IndexFunc(updates, func(a appliedUpdate) bool { return a.revision >= c.revision })
 		if first > 0 && updates[0].at.Before(c.at) {
 			list = append(list, max(0, updates[first].at.Sub(c.at)))
@@ -124,25 +124,25 @@
 	return list
 }
 
-func (s *Propagation) add(delays []time.Duration) {
-	s.Changes++
+func (p *Propagation) add(delays []time.Duration) {
+	p.Changes++
 	if len(delays) == 0 {
 		return
 	}
 	percentile := func(share float64) time.Duration { return delays[min(int(share*float64(len(delays))), len(delays)-1)] }
-	s.Nodes = len(delays)
-	s.First = max(s.First, delays[0])
-	s.Median = max(s.Median, percentile(0.5))
-	s.P99 = max(s.P99, percentile(highPercentile))
-	s.Last = max(s.Last, delays[len(delays)-1])
+	p.Nodes = len(delays)
+	p.First = max(p.First, delays[0])
+	p.Median = max(p.Median, percentile(0.5))
+	p.P99 = max(p.P99, percentile(highPercentile))
+	p.Last = max(p.Last, delays[len(delays)-1])
 }
 
 // PrintPropagations writes propagations as a table.
 func PrintPropagations(writer io.Writer, propagations []Propagation) error {
 	table := tabwriter.NewWriter(writer, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "change\tnumber\tnodes\tfirst\thalf\t99 of 100\tlast")
-	for _, s := range propagations {
-		fmt.Fprintf(table, "%s\t%d\t%d\t%v\t%v\t%v\t%v\n", s.Kind, s.Changes, s.Nodes, s.First, s.Median, s.P99, s.Last)
+	for _, p := range propagations {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%v\t%v\t%v\t%v\n", p.Kind, p.Changes, p.Nodes, p.First, p.Median, p.P99, p.Last)
 	}
 	return table.Flush()
 }
--- a/scripts/repeat-test.sh
+++ b/scripts/repeat-test.sh
@@ -8,7 +8,7 @@
 #   -o DIR   folder for the logs of failed runs (run/repeat)
 #   TEST     pattern as for go test -run; FLAG: extra test flag, such as -rapid.checks=1000
 #
-# Example: scripts/repeat-test.sh -n 50 -p 4 ./internal/edge 'TestTheWait$'
+# Example: scripts/repeat-test.sh -n 50 -p 4 ./internal/edge 'TestLongWaitIsLogged$'
 # Exits with 0 if no run failed, 1 if any failed and 2 on a usage error.
 set -euo pipefail
 cd "$(dirname "$0")/.."
