--- a/internal/directory/bare.go
+++ b/internal/directory/bare.go
@@ -1,7 +1,7 @@
 package directory
 
-// Nodes do not use annotations, which are most of the bytes of a route. The functions of
-// this file remove them from what is sent to nodes.
+// The functions of this file remove annotations from configurations and edits sent to
+// nodes. Nodes do not use them, and they make up most of the size of a route.
 
 func (c Configuration) withoutAnnotations() Configuration {
 	c.Routes = routesWithoutAnnotations(c.Routes)
--- a/internal/directory/check.go
+++ b/internal/directory/check.go
@@ -78,8 +78,8 @@
 // Error returns one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
-	for position, problem := range p {
-		lines[position] = problem.Error()
+	for index, problem := range p {
+		lines[index] = problem.Error()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/directory/evacuation.go
+++ b/internal/directory/evacuation.go
@@ -56,9 +56,9 @@
 	return false
 }
 
-// evacuate applies an order. An order that matches the current state has no effect. An
-// order based on an older revision is rejected, since a delayed duplicate would undo a
-// later order.
+// evacuate applies an order. An order that matches the current state has no effect. Any
+// other is rejected if it is based on another revision, since a delayed duplicate would
+// undo a later order.
 func (s *State) evacuate(position uint64, order Evacuation) Code {
 	known := s.evacuations[order.Zone]
 	if known.Active == order.Active {
--- a/internal/directory/outcomes.go
+++ b/internal/directory/outcomes.go
@@ -8,7 +8,7 @@
 )
 
 // Outcomes counts the results of exchanges with a target as observed by nodes. An
-// exchange is data of a caller and the target's answer to it.
+// exchange is data that a caller sends and the target's answer to it.
 type Outcomes struct {
 	Token Token
 	// Answered exchanges ended as usual for their route.
--- a/internal/directory/remembered.go
+++ b/internal/directory/remembered.go
@@ -8,8 +8,8 @@
 	// Targets are the targets that have not ended. Packets of open flows can be forwarded
 	// to them; only ready targets may receive new flows.
 	Targets []Target
-	// Configuration is the newest one known to be committed. Version 0 means that there
-	// is none and no new flow can be placed.
+	// Configuration is the newest configuration known to be committed. Version 0 means
+	// that there is none, so that no new flow can be placed.
 	Configuration Configuration
 }
 
--- a/internal/directory/start.go
+++ b/internal/directory/start.go
@@ -7,12 +7,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Start identifies one run of a target's process. A restarted process may keep its ID but
-// has no state of the flows of the previous run.
+// Start identifies one start of a target's process. A restarted process may keep its ID
+// but has lost the state of its earlier flows.
 type Start struct {
 	ID string
 	// StartTime is when the process started, in Unix milliseconds of its own clock, or 0
-	// if unknown. Two runs with the same start time are treated as one.
+	// if unknown. Two starts with the same start time are treated as one.
 	StartTime uint64
 }
 
@@ -28,13 +28,13 @@
 	return nil
 }
 
-// IsBefore reports whether this is an earlier run of the same target. Only start times
-// are compared: a process whose clock was set back before the previous start is rejected
-// and needs another ID. A run without a start time is before all runs with one.
+// IsBefore reports whether this is an earlier start of the same target. Only start times
+// are compared: a process whose clock was set back to before its previous start is
+// rejected and needs another ID. An unknown start time is before all known ones.
 func (s Start) IsBefore(other Start) bool { return s.ID == other.ID && s.StartTime < other.StartTime }
 
-// token returns the preferred token of the run. It is a hash of the ID and the start
-// time, so that all members derive the same one.
+// token returns the derived token of the start: a hash of the ID and the start time. The
+// target gets another one if it is in use.
 func (s Start) token() Token {
 	if s.StartTime == 0 {
 		return Token(xxhash.Sum64String(s.ID))
@@ -42,9 +42,9 @@
 	return Token(xxhash.Sum64(binary.BigEndian.AppendUint64([]byte(s.ID), s.StartTime)))
 }
 
-// Start returns the process run of the target.
+// Start returns the ID and the start time of the target.
 func (t Target) Start() Start { return Start{ID: t.ID, StartTime: t.StartTime} }
 
-// HasDerivedToken reports whether the target has the preferred token of its start, which
-// was not in use when the target was registered.
+// HasDerivedToken reports whether the token of the target is derived from its start; see
+// allocateToken.
 func (t Target) HasDerivedToken() bool { return t.Token == t.Start().token() }
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -378,16 +378,16 @@
 	s.configRevision = decoder.Uint64()
 	s.configuration = decodeConfiguration(decoder)
 	targets := decodeTargets(decoder)
-	for position := range targets {
-		kept := &targets[position]
-		if latest, known := s.targets[kept.ID]; !known || latest.Start().IsBefore(kept.Start()) {
-			s.targets[kept.ID] = kept
+	for index := range targets {
+		target := &targets[index]
+		if latest, known := s.targets[target.ID]; !known || latest.Start().IsBefore(target.Start()) {
+			s.targets[target.ID] = target
 		}
-		s.tokens[kept.Token] = kept
-		if kept.State != TargetEnded {
-			s.addresses[kept.Address] = kept
+		s.tokens[target.Token] = target
+		if target.State != TargetEnded {
+			s.addresses[target.Address] = target
 		}
-		s.changes = append(s.changes, change{revision: kept.Revision, target: kept})
+		s.changes = append(s.changes, change{revision: target.Revision, target: target})
 	}
 	slices.SortStableFunc(s.changes, func(a, b change) int { return cmp.Compare(a.revision, b.revision) })
 	// The IDs of ended targets are not used: the list is rebuilt from the changes.
--- a/internal/directory/targetorder.go
+++ b/internal/directory/targetorder.go
@@ -54,8 +54,8 @@
 }
 
 // orderTarget applies an order. An order that matches the current rule has no effect,
-// except that RuleJudged at the current revision is recorded again. An order based on
-// another revision is rejected.
+// except that RuleJudged based on the current revision is recorded again. Any other order
+// is rejected if it is based on another revision.
 func (s *State) orderTarget(position uint64, order TargetOrder) Code {
 	target, exists := s.targets[order.ID]
 	if !exists || target.State == TargetEnded || order.Rule >= targetRuleCount {
--- a/internal/directory/validate.go
+++ b/internal/directory/validate.go
@@ -32,8 +32,8 @@
 
 func (c Configuration) serviceNames() (map[string]bool, error) {
 	names := map[string]bool{}
-	for position, service := range c.Services {
-		field := fmt.Sprintf("services.%d.name", position)
+	for index, service := range c.Services {
+		field := fmt.Sprintf("services.%d.name", index)
 		if service.Name == "" {
 			return nil, &Problem{Field: field, Reason: "must not be empty"}
 		}
--- a/internal/directory/versionorder.go
+++ b/internal/directory/versionorder.go
@@ -64,8 +64,8 @@
 	})
 }
 
-// orderVersion applies an order. An order that matches the current rule has no effect; an
-// order based on an older revision is rejected.
+// orderVersion applies an order. An order that matches the current rule has no effect; any
+// other is rejected if it is based on another revision.
 func (s *State) orderVersion(position uint64, order VersionOrder) Code {
 	if !s.hasVersion(order.ServiceVersion) || order.Rule >= versionRuleCount {
 		return CodeNotFound
@@ -147,9 +147,9 @@
 		return
 	}
 	names := DecodeNames(decoder)
-	for position := range targets {
+	for index := range targets {
 		if number := int(decoder.Uint16()); number < len(names) {
-			targets[position].Version = names[number]
+			targets[index].Version = names[number]
 		}
 	}
 	for count := decoder.Count(minVersionOrderSize); count > 0; count-- {
--- a/internal/peerlink/dial.go
+++ b/internal/peerlink/dial.go
@@ -29,17 +29,17 @@
 // DialOption configures DialFirst.
 type DialOption func(*dialOptions)
 
-// WithHints starts the next attempt at once when the channel signals that next can return
-// the address of a running host.
+// WithHints starts the next attempt at once, without the usual delay, when a value arrives
+// on the channel. A value means that next can now return the address of a running host.
 func WithHints(hints <-chan struct{}) DialOption {
 	return func(d *dialOptions) { d.hints = hints }
 }
 
 // DialFirst starts a connection attempt every 40 ms, each to the address that next
 // returns, and returns the first connection that opens. Since attempts overlap, an
-// unresponsive host does not delay the others, and a host that comes back is reached by
-// the next one. It returns an error when next has no more addresses and all attempts have
-// failed, or when the context ends.
+// unresponsive host does not delay attempts to others, and a host that comes back is
+// reached by the next attempt. It returns an error when next has no more addresses and
+// all attempts have failed, or when the context ends.
 //
 // Source: the staggered attempts of RFC 8305, section 5.
 func DialFirst(ctx context.Context, next func() (address string, more bool), opts ...DialOption) (net.Conn, string, error) {
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -26,8 +26,9 @@
 	n.electionAt = now.Add(pause + spread)
 }
 
-// mustWithholdVote reports whether this member must deny votes: it has heard from a
-// leader within the election timeout, or may have done so shortly before a restart.
+// mustWithholdVote reports whether this member must deny votes: within the election
+// timeout it has heard from a leader, has led with contact to a quorum, or may have
+// heard from a leader before a restart.
 func (n *Node) mustWithholdVote(now kernel.Instant) bool {
 	if n.settings.Mechanisms.NoStickiness {
 		return false
@@ -135,9 +136,9 @@
 	n.send(reply)
 }
 
-// grantPreVote grants a pre-vote to one member at a time and postpones this member's
-// own pre-vote. Granting several at once would let their senders become candidates
-// together and split the vote.
+// grantPreVote grants a pre-vote and postpones this member's own, or returns false if
+// another member holds the pre-vote. Members that win pre-votes at the same time would
+// become candidates together and split the vote.
 func (n *Node) grantPreVote(now kernel.Instant, to MemberID) bool {
 	if n.preVotedFor != to && now.Before(n.preVoteUntil) {
 		return false
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -62,8 +62,8 @@
 	l.entries = rest
 }
 
-// membership returns the newest membership in the log or the snapshot, and the
-// index of the entry that set it. Raft uses it whether or not it is committed.
+// membership returns the newest membership in the log or the snapshot, committed or
+// not, and the index of its entry or of the snapshot.
 func (l *entryLog) membership() (Membership, uint64) {
 	for i := len(l.entries) - 1; i >= 0; i-- {
 		if l.entries[i].Kind != EntryMembership {
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -9,7 +9,7 @@
 
 // Membership is the set of members at one log position. It records the identity of
 // each member's data directory: a member that lost its disk has also lost its votes
-// and acknowledgements, and its messages are rejected because its identity changed.
+// and acknowledgements, so its messages are dropped because its identity has changed.
 type Membership struct {
 	Voters     []MemberID
 	Learners   []MemberID
--- a/internal/raft/message.go
+++ b/internal/raft/message.go
@@ -82,8 +82,8 @@
 	Identity uint64
 	Term     uint64
 	// LogIndex and LogTerm identify the entry preceding Entries, the candidate's last
-	// entry, or the last entry covered by a snapshot. In a reply, LogIndex is the last
-	// matching index.
+	// entry, or the last entry covered by a snapshot. In an append reply, LogIndex is
+	// the last matching index; in a snapshot reply, it is the index of the snapshot.
 	LogIndex uint64
 	LogTerm  uint64
 	Commit   uint64
--- a/internal/raft/node.go
+++ b/internal/raft/node.go
@@ -278,7 +278,7 @@
 		return
 	}
 	for _, id := range n.others() {
-		n.sendAppend(now, id, true)
+		n.scheduleAppend(now, id, true)
 	}
 }
 
@@ -376,14 +376,14 @@
 
 func (n *Node) tickLeader(now kernel.Instant) {
 	silence := now.Sub(n.quorumContact(now))
-	patient := now.Before(n.stallGraceUntil)
-	if silence > 2*n.settings.ElectionTimeout && !patient && !n.settings.Mechanisms.NoCheckQuorum {
+	inStallGrace := now.Before(n.stallGraceUntil)
+	if silence > 2*n.settings.ElectionTimeout && !inStallGrace && !n.settings.Mechanisms.NoCheckQuorum {
 		n.becomeFollower(now, n.hard.Term, NoMember)
 		return
 	}
 	for _, id := range n.others() {
 		if now.Sub(n.peer(id).lastSent) >= n.settings.Heartbeat {
-			n.sendAppend(now, id, true)
+			n.scheduleAppend(now, id, true)
 		}
 	}
 }
--- a/internal/raft/propose.go
+++ b/internal/raft/propose.go
@@ -14,9 +14,10 @@
 	return entry.Index, entry.Term, nil
 }
 
-// ProposeMembership appends a new membership that differs by one member. It fails
-// until the previous membership change and an entry of the current term are committed
-// (Raft thesis, section 4.1, and its published correction).
+// ProposeMembership appends a new membership, which must differ from the current one by
+// one member; this is not checked. It fails until the previous membership change and an
+// entry of the current term are committed (Raft thesis, section 4.1, and its published
+// correction).
 func (n *Node) ProposeMembership(now kernel.Instant, next Membership) (index, term uint64, err error) {
 	const step = "raft.propose_membership"
 	if n.role != Leader {
@@ -43,7 +44,7 @@
 	n.log.append(entry)
 	n.markUnstable(entry.Index)
 	for _, id := range n.others() {
-		n.sendAppend(now, id, false)
+		n.scheduleAppend(now, id, false)
 	}
 	return entry
 }
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -316,9 +316,9 @@
 // A stalled member must process queued messages before its election timer expires;
 // otherwise overloaded members keep deposing their leader.
 func TestStallSuppressesTimeouts(t *testing.T) {
-	for _, without := range []bool{false, true} {
-		t.Run(fmt.Sprint("NoStallCheck=", without), func(t *testing.T) {
-			g := newGroup(t, 3, func(s *Settings) { s.Mechanisms.NoStallCheck = without })
+	for _, noStallCheck := range []bool{false, true} {
+		t.Run(fmt.Sprint("NoStallCheck=", noStallCheck), func(t *testing.T) {
+			g := newGroup(t, 3, func(s *Settings) { s.Mechanisms.NoStallCheck = noStallCheck })
 			g.advance(3 * time.Second)
 			term := g.leader().Term()
 			stalled := g.now.Add(3 * time.Second)
@@ -332,9 +332,9 @@
 			for id, node := range g.nodes {
 				changed = changed || node.Role() == PreCandidate || node.Role() == Candidate || (roles[id] == Follower && node.Leader() == NoMember)
 			}
-			assert.Equal(t, without, changed)
+			assert.Equal(t, noStallCheck, changed)
 			g.advance(time.Second)
-			if !without {
+			if !noStallCheck {
 				assert.Equal(t, term, g.leader().Term())
 			}
 		})
@@ -351,8 +351,8 @@
 	assert.NotEqual(t, dead, g.leader().settings.ID)
 }
 
-// After a lost append the follower rejects every append behind it. The leader must
-// not resend the log tail for each rejection.
+// After a lost append the follower rejects all later ones. The leader must not resend
+// the log tail for each rejection.
 func TestLostAppendResendsTailOnce(t *testing.T) {
 	g := newGroup(t, 3, func(s *Settings) { s.MaxAppend = 64 })
 	g.advance(3 * time.Second)
--- a/internal/raft/replication.go
+++ b/internal/raft/replication.go
@@ -25,9 +25,9 @@
 // in units of MaxAppend entries.
 const maxInflightAppends = 8
 
-// sendAppend schedules an append for the next Ready, so that entries proposed until
+// scheduleAppend schedules an append for the next Ready, so that entries proposed until
 // then are batched. Without new entries it is scheduled only for a heartbeat.
-func (n *Node) sendAppend(now kernel.Instant, id MemberID, heartbeat bool) {
+func (n *Node) scheduleAppend(now kernel.Instant, id MemberID, heartbeat bool) {
 	peer := n.peer(id)
 	if !heartbeat && peer.next > n.log.lastIndex() {
 		return
@@ -131,7 +131,7 @@
 }
 
 // rejectHint returns the index after which the leader should retry: the end of the
-// log, or the last entry before the conflicting term.
+// log, or the last entry before those of the conflicting term.
 func (n *Node) rejectHint(index uint64) uint64 {
 	if index > n.log.lastIndex() {
 		return n.log.lastIndex()
@@ -199,13 +199,13 @@
 		n.advanceCommit(now)
 	}
 	if peer.next <= n.log.lastIndex() {
-		n.sendAppend(now, message.From, false)
+		n.scheduleAppend(now, message.From, false)
 	}
 }
 
-// handleReject lowers next to the member's hint and resends. After a lost append the
-// member rejects every append behind it, so rejections of messages sent before next
-// was lowered are ignored.
+// handleReject lowers next to the member's hint and resends from there. After a lost
+// append the member rejects all appends that were sent after it. Only the first of
+// these rejections counts: those of messages sent before next was lowered are ignored.
 func (n *Node) handleReject(now kernel.Instant, message Message, peer *progress) {
 	if message.SentAt < peer.nextLoweredAt {
 		return
@@ -215,7 +215,7 @@
 		peer.nextLoweredAt = now
 		peer.probedAt = 0
 	}
-	n.sendAppend(now, message.From, true)
+	n.scheduleAppend(now, message.From, true)
 }
 
 // advanceCommit commits the newest entry of the current term that a quorum of voters
@@ -241,6 +241,6 @@
 		return
 	}
 	for _, id := range n.others() {
-		n.sendAppend(now, id, true)
+		n.scheduleAppend(now, id, true)
 	}
 }
--- a/internal/steperror/steperror.go
+++ b/internal/steperror/steperror.go
@@ -1,5 +1,5 @@
-// Package steperror provides an error type that records the step that failed and the peer
-// involved.
+// Package steperror provides an error type that records the step that failed and the peer,
+// file or program involved.
 package steperror
 
 import (
@@ -11,7 +11,8 @@
 type Error struct {
 	// Step is the operation that failed, for example "wal.append".
 	Step string
-	// Peer is the address or identity of the remote end, or empty if there is none.
+	// Peer is the address or identity of the remote end, or the name of the file or program
+	// that the step processed. It is empty if there is none.
 	Peer string
 	// Reason describes the failure in one sentence without a full stop.
 	Reason string
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -160,12 +160,12 @@
 // Apply applies a command and returns its result. A request whose ID was seen before
 // gets the stored result.
 func (s *Store) Apply(command Command) Result {
-	identity := requestID(command.Body)
-	if kept := s.storedResult(identity); kept != nil {
+	id := requestID(command.Body)
+	if kept := s.storedResult(id); kept != nil {
 		return *kept
 	}
 	result := s.execute(command)
-	s.storeResult(identity, result)
+	s.storeResult(id, result)
 	return result
 }
 
@@ -196,11 +196,11 @@
 	return Result{Revision: s.revision, Code: code, Reason: reason}
 }
 
-func (s *Store) storedResult(identity []byte) *Result {
-	if len(identity) == 0 || s.options.NoRequestDeduplication {
+func (s *Store) storedResult(id []byte) *Result {
+	if len(id) == 0 || s.options.NoRequestDeduplication {
 		return nil
 	}
-	answer, known := s.answerIndex[string(identity)]
+	answer, known := s.answerIndex[string(id)]
 	if !known {
 		return nil
 	}
@@ -213,19 +213,19 @@
 	}
 }
 
-func (s *Store) storeResult(identity []byte, result Result) {
-	if len(identity) == 0 {
+func (s *Store) storeResult(id []byte, result Result) {
+	if len(id) == 0 {
 		return
 	}
 	answer := &beamdoorv1.StoredAnswer{
-		RequestId:        identity,
+		RequestId:        id,
 		Revision:         result.Revision,
 		Error:            result.Reason,
 		ErrorCode:        uint32(result.Code),
 		ConflictRevision: result.ConflictRevision,
 	}
 	s.answers = append(s.answers, answer)
-	s.answerIndex[string(identity)] = answer
+	s.answerIndex[string(id)] = answer
 	if len(s.answers) > AnswerLimit {
 		delete(s.answerIndex, string(s.answers[0].RequestId))
 		s.answers = s.answers[1:]
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -13,7 +13,7 @@
 	beamdoorv1 "github.com/beamdoor/beamdoor/api/beamdoor/v1"
 )
 
-func identity(number uint64) []byte {
+func testRequestID(number uint64) []byte {
 	return binary.BigEndian.AppendUint64(make([]byte, RequestIDSize-8), number)
 }
 
@@ -28,13 +28,13 @@
 	return &beamdoorv1.Target{Name: name, Address: address}
 }
 
-var nextIdentity uint64 = 1 << 40
+var nextRequestID uint64 = 1 << 40
 
 func apply(state *Store, base uint64, request *beamdoorv1.ApplyRequest) Result {
-	nextIdentity++
+	nextRequestID++
 	request.BaseRevision = base
 	if request.RequestId == nil {
-		request.RequestId = identity(nextIdentity)
+		request.RequestId = testRequestID(nextRequestID)
 	}
 	return state.Apply(Command{Kind: CommandApply, Body: request})
 }
@@ -66,7 +66,7 @@
 
 func TestRequestDeduplicationAcrossSnapshot(t *testing.T) {
 	state := New(Options{})
-	request := &beamdoorv1.ApplyRequest{RequestId: identity(1), Services: []*beamdoorv1.Service{service("a", 1)}}
+	request := &beamdoorv1.ApplyRequest{RequestId: testRequestID(1), Services: []*beamdoorv1.Service{service("a", 1)}}
 	first := apply(state, 0, request)
 	applyServices(state, service("b", 2))
 	data, err := state.Encode()
@@ -83,7 +83,7 @@
 	state := New(Options{})
 	applyServices(state, service("a", 1, target("t1", "10.0.0.1:1"), target("t2", "10.0.0.2:1")))
 	before := proto.CloneOf(state.Service("a"))
-	drain := &beamdoorv1.SetDrainingRequest{RequestId: identity(7), Service: "a", Targets: []string{"t1"}, Draining: true}
+	drain := &beamdoorv1.SetDrainingRequest{RequestId: testRequestID(7), Service: "a", Targets: []string{"t1"}, Draining: true}
 	require.Equal(t, ErrorNone, state.Apply(Command{Kind: CommandSetDraining, Body: drain}).Code)
 	applyServices(state, service("a", 1, target("t1", "10.0.0.1:1"), target("t2", "10.0.0.9:1")))
 	after := state.Service("a")
@@ -109,7 +109,7 @@
 		assert.Contains(t, result.Reason, want)
 	}
 	assert.Equal(t, revision, state.Revision())
-	missing := &beamdoorv1.SetDrainingRequest{RequestId: identity(8), Service: "a", Targets: []string{"t1", "zzz"}}
+	missing := &beamdoorv1.SetDrainingRequest{RequestId: testRequestID(8), Service: "a", Targets: []string{"t1", "zzz"}}
 	assert.Equal(t, ErrorNotFound, state.Apply(Command{Kind: CommandSetDraining, Body: missing}).Code)
 }
 
@@ -160,7 +160,7 @@
 		name := rapid.SampledFrom([]string{"a", "b", "c", "d"})
 		write := func(t *rapid.T, request *beamdoorv1.ApplyRequest, change func()) {
 			requests++
-			request.RequestId = identity(requests)
+			request.RequestId = testRequestID(requests)
 			base := rapid.SampledFrom([]uint64{state.Revision(), newest, newest / 2}).Draw(t, "base")
 			result := apply(state, base, request)
 			answers[requests] = result
@@ -189,7 +189,7 @@
 					t.Skip("no request to resend")
 				}
 				number := rapid.Uint64Range(1, requests).Draw(t, "request")
-				again := apply(state, 0, &beamdoorv1.ApplyRequest{RequestId: identity(number)})
+				again := apply(state, 0, &beamdoorv1.ApplyRequest{RequestId: testRequestID(number)})
 				assert.True(t, again.Repeated)
 				assert.Equal(t, answers[number].Revision, again.Revision)
 				assert.Equal(t, answers[number].Code, again.Code)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -126,8 +126,8 @@
 	return Frame{Kind: FrameKind(header[frameHeaderSize-1]), Payload: payload}, nil
 }
 
-// Hello is sent by a control member that belongs to no group, and is also the reply to
-// it.
+// Hello is a request from a control member that belongs to no group, and also the reply
+// to it.
 type Hello struct {
 	// Identity is the random ID of the sender's data directory.
 	Identity uint64
