--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -72,7 +72,7 @@
 }
 
 // Earlier releases wrote snapshots without evacuations or target orders.
-func TestDecodeSnapshotWithoutEvacuations(t *testing.T) {
+func TestDecodeSnapshotOfEarlierRelease(t *testing.T) {
 	s := New()
 	s.Apply(1, register("a", "10.0.0.1:1", TargetReady))
 	data := s.Encode()
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -149,8 +149,8 @@
 
 func TestPreVotePreventsDisruption(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"default":     nil,
-		"no pre-vote": func(s *Settings) { s.Mechanisms = Mechanisms{NoPreVote: true, NoStickiness: true} },
+		"default":                    nil,
+		"no pre-vote, no stickiness": func(s *Settings) { s.Mechanisms = Mechanisms{NoPreVote: true, NoStickiness: true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGroup(t, 3, change)
@@ -170,7 +170,7 @@
 			if change == nil {
 				assert.Equal(t, term, g.leader().Term())
 			} else {
-				assert.Greater(t, g.leader().Term(), term, "without pre-vote the returning member must force a new term")
+				assert.Greater(t, g.leader().Term(), term, "without pre-vote and stickiness the returning member must force a new term")
 			}
 		})
 	}
@@ -432,8 +432,8 @@
 	assert.Len(t, sent, 2)
 }
 
-// A new leader does not know where a follower's log ends. It must not pipeline
-// entries that the follower would reject until the first probe is answered.
+// A new leader does not know where a follower's log ends. Until its first probe is
+// answered it must not pipeline entries, since the follower would reject them.
 func TestOneProbePerHeartbeat(t *testing.T) {
 	g := newGroup(t, 3, func(s *Settings) { s.MaxAppend = 64 })
 	g.advance(3 * time.Second)
