--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -149,8 +149,8 @@
 
 func TestPreVotePreventsDisruption(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"default":     nil,
-		"no pre-vote": func(s *Settings) { s.Mechanisms = Mechanisms{NoPreVote: true, NoStickiness: true} },
+		"default":                    nil,
+		"no pre-vote, no stickiness": func(s *Settings) { s.Mechanisms = Mechanisms{NoPreVote: true, NoStickiness: true} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGroup(t, 3, change)
@@ -170,7 +170,7 @@
 			if change == nil {
 				assert.Equal(t, term, g.leader().Term())
 			} else {
-				assert.Greater(t, g.leader().Term(), term, "without pre-vote the returning member must force a new term")
+				assert.Greater(t, g.leader().Term(), term, "without pre-vote and stickiness the returning member must force a new term")
 			}
 		})
 	}
@@ -316,9 +316,9 @@
 // A stalled member must process queued messages before its election timer expires;
 // otherwise overloaded members keep deposing their leader.
 func TestStallSuppressesTimeouts(t *testing.T) {
-	for _, without := range []bool{false, true} {
-		t.Run(fmt.Sprint("NoStallCheck=", without), func(t *testing.T) {
-			g := newGroup(t, 3, func(s *Settings) { s.Mechanisms.NoStallCheck = without })
+	for _, noStallCheck := range []bool{false, true} {
+		t.Run(fmt.Sprint("NoStallCheck=", noStallCheck), func(t *testing.T) {
+			g := newGroup(t, 3, func(s *Settings) { s.Mechanisms.NoStallCheck = noStallCheck })
 			g.advance(3 * time.Second)
 			term := g.leader().Term()
 			stalled := g.now.Add(3 * time.Second)
@@ -332,9 +332,9 @@
 			for id, node := range g.nodes {
 				changed = changed || node.Role() == PreCandidate || node.Role() == Candidate || (roles[id] == Follower && node.Leader() == NoMember)
 			}
-			assert.Equal(t, without, changed)
+			assert.Equal(t, noStallCheck, changed)
 			g.advance(time.Second)
-			if !without {
+			if !noStallCheck {
 				assert.Equal(t, term, g.leader().Term())
 			}
 		})
@@ -351,8 +351,8 @@
 	assert.NotEqual(t, dead, g.leader().settings.ID)
 }
 
-// After a lost append the follower rejects every append behind it. The leader must
-// not resend the log tail for each rejection.
+// After a lost append the follower rejects all later ones. The leader must not resend
+// the log tail for each rejection.
 func TestLostAppendResendsTailOnce(t *testing.T) {
 	g := newGroup(t, 3, func(s *Settings) { s.MaxAppend = 64 })
 	g.advance(3 * time.Second)
@@ -432,8 +432,8 @@
 	assert.Len(t, sent, 2)
 }
 
-// A new leader does not know where a follower's log ends. It must not pipeline
-// entries that the follower would reject until the first probe is answered.
+// A new leader does not know where a follower's log ends. Until its first probe is
+// answered it must not pipeline entries, since the follower would reject them.
 func TestOneProbePerHeartbeat(t *testing.T) {
 	g := newGroup(t, 3, func(s *Settings) { s.MaxAppend = 64 })
 	g.advance(3 * time.Second)
