--- a/cmd/beamdoor-fleet/main.go
+++ b/cmd/beamdoor-fleet/main.go
@@ -30,8 +30,8 @@
 		Args:          cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			settings.Hash = standin.Hash(hash)
-			if settings.Hash != standin.HashSteady && settings.Hash != standin.HashMod {
-				return fmt.Errorf("--hash: %q: must be %s or %s", hash, standin.HashSteady, standin.HashMod)
+			if settings.Hash != standin.HashRendezvous && settings.Hash != standin.HashMod {
+				return fmt.Errorf("--hash: %q: must be %s or %s", hash, standin.HashRendezvous, standin.HashMod)
 			}
 			return play(cmd, settings, quick)
 		},
@@ -40,7 +40,7 @@
 	flags.StringVar(&settings.Program, "program", "bin/beamdoor-node", "the program of edges and members")
 	flags.StringVar(&settings.Folder, "folder", "", "folder for settings, data and logs; a temporary one if empty")
 	flags.IntVar(&settings.Edges, "edges", 4, "number of edges")
-	flags.StringVar(&hash, "hash", string(standin.HashSteady), "how routers hash flows: steady or mod")
+	flags.StringVar(&hash, "hash", string(standin.HashRendezvous), "how routers hash flows: steady or mod")
 	flags.BoolVar(&quick, "quick", false, "planned work only, no faults")
 	return root
 }
--- a/standin/drawncommand.go
+++ b/standin/drawncommand.go
@@ -148,7 +148,7 @@
 		return drawnRun{}, err
 	}
 	setup := setupOf(drawn.Draw(seed))
-	played, err := NewSoak(Settings{Program: o.program, Folder: folder, Hash: HashSteady, Block: o.block}, setup)
+	played, err := NewSoak(Settings{Program: o.program, Folder: folder, Hash: HashRendezvous, Block: o.block}, setup)
 	if err != nil {
 		return drawnRun{}, fmt.Errorf("seed %d: %w", seed, err)
 	}
--- a/standin/explain_test.go
+++ b/standin/explain_test.go
@@ -22,7 +22,7 @@
 	build := exec.Command("go", "build", "-o", program, "github.com/beamdoor/beamdoor/cmd/beamdoor-node")
 	output, err := build.CombinedOutput()
 	require.NoError(t, err, string(output))
-	fleet := New(Settings{Program: program, Folder: t.TempDir(), Edges: 2, Hash: HashSteady})
+	fleet := New(Settings{Program: program, Folder: t.TempDir(), Edges: 2, Hash: HashRendezvous})
 	t.Cleanup(fleet.Close)
 	require.NoError(t, fleet.Start())
 	return fleet
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -48,9 +48,9 @@
 	// Tolerance is the number of members' disks that may be lost at once; 0 means
 	// 1. Twice as many members and one run.
 	Tolerance int
-	// Behind puts a proxy before each member's own protocol. The program must be
+	// ProxyMembers puts a proxy before each member's own protocol. The program must be
 	// built with the tag "soak".
-	Behind bool
+	ProxyMembers bool
 	// LinkMbps is the rate that nodes state of their own links; 0 states none.
 	LinkMbps float64
 }
@@ -213,7 +213,7 @@
 
 // openProxy puts a proxy before a member when the fleet has proxies.
 func (f *Fleet) openProxy(started *node) error {
-	if !f.settings.Behind || started.role != memberRole {
+	if !f.settings.ProxyMembers || started.role != memberRole {
 		return nil
 	}
 	proxy, err := soak.NewProxy(fmt.Sprintf("%s:%d", started.ip, innerPort), f.hidden(started.ip))
@@ -318,7 +318,7 @@
 
 // environment returns what the soak's build of the program reads.
 func (f *Fleet) environment(started *node) []string {
-	if !f.settings.Behind || started.role != memberRole {
+	if !f.settings.ProxyMembers || started.role != memberRole {
 		return nil
 	}
 	hidden := f.hidden(started.ip)
@@ -438,8 +438,8 @@
 	return f.startTarget(rand.Uint64()>>(64-targetNumberBits), service, ip)
 }
 
-// StartAgain starts a target that has ended under its id, at its address or another.
-func (f *Fleet) StartAgain(ended *target, elsewhere bool) error {
+// RestartTarget starts a target that has ended under its id, at its address or another.
+func (f *Fleet) RestartTarget(ended *target, elsewhere bool) error {
 	ip := ended.address.Addr().String()
 	if elsewhere {
 		ip = f.freeIP()
--- a/standin/operator.go
+++ b/standin/operator.go
@@ -55,8 +55,8 @@
 	pathEvacuation = "/-/evacuations/%s/%s"
 )
 
-// OrderZone begins or ends the evacuation of a zone, until a member acknowledges it.
-func (f *Fleet) OrderZone(zone string, evacuate bool) error {
+// SetZoneEvacuation begins or ends the evacuation of a zone, until a member acknowledges it.
+func (f *Fleet) SetZoneEvacuation(zone string, evacuate bool) error {
 	if !evacuate {
 		f.watch.setEvacuated(zone, false)
 		return f.order(fmt.Sprintf(pathEvacuation, zone, "finish"), nil)
--- a/standin/plant.go
+++ b/standin/plant.go
@@ -30,8 +30,8 @@
 // plantAfter is how long the load runs before a defect is planted.
 const plantAfter = 2 * time.Second
 
-// Plant puts a defect in place that breaks a rule.
-func (s *Soak) Plant(rule flowrules.Rule) error {
+// InjectDefect puts a defect in place that breaks a rule.
+func (s *Soak) InjectDefect(rule flowrules.Rule) error {
 	plant, known := plants[rule]
 	if !known {
 		return fmt.Errorf("--plant: %q is no rule", rule)
--- a/standin/router.go
+++ b/standin/router.go
@@ -24,8 +24,8 @@
 
 // The ways of hashing.
 const (
-	// HashSteady moves only the flows of a node that comes or goes.
-	HashSteady Hash = "steady"
+	// HashRendezvous moves only the flows of a node that comes or goes.
+	HashRendezvous Hash = "steady"
 	// HashMod moves nearly all flows when a node comes or goes.
 	HashMod Hash = "mod"
 )
--- a/standin/soak.go
+++ b/standin/soak.go
@@ -74,7 +74,7 @@
 // NewSoak starts a fleet with its load, its operator and its prober.
 func NewSoak(settings Settings, setup Setup) (*Soak, error) {
 	settings.Edges = setup.Edges
-	settings.Behind = true
+	settings.ProxyMembers = true
 	settings.LinkMbps = soakLinkMbps
 	settings.Heartbeat = setup.Heartbeat
 	settings.Tolerance = setup.Tolerance
--- a/standin/soak_test.go
+++ b/standin/soak_test.go
@@ -45,7 +45,7 @@
 // A fleet whose second member found its address taken broke off while it was closed,
 // and its first member ran on for ever.
 func TestAFleetThatCannotStartLeavesNoProcess(t *testing.T) {
-	fleet := New(Settings{Program: soakProgram(t), Folder: t.TempDir(), Hash: HashSteady, Block: firstBlock - 2, Edges: 1, Behind: true})
+	fleet := New(Settings{Program: soakProgram(t), Folder: t.TempDir(), Hash: HashRendezvous, Block: firstBlock - 2, Edges: 1, ProxyMembers: true})
 	taken, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", fleet.address(memberNet, 2), innerPort))
 	require.NoError(t, err)
 	defer func() { _ = taken.Close() }()
@@ -74,11 +74,11 @@
 // none.
 func playPlanted(t *testing.T, program string, block int, rule flowrules.Rule) soak.Result {
 	t.Helper()
-	played, err := NewSoak(Settings{Program: program, Folder: t.TempDir(), Hash: HashSteady, Block: block}, Setups["small"])
+	played, err := NewSoak(Settings{Program: program, Folder: t.TempDir(), Hash: HashRendezvous, Block: block}, Setups["small"])
 	require.NoError(t, err)
 	defer played.Close()
 	if rule != "" {
-		require.NoError(t, played.Plant(rule))
+		require.NoError(t, played.InjectDefect(rule))
 	}
 	world := played.World()
 	result, err := soak.Run(context.Background(), world, soak.Options{Seed: 1, Length: 8 * time.Second, Kinds: world.AllKinds(), Out: &bytes.Buffer{}})
@@ -147,7 +147,7 @@
 // Nodes acknowledge most heartbeats of a busy group; drains go on to members, and
 // no target that lives is given up.
 func TestNodesTakeTheHeartbeatsOfABusyGroup(t *testing.T) {
-	played, err := NewSoak(Settings{Program: soakProgram(t), Folder: t.TempDir(), Hash: HashSteady, Block: firstBlock}, Setups["beats"])
+	played, err := NewSoak(Settings{Program: soakProgram(t), Folder: t.TempDir(), Hash: HashRendezvous, Block: firstBlock}, Setups["beats"])
 	require.NoError(t, err)
 	defer played.Close()
 	beats := &played.fleet.watch.beatsAtNodes
@@ -180,7 +180,7 @@
 func TestAClosedSoakLeavesItsAddressesFree(t *testing.T) {
 	program := soakProgram(t)
 	for range 2 {
-		played, err := NewSoak(Settings{Program: program, Folder: t.TempDir(), Hash: HashSteady, Block: firstBlock - 1}, Setups["small"])
+		played, err := NewSoak(Settings{Program: program, Folder: t.TempDir(), Hash: HashRendezvous, Block: firstBlock - 1}, Setups["small"])
 		require.NoError(t, err)
 		played.Close()
 	}
@@ -189,7 +189,7 @@
 // When a start failed, the end of the fleet panicked for the process that never ran, and
 // the cause was not seen.
 func TestASoakThatCannotStartTellsWhy(t *testing.T) {
-	_, err := NewSoak(Settings{Program: filepath.Join(t.TempDir(), "none"), Folder: t.TempDir(), Hash: HashSteady, Block: firstBlock - 2}, Setups["small"])
+	_, err := NewSoak(Settings{Program: filepath.Join(t.TempDir(), "none"), Folder: t.TempDir(), Hash: HashRendezvous, Block: firstBlock - 2}, Setups["small"])
 	assert.ErrorContains(t, err, "no such file")
 }
 
@@ -218,6 +218,6 @@
 // A fleet that cannot start says why.
 func TestASoakThatCannotStartReturnsItsError(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
-	_, err := NewSoak(Settings{Program: missing, Folder: t.TempDir(), Hash: HashSteady, Block: firstBlock + 20}, Setups["small"])
+	_, err := NewSoak(Settings{Program: missing, Folder: t.TempDir(), Hash: HashRendezvous, Block: firstBlock + 20}, Setups["small"])
 	assert.ErrorContains(t, err, missing)
 }
--- a/standin/soakcommand.go
+++ b/standin/soakcommand.go
@@ -106,7 +106,7 @@
 		return soak.Result{}, err
 	}
 	if o.plant != "" {
-		if err := played.Plant(flowrules.Rule(o.plant)); err != nil {
+		if err := played.InjectDefect(flowrules.Rule(o.plant)); err != nil {
 			return soak.Result{}, err
 		}
 	}
--- a/standin/soakfaults.go
+++ b/standin/soakfaults.go
@@ -215,7 +215,7 @@
 	}
 	t.crash()
 	time.Sleep(fault.For)
-	return s.fleet.StartAgain(t, fault.Pick&2 != 0)
+	return s.fleet.RestartTarget(t, fault.Pick&2 != 0)
 }
 
 func (s *Soak) drainTarget(fault soak.Fault) error {
@@ -232,11 +232,11 @@
 // is disturbed.
 func (s *Soak) evacuateZone(fault soak.Fault) error {
 	zone := pick(zones, fault)
-	if err := s.fleet.OrderZone(zone, true); err != nil {
+	if err := s.fleet.SetZoneEvacuation(zone, true); err != nil {
 		return err
 	}
 	time.Sleep(flowrules.DrainBound + fault.For)
-	return s.fleet.OrderZone(zone, false)
+	return s.fleet.SetZoneEvacuation(zone, false)
 }
 
 // reuseTime is how long an address rests before another service gets it.
--- a/standin/unstarted_test.go
+++ b/standin/unstarted_test.go
@@ -9,7 +9,7 @@
 
 // A fleet that could not be started can be closed, and says why.
 func TestAFleetThatCannotStartIsClosed(t *testing.T) {
-	fleet := New(Settings{Program: filepath.Join(t.TempDir(), "missing"), Folder: t.TempDir(), Edges: 1, Hash: HashSteady, Block: 199})
+	fleet := New(Settings{Program: filepath.Join(t.TempDir(), "missing"), Folder: t.TempDir(), Edges: 1, Hash: HashRendezvous, Block: 199})
 	defer fleet.Close()
 	assert.ErrorContains(t, fleet.Start(), "missing")
 }
