--- a/standin/caller.go
+++ b/standin/caller.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	openLimit      = 1400 * time.Millisecond
-	firstCopy      = 200 * time.Millisecond
-	secondCopy     = 600 * time.Millisecond
+	openTimeout    = 1400 * time.Millisecond
+	firstSYNRetry  = 200 * time.Millisecond
+	secondSYNRetry = 600 * time.Millisecond
 	requestTimeout = 2 * time.Second
 	callerRetries  = 2
-	flowQueue      = 64
+	flowQueueSize  = 64
 )
 
 var (
@@ -29,44 +29,44 @@
 	errFailed    = errors.New("the target failed the request")
 )
 
-// openError tells why a flow did not open.
+// openError is the reason why a flow could not be opened.
 type openError struct {
-	// by is where the reset came from, if one did.
-	by  netip.AddrPort
-	err error
+	// resetBy is the sender of the reset, if there was one.
+	resetBy netip.AddrPort
+	err     error
 }
 
 // Error implements error.
 func (e *openError) Error() string { return e.err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns the cause.
 func (e *openError) Unwrap() error { return e.err }
 
-// caller is one host of callers with flows of its own.
+// caller is a client host with its own flows.
 type caller struct {
-	fleet  *Fleet
-	ip     netip.Addr
-	socket *net.UDPConn
-	mutex  sync.Mutex
-	flows  map[uint16]*callerFlow
-	port   uint16
+	fleet    *Fleet
+	ip       netip.Addr
+	socket   *net.UDPConn
+	mutex    sync.Mutex
+	flows    map[uint16]*callerFlow
+	lastPort uint16
 }
 
-// callerFlow is a flow from the caller's end.
+// callerFlow is the client side of a flow.
 type callerFlow struct {
-	caller   *caller
-	self     netip.AddrPort
-	virtual  netip.AddrPort
-	incoming chan packet
-	echo     uint32
-	sequence uint32
-	received uint32
-	// sent is the position behind the request that is under way.
-	sent uint32
-	// resetBy is where the reset came from that ended the flow.
+	caller      *caller
+	local       netip.AddrPort
+	virtual     netip.AddrPort
+	incoming    chan packet
+	echo        uint32
+	sequence    uint32
+	receiveNext uint32
+	// requestEnd is the sequence number after the current request.
+	requestEnd uint32
+	// resetBy is the sender of the reset that ended the flow.
 	resetBy netip.AddrPort
-	// finished is set once the target has closed its side.
-	finished bool
+	// remoteClosed is set once the target has sent a FIN.
+	remoteClosed bool
 }
 
 func newCaller(fleet *Fleet, ip netip.Addr) (*caller, error) {
@@ -74,14 +74,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &caller{fleet: fleet, ip: ip, socket: socket, flows: map[uint16]*callerFlow{}, port: 1024}
+	c := &caller{fleet: fleet, ip: ip, socket: socket, flows: map[uint16]*callerFlow{}, lastPort: 1024}
 	fleet.addCaller(c)
-	go c.read()
+	go c.readLoop()
 	return c, nil
 }
 
-func (c *caller) read() {
-	buffer := make([]byte, headSize+maxData)
+func (c *caller) readLoop() {
+	buffer := make([]byte, headerSize+maxData)
 	for {
 		size, from, err := c.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -89,12 +89,12 @@
 		}
 		p, ok := decode(buffer[:size])
 		p.from = from
-		if !ok || !p.whole && !(p.is(flagReset) && p.sum == 0) {
-			c.fleet.watch.Broke(flowrules.Mixed, "a packet reached a caller in a form that its sender did not write")
+		if !ok || !p.checksumValid && !(p.has(flagRST) && p.checksum == 0) {
+			c.fleet.monitor.Broke(flowrules.Mixed, "a caller received a packet with a malformed header or a wrong checksum")
 			continue
 		}
 		c.mutex.Lock()
-		flow := c.flows[p.target.Port()]
+		flow := c.flows[p.destination.Port()]
 		c.mutex.Unlock()
 		if flow == nil || flow.virtual != p.source {
 			continue
@@ -106,55 +106,55 @@
 	}
 }
 
-// open opens a flow with copies of its SYN.
+// open opens a flow, retransmitting the SYN until it is answered.
 func (c *caller) open(virtual netip.AddrPort) (*callerFlow, error) {
 	c.mutex.Lock()
-	c.port++
+	c.lastPort++
 	flow := &callerFlow{
-		caller: c, self: netip.AddrPortFrom(c.ip, c.port), virtual: virtual,
-		incoming: make(chan packet, flowQueue), sequence: rand.Uint32(),
+		caller: c, local: netip.AddrPortFrom(c.ip, c.lastPort), virtual: virtual,
+		incoming: make(chan packet, flowQueueSize), sequence: rand.Uint32(),
 	}
-	c.flows[c.port] = flow
+	c.flows[c.lastPort] = flow
 	c.mutex.Unlock()
 	if err := flow.handshake(); err != nil {
-		flow.forget()
-		return nil, &openError{by: flow.resetBy, err: err}
+		flow.remove()
+		return nil, &openError{resetBy: flow.resetBy, err: err}
 	}
 	return flow, nil
 }
 
-func (f *callerFlow) forget() {
+func (f *callerFlow) remove() {
 	f.caller.mutex.Lock()
 	defer f.caller.mutex.Unlock()
-	delete(f.caller.flows, f.self.Port())
+	delete(f.caller.flows, f.local.Port())
 }
 
 func (f *callerFlow) send(p packet) {
-	p.source, p.target, p.echo = f.self, f.virtual, f.echo
+	p.source, p.destination, p.echo = f.local, f.virtual, f.echo
 	f.caller.fleet.router.send(f.caller.socket, p)
 }
 
 func (f *callerFlow) handshake() error {
-	begin := time.Now()
-	pauses := []time.Duration{firstCopy, secondCopy, openLimit}
-	for copies, until := range pauses {
-		f.send(packet{flags: flagOpening, sequence: f.sequence, ack: uint32(copies)})
+	start := time.Now()
+	timeouts := []time.Duration{firstSYNRetry, secondSYNRetry, openTimeout}
+	for attempt, timeout := range timeouts {
+		f.send(packet{flags: flagSYN, sequence: f.sequence, ack: uint32(attempt)})
 		for {
 			select {
 			case p := <-f.incoming:
-				if p.is(flagReset) {
+				if p.has(flagRST) {
 					f.resetBy = p.from
 					return errReset
 				}
-				if p.is(flagOpening) && p.is(flagAcknowledge) {
+				if p.has(flagSYN) && p.has(flagACK) {
 					f.sequence++
-					f.received = p.sequence + 1
+					f.receiveNext = p.sequence + 1
 					f.echo = p.echo
-					f.send(packet{flags: flagAcknowledge, sequence: f.sequence, ack: f.received})
+					f.send(packet{flags: flagACK, sequence: f.sequence, ack: f.receiveNext})
 					return nil
 				}
 				continue
-			case <-time.After(time.Until(begin.Add(until))):
+			case <-time.After(time.Until(start.Add(timeout))):
 			}
 			break
 		}
@@ -162,72 +162,72 @@
 	return errNotOpened
 }
 
-// do sends a request and waits for its whole answer.
-func (f *callerFlow) do(asked request) error {
-	data := asked.encode()
+// roundTrip sends a request and waits for the complete response.
+func (f *callerFlow) roundTrip(req request) error {
+	data := req.encode()
 	deadline := time.Now().Add(requestTimeout)
-	unsent := newUpload(f.sequence, data)
-	f.sent = f.sequence + uint32(len(data))
+	pending := newUpload(f.sequence, data)
+	f.requestEnd = f.sequence + uint32(len(data))
 	var body []byte
 	for {
 		now := time.Now()
 		if now.After(deadline) {
 			return errDeadline
 		}
-		due, next := unsent.take(now)
+		due, next := pending.due(now)
 		for _, part := range due {
-			f.send(packet{flags: flagAcknowledge, sequence: part.sequence, ack: f.received, data: part.data})
+			f.send(packet{flags: flagACK, sequence: part.sequence, ack: f.receiveNext, data: part.data})
 		}
 		if next.IsZero() || next.After(deadline) {
 			next = deadline
 		}
 		select {
 		case p := <-f.incoming:
-			if p.is(flagReset) {
+			if p.has(flagRST) {
 				f.resetBy = p.from
 				return errReset
 			}
-			f.finished = f.finished || p.is(flagFinish)
-			unsent.acknowledge(p.ack)
-			body = f.collect(p, body)
+			f.remoteClosed = f.remoteClosed || p.has(flagFIN)
+			pending.acknowledge(p.ack)
+			body = f.receive(p, body)
 		case <-time.After(max(time.Until(next), time.Millisecond)):
 		}
-		if len(body) >= answerHead+int(asked.answer) || len(body) >= answerHead && body[0] != statusDone {
-			f.sequence = f.sent
-			return f.check(asked, body)
+		if len(body) >= responseHeaderSize+int(req.responseSize) || len(body) >= responseHeaderSize && body[0] != statusDone {
+			f.sequence = f.requestEnd
+			return f.checkResponse(req, body)
 		}
 	}
 }
 
-// collect takes the next part of an answer and acknowledges it.
-func (f *callerFlow) collect(p packet, body []byte) []byte {
-	if p.is(flagOpening) || len(p.data) == 0 {
+// receive appends in-order response data to body and acknowledges it.
+func (f *callerFlow) receive(p packet, body []byte) []byte {
+	if p.has(flagSYN) || len(p.data) == 0 {
 		return body
 	}
-	if p.sequence == f.received {
-		f.received += uint32(len(p.data))
+	if p.sequence == f.receiveNext {
+		f.receiveNext += uint32(len(p.data))
 		f.echo = p.echo
 		body = append(body, p.data...)
 	}
-	f.send(packet{flags: flagAcknowledge, sequence: f.sent, ack: f.received})
+	f.send(packet{flags: flagACK, sequence: f.requestEnd, ack: f.receiveNext})
 	return body
 }
 
-// takeFinish reports whether the target has closed its side.
-func (f *callerFlow) takeFinish() bool {
+// pollRemoteClosed reports whether the target has sent a FIN, without blocking.
+func (f *callerFlow) pollRemoteClosed() bool {
 	for {
 		select {
 		case p := <-f.incoming:
-			f.finished = f.finished || p.is(flagFinish)
+			f.remoteClosed = f.remoteClosed || p.has(flagFIN)
 		default:
-			return f.finished
+			return f.remoteClosed
 		}
 	}
 }
 
-func (f *callerFlow) check(asked request, body []byte) error {
-	if binary.BigEndian.Uint64(body[1:]) != asked.id {
-		f.caller.fleet.watch.Broke(flowrules.Mixed, "a caller got the answer to another request")
+func (f *callerFlow) checkResponse(req request, body []byte) error {
+	if binary.BigEndian.Uint64(body[1:]) != req.id {
+		f.caller.fleet.monitor.Broke(flowrules.Mixed, "a caller received the response to another request")
 	}
 	switch body[0] {
 	case statusNotRun:
@@ -239,69 +239,69 @@
 }
 
 func (f *callerFlow) close() {
-	f.send(packet{flags: flagFinish | flagAcknowledge, sequence: f.sequence, ack: f.received})
-	f.forget()
+	f.send(packet{flags: flagFIN | flagACK, sequence: f.sequence, ack: f.receiveNext})
+	f.remove()
 }
 
-// work is one kind of requests that a caller sends.
-type work struct {
+// workload is a repeated request that a caller sends.
+type workload struct {
 	virtual netip.AddrPort
-	asked   request
-	// fresh is set when each request has a flow of its own.
-	fresh bool
-	pause time.Duration
+	request request
+	// newFlowPerRequest is set when each request opens its own flow.
+	newFlowPerRequest bool
+	interval          time.Duration
 }
 
-// load sends requests until the channel is closed: many over one flow, or a
-// flow for each.
-func (c *caller) load(kind work, done <-chan struct{}) {
+// runWorkload sends requests until done is closed, over one flow or over a new flow for
+// each request.
+func (c *caller) runWorkload(w workload, done <-chan struct{}) {
 	var flow *callerFlow
 	for {
 		select {
 		case <-done:
 			return
-		case <-time.After(kind.pause/2 + rand.N(kind.pause)):
+		case <-time.After(w.interval/2 + rand.N(w.interval)):
 		}
-		if flow != nil && flow.takeFinish() {
+		if flow != nil && flow.pollRemoteClosed() {
 			flow.close()
 			flow = nil
 		}
-		flow = c.serve(flow, kind.virtual, kind.asked)
-		if kind.fresh && flow != nil {
+		flow = c.sendWithRetries(flow, w.virtual, w.request)
+		if w.newFlowPerRequest && flow != nil {
 			flow.close()
 			flow = nil
 		}
 	}
 }
 
-// serve sends one request with retries and returns the flow that is still open.
-func (c *caller) serve(flow *callerFlow, virtual netip.AddrPort, asked request) *callerFlow {
-	begin := time.Now()
+// sendWithRetries sends a request with retries and returns the flow if it is still open.
+func (c *caller) sendWithRetries(flow *callerFlow, virtual netip.AddrPort, req request) *callerFlow {
+	start := time.Now()
 	var err error
 	for range 1 + callerRetries {
-		asked.id = c.fleet.watch.Ask(asked.unsafe)
+		req.id = c.fleet.monitor.Ask(req.unsafe)
 		opened := flow != nil
 		if flow == nil {
 			flow, err = c.open(virtual)
 		}
 		if flow != nil {
 			opened = true
-			err = flow.do(asked)
+			err = flow.roundTrip(req)
 		}
 		if err == nil {
-			c.fleet.watch.finished(time.Since(begin), nil)
+			c.fleet.monitor.recordRequest(time.Since(start), nil)
 			return flow
 		}
 		if flow != nil && !errors.Is(err, errNotRun) && !errors.Is(err, errFailed) {
-			c.fleet.watch.flowEnded(flow, err)
-			flow.forget()
+			c.fleet.monitor.flowEnded(flow, err)
+			flow.remove()
 			flow = nil
 		}
-		mayRepeat := !asked.unsafe || !opened || errors.Is(err, errNotRun)
-		if !mayRepeat || time.Since(begin) > requestTimeout {
+		mayRepeat := !req.unsafe || !opened || errors.Is(err, errNotRun)
+		if !mayRepeat || time.Since(start) > requestTimeout {
 			break
 		}
 	}
-	c.fleet.watch.finished(time.Since(begin), err)
+	c.fleet.monitor.recordRequest(time.Since(start), err)
 	return flow
 }
--- a/standin/demo.go
+++ b/standin/demo.go
@@ -31,23 +31,25 @@
 	}
 }
 
-// Demo plays a short day on a fleet: load, then planned work, then faults.
-// Quick leaves the faults out.
+// Demo runs a fleet under load, then planned maintenance, then faults.
+// Quick skips the faults.
 type Demo struct {
 	Fleet *Fleet
 	Out   io.Writer
 	Quick bool
 }
 
-func (d *Demo) say(format string, values ...any) { _, _ = fmt.Fprintf(d.Out, format+"\n", values...) }
+func (d *Demo) printf(format string, values ...any) {
+	_, _ = fmt.Fprintf(d.Out, format+"\n", values...)
+}
 
-// Run plays the day and returns an error when it could not be played. Whether
-// rules were broken stands in the report of the oracle.
+// Run runs the scenario and returns an error if a step could not be performed. Breaches
+// of the rules are in the fleet's report.
 func (d *Demo) Run() error {
 	if err := d.prepare(); err != nil {
 		return err
 	}
-	d.say("load begins")
+	d.printf("starting load")
 	if err := d.startLoad(); err != nil {
 		return err
 	}
@@ -92,39 +94,39 @@
 	return nil
 }
 
-// uploadSize is the size of the uploads of callers.
+// uploadSize is the request body size of the upload workload.
 const uploadSize = 40_000
 
-// loads are the kinds of requests of each host of callers.
-var loads = []work{
-	{virtual: boardAddress, asked: request{answer: 2000}, pause: 100 * time.Millisecond},
-	{virtual: bookingAddress, asked: request{unsafe: true, answer: 600}, pause: 200 * time.Millisecond},
-	{virtual: documentAddress, asked: request{answer: 10_000}, fresh: true, pause: 300 * time.Millisecond},
-	{virtual: uploadAddress, asked: request{answer: 600, upload: uploadSize}, fresh: true, pause: 600 * time.Millisecond},
+// workloads are the workloads that every caller runs.
+var workloads = []workload{
+	{virtual: boardAddress, request: request{responseSize: 2000}, interval: 100 * time.Millisecond},
+	{virtual: bookingAddress, request: request{unsafe: true, responseSize: 600}, interval: 200 * time.Millisecond},
+	{virtual: documentAddress, request: request{responseSize: 10_000}, newFlowPerRequest: true, interval: 300 * time.Millisecond},
+	{virtual: uploadAddress, request: request{responseSize: 600, uploadSize: uploadSize}, newFlowPerRequest: true, interval: 600 * time.Millisecond},
 }
 
-// startLoad starts hosts of callers, each with all kinds of requests.
+// startLoad starts callers, each running all workloads.
 func (f *Fleet) startLoad(callers int) error {
 	for number := range callers {
 		host, err := newCaller(f, netip.MustParseAddr(f.address(callerNet, number+1)))
 		if err != nil {
 			return err
 		}
-		for _, kind := range loads {
-			go host.load(kind, f.done)
+		for _, kind := range workloads {
+			go host.runWorkload(kind, f.done)
 		}
 	}
 	return nil
 }
 
 func (d *Demo) roll() error {
-	d.say("planned: one edge is stopped and started again")
+	d.printf("maintenance: restarting one edge")
 	d.Fleet.Stop("edge-1")
 	return d.Fleet.Restart("edge-1")
 }
 
 func (d *Demo) release() error {
-	d.say("planned: a target is replaced by a new one, the old one drains")
+	d.printf("maintenance: adding a target and draining the one it replaces")
 	if _, err := d.Fleet.AddTarget(boardService); err != nil {
 		return err
 	}
@@ -133,7 +135,7 @@
 }
 
 func (d *Demo) change() error {
-	d.say("planned: ten changes of the configuration")
+	d.printf("maintenance: submitting ten configuration changes")
 	for range 10 {
 		if err := d.Fleet.Configure(routes()); err != nil {
 			return err
@@ -143,14 +145,14 @@
 }
 
 func (d *Demo) killEdge() error {
-	d.say("fault: an edge is killed and started again")
+	d.printf("fault: killing and restarting an edge")
 	d.Fleet.Kill("edge-2")
 	time.Sleep(time.Second)
 	return d.Fleet.Restart("edge-2")
 }
 
 func (d *Demo) killMember() error {
-	d.say("fault: a member stands still for two seconds, then another one loses its disk")
+	d.printf("fault: pausing a member for two seconds, then wiping the disk of another")
 	if err := d.Fleet.Signal("member-1", syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -171,7 +173,7 @@
 }
 
 func (d *Demo) replaceMember() error {
-	d.say("fault: a member is gone for good, an empty one comes at another address")
+	d.printf("fault: replacing a member with an empty one at another address")
 	if err := d.Fleet.ReplaceMember(2); err != nil {
 		return err
 	}
@@ -180,14 +182,14 @@
 }
 
 func (d *Demo) crashTarget() error {
-	d.say("fault: a target dies without a word")
+	d.printf("fault: crashing a target without deregistration")
 	d.Fleet.targets[1].crash()
 	time.Sleep(4 * time.Second)
 	return nil
 }
 
 func (d *Demo) restartAll() error {
-	d.say("fault: all members and all edges are killed at once")
+	d.printf("fault: killing and restarting all members and edges at once")
 	names := slices.Clone(d.Fleet.memberNames)
 	for number := range d.Fleet.settings.Edges {
 		names = append(names, fmt.Sprintf("edge-%d", number+1))
--- a/standin/drawn_test.go
+++ b/standin/drawn_test.go
@@ -22,13 +22,13 @@
 	return out.String(), err
 }
 
-func TestDrawnOptionsAreChecked(t *testing.T) {
+func TestDrawnValidatesOptions(t *testing.T) {
 	cases := []struct {
 		name      string
 		arguments []string
 		problem   string
 	}{
-		{"seeds the wrong way round", []string{"--seeds", "5-1"}, "--seeds"},
+		{"reversed seed range", []string{"--seeds", "5-1"}, "--seeds"},
 		{"no jobs", []string{"--jobs", "0"}, "--jobs"},
 		{"no length", []string{"--length", "0s"}, "--length"},
 		{"no such block", []string{"--block", "300"}, "--block"},
@@ -42,24 +42,24 @@
 	}
 }
 
-func TestDrawnDeploymentsAreReportedInTheirOrder(t *testing.T) {
+func TestDrawnReportsRunsInSeedOrder(t *testing.T) {
 	out, err := runDrawn(t, "--seeds", "3-4")
 	require.NoError(t, err)
 	assert.Regexp(t, `(?s)^seed 3, small.*\nseed 4, small.*\n2 deployments played, 0 broke a rule\n$`, out)
 }
 
-func TestARunThatBrokeARuleFails(t *testing.T) {
+func TestReportDrawnFailsOnBreaches(t *testing.T) {
 	var out bytes.Buffer
 	err := reportDrawn(&out, []drawnRun{{text: "seed 1"}, {text: "seed 2", broken: 3}})
 	assert.ErrorContains(t, err, "1 of 2")
 	assert.Contains(t, out.String(), "2 deployments played, 1 broke a rule")
 }
 
-func TestFleetsOfRealProcessesFitOneMachine(t *testing.T) {
+func TestDrawnProcessFleetsAreBounded(t *testing.T) {
 	for seed := range uint64(100) {
 		setup := setupOf(drawn.Draw(seed))
-		assert.LessOrEqual(t, setup.Edges, mostEdges)
-		assert.LessOrEqual(t, setup.Boards+setup.Documents, mostTargets+1)
+		assert.LessOrEqual(t, setup.Edges, maxEdges)
+		assert.LessOrEqual(t, setup.Boards+setup.Documents, maxTargets+1)
 		assert.Positive(t, setup.Documents)
 	}
 }
--- a/standin/drawncommand.go
+++ b/standin/drawncommand.go
@@ -16,7 +16,7 @@
 	"github.com/beamdoor/beamdoor/internal/lab/soak"
 )
 
-// drawnOptions are the flags of the command for drawn deployments.
+// drawnOptions are the flags of the drawn command.
 type drawnOptions struct {
 	seeds     string
 	processes bool
@@ -26,30 +26,30 @@
 	jobs      int
 }
 
-// drawnRun is what came out of one deployment.
+// drawnRun is the result of one deployment.
 type drawnRun struct {
 	text   string
 	broken int
 }
 
-// NewDrawnCommand returns the command that plays deployments drawn at random.
+// NewDrawnCommand returns the command that runs randomly generated deployments.
 func NewDrawnCommand() *cobra.Command {
 	var o drawnOptions
 	command := &cobra.Command{
 		Use:   "drawn",
-		Short: "Play deployments drawn at random and hold what is seen against the rules",
+		Short: "Run randomly generated deployments and check the rules",
 		Long: `Draws a deployment for each seed (zones, nodes, members, tolerance, targets, loss)
-and plays it with faults, in the simulator or with real processes. The last line
-tells how many broke a rule; the exit status is 1 when one did.`,
+and runs it with faults, in the simulator or with real processes. The last line
+gives the number that broke a rule; the exit status is 1 if any did.`,
 		Example: "  beamdoor-lab drawn --seeds 1-200\n  beamdoor-lab drawn --processes --seeds 1-20",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
 	}
 	flags := command.Flags()
 	flags.StringVar(&o.seeds, "seeds", "1-20", "seeds, as A or A-B")
-	flags.BoolVar(&o.processes, "processes", false, "play real processes, one deployment after the other")
+	flags.BoolVar(&o.processes, "processes", false, "run real processes, one deployment after the other")
 	flags.StringVar(&o.program, "program", "bin/beamdoor-node-soak", "the program of nodes and members, built with the tag soak")
-	flags.IntVar(&o.block, "block", defaultBlock, "second number of all addresses: 0 to 255")
+	flags.IntVar(&o.block, "block", defaultBlock, "second octet of all addresses: 0 to 255")
 	flags.DurationVar(&o.length, "length", 20*time.Second, "length of a run of real processes")
 	flags.IntVar(&o.jobs, "jobs", 4, "simulated deployments at a time")
 	return command
@@ -90,7 +90,7 @@
 	return reportDrawn(cmd.OutOrStdout(), runs)
 }
 
-// playAll plays the seeds, some at a time, and returns the runs in their order.
+// playAll runs the seeds with up to jobs at a time and returns the results in seed order.
 func playAll(first, last uint64, jobs int, play func(seed uint64) (drawnRun, error)) ([]drawnRun, error) {
 	runs := make([]drawnRun, last-first+1)
 	var group errgroup.Group
@@ -105,7 +105,7 @@
 	return runs, group.Wait()
 }
 
-// reportDrawn writes a line for each run, the breaches, and what it comes to.
+// reportDrawn writes each result and a summary, and returns an error if a rule was broken.
 func reportDrawn(out io.Writer, runs []drawnRun) error {
 	failed := 0
 	for _, played := range runs {
@@ -140,8 +140,7 @@
 	return played, nil
 }
 
-// playProcesses plays real processes on one machine: a large deployment has some
-// tens of nodes, not hundreds.
+// playProcesses runs a deployment as real processes, scaled down to fit one machine.
 func (o *drawnOptions) playProcesses(cmd *cobra.Command, seed uint64) (drawnRun, error) {
 	folder, err := os.MkdirTemp("", "beamdoor-drawn-")
 	if err != nil {
@@ -171,22 +170,22 @@
 	return run, nil
 }
 
-// The largest numbers of processes and callers that one machine plays at a time.
+// Limits for one fleet of real processes on one machine.
 const (
-	mostEdges   = 36
-	mostTargets = 60
-	mostCallers = 24
+	maxEdges   = 36
+	maxTargets = 60
+	maxCallers = 24
 )
 
-// setupOf returns the fleet of real processes for a drawn deployment.
+// setupOf scales a drawn deployment to a fleet of real processes.
 func setupOf(deployment fleetsim.Settings) Setup {
-	targets := min(deployment.Targets, mostTargets)
+	targets := min(deployment.Targets, maxTargets)
 	documents := max(1, targets/4)
 	return Setup{
-		Edges:     min(deployment.Edges, mostEdges),
+		Edges:     min(deployment.Edges, maxEdges),
 		Boards:    max(2, targets-documents),
 		Documents: documents,
-		Callers:   min(deployment.Callers, mostCallers),
+		Callers:   min(deployment.Callers, maxCallers),
 		Tolerance: deployment.Tolerance,
 	}
 }
--- a/standin/explain_test.go
+++ b/standin/explain_test.go
@@ -16,7 +16,7 @@
 	"github.com/beamdoor/beamdoor/internal/explain"
 )
 
-// startFleet runs real processes with two edges.
+// startFleet starts a fleet of real processes with two edges.
 func startFleet(t *testing.T) *Fleet {
 	program := filepath.Join(t.TempDir(), "beamdoor-node")
 	build := exec.Command("go", "build", "-o", program, "github.com/beamdoor/beamdoor/cmd/beamdoor-node")
@@ -28,8 +28,8 @@
 	return fleet
 }
 
-// story reads the logs of all processes, as an engineer on call would.
-func (f *Fleet) story(t *testing.T, question explain.Query) []explain.Line {
+// timeline merges the log lines of all processes that match a query.
+func (f *Fleet) timeline(t *testing.T, question explain.Query) []explain.Line {
 	files, err := filepath.Glob(filepath.Join(f.settings.Folder, "*.log"))
 	require.NoError(t, err)
 	var lines []explain.Line
@@ -44,11 +44,11 @@
 	return explain.Timeline(lines, question)
 }
 
-// eventually waits until the story holds events in an order.
+// eventually waits until the timeline contains the events in order.
 func (f *Fleet) eventually(t *testing.T, question explain.Query, events ...string) []explain.Line {
 	var story []explain.Line
 	holds := func() bool {
-		story = f.story(t, question)
+		story = f.timeline(t, question)
 		rest := events
 		for _, line := range story {
 			if len(rest) > 0 && line.Name == rest[0] {
@@ -61,9 +61,8 @@
 	return story
 }
 
-// The three kinds of failed requests of the operators' page, each from the
-// caller's address or the version to its cause by the logs alone.
-func TestFailedRequestsAreExplainedByTheLogs(t *testing.T) {
+// The logs alone lead from a failed request or configuration change to its cause.
+func TestLogsExplainFailedRequests(t *testing.T) {
 	fleet := startFleet(t)
 	first, err := fleet.AddTarget(boardService)
 	require.NoError(t, err)
@@ -84,13 +83,13 @@
 		ended := make(chan *callerFlow, len(flows))
 		for _, flow := range flows {
 			go func() {
-				if flow.do(request{id: fleet.watch.Ask(false)}) != nil {
+				if flow.roundTrip(request{id: fleet.monitor.Ask(false)}) != nil {
 					ended <- flow
 				}
 			}()
 		}
 		failed := <-ended
-		fleet.eventually(t, explain.Query{Caller: failed.self.String()}, "flow_placed", "target_held_lost")
+		fleet.eventually(t, explain.Query{Caller: failed.local.String()}, "flow_placed", "target_held_lost")
 	})
 
 	t.Run("a SYN refused while a service drains", func(t *testing.T) {
@@ -99,16 +98,16 @@
 		go leaving.drain()
 		var refused *callerFlow
 		require.Eventually(t, func() bool {
-			flow := &callerFlow{caller: hosts[0], virtual: bookingAddress, incoming: make(chan packet, flowQueue)}
+			flow := &callerFlow{caller: hosts[0], virtual: bookingAddress, incoming: make(chan packet, flowQueueSize)}
 			hosts[0].mutex.Lock()
-			hosts[0].port++
-			flow.self = netip.AddrPortFrom(hosts[0].ip, hosts[0].port)
-			hosts[0].flows[flow.self.Port()] = flow
+			hosts[0].lastPort++
+			flow.local = netip.AddrPortFrom(hosts[0].ip, hosts[0].lastPort)
+			hosts[0].flows[flow.local.Port()] = flow
 			hosts[0].mutex.Unlock()
 			refused = flow
 			return flow.handshake() == errReset
 		}, 10*time.Second, 100*time.Millisecond)
-		story := fleet.eventually(t, explain.Query{Caller: refused.self.String()}, "flow_reset")
+		story := fleet.eventually(t, explain.Query{Caller: refused.local.String()}, "flow_reset")
 		last := story[len(story)-1]
 		assert.Contains(t, []string{"no_target", "ended"}, last.Value("reason"))
 		fate := fleet.eventually(t, explain.Query{Target: leaving.id}, "target_stage", "target_stage")
@@ -122,20 +121,20 @@
 		time.Sleep(time.Second)
 		body, err := fleet.configuration(77, routes())
 		require.NoError(t, err)
-		assert.False(t, fleet.post(fleet.controls()[2]+pathReplace, body))
+		assert.False(t, fleet.post(fleet.controls()[2]+pathReplaceConfig, body))
 		fleet.eventually(t, explain.Query{Version: "77"}, "role_changed", "request_given_up", "version_unanswered")
 		require.NoError(t, fleet.Signal("member-1", syscall.SIGCONT))
 		require.NoError(t, fleet.Signal("member-2", syscall.SIGCONT))
 	})
 }
 
-// openAll opens a flow of each host and has one request answered on it.
+// openAll opens a flow from each host and completes one request on it.
 func openAll(t *testing.T, hosts []*caller, holder *target) []*callerFlow {
 	var flows []*callerFlow
 	for _, host := range hosts {
 		flow, err := host.open(boardAddress)
 		require.NoError(t, err)
-		require.NoError(t, flow.do(request{id: holder.fleet.watch.Ask(false)}))
+		require.NoError(t, flow.roundTrip(request{id: holder.fleet.monitor.Ask(false)}))
 		flows = append(flows, flow)
 	}
 	return flows
--- a/standin/failure.go
+++ b/standin/failure.go
@@ -1,24 +1,24 @@
 package standin
 
-// failure is how a target fails its work while its heartbeats go on.
+// failure is how a target fails requests while it still sends heartbeats.
 type failure uint8
 
 const (
-	failsNothing failure = iota
-	// failsByReset resets the flow of each request.
-	failsByReset
-	// failsMute acknowledges requests and never answers.
-	failsMute
-	// failsByErrors answers one in errorOneIn requests shortly that it failed.
-	failsByErrors
+	failureNone failure = iota
+	// failureReset resets the flow on every request.
+	failureReset
+	// failureNoResponse acknowledges requests but never responds.
+	failureNoResponse
+	// failureErrors immediately fails one in errorOneIn requests.
+	failureErrors
 )
 
-// errorOneIn is the number of requests of which a target that answers errors fails one.
+// errorOneIn makes failureErrors fail one in this many requests, at random.
 const errorOneIn = 2
 
-// fail makes the target fail its work; failsNothing makes it well.
-func (t *target) fail(how failure) {
+// setFailure sets how the target fails requests; failureNone restores it.
+func (t *target) setFailure(mode failure) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.failure = how
+	t.failure = mode
 }
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -18,7 +18,7 @@
 	"github.com/beamdoor/beamdoor/internal/lab/soak"
 )
 
-// Ports of the stand-in, the same on all machines.
+// Ports used by the fleet, the same at every address.
 const (
 	defaultPacketPort = 8172
 	readyPort         = 8167
@@ -27,54 +27,54 @@
 	targetPort        = 8080
 )
 
-// Roles of the program.
+// Subcommands of beamdoor-node.
 const (
 	edgeRole   = "edge"
 	memberRole = "member"
 )
 
-// Settings of a fleet.
+// Settings configure a fleet.
 type Settings struct {
 	// Program is the path of beamdoor-node.
 	Program string
-	// Folder holds settings, data and logs of the processes.
+	// Folder holds the settings, data and logs of the processes.
 	Folder string
 	Edges  int
 	Hash   Hash
-	// Block is the second number of all addresses, so that fleets run side by side.
+	// Block is the second octet of all addresses, so that fleets can run side by side.
 	Block int
-	// Heartbeat is the time between two heartbeats of a target; 0 means 400 ms.
+	// Heartbeat is the heartbeat interval of targets; 0 means 400 ms.
 	Heartbeat time.Duration
-	// Tolerance is the number of members' disks that may be lost at once; 0 means
-	// 1. Twice as many members and one run.
+	// Tolerance is the number of simultaneous disk losses to tolerate; 0 means 1. The fleet
+	// has 2*Tolerance+1 members.
 	Tolerance int
-	// ProxyMembers puts a proxy before each member's own protocol. The program must be
+	// ProxyMembers puts a proxy in front of each member's peer protocol. It requires a program
 	// built with the tag "soak".
 	ProxyMembers bool
-	// LinkMbps is the rate that nodes state of their own links; 0 states none.
+	// LinkMbps is the link rate in the edges' settings; 0 means unspecified.
 	LinkMbps float64
 }
 
-// The third number of the addresses of each part.
+// Third octet of the addresses of each kind of process.
 const (
 	edgeNet   = 1
 	memberNet = 2
 	targetNet = 100
 	callerNet = 4
-	// targetsPerNet is the number of targets whose addresses share a third number.
+	// targetsPerNet is the number of target addresses per third octet.
 	targetsPerNet = 200
-	// seedCount is the number of seeds in a settings file.
+	// seedCount is the maximum number of seeds in a settings file.
 	seedCount = 3
-	// hiddenNet holds members that stand behind a proxy.
+	// hiddenNet is for members behind a proxy.
 	hiddenNet = 12
 )
 
-// address returns an address on loopback.
+// address returns a loopback address of the fleet's block.
 func (f *Fleet) address(net, number int) string {
 	return fmt.Sprintf("127.%d.%d.%d", f.settings.Block, net, number)
 }
 
-// node is one process of the fleet.
+// node is an edge or member process.
 type node struct {
 	name    string
 	role    string
@@ -83,51 +83,52 @@
 	exited  chan struct{}
 }
 
-// Fleet is a set of real processes on loopback with the platform around them.
+// Fleet runs edges and members as real processes on loopback, with simulated routers,
+// targets and callers.
 type Fleet struct {
 	settings   Settings
 	packetPort uint16
 	router     *router
-	watch      *watch
+	monitor    *monitor
 	links      links
 	done       chan struct{}
-	// written is the number of nodes' settings that were written.
+	// written counts the edge settings files written.
 	written atomic.Int64
 
 	mutex sync.Mutex
 	nodes map[string]*node
-	// members and memberNames are the addresses and names of those that should be.
+	// members and memberNames are the addresses and names of the current members.
 	members     []string
 	memberNames []string
 	nextMember  int
-	// onlySeed is the only seed in settings written anew, or "".
+	// onlySeed, unless empty, replaces the seeds in settings files.
 	onlySeed string
-	// version is the newest that was submitted, acknowledged the newest that a
-	// member acknowledged.
+	// version is the newest submitted version, acknowledged the newest that a member
+	// acknowledged.
 	version      uint64
 	acknowledged uint64
 	targets      []*target
 	callers      []*caller
 	nextIP       int
-	// proxies stand before members, by the members' names.
+	// proxies are the proxies in front of members, by member name.
 	proxies map[string]*soak.Proxy
 }
 
-// New returns a fleet in which nothing runs yet.
+// New returns a fleet without starting any process.
 func New(settings Settings) *Fleet {
 	if settings.Heartbeat == 0 {
 		settings.Heartbeat = heartbeatInterval
 	}
 	return &Fleet{
-		settings: settings, packetPort: defaultPacketPort, router: newRouter(settings.Hash), watch: newWatch(settings.Folder),
+		settings: settings, packetPort: defaultPacketPort, router: newRouter(settings.Hash), monitor: newMonitor(settings.Folder),
 		done: make(chan struct{}), nodes: map[string]*node{}, nextIP: 0, proxies: map[string]*soak.Proxy{},
 	}
 }
 
-// Report returns what callers and targets have seen so far.
-func (f *Fleet) Report() flowrules.Report { return f.watch.Report() }
+// Report returns the observations of callers and targets so far.
+func (f *Fleet) Report() flowrules.Report { return f.monitor.Report() }
 
-// nameOf returns the name of the edge that sends from an address, or the address.
+// nameOf returns the name of the node with the address, or the address if there is none.
 func (f *Fleet) nameOf(from netip.AddrPort) string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -139,10 +140,10 @@
 	return from.String()
 }
 
-// Start founds the group and starts the edges.
+// Start bootstraps the member group and starts the edges.
 func (f *Fleet) Start() error {
-	go f.watch.stalls.run(f.done)
-	go f.watch.logs.run(f.done)
+	go f.monitor.stalls.run(f.done)
+	go f.monitor.logs.run(f.done)
 	for number := range 2*f.tolerance() + 1 {
 		f.members = append(f.members, f.address(memberNet, number+1))
 		f.memberNames = append(f.memberNames, fmt.Sprintf("member-%d", number+1))
@@ -162,17 +163,17 @@
 	return nil
 }
 
-// tolerance returns the number of members' disks that may be lost at once.
+// tolerance returns the number of simultaneous disk losses to tolerate.
 func (f *Fleet) tolerance() int { return max(1, f.settings.Tolerance) }
 
-// AddEdge starts one more edge.
+// AddEdge registers an edge with the routers and starts it.
 func (f *Fleet) AddEdge(number int) error {
 	ip := f.address(edgeNet, number)
 	f.router.add(netip.MustParseAddrPort(fmt.Sprintf("%s:%d", ip, f.packetPort)), fmt.Sprintf("%s:%d", ip, readyPort))
 	return f.startNode(fmt.Sprintf("edge-%d", number), edgeRole, ip, true)
 }
 
-// ReplaceMember ends a member for good and starts an empty one elsewhere.
+// ReplaceMember kills a member for good and starts an empty one at a new address.
 func (f *Fleet) ReplaceMember(position int) error {
 	gone := f.memberNames[position]
 	f.Kill(gone)
@@ -188,7 +189,7 @@
 	return f.startNode(name, memberRole, ip, false)
 }
 
-// zones are those in which edges, members and targets stand by turns.
+// zones are assigned to nodes and targets by address, in rotation.
 var zones = []string{"north", "south", "west"}
 
 func zoneOf(ip string) string {
@@ -211,7 +212,7 @@
 	return f.run(started, path)
 }
 
-// openProxy puts a proxy before a member when the fleet has proxies.
+// openProxy starts the proxy of a member if the fleet uses proxies.
 func (f *Fleet) openProxy(started *node) error {
 	if !f.settings.ProxyMembers || started.role != memberRole {
 		return nil
@@ -226,8 +227,8 @@
 	return nil
 }
 
-// machines are what settings state of nodes' machines, each in turn: nothing, and two
-// strengths. A node whose settings are written again states another one.
+// machines are the machine limits written to edge settings in rotation: none, and two
+// sizes. An edge's limits change when its settings are written again.
 var machines = [...]string{
 	"",
 	"cpuShare = 0.045\ncpuCores = 1\nmemoryMb = 144\nmaxFds = 3075\n",
@@ -278,7 +279,7 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// setOnlySeed lets settings written from now on name one member; "" names all again.
+// setOnlySeed makes new settings files name a single seed; "" restores all seeds.
 func (f *Fleet) setOnlySeed(ip string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -316,7 +317,7 @@
 	return nil
 }
 
-// environment returns what the soak's build of the program reads.
+// environment returns the variables that the soak build of the program reads.
 func (f *Fleet) environment(started *node) []string {
 	if !f.settings.ProxyMembers || started.role != memberRole {
 		return nil
@@ -325,13 +326,13 @@
 	return []string{"BEAMDOOR_SOAK_LISTEN=" + hidden, "BEAMDOOR_SOAK_DISK=" + f.diskFile(started.name)}
 }
 
-// hidden returns where a member listens that others reach through a proxy.
+// hidden returns the listening address of a member behind a proxy.
 func (f *Fleet) hidden(ip string) string {
 	last := netip.MustParseAddr(ip).As4()[3]
 	return fmt.Sprintf("%s:%d", f.address(hiddenNet, int(last)), innerPort)
 }
 
-// diskFile returns the path of the file that says what is wrong with a disk.
+// diskFile returns the path of the file that selects the disk fault of a member.
 func (f *Fleet) diskFile(name string) string { return filepath.Join(f.settings.Folder, name+".disk") }
 
 func (f *Fleet) node(name string) *node {
@@ -345,19 +346,19 @@
 	return f.node(name).command.Process.Signal(signal)
 }
 
-// Kill ends a process of the fleet at once and waits for its end.
+// Kill sends SIGKILL to a process and waits for it to exit.
 func (f *Fleet) Kill(name string) {
 	_ = f.Signal(name, syscall.SIGKILL)
 	<-f.node(name).exited
 }
 
-// Stop asks a process to end and waits until it has.
+// Stop sends SIGTERM to a process and waits for it to exit.
 func (f *Fleet) Stop(name string) {
 	_ = f.Signal(name, syscall.SIGTERM)
 	<-f.node(name).exited
 }
 
-// Restart starts a process again that has ended.
+// Restart starts an exited process again with new settings.
 func (f *Fleet) Restart(name string) error {
 	stopped := f.node(name)
 	path, err := f.writeSettings(name, stopped.role, stopped.ip, false)
@@ -367,12 +368,12 @@
 	return f.run(stopped, path)
 }
 
-// Wipe empties the data folder of a member that has ended.
+// Wipe deletes the data directory of an exited member.
 func (f *Fleet) Wipe(name string) error {
 	return os.RemoveAll(filepath.Join(f.settings.Folder, name+".data"))
 }
 
-// Close ends all that the fleet started.
+// Close stops all targets, callers, proxies and processes.
 func (f *Fleet) Close() {
 	close(f.done)
 	f.mutex.Lock()
@@ -392,21 +393,21 @@
 	}
 	for _, running := range nodes {
 		if running.command == nil {
-			continue // It could not be started.
+			continue // the process failed to start
 		}
 		_ = running.command.Process.Signal(syscall.SIGKILL)
 		<-running.exited
 	}
 }
 
-// addCaller notes a host of callers, whose socket is closed with the fleet.
+// addCaller registers a caller whose socket Close closes.
 func (f *Fleet) addCaller(c *caller) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.callers = append(f.callers, c)
 }
 
-// controls returns the addresses of the members' calls.
+// controls returns the members' control addresses.
 func (f *Fleet) controls() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -417,12 +418,12 @@
 	return addresses
 }
 
-// AddTarget starts a target of a service.
+// AddTarget starts a target of a service at a new address.
 func (f *Fleet) AddTarget(service string) (*target, error) {
 	return f.addTargetAt(service, f.freeIP())
 }
 
-// freeIP returns the next address for a target.
+// freeIP allocates a target address.
 func (f *Fleet) freeIP() string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -431,14 +432,14 @@
 	return ip
 }
 
-// targetNumberBits is the length of the numbers of targets, as the platform draws them.
+// targetNumberBits is the length of target numbers on the platform.
 const targetNumberBits = 40
 
 func (f *Fleet) addTargetAt(service, ip string) (*target, error) {
 	return f.startTarget(rand.Uint64()>>(64-targetNumberBits), service, ip)
 }
 
-// RestartTarget starts a target that has ended under its id, at its address or another.
+// RestartTarget starts an ended target again with the same ID, at the same or a new address.
 func (f *Fleet) RestartTarget(ended *target, elsewhere bool) error {
 	ip := ended.address.Addr().String()
 	if elsewhere {
@@ -459,12 +460,12 @@
 	return started, nil
 }
 
-// WaitReady waits until so many edges are in.
+// WaitReady waits until the given number of edges is healthy.
 func (f *Fleet) WaitReady(edges int, limit time.Duration) error {
 	end := time.Now().Add(limit)
-	for f.router.in() < edges {
+	for f.router.healthyCount() < edges {
 		if time.Now().After(end) {
-			return fmt.Errorf("only %d of %d edges are ready after %v", f.router.in(), edges, limit)
+			return fmt.Errorf("only %d of %d edges are ready after %v", f.router.healthyCount(), edges, limit)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/standin/fleet_test.go
+++ b/standin/fleet_test.go
@@ -13,10 +13,9 @@
 	"github.com/beamdoor/beamdoor/internal/lab/flowrules"
 )
 
-// A version acknowledged while a read was under way need not be in its answer
-// (soak seed 606764203: 183 was acknowledged 12 ms before the report, the read had
-// begun before). One that was acknowledged before the read must be.
-func TestAReadIsHeldAgainstWhatWasAcknowledgedBeforeIt(t *testing.T) {
+// A version acknowledged during a read may be missing from it; one acknowledged before the
+// read must not be.
+func TestCheckReadUsesVersionAcknowledgedBeforeRead(t *testing.T) {
 	cases := []struct {
 		name                string
 		before, during, got uint64
--- a/standin/links.go
+++ b/standin/links.go
@@ -6,63 +6,64 @@
 	"time"
 )
 
-// linkQueue is how long datagrams wait at most before a narrow link; what would wait
-// longer is dropped.
-const linkQueue = 100 * time.Millisecond
+// maxLinkDelay bounds the queue of a rate-limited link; datagrams that arrive while the
+// backlog exceeds it are dropped.
+const maxLinkDelay = 100 * time.Millisecond
 
-// links are the ways out of nodes that something on the way makes narrow. The datagrams
-// of a node to all targets share its link.
+// links simulates rate limits on the paths from nodes to targets. A node's datagrams to
+// all targets share one link.
 type links struct {
-	mutex  sync.Mutex
-	narrow map[netip.Addr]*narrowLink
+	mutex   sync.Mutex
+	limited map[netip.Addr]*limitedLink
 }
 
-// narrowLink is a link that carries one datagram after the other.
-type narrowLink struct {
+// limitedLink transmits datagrams in sequence at a fixed rate.
+type limitedLink struct {
 	bytesPerSecond float64
-	// freeAt is when it has carried all that waits.
+	// freeAt is when the queued datagrams have been transmitted.
 	freeAt time.Time
 }
 
-// squeeze makes the link of a node narrow; 0 Mbit/s makes it wide again.
-func (l *links) squeeze(node netip.Addr, mbps float64) {
+// limit sets the rate of a node's link; 0 Mbit/s removes the limit.
+func (l *links) limit(node netip.Addr, mbps float64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if mbps == 0 {
-		delete(l.narrow, node)
+		delete(l.limited, node)
 		return
 	}
-	if l.narrow == nil {
-		l.narrow = map[netip.Addr]*narrowLink{}
+	if l.limited == nil {
+		l.limited = map[netip.Addr]*limitedLink{}
 	}
-	l.narrow[node] = &narrowLink{bytesPerSecond: mbps * 1e6 / 8}
+	l.limited[node] = &limitedLink{bytesPerSecond: mbps * 1e6 / 8}
 }
 
-// carry calls a function once the link of a node has carried a datagram, or never.
-func (l *links) carry(node netip.Addr, size int, arrive func()) {
-	wait, passes := l.wait(node, size, time.Now())
+// deliver calls arrive when the node's link has transmitted a datagram, or never if the
+// datagram is dropped.
+func (l *links) deliver(node netip.Addr, size int, arrive func()) {
+	delay, ok := l.delay(node, size, time.Now())
 	switch {
-	case !passes:
-	case wait == 0:
+	case !ok:
+	case delay == 0:
 		arrive()
 	default:
-		time.AfterFunc(wait, arrive)
+		time.AfterFunc(delay, arrive)
 	}
 }
 
-// wait returns how long a datagram takes through the link of a node, or false when it
-// is dropped.
-func (l *links) wait(node netip.Addr, size int, now time.Time) (time.Duration, bool) {
+// delay queues a datagram on the node's link and returns its delay, or false if it is
+// dropped.
+func (l *links) delay(node netip.Addr, size int, now time.Time) (time.Duration, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	link, exists := l.narrow[node]
+	link, exists := l.limited[node]
 	if !exists {
 		return 0, true
 	}
 	if link.freeAt.Before(now) {
 		link.freeAt = now
 	}
-	if link.freeAt.Sub(now) > linkQueue {
+	if link.freeAt.Sub(now) > maxLinkDelay {
 		return 0, false
 	}
 	link.freeAt = link.freeAt.Add(time.Duration(float64(size) / link.bytesPerSecond * float64(time.Second)))
--- a/standin/logwatch.go
+++ b/standin/logwatch.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Events that runs count, by the numbers that docs/EVENTS.md gives them.
+// Numbers of the events that are counted, as listed in docs/EVENTS.md.
 const (
 	eventEjected     = "1094"
 	eventProbation   = "1095"
@@ -28,56 +28,56 @@
 	eventCongested: true, eventLinkNarrow: true, eventLinkRelaxed: true,
 }
 
-// logInterval is the time between two looks at the logs.
-const logInterval = 100 * time.Millisecond
+// logPollInterval is the period at which logs are read.
+const logPollInterval = 100 * time.Millisecond
 
-// logWatch follows the logs of a fleet's processes.
+// logWatch tails the logs of a fleet's processes.
 type logWatch struct {
 	folder string
 
 	mutex   sync.Mutex
 	offsets map[string]int64
-	// counts are those of the events, and of what else was counted, by their words.
+	// counts holds the number of logged events and other counters, by description.
 	counts map[string]int
-	// left are the targets that get no new flows, or a few on probation, by their ids.
-	left map[string]leftOut
-	// announcedTo are the logs of the nodes that have heard a member announce itself
-	// since the last call of forget.
+	// ejected are the ejected targets and those on probation, by ID.
+	ejected map[string]ejection
+	// announcedTo are the logs of nodes that received a member announcement since the last
+	// reset.
 	announcedTo map[string]bool
-	// followed are the addresses of the members that nodes followed last, by their logs.
+	// followed maps a node's log to the address of the member it last connected to.
 	followed map[string]string
 }
 
-// leftOut is a target that members have ejected.
-type leftOut struct {
-	at time.Time
-	// until is when its hold ends.
+// ejection is the state of a target that members have ejected.
+type ejection struct {
+	since time.Time
+	// until is when the ejection hold expires.
 	until     time.Time
 	probation bool
-	// flows are those that it took when nodes had to know that it is left out.
+	// flows counts flows received after the bound for propagating the ejection.
 	flows int
 }
 
 func newLogWatch(folder string) *logWatch {
-	return &logWatch{folder: folder, offsets: map[string]int64{}, counts: map[string]int{}, left: map[string]leftOut{}, announcedTo: map[string]bool{}, followed: map[string]string{}}
+	return &logWatch{folder: folder, offsets: map[string]int64{}, counts: map[string]int{}, ejected: map[string]ejection{}, announcedTo: map[string]bool{}, followed: map[string]string{}}
 }
 
-// run follows the logs until the channel is closed.
+// run reads the logs periodically until done is closed.
 func (l *logWatch) run(done <-chan struct{}) {
-	ticker := time.NewTicker(logInterval)
+	ticker := time.NewTicker(logPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-done:
 			return
 		case <-ticker.C:
-			l.look()
+			l.poll()
 		}
 	}
 }
 
-// look reads the lines that are new.
-func (l *logWatch) look() {
+// poll reads what was appended to the logs.
+func (l *logWatch) poll() {
 	paths, _ := filepath.Glob(filepath.Join(l.folder, "*.log"))
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -96,11 +96,11 @@
 	}
 }
 
-// read takes the whole lines of what a log holds anew.
+// read processes the complete lines in newly appended data.
 func (l *logWatch) read(path string, data []byte) {
-	whole := bytes.LastIndexByte(data, '\n') + 1
-	l.offsets[path] += int64(whole)
-	for line := range strings.Lines(string(data[:whole])) {
+	complete := bytes.LastIndexByte(data, '\n') + 1
+	l.offsets[path] += int64(complete)
+	for line := range strings.Lines(string(data[:complete])) {
 		fields := fieldsOf(line)
 		if fields["event"] == eventConnected {
 			l.followed[path] = fields["address"]
@@ -112,11 +112,11 @@
 		if fields["event"] == eventAnnounced {
 			l.announcedTo[path] = true
 		}
-		l.note(fields)
+		l.trackTarget(fields)
 	}
 }
 
-// fieldsOf returns the fields of a line. Of quoted ones only the first word is there.
+// fieldsOf returns the key=value fields of a line. A quoted value is cut at its first space.
 func fieldsOf(line string) map[string]string {
 	fields := map[string]string{}
 	for word := range strings.FieldsSeq(line) {
@@ -127,8 +127,8 @@
 	return fields
 }
 
-// note follows the stages of a target.
-func (l *logWatch) note(fields map[string]string) {
+// trackTarget updates the ejection state of a target.
+func (l *logWatch) trackTarget(fields map[string]string) {
 	id := fields["target"]
 	switch fields["event"] {
 	case eventEjected:
@@ -137,78 +137,77 @@
 			at = time.Now()
 		}
 		hold, _ := time.ParseDuration(fields["hold"])
-		l.left[id] = leftOut{at: at, until: at.Add(hold)}
+		l.ejected[id] = ejection{since: at, until: at.Add(hold)}
 	case eventProbation:
-		if kept, exists := l.left[id]; exists {
+		if kept, exists := l.ejected[id]; exists {
 			kept.probation = true
-			l.left[id] = kept
+			l.ejected[id] = kept
 		}
 	case eventReadmitted:
-		delete(l.left, id)
+		delete(l.ejected, id)
 	}
 }
 
-// forget drops what is known of targets that are left out and of announcements: all
-// members were killed.
-func (l *logWatch) forget() {
-	l.look()
+// reset discards ejections and announcements, since all members were killed.
+func (l *logWatch) reset() {
+	l.poll()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	clear(l.left)
+	clear(l.ejected)
 	clear(l.announcedTo)
 }
 
-// took notes that a target took a new flow. It returns for how long the target has been
-// ejected, and the number of flows that it took when nodes had to know that; both 0 when
-// it is not.
-func (l *logWatch) took(id string, bound time.Duration) (time.Duration, int) {
+// recordFlow records a new flow of a target. It returns the time since the target was ejected
+// and the number of flows received later than bound after that; both are 0 if the target
+// is not ejected.
+func (l *logWatch) recordFlow(id string, bound time.Duration) (time.Duration, int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	kept, exists := l.left[id]
+	kept, exists := l.ejected[id]
 	if !exists || kept.probation || time.Now().After(kept.until) {
 		return 0, 0
 	}
-	since := time.Since(kept.at)
+	since := time.Since(kept.since)
 	if since > bound {
 		kept.flows++
-		l.left[id] = kept
+		l.ejected[id] = kept
 	}
 	return since, kept.flows
 }
 
-// isOut reports whether a target is ejected or on probation.
-func (l *logWatch) isOut(id string) bool {
+// isEjected reports whether a target is ejected or on probation.
+func (l *logWatch) isEjected(id string) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	_, exists := l.left[id]
+	_, exists := l.ejected[id]
 	return exists
 }
 
-// outUntil returns when the hold of a target ends.
-func (l *logWatch) outUntil(id string) time.Time {
+// holdEnd returns when the ejection hold of a target expires.
+func (l *logWatch) holdEnd(id string) time.Time {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.left[id].until
+	return l.ejected[id].until
 }
 
-// seen returns how often each event was logged, and what else was counted.
-func (l *logWatch) seen() map[string]int {
+// snapshot returns a copy of all counters.
+func (l *logWatch) snapshot() map[string]int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return maps.Clone(l.counts)
 }
 
-// count notes something that is no event.
-func (l *logWatch) count(what string, times int) {
+// addCount adds to a counter that isn't an event.
+func (l *logWatch) addCount(what string, times int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.counts[what] += times
 }
 
-// nodesOfOthers returns the logs of the nodes that follow another member than the one at
-// an address.
-func (l *logWatch) nodesOfOthers(ip string) []string {
-	l.look()
+// nodesFollowingOthers returns the logs of the nodes connected to a member other than the
+// one at ip.
+func (l *logWatch) nodesFollowingOthers(ip string) []string {
+	l.poll()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var nodes []string
@@ -220,9 +219,9 @@
 	return nodes
 }
 
-// announced returns how many of some nodes have heard a member announce itself.
-func (l *logWatch) announced(nodes []string) int {
-	l.look()
+// announcedCount returns how many of the nodes received a member announcement.
+func (l *logWatch) announcedCount(nodes []string) int {
+	l.poll()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	heard := 0
--- a/standin/operator.go
+++ b/standin/operator.go
@@ -13,23 +13,23 @@
 	"github.com/beamdoor/beamdoor/internal/lab/flowrules"
 )
 
-// Route is one route of the operator's configuration.
+// Route is a route in the submitted configuration.
 type Route struct {
 	Name     string
 	Virtual  netip.AddrPort
 	Services []string
-	// Kind is the page's word for the kind of its requests, or "".
+	// Kind is the platform's route type, or "".
 	Kind string
 }
 
-// nextVersion returns the version that the next Configure submits.
+// nextVersion returns the version that the next call of Configure will submit.
 func (f *Fleet) nextVersion() uint64 {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.version + 1
 }
 
-// Configure submits the next version until a member acknowledges it.
+// Configure submits a new version, retrying until a member acknowledges it.
 func (f *Fleet) Configure(routes []Route) error {
 	f.mutex.Lock()
 	f.version++
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	if err := f.order(pathReplace, body); err != nil {
+	if err := f.submit(pathReplaceConfig, body); err != nil {
 		return err
 	}
 	f.mutex.Lock()
@@ -48,32 +48,33 @@
 	return nil
 }
 
-// The platform's calls of an operator.
+// Paths of the platform's operator API.
 const (
-	pathReplace = "/-/config/replace"
-	// pathEvacuation is that of an order about a zone.
+	pathReplaceConfig = "/-/config/replace"
+	// pathEvacuation takes a zone and an action.
 	pathEvacuation = "/-/evacuations/%s/%s"
 )
 
-// SetZoneEvacuation begins or ends the evacuation of a zone, until a member acknowledges it.
+// SetZoneEvacuation starts or finishes the evacuation of a zone, retrying until a member
+// acknowledges it.
 func (f *Fleet) SetZoneEvacuation(zone string, evacuate bool) error {
 	if !evacuate {
-		f.watch.setEvacuated(zone, false)
-		return f.order(fmt.Sprintf(pathEvacuation, zone, "finish"), nil)
+		f.monitor.setEvacuated(zone, false)
+		return f.submit(fmt.Sprintf(pathEvacuation, zone, "finish"), nil)
 	}
-	if err := f.order(fmt.Sprintf(pathEvacuation, zone, "start"), nil); err != nil {
+	if err := f.submit(fmt.Sprintf(pathEvacuation, zone, "start"), nil); err != nil {
 		return err
 	}
-	f.watch.setEvacuated(zone, true)
+	f.monitor.setEvacuated(zone, true)
 	return nil
 }
 
-// orderRounds is the number of times that an order is offered to all members.
-const orderRounds = 50
+// submitAttempts is the number of times that a request is tried at every member.
+const submitAttempts = 50
 
-// order offers an order to one member after the other until one acknowledges it.
-func (f *Fleet) order(path string, body []byte) error {
-	for range orderRounds {
+// submit posts a request to one member after the other until one acknowledges it.
+func (f *Fleet) submit(path string, body []byte) error {
+	for range submitAttempts {
 		for _, address := range f.controls() {
 			if f.post(address+path, body) {
 				return nil
@@ -81,7 +82,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return errors.New("no member took the order " + path)
+	return errors.New("no member acknowledged the request " + path)
 }
 
 func (f *Fleet) configuration(version uint64, routes []Route) ([]byte, error) {
@@ -91,7 +92,7 @@
 		var split []map[string]any
 		for _, service := range route.Services {
 			services[service] = true
-			f.watch.Allow(route.Virtual.String(), service)
+			f.monitor.Allow(route.Virtual.String(), service)
 			split = append(split, map[string]any{"service": service, "weight": 1})
 		}
 		routeBodies = append(routeBodies, map[string]any{
@@ -106,7 +107,7 @@
 }
 
 func (f *Fleet) post(url string, body []byte) bool {
-	client := http.Client{Timeout: callTimeout}
+	client := http.Client{Timeout: httpTimeout}
 	response, err := client.Post("http://"+url, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return false
@@ -115,8 +116,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// CheckConfiguration reads the configuration back and holds its version
-// against the newest that was acknowledged.
+// CheckConfiguration reads the configuration back and compares its version with the newest
+// acknowledged one.
 func (f *Fleet) CheckConfiguration() error {
 	var last error
 	for range 50 {
@@ -127,11 +128,11 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return fmt.Errorf("no member could be read: %w", last)
+	return fmt.Errorf("could not read the configuration from any member: %w", last)
 }
 
-// checkRead reads the configuration back from a member and holds its version
-// against what had been acknowledged before the read, and against what was sent.
+// checkRead reads the configuration from a member. Its version must not be older than the
+// newest acknowledged before the read, nor newer than the newest submitted.
 func (f *Fleet) checkRead(address string) error {
 	f.mutex.Lock()
 	acknowledged := f.acknowledged
@@ -143,15 +144,15 @@
 	f.mutex.Lock()
 	submitted := f.version
 	f.mutex.Unlock()
-	f.watch.ReadBack(address, version, acknowledged)
+	f.monitor.ReadBack(address, version, acknowledged)
 	if version > submitted {
-		f.watch.Broke(flowrules.Config, "%s holds version %d, the newest that was sent is %d", address, version, submitted)
+		f.monitor.Broke(flowrules.Config, "%s has version %d, but the newest submitted version is %d", address, version, submitted)
 	}
 	return nil
 }
 
 func readVersion(address string) (uint64, error) {
-	client := http.Client{Timeout: callTimeout}
+	client := http.Client{Timeout: httpTimeout}
 	response, err := client.Get("http://" + address + "/-/config/read")
 	if err != nil {
 		return 0, err
--- a/standin/packet.go
+++ b/standin/packet.go
@@ -1,8 +1,8 @@
-// Package standin is the project's own stand-in of the users' platform: routers
-// that hash flows over edges, targets that register and beat, callers that open
-// flows with copies of their SYNs, an operator, and a fleet of real edge and
-// member processes on loopback. What its callers and targets see is held
-// against the rules of the platform's pages.
+// Package standin is a test double of the platform that the load balancer runs on:
+// routers that hash flows across edges, targets that register and send heartbeats,
+// callers that retransmit SYNs, and an operator, around a fleet of real edge and
+// member processes on loopback. It checks what callers and targets observe against
+// the platform's rules.
 package standin
 
 import (
@@ -12,55 +12,54 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bits of a packet's flags.
+// TCP-style packet flags.
 const (
-	flagReset       = 1
-	flagFinish      = 2
-	flagOpening     = 8
-	flagAcknowledge = 16
+	flagRST = 1
+	flagFIN = 2
+	flagSYN = 8
+	flagACK = 16
 )
 
 const (
-	headSize = 32
-	// maxData is the largest number of bytes of data in a packet.
+	headerSize = 32
+	// maxData is the maximum payload size in bytes.
 	maxData = 1200
-	// prefixSize is the number of bytes before a packet for a target.
+	// prefixSize is the size of the target number that precedes a packet to a target.
 	prefixSize = 8
-	// sumKey is the key of the checksum; only the ends know it.
-	sumKey = 0x5ca1ab1e
+	// checksumSeed is known only to callers and targets, not to edges.
+	checksumSeed = 0x5ca1ab1e
 )
 
-// packet is one packet between a caller and a target. The encoding is written
-// here a second time on purpose: a mistake in the adapter must not hide in it.
+// packet is a packet between a caller and a target. Its codec is independent of the
+// adapter's, so that the two can't share a bug.
 type packet struct {
-	echo     uint32
-	sequence uint32
-	ack      uint32
-	source   netip.AddrPort
-	target   netip.AddrPort
-	flags    byte
-	data     []byte
-	// whole is set on a received packet whose checksum is right.
-	whole bool
-	sum   uint32
-	// from is the address that a received packet came from.
+	echo        uint32
+	sequence    uint32
+	ack         uint32
+	source      netip.AddrPort
+	destination netip.AddrPort
+	flags       byte
+	data        []byte
+	// checksumValid is set on a received packet whose checksum matches.
+	checksumValid bool
+	checksum      uint32
+	// from is the UDP source address of a received packet.
 	from netip.AddrPort
 }
 
-func (p packet) is(flag byte) bool { return p.flags&flag != 0 }
+func (p packet) has(flag byte) bool { return p.flags&flag != 0 }
 
-// encode returns the packet with its checksum.
+// encode returns the wire form of the packet, including its checksum.
 func (p packet) encode() []byte {
-	buffer := make([]byte, headSize, headSize+len(p.data))
+	buffer := make([]byte, headerSize, headerSize+len(p.data))
 	binary.BigEndian.PutUint32(buffer[4:], p.sequence)
 	binary.BigEndian.PutUint32(buffer[8:], p.ack)
 	binary.BigEndian.PutUint16(buffer[16:], uint16(len(p.data)))
-	putEnd(buffer, 18, 22, p.target)
-	putEnd(buffer, 24, 28, p.source)
-	// The page's order: destination address, source port, source address,
-	// destination port.
+	putAddrPort(buffer, 18, 22, p.destination)
+	putAddrPort(buffer, 24, 28, p.source)
+	// Wire order: destination address, source port, source address, destination port.
 	binary.BigEndian.PutUint16(buffer[22:], p.source.Port())
-	binary.BigEndian.PutUint16(buffer[28:], p.target.Port())
+	binary.BigEndian.PutUint16(buffer[28:], p.destination.Port())
 	buffer[30] = p.flags
 	buffer = append(buffer, p.data...)
 	binary.BigEndian.PutUint32(buffer[12:], checksum(buffer))
@@ -68,63 +67,62 @@
 	return buffer
 }
 
-func putEnd(buffer []byte, address, port int, end netip.AddrPort) {
-	ip := end.Addr().As4()
+func putAddrPort(buffer []byte, address, port int, addrPort netip.AddrPort) {
+	ip := addrPort.Addr().As4()
 	copy(buffer[address:], ip[:])
-	binary.BigEndian.PutUint16(buffer[port:], end.Port())
+	binary.BigEndian.PutUint16(buffer[port:], addrPort.Port())
 }
 
-// checksum covers all but the echo, the pad and the checksum itself.
+// checksum covers everything except the echo, the padding and the checksum itself.
 func checksum(buffer []byte) uint32 {
 	var digest xxhash.Digest
-	digest.ResetWithSeed(sumKey)
+	digest.ResetWithSeed(checksumSeed)
 	_, _ = digest.Write(buffer[4:12])
 	_, _ = digest.Write(buffer[16:31])
-	_, _ = digest.Write(buffer[headSize:])
+	_, _ = digest.Write(buffer[headerSize:])
 	return uint32(digest.Sum64())
 }
 
-// decode reads a packet. It returns false when the bytes are none.
+// decode parses a packet. It returns false if the length is inconsistent.
 func decode(buffer []byte) (packet, bool) {
-	if len(buffer) < headSize || int(binary.BigEndian.Uint16(buffer[16:])) != len(buffer)-headSize {
+	if len(buffer) < headerSize || int(binary.BigEndian.Uint16(buffer[16:])) != len(buffer)-headerSize {
 		return packet{}, false
 	}
-	end := func(address, port int) netip.AddrPort {
+	addrPort := func(address, port int) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte(buffer[address:address+4])), binary.BigEndian.Uint16(buffer[port:]))
 	}
 	sum := binary.BigEndian.Uint32(buffer[12:])
 	return packet{
-		echo:     binary.BigEndian.Uint32(buffer),
-		sequence: binary.BigEndian.Uint32(buffer[4:]),
-		ack:      binary.BigEndian.Uint32(buffer[8:]),
-		target:   end(18, 28),
-		source:   end(24, 22),
-		flags:    buffer[30],
-		data:     append([]byte(nil), buffer[headSize:]...),
-		whole:    sum == checksum(buffer),
-		sum:      sum,
+		echo:          binary.BigEndian.Uint32(buffer),
+		sequence:      binary.BigEndian.Uint32(buffer[4:]),
+		ack:           binary.BigEndian.Uint32(buffer[8:]),
+		destination:   addrPort(18, 28),
+		source:        addrPort(24, 22),
+		flags:         buffer[30],
+		data:          append([]byte(nil), buffer[headerSize:]...),
+		checksumValid: sum == checksum(buffer),
+		checksum:      sum,
 	}, true
 }
 
-// request is what the data of a caller's packets hold. Its head stands in the first
-// of them.
+// request is the payload sent by a caller. Its header fits in the first packet.
 type request struct {
 	id     uint64
 	unsafe bool
-	// answer and upload are the sizes of the answer and of what follows the head.
-	answer uint32
-	upload uint32
+	// responseSize and upload are the sizes of the answer and of what follows the head.
+	responseSize uint32
+	uploadSize   uint32
 }
 
-// requestSize is the size of a request's head.
-const requestSize = 17
+// requestHeaderSize is the encoded size of a request without its body.
+const requestHeaderSize = 17
 
 func (r request) encode() []byte {
 	buffer := binary.BigEndian.AppendUint64(nil, r.id)
 	buffer = append(buffer, boolByte(r.unsafe))
-	buffer = binary.BigEndian.AppendUint32(buffer, r.answer)
-	buffer = binary.BigEndian.AppendUint32(buffer, r.upload)
-	return append(buffer, make([]byte, r.upload)...)
+	buffer = binary.BigEndian.AppendUint32(buffer, r.responseSize)
+	buffer = binary.BigEndian.AppendUint32(buffer, r.uploadSize)
+	return append(buffer, make([]byte, r.uploadSize)...)
 }
 
 func boolByte(value bool) byte {
@@ -134,15 +132,15 @@
 	return 0
 }
 
-// decodeRequest reads the head of a request.
+// decodeRequest parses the header of a request.
 func decodeRequest(data []byte) (request, bool) {
-	if len(data) < requestSize {
+	if len(data) < requestHeaderSize {
 		return request{}, false
 	}
 	return request{
-		id:     binary.BigEndian.Uint64(data),
-		unsafe: data[8] == 1,
-		answer: binary.BigEndian.Uint32(data[9:]),
-		upload: binary.BigEndian.Uint32(data[13:]),
+		id:           binary.BigEndian.Uint64(data),
+		unsafe:       data[8] == 1,
+		responseSize: binary.BigEndian.Uint32(data[9:]),
+		uploadSize:   binary.BigEndian.Uint32(data[13:]),
 	}, true
 }
--- a/standin/plant.go
+++ b/standin/plant.go
@@ -10,54 +10,54 @@
 	"github.com/beamdoor/beamdoor/internal/lab/soak"
 )
 
-// plants are defects around the product, one for each rule: a run with one of
-// them must end with a breach of that rule.
-var plants = map[flowrules.Rule]func(s *Soak) error{
-	flowrules.Route:   (*Soak).plantWrongService,
-	flowrules.Drain:   (*Soak).plantUnsaidDrain,
-	flowrules.Flow:    (*Soak).plantTakenAddress,
-	flowrules.Mixed:   (*Soak).plantMixedAnswers,
-	flowrules.Unasked: (*Soak).plantRepeatedRequest,
-	flowrules.Config:  (*Soak).plantUnsentRoute,
-	flowrules.Lost:    (*Soak).plantUnsentVersion,
-
-	flowrules.Evacuated: (*Soak).plantUnsentOrder,
-	flowrules.Ejected:   (*Soak).plantUnsaidEjection,
-	flowrules.Silent:    (*Soak).plantSilentConnection,
-	flowrules.Recover:   (*Soak).plantDeadEdges,
+// defects are faults injected outside the product, one for each rule. A run with one must
+// report a breach of its rule.
+var defects = map[flowrules.Rule]func(s *Soak) error{
+	flowrules.Route:   (*Soak).injectWrongService,
+	flowrules.Drain:   (*Soak).injectUnacknowledgedDrain,
+	flowrules.Flow:    (*Soak).injectAddressTakeover,
+	flowrules.Mixed:   (*Soak).injectWrongResponseIDs,
+	flowrules.Unasked: (*Soak).injectRepeatedRequest,
+	flowrules.Config:  (*Soak).injectUnsentRoute,
+	flowrules.Lost:    (*Soak).injectUnsentVersion,
+
+	flowrules.Evacuated: (*Soak).injectUnsentEvacuation,
+	flowrules.Ejected:   (*Soak).injectUnloggedEjection,
+	flowrules.Silent:    (*Soak).injectSilentConnection,
+	flowrules.Recover:   (*Soak).injectDeadEdges,
 }
 
-// plantAfter is how long the load runs before a defect is planted.
-const plantAfter = 2 * time.Second
+// defectDelay is how long the load runs before a defect is injected.
+const defectDelay = 2 * time.Second
 
-// InjectDefect puts a defect in place that breaks a rule.
+// InjectDefect injects the defect that breaks a rule.
 func (s *Soak) InjectDefect(rule flowrules.Rule) error {
-	plant, known := plants[rule]
+	inject, known := defects[rule]
 	if !known {
-		return fmt.Errorf("--plant: %q is no rule", rule)
+		return fmt.Errorf("--plant: %q: unknown rule", rule)
 	}
-	time.Sleep(plantAfter)
-	return plant(s)
+	time.Sleep(defectDelay)
+	return inject(s)
 }
 
-// plantWrongService lets a target of one service say that it is of another.
-func (s *Soak) plantWrongService() error {
+// injectWrongService makes a target register for another service.
+func (s *Soak) injectWrongService() error {
 	t := s.anyTarget(documentService, 0)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.claims = boardService
+	t.claimedService = boardService
 	return s.moveToNewIdentity(t)
 }
 
-// moveToNewIdentity makes members take the target for another incarnation.
+// moveToNewIdentity makes members treat the target as a new incarnation.
 func (s *Soak) moveToNewIdentity(t *target) error {
 	t.number++
 	t.id = fmt.Sprintf("i-%010x", t.number)
 	return nil
 }
 
-// plantUnsaidDrain lets a target believe that its drain was acknowledged.
-func (s *Soak) plantUnsaidDrain() error {
+// injectUnacknowledgedDrain marks a target as drained although no member was told.
+func (s *Soak) injectUnacknowledgedDrain() error {
 	t := s.anyTarget(documentService, 0)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// flowsWait bounds the wait for a target that holds open flows.
+// flowsWait bounds the wait for a target with open flows.
 const flowsWait = 10 * time.Second
 
-// targetWithFlows returns the target of a service that holds the most open flows.
-// Only callers with an open flow can see that it is reset.
+// targetWithFlows returns the target of a service with the most open flows. A reset is
+// only visible to callers with an open flow.
 func (s *Soak) targetWithFlows(service string) (*target, error) {
 	for end := time.Now().Add(flowsWait); time.Now().Before(end); time.Sleep(heartbeatInterval / 4) {
 		busiest, flows := (*target)(nil), 0
@@ -85,17 +85,16 @@
 	return nil, fmt.Errorf("no target of %s holds an open flow after %v", service, flowsWait)
 }
 
-// plantTakenAddress registers another incarnation at the address of a target that
-// lives and holds flows. The address of one that is heard is not given away: the target
-// falls silent before.
-func (s *Soak) plantTakenAddress() error {
+// injectAddressTakeover registers another incarnation at the address of a target with open
+// flows. Members keep an address as long as heartbeats arrive, so these stop first.
+func (s *Soak) injectAddressTakeover() error {
 	t, err := s.targetWithFlows(boardService)
 	if err != nil {
 		return err
 	}
 	t.mutex.Lock()
 	body := t.heartbeat()
-	t.unheard = true
+	t.heartbeatsStopped = true
 	t.mutex.Unlock()
 	for !t.post("/-/instances/i-ffffffffff/heartbeat", body) {
 		time.Sleep(heartbeatInterval)
@@ -103,24 +102,24 @@
 	return nil
 }
 
-// plantMixedAnswers lets a target answer another request.
-func (s *Soak) plantMixedAnswers() error {
+// injectWrongResponseIDs makes a target respond with the ID of another request.
+func (s *Soak) injectWrongResponseIDs() error {
 	t := s.anyTarget(boardService, 0)
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.mixes = true
+	t.sendWrongIDs = true
 	return nil
 }
 
-// plantRepeatedRequest sends a request twice that may not be repeated.
-func (s *Soak) plantRepeatedRequest() error {
-	asked := request{id: s.fleet.watch.Ask(true), unsafe: true, answer: 10}
+// injectRepeatedRequest sends a non-repeatable request twice.
+func (s *Soak) injectRepeatedRequest() error {
+	asked := request{id: s.fleet.monitor.Ask(true), unsafe: true, responseSize: 10}
 	for range 2 {
 		flow, err := s.prober.open(bookingAddress)
 		if err != nil {
 			return err
 		}
-		if err := flow.do(asked); err != nil {
+		if err := flow.roundTrip(asked); err != nil {
 			return err
 		}
 		flow.close()
@@ -128,54 +127,52 @@
 	return nil
 }
 
-// plantUnsentRoute lets the prober believe in a route that was never sent.
-func (s *Soak) plantUnsentRoute() error {
+// injectUnsentRoute makes the prober expect a route that was never submitted.
+func (s *Soak) injectUnsentRoute() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.unsent = probe{version: 1 << 40, virtual: probeAddress(1 << 40), acknowledgedAt: time.Now()}
+	s.fakeProbe = probe{version: 1 << 40, virtual: probeAddress(1 << 40), acknowledgedAt: time.Now()}
 	return nil
 }
 
-// plantUnsentVersion lets the operator believe in a version that was never sent.
-func (s *Soak) plantUnsentVersion() error {
+// injectUnsentVersion makes the final check expect a version that was never submitted.
+func (s *Soak) injectUnsentVersion() error {
 	s.fleet.mutex.Lock()
 	defer s.fleet.mutex.Unlock()
-	s.lostVersion = true
+	s.claimLostVersion = true
 	return nil
 }
 
-// plantUnsentOrder lets the operator believe that a zone was evacuated.
-func (s *Soak) plantUnsentOrder() error {
+// injectUnsentEvacuation marks all zones as evacuated without telling the members.
+func (s *Soak) injectUnsentEvacuation() error {
 	for _, zone := range zones {
-		s.fleet.watch.setEvacuated(zone, true)
+		s.fleet.monitor.setEvacuated(zone, true)
 	}
 	return nil
 }
 
-// plantDeadEdges lets all edges die at the end.
-func (s *Soak) plantDeadEdges() error {
+// injectDeadEdges kills all edges at the end of the run.
+func (s *Soak) injectDeadEdges() error {
 	s.killAtEnd = true
 	return nil
 }
 
-// plantedHold is shorter than a run with a planted defect, whose end waits for the
-// readmission.
-const plantedHold = 6 * time.Second
+// injectedHold is shorter than a run, which waits at its end for readmission.
+const injectedHold = 6 * time.Second
 
-// plantUnsaidEjection lets the watch believe that a target was ejected.
-func (s *Soak) plantUnsaidEjection() error {
-	logs := s.fleet.watch.logs
-	// A target that takes a packet asks the logs: they must not be locked while targets
-	// are.
+// injectUnloggedEjection makes the monitor believe that a target was ejected.
+func (s *Soak) injectUnloggedEjection() error {
+	logs := s.fleet.monitor.logs
+	// Lock order: a target holds its lock when it locks the logs.
 	t := s.anyTarget(documentService, 0)
 	logs.mutex.Lock()
 	defer logs.mutex.Unlock()
-	logs.left[t.id] = leftOut{at: time.Now(), until: time.Now().Add(plantedHold)}
+	logs.ejected[t.id] = ejection{since: time.Now(), until: time.Now().Add(injectedHold)}
 	return nil
 }
 
-// plantSilentConnection opens a connection to a member that nobody gives up.
-func (s *Soak) plantSilentConnection() error {
+// injectSilentConnection opens a connection to a member that is never closed when silent.
+func (s *Soak) injectSilentConnection() error {
 	member := s.fleet.memberNames[0]
 	connection, err := net.Dial("tcp4", net.JoinHostPort(s.fleet.node(member).ip, strconv.Itoa(innerPort)))
 	if err != nil {
@@ -185,9 +182,9 @@
 		<-s.fleet.done
 		_ = connection.Close()
 	}()
-	// A connection that the proxy has not taken yet would not be silenced.
+	// The proxy only silences connections that it has accepted.
 	for !s.fleet.proxies[member].Holds(connection.LocalAddr()) {
-		time.Sleep(stallTick)
+		time.Sleep(stallInterval)
 	}
 	return s.silenceConnections(soak.Fault{})
 }
--- a/standin/router.go
+++ b/standin/router.go
@@ -13,54 +13,54 @@
 )
 
 const (
-	// probeInterval is the time between two readiness probes.
+	// probeInterval is the period of readiness probes.
 	probeInterval = 500 * time.Millisecond
-	// missesUntilOut is the number of missed probes after which a node is out.
-	missesUntilOut = 2
+	// unhealthyThreshold is the number of consecutive failed probes that takes an edge out.
+	unhealthyThreshold = 2
 )
 
-// Hash tells how flows are spread over the nodes that are in.
+// Hash selects how flows are spread over the healthy edges.
 type Hash string
 
-// The ways of hashing.
+// Hash methods.
 const (
-	// HashRendezvous moves only the flows of a node that comes or goes.
+	// HashRendezvous is rendezvous hashing: a change of one edge moves only its flows.
 	HashRendezvous Hash = "steady"
-	// HashMod moves nearly all flows when a node comes or goes.
+	// HashMod hashes modulo the number of edges: any change moves nearly all flows.
 	HashMod Hash = "mod"
 )
 
-// front is an edge as the routers know it.
-type front struct {
-	packets netip.AddrPort
-	ready   string
-	in      bool
-	misses  int
+// edge is an edge as seen by the routers.
+type edge struct {
+	packetAddr netip.AddrPort
+	readyAddr  string
+	healthy    bool
+	failures   int
 }
 
-// router sends callers' packets to the edges.
+// router forwards callers' packets to the edges.
 type router struct {
 	hash   Hash
 	mutex  sync.Mutex
-	fronts []*front
+	edges  []*edge
 	client http.Client
-	// harm is what happens to packets on their way to edges.
-	harm packetHarm
+	// impairment applies to packets on their way to edges.
+	impairment impairment
 }
 
-// packetHarm is what the network does to packets: of so many, one is lost, one
-// comes late and one comes twice. 0 means none.
-type packetHarm struct{ loseOneIn, delayOneIn, doubleOneIn int }
+// impairment makes the network lose, delay or duplicate one in so many packets; 0 disables
+// an effect.
+type impairment struct{ loseOneIn, delayOneIn, duplicateOneIn int }
 
-// lateTime is how late a delayed packet comes.
-const lateTime = 60 * time.Millisecond
+// packetDelay is the extra latency of a delayed packet.
+const packetDelay = 60 * time.Millisecond
 
 func oneIn(count int) bool { return count > 0 && rand.IntN(count) == 0 }
 
-func (r *router) setHarm(harm packetHarm) {
+func (r *router) setImpairment(value impairment) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.harm = harm
+	r.impairment = value
 }
 
 func newRouter(hash Hash) *router {
@@ -70,16 +70,16 @@
 func (r *router) add(packets netip.AddrPort, ready string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.fronts = append(r.fronts, &front{packets: packets, ready: ready})
+	r.edges = append(r.edges, &edge{packetAddr: packets, readyAddr: ready})
 }
 
-// run probes the edges until the channel is closed.
+// run probes the edges until done is closed.
 func (r *router) run(done <-chan struct{}) {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		r.mutex.Lock()
-		fronts := append([]*front(nil), r.fronts...)
+		fronts := append([]*edge(nil), r.edges...)
 		r.mutex.Unlock()
 		for _, node := range fronts {
 			go r.probe(node)
@@ -92,8 +92,8 @@
 	}
 }
 
-func (r *router) probe(node *front) {
-	response, err := r.client.Get("http://" + node.ready + "/-/readiness")
+func (r *router) probe(node *edge) {
+	response, err := r.client.Get("http://" + node.readyAddr + "/-/readiness")
 	ok := err == nil && response.StatusCode == http.StatusOK
 	if err == nil {
 		_ = response.Body.Close()
@@ -101,67 +101,68 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if ok {
-		node.in = true
-		node.misses = 0
+		node.healthy = true
+		node.failures = 0
 		return
 	}
-	node.misses++
-	if node.misses >= missesUntilOut {
-		node.in = false
+	node.failures++
+	if node.failures >= unhealthyThreshold {
+		node.healthy = false
 	}
 }
 
-// in returns the number of edges that are in.
-func (r *router) in() int {
+// healthyCount returns the number of healthy edges.
+func (r *router) healthyCount() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return len(r.usable())
+	return len(r.healthyEdges())
 }
 
-func (r *router) usable() []*front {
-	var in []*front
-	for _, node := range r.fronts {
-		if node.in {
+func (r *router) healthyEdges() []*edge {
+	var in []*edge
+	for _, node := range r.edges {
+		if node.healthy {
 			in = append(in, node)
 		}
 	}
 	return in
 }
 
-// route returns the edge for a packet. When fewer than half are in, all are used.
+// route selects the edge for a packet. If fewer than half of the edges are healthy, it
+// ignores health and uses all of them.
 func (r *router) route(p packet) (netip.AddrPort, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	nodes := r.usable()
-	if len(nodes)*2 < len(r.fronts) {
-		nodes = r.fronts
+	nodes := r.healthyEdges()
+	if len(nodes)*2 < len(r.edges) {
+		nodes = r.edges
 	}
 	if len(nodes) == 0 {
 		return netip.AddrPort{}, false
 	}
 	key := flowHash(p)
 	if r.hash == HashMod {
-		return nodes[key%uint64(len(nodes))].packets, true
+		return nodes[key%uint64(len(nodes))].packetAddr, true
 	}
 	best := nodes[0]
 	highest := uint64(0)
 	for _, node := range nodes {
-		if score := mix(key, node.packets); score >= highest {
+		if score := rendezvousScore(key, node.packetAddr); score >= highest {
 			best, highest = node, score
 		}
 	}
-	return best.packets, true
+	return best.packetAddr, true
 }
 
 func flowHash(p packet) uint64 {
-	source, target := p.source.Addr().As4(), p.target.Addr().As4()
+	source, target := p.source.Addr().As4(), p.destination.Addr().As4()
 	buffer := append(source[:], target[:]...)
 	buffer = binary.BigEndian.AppendUint16(buffer, p.source.Port())
-	buffer = binary.BigEndian.AppendUint16(buffer, p.target.Port())
+	buffer = binary.BigEndian.AppendUint16(buffer, p.destination.Port())
 	return xxhash.Sum64(buffer)
 }
 
-func mix(key uint64, node netip.AddrPort) uint64 {
+func rendezvousScore(key uint64, node netip.AddrPort) uint64 {
 	ip := node.Addr().As4()
 	return xxhash.Sum64(append(binary.BigEndian.AppendUint64(nil, key), ip[:]...))
 }
@@ -173,17 +174,17 @@
 		return
 	}
 	r.mutex.Lock()
-	harm := r.harm
+	current := r.impairment
 	r.mutex.Unlock()
 	write := func() { _, _ = socket.WriteToUDPAddrPort(p.encode(), address) }
-	if oneIn(harm.loseOneIn) {
+	if oneIn(current.loseOneIn) {
 		return
 	}
-	if oneIn(harm.doubleOneIn) {
+	if oneIn(current.duplicateOneIn) {
 		write()
 	}
-	if oneIn(harm.delayOneIn) {
-		time.AfterFunc(lateTime, write)
+	if oneIn(current.delayOneIn) {
+		time.AfterFunc(packetDelay, write)
 		return
 	}
 	write()
--- a/standin/soak.go
+++ b/standin/soak.go
@@ -15,49 +15,49 @@
 const (
 	changeInterval       = time.Second
 	versionProbeInterval = 250 * time.Millisecond
-	// keptProbes is the number of versions for which a probe's route is kept.
+	// keptProbes is the number of recent versions whose probe route is kept.
 	keptProbes = 8
-	// recoverSample is how long the end of a run is watched, and recoverServed the
-	// number of requests that must be served in it.
+	// recoverSample is the observation time at the end of a run, and recoverServed the
+	// minimum number of requests served in it.
 	recoverSample = 2 * time.Second
 	recoverServed = 20
-	// soakLinkMbps is the rate that nodes state of their own links: two to four times
-	// what callers send through a node.
+	// soakLinkMbps is the link rate in the edges' settings: two to four times the callers'
+	// traffic through a node.
 	soakLinkMbps = 4
 )
 
-// Setup is the size of a soak's fleet.
+// Setup is the size of a soak fleet.
 type Setup struct {
 	Edges, Boards, Documents, Callers int
-	// Heartbeat is the time between two heartbeats of a target; 0 means the usual.
+	// Heartbeat is the heartbeat interval of targets; 0 means the default.
 	Heartbeat time.Duration
-	// Tolerance is the number of disks that may be lost at once; 0 means 1.
+	// Tolerance is the number of simultaneous disk losses to tolerate; 0 means 1.
 	Tolerance int
 }
 
-// Setups are the sizes by their names.
+// Setups are the predefined sizes by name.
 var Setups = map[string]Setup{
 	"small": {Edges: 4, Boards: 6, Documents: 2, Callers: 8},
 	"wide":  {Edges: 9, Boards: 12, Documents: 4, Callers: 16},
-	// Members have so many heartbeats that nodes take most of them.
+	// So many heartbeats that members delegate most of them to nodes.
 	"beats": {Edges: 6, Boards: 10, Documents: 3, Callers: 10, Heartbeat: 80 * time.Millisecond},
-	// Five members bear the loss of two disks at once.
+	// Five members tolerate two simultaneous disk losses.
 	"tolerant": {Edges: 5, Boards: 8, Documents: 3, Callers: 10, Tolerance: 2},
 }
 
-// probe is a route that exists to test which configuration is in force.
+// probe is a route that tests which configuration version an edge applies.
 type probe struct {
 	version        uint64
 	virtual        netip.AddrPort
 	acknowledgedAt time.Time
 }
 
-// probeAddress returns the address of a version's probe.
+// probeAddress returns the virtual address of a version's probe route.
 func probeAddress(version uint64) netip.AddrPort {
 	return netip.AddrPortFrom(netip.MustParseAddr("198.18.9.1"), uint16(1024+version%60000))
 }
 
-// Soak plays random faults on a fleet of real processes.
+// Soak injects random faults into a fleet of real processes.
 type Soak struct {
 	fleet  *Fleet
 	setup  Setup
@@ -65,13 +65,13 @@
 
 	mutex  sync.Mutex
 	probes []probe
-	// unsent, lostVersion and killAtEnd are planted defects.
-	unsent      probe
-	lostVersion bool
-	killAtEnd   bool
+	// fakeProbe, claimLostVersion and killAtEnd are set by injected defects.
+	fakeProbe        probe
+	claimLostVersion bool
+	killAtEnd        bool
 }
 
-// NewSoak starts a fleet with its load, its operator and its prober.
+// NewSoak starts a fleet with its load, configuration changes and prober.
 func NewSoak(settings Settings, setup Setup) (*Soak, error) {
 	settings.Edges = setup.Edges
 	settings.ProxyMembers = true
@@ -79,17 +79,17 @@
 	settings.Heartbeat = setup.Heartbeat
 	settings.Tolerance = setup.Tolerance
 	s := &Soak{fleet: New(settings), setup: setup}
-	if err := s.begin(); err != nil {
+	if err := s.start(); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-// Close ends all processes that the soak started.
+// Close stops the fleet.
 func (s *Soak) Close() { s.fleet.Close() }
 
-func (s *Soak) begin() error {
+func (s *Soak) start() error {
 	if err := s.fleet.Start(); err != nil {
 		return err
 	}
@@ -114,13 +114,13 @@
 		return err
 	}
 	s.prober = prober
-	go s.every(changeInterval, s.change)
-	go s.every(versionProbeInterval, s.probe)
+	go s.runEvery(changeInterval, s.submitProbeVersion)
+	go s.runEvery(versionProbeInterval, s.probeConfiguration)
 	return nil
 }
 
-// every calls a function until the fleet is closed.
-func (s *Soak) every(interval time.Duration, run func()) {
+// runEvery calls a function periodically until the fleet is closed.
+func (s *Soak) runEvery(interval time.Duration, run func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -133,8 +133,8 @@
 	}
 }
 
-// change submits a version with a new probe's route.
-func (s *Soak) change() {
+// submitProbeVersion submits a configuration version with a new probe route.
+func (s *Soak) submitProbeVersion() {
 	s.mutex.Lock()
 	version := s.fleet.nextVersion()
 	s.probes = append(s.probes, probe{version: version, virtual: probeAddress(version)})
@@ -152,13 +152,12 @@
 	s.probes[len(s.probes)-1].acknowledgedAt = time.Now()
 }
 
-// settled returns the newest probe that must be in force, and that every later
-// version has too.
+// settled returns the newest probe whose version every node must have applied by now.
 func (s *Soak) settled() (probe, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.unsent.version != 0 && time.Since(s.unsent.acknowledgedAt) > flowrules.InForceBound {
-		return s.unsent, true
+	if s.fakeProbe.version != 0 && time.Since(s.fakeProbe.acknowledgedAt) > flowrules.InForceBound {
+		return s.fakeProbe, true
 	}
 	for _, p := range slices.Backward(s.probes) {
 		if !p.acknowledgedAt.IsZero() && time.Since(p.acknowledgedAt) > flowrules.InForceBound {
@@ -168,9 +167,9 @@
 	return probe{}, false
 }
 
-// probe opens a flow to the newest settled route: a node that resets it obeys an
-// older version.
-func (s *Soak) probe() {
+// probeConfiguration opens a flow to the newest settled route. An edge that resets it
+// applies an older version.
+func (s *Soak) probeConfiguration() {
 	settled, exists := s.settled()
 	if !exists {
 		return
@@ -184,23 +183,23 @@
 	if !errors.Is(err, errReset) || !errors.As(err, &failed) {
 		return
 	}
-	edge := s.fleet.nameOf(failed.by)
-	s.fleet.watch.Obeys(flowrules.NodeVersion{Node: edge, Settled: settled.version, Calm: s.fleet.watch.calm(group, edge)})
+	edge := s.fleet.nameOf(failed.resetBy)
+	s.fleet.monitor.Obeys(flowrules.NodeVersion{Node: edge, Settled: settled.version, Calm: s.fleet.monitor.stable(memberGroup, edge)})
 }
 
-// World returns the soak's faults and checks.
+// World returns the faults and checks of the soak.
 func (s *Soak) World() soak.World {
-	return soak.World{Kinds: s.kinds(), Finish: s.finish, Report: s.fleet.Report, Seen: s.fleet.watch.logs.seen}
+	return soak.World{Kinds: s.kinds(), Finish: s.finish, Report: s.fleet.Report, Seen: s.fleet.monitor.logs.snapshot}
 }
 
-// finish checks that callers are served again and that nothing is lost.
+// finish checks that requests are served again and that the configuration is not lost.
 func (s *Soak) finish() error {
 	if s.killAtEnd {
 		for _, name := range s.edgeNames() {
 			s.fleet.Kill(name)
 		}
 	}
-	if s.lostVersion {
+	if s.claimLostVersion {
 		s.fleet.mutex.Lock()
 		s.fleet.acknowledged += 1000
 		s.fleet.mutex.Unlock()
@@ -209,10 +208,10 @@
 	before := s.fleet.Report().Served
 	time.Sleep(recoverSample)
 	if served := s.fleet.Report().Served - before; served < recoverServed {
-		s.fleet.watch.Broke(flowrules.Recover, "%d requests were served in the last %v", served, recoverSample)
+		s.fleet.monitor.Broke(flowrules.Recover, "%d requests were served in the last %v", served, recoverSample)
 	}
 	if err := s.fleet.CheckConfiguration(); err != nil {
-		s.fleet.watch.Broke(flowrules.Lost, "the configuration cannot be read back: %v", err)
+		s.fleet.monitor.Broke(flowrules.Lost, "could not read the configuration back: %v", err)
 	}
 	return nil
 }
@@ -227,23 +226,22 @@
 
 func pick[T any](list []T, fault soak.Fault) T { return list[fault.Pick%uint64(len(list))] }
 
-// anyTarget returns a target of a service that lives and does not drain.
+// anyTarget returns a running target of a service that isn't draining.
 func (s *Soak) anyTarget(service string, chosen uint64) *target {
 	usable := s.usableTargets(service)
 	return usable[chosen%uint64(len(usable))]
 }
 
-// usableTargets returns the targets of a service that live and do not drain.
+// usableTargets returns the running targets of a service that aren't draining.
 func (s *Soak) usableTargets(service string) []*target {
-	// A target that takes a packet asks the fleet for names: the fleet must not be
-	// locked while targets are.
+	// Lock order: a target holds its lock when it locks the fleet.
 	s.fleet.mutex.Lock()
 	all := slices.Clone(s.fleet.targets)
 	s.fleet.mutex.Unlock()
 	var usable []*target
 	for _, t := range all {
 		t.mutex.Lock()
-		if t.service == service && !t.ended && t.state == stateReady && t.claims == "" {
+		if t.service == service && !t.stopped && t.state == stateReady && t.claimedService == "" {
 			usable = append(usable, t)
 		}
 		t.mutex.Unlock()
--- a/standin/soak_test.go
+++ b/standin/soak_test.go
@@ -21,12 +21,11 @@
 	"github.com/beamdoor/beamdoor/internal/lab/soak"
 )
 
-// firstBlock is the first of the address blocks that these tests use.
+// firstBlock is the first address block that these tests use.
 const firstBlock = 60
 
-// TestMain lets one run of these tests after the other use the address blocks of a
-// machine. Two at once met each other's members: a version was read back that was never
-// sent, and nodes had none.
+// TestMain serializes runs of these tests on a machine with a lock file, since fleets that
+// share an address block disturb each other.
 func TestMain(m *testing.M) {
 	path := filepath.Join(os.TempDir(), fmt.Sprintf("beamdoor-standin-%d.lock", os.Getuid()))
 	lock, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -42,9 +41,8 @@
 	os.Exit(code)
 }
 
-// A fleet whose second member found its address taken broke off while it was closed,
-// and its first member ran on for ever.
-func TestAFleetThatCannotStartLeavesNoProcess(t *testing.T) {
+// A fleet that fails to start because an address is in use leaves no process behind.
+func TestFailedStartLeavesNoProcess(t *testing.T) {
 	fleet := New(Settings{Program: soakProgram(t), Folder: t.TempDir(), Hash: HashRendezvous, Block: firstBlock - 2, Edges: 1, ProxyMembers: true})
 	taken, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", fleet.address(memberNet, 2), innerPort))
 	require.NoError(t, err)
@@ -55,13 +53,13 @@
 	for _, running := range fleet.nodes {
 		if running.command != nil {
 			started++
-			assert.NotNil(t, running.command.ProcessState, running.name+" has ended")
+			assert.NotNil(t, running.command.ProcessState, running.name+" has exited")
 		}
 	}
-	assert.Positive(t, started, "the test needs one that was started")
+	assert.Positive(t, started, "no process was started before the failure")
 }
 
-// soakProgram builds the program with the layer of faults.
+// soakProgram builds the program with fault injection.
 func soakProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "beamdoor-node-soak")
@@ -70,9 +68,8 @@
 	return program
 }
 
-// playPlanted runs a fleet without faults for some seconds with a defect; "" plants
-// none.
-func playPlanted(t *testing.T, program string, block int, rule flowrules.Rule) soak.Result {
+// runWithDefect runs a fleet without random faults and with an injected defect; "" injects none.
+func runWithDefect(t *testing.T, program string, block int, rule flowrules.Rule) soak.Result {
 	t.Helper()
 	played, err := NewSoak(Settings{Program: program, Folder: t.TempDir(), Hash: HashRendezvous, Block: block}, Setups["small"])
 	require.NoError(t, err)
@@ -86,13 +83,13 @@
 	return result
 }
 
-// Each rule can fail: with a defect planted around the product the soak sees the
-// breach of that rule, and without one it sees none.
-func TestTheSoakSeesPlantedDefects(t *testing.T) {
+// A defect injected for a rule is reported as a breach of that rule, and a run without one
+// has no breaches.
+func TestSoakDetectsInjectedDefects(t *testing.T) {
 	program := soakProgram(t)
 	block := firstBlock
 	rules := []flowrules.Rule{""}
-	for rule := range plants {
+	for rule := range defects {
 		rules = append(rules, rule)
 	}
 	for _, rule := range rules {
@@ -100,7 +97,7 @@
 		own := block
 		t.Run("plant "+string(rule), func(t *testing.T) {
 			t.Parallel()
-			result := playPlanted(t, program, own, rule)
+			result := runWithDefect(t, program, own, rule)
 			if rule == "" {
 				assert.Empty(t, result.Report.Breaches)
 				assert.Greater(t, result.Report.Served, 500)
@@ -115,10 +112,8 @@
 	}
 }
 
-// The check for FLOW missed its planted defect once: the defect was planted at the
-// first target, and with 16 long flows over six targets that one has none in about
-// one run of twenty, so no caller could see a reset.
-func TestADefectOfFlowsIsPlantedWhereFlowsAre(t *testing.T) {
+// A defect in flows must be injected at a target with open flows, or no caller sees a reset.
+func TestTargetWithFlowsChoosesMostOpenFlows(t *testing.T) {
 	flows := func(count int) map[netip.AddrPort]*targetFlow {
 		held := map[netip.AddrPort]*targetFlow{}
 		for port := range count {
@@ -144,40 +139,38 @@
 	assert.Same(t, busy, chosen)
 }
 
-// Nodes acknowledge most heartbeats of a busy group; drains go on to members, and
-// no target that lives is given up.
-func TestNodesTakeTheHeartbeatsOfABusyGroup(t *testing.T) {
+// Nodes acknowledge heartbeats of a busy group, while drains still reach members and no
+// running target is declared lost.
+func TestNodesAcknowledgeHeartbeats(t *testing.T) {
 	played, err := NewSoak(Settings{Program: soakProgram(t), Folder: t.TempDir(), Hash: HashRendezvous, Block: firstBlock}, Setups["beats"])
 	require.NoError(t, err)
 	defer played.Close()
-	beats := &played.fleet.watch.beatsAtNodes
-	waitAwake(t, played, 6*time.Second, "300 heartbeats at nodes", func() bool { return beats.Load() > 300 })
+	beats := &played.fleet.monitor.nodeHeartbeats
+	waitRunning(t, played, 6*time.Second, "300 heartbeats at nodes", func() bool { return beats.Load() > 300 })
 	var drained atomic.Bool
 	leaving := played.anyTarget(boardService, 0)
 	go func() {
 		leaving.drain()
 		drained.Store(true)
 	}()
-	waitAwake(t, played, drainTime+2*time.Second, "the end of the drain", drained.Load)
+	waitRunning(t, played, drainTime+2*time.Second, "the end of the drain", drained.Load)
 	assert.Empty(t, played.fleet.Report().Breaches)
 }
 
-// waitAwake waits for a condition for as long as this process has had a time: stopped for
-// 5 s by SIGSTOP, it found a drain not acknowledged that had had no turn.
-func waitAwake(t *testing.T, played *Soak, limit time.Duration, what string, done func() bool) {
+// waitRunning waits for a condition; the limit excludes stalls of this process.
+func waitRunning(t *testing.T, played *Soak, limit time.Duration, what string, done func() bool) {
 	t.Helper()
-	stalls := &played.fleet.watch.stalls
-	for end := stalls.awakeFor() + limit; stalls.awakeFor() < end; time.Sleep(stallTick) {
+	stalls := &played.fleet.monitor.stalls
+	for end := stalls.runningTime() + limit; stalls.runningTime() < end; time.Sleep(stallInterval) {
 		if done() {
 			return
 		}
 	}
-	require.True(t, done(), "%s: not within %v; %s", what, limit, stalls.text(time.Now()))
+	require.True(t, done(), "%s: not within %v; %s", what, limit, stalls.describe(time.Now()))
 }
 
-// The second of several drawn deployments could not start: the sockets of the
-// first one's callers were still open.
-func TestAClosedSoakLeavesItsAddressesFree(t *testing.T) {
+// A closed soak releases its addresses, so that another can start in the same block.
+func TestCloseReleasesAddresses(t *testing.T) {
 	program := soakProgram(t)
 	for range 2 {
 		played, err := NewSoak(Settings{Program: program, Folder: t.TempDir(), Hash: HashRendezvous, Block: firstBlock - 1}, Setups["small"])
@@ -186,14 +179,13 @@
 	}
 }
 
-// When a start failed, the end of the fleet panicked for the process that never ran, and
-// the cause was not seen.
-func TestASoakThatCannotStartTellsWhy(t *testing.T) {
+// A failed start returns its cause, and closing the fleet does not panic.
+func TestNewSoakReportsStartError(t *testing.T) {
 	_, err := NewSoak(Settings{Program: filepath.Join(t.TempDir(), "none"), Folder: t.TempDir(), Hash: HashRendezvous, Block: firstBlock - 2}, Setups["small"])
 	assert.ErrorContains(t, err, "no such file")
 }
 
-func TestSoakOptionsAreChecked(t *testing.T) {
+func TestSoakValidatesOptions(t *testing.T) {
 	cases := []struct {
 		name      string
 		arguments []string
@@ -215,8 +207,8 @@
 	}
 }
 
-// A fleet that cannot start says why.
-func TestASoakThatCannotStartReturnsItsError(t *testing.T) {
+// The error of a failed start names the missing program.
+func TestNewSoakErrorNamesMissingProgram(t *testing.T) {
 	missing := filepath.Join(t.TempDir(), "missing")
 	_, err := NewSoak(Settings{Program: missing, Folder: t.TempDir(), Hash: HashRendezvous, Block: firstBlock + 20}, Setups["small"])
 	assert.ErrorContains(t, err, missing)
--- a/standin/soakcommand.go
+++ b/standin/soakcommand.go
@@ -17,7 +17,7 @@
 	"github.com/beamdoor/beamdoor/internal/lab/soak"
 )
 
-// defaultBlock keeps a soak apart from the demonstration, which has block 0.
+// defaultBlock differs from block 0 of the demo, so that both can run at once.
 const defaultBlock = 30
 
 // soakOptions are the flags of the soak command.
@@ -32,33 +32,33 @@
 	plant    string
 }
 
-// NewSoakCommand returns the command that plays random faults on real processes.
+// NewSoakCommand returns the command that injects random faults into real processes.
 func NewSoakCommand() *cobra.Command {
 	var o soakOptions
 	command := &cobra.Command{
 		Use:   "soak",
-		Short: "Play random faults on real processes and hold what is seen against the rules",
+		Short: "Inject random faults into real processes and check the rules",
 		Long: `Starts edges and members as separate processes on loopback, with routers,
-targets, callers and an operator around them, plays the faults of a seed and ends
-the processes by their ids. Exits with 1 when a rule was broken. The program must
+targets, callers and an operator around them, injects the faults of a seed and
+stops the processes. Exits with 1 if a rule was broken. The program must
 be built with the tag "soak"; make soak does so.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return o.run(cmd) },
 	}
 	flags := command.Flags()
 	flags.StringVar(&o.settings.Program, "program", "bin/beamdoor-node-soak", "the program of edges and members, built with the tag soak")
-	flags.IntVar(&o.settings.Block, "block", defaultBlock, "second number of all addresses, so that soaks run side by side: 0 to 255")
+	flags.IntVar(&o.settings.Block, "block", defaultBlock, "second octet of all addresses, so that soaks run side by side: 0 to 255")
 	flags.Uint64Var(&o.seed, "seed", 0, "seed of the schedule; 0 draws one")
 	flags.Float64Var(&o.minutes, "minutes", 3, "length in minutes")
 	flags.StringVar(&o.setup, "setup", "small", "fleet: small, wide, beats, where nodes take heartbeats, or tolerant, with five members")
 	flags.StringVar(&o.kinds, "kinds", "", "kinds of faults, separated by commas; all if empty")
 	flags.StringVar(&o.report, "report", "", "folder for the report")
 	flags.BoolVar(&o.keep, "keep", false, "keep settings, data and logs also when nothing was broken")
-	flags.StringVar(&o.plant, "plant", "", "a rule that a planted defect is to break")
+	flags.StringVar(&o.plant, "plant", "", "inject a defect that breaks this rule")
 	return command
 }
 
-// validate checks the flags and returns the size of the fleet.
+// validate checks the flags and returns the selected setup.
 func (o *soakOptions) validate() (Setup, error) {
 	setup, known := Setups[o.setup]
 	switch {
@@ -116,7 +116,8 @@
 	return soak.Run(ctx, world, soak.Options{Seed: o.seed, Length: length, Kinds: kinds, Out: out})
 }
 
-// end writes the report, and removes what the run has left when all was well.
+// end writes the report file and, after a clean run, removes the fleet's folder unless it is
+// to be kept.
 func (o *soakOptions) end(result soak.Result, err error, text []byte) error {
 	if o.report != "" {
 		name := filepath.Join(o.report, fmt.Sprintf("soak-%d.txt", o.seed))
--- a/standin/soakfaults.go
+++ b/standin/soakfaults.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/lab/soak"
 )
 
-// kinds returns all faults by their names.
+// kinds returns the fault functions by name.
 func (s *Soak) kinds() map[string]func(soak.Fault) error {
 	kinds := map[string]func(soak.Fault) error{
 		"edge-kill":                 s.killEdge,
@@ -24,25 +24,25 @@
 		"member-replace":            s.onMember(s.replaceMember),
 		"members-kill":              s.onMember(s.killMembers),
 		"all-kill":                  s.onMember(s.killAll),
-		"member-delay":              s.onMember(s.harmLinks(soak.Delay)),
-		"member-silence":            s.onMember(s.harmLinks(soak.Silence)),
-		"member-one-way":            s.onMember(s.harmLinks(soak.OneWay)),
-		"member-refuse":             s.onMember(s.harmLinks(soak.Refuse)),
+		"member-delay":              s.onMember(s.impairConnections(soak.Delay)),
+		"member-silence":            s.onMember(s.impairConnections(soak.Silence)),
+		"member-one-way":            s.onMember(s.impairConnections(soak.OneWay)),
+		"member-refuse":             s.onMember(s.impairConnections(soak.Refuse)),
 		"member-connections-silent": s.onMember(s.silenceConnections),
-		"edge-link-narrow":          s.squeezeLink,
+		"edge-link-narrow":          s.limitLink,
 		"all-kill-seeds-last":       s.onMember(s.killAllSeedsLast),
-		"disk-full":                 s.onMember(s.harmDisk("full")),
-		"disk-fail":                 s.onMember(s.harmDisk("fail")),
-		"disk-slow":                 s.onMember(s.harmDisk("60ms")),
+		"disk-full":                 s.onMember(s.impairDisk("full")),
+		"disk-fail":                 s.onMember(s.impairDisk("fail")),
+		"disk-slow":                 s.onMember(s.impairDisk("60ms")),
 		"target-crash":              s.crashTarget,
 		"target-drain":              s.drainTarget,
-		"target-again":              s.startTargetAgain,
+		"target-again":              s.restartTarget,
 		"target-reuse":              s.reuseAddress,
 		"zone-evacuate":             s.evacuateZone,
-		"target-reset":              s.failTarget(failsByReset),
-		"target-mute":               s.failTarget(failsMute),
-		"target-errors":             s.failTarget(failsByErrors),
-		"packet-harm":               s.harmPackets,
+		"target-reset":              s.failTarget(failureReset),
+		"target-mute":               s.failTarget(failureNoResponse),
+		"target-errors":             s.failTarget(failureErrors),
+		"packet-harm":               s.impairPackets,
 		"settings-change":           s.changeSettings,
 	}
 	if s.setup.Tolerance > 1 {
@@ -51,14 +51,14 @@
 	return kinds
 }
 
-// onMember lets a fault of a member begin only once the group has had the time to
-// recover from the one before: more losses at once than it bears are not promised.
+// onMember delays a member fault until the group has recovered from the previous one, since
+// the group only tolerates a limited number of simultaneous failures.
 func (s *Soak) onMember(fault func(soak.Fault) error) func(soak.Fault) error {
 	return func(f soak.Fault) error {
-		for !s.fleet.watch.undisturbed(group) {
+		for !s.fleet.monitor.faultFree(memberGroup) {
 			time.Sleep(100 * time.Millisecond)
 		}
-		defer s.fleet.watch.disturb(group)()
+		defer s.fleet.monitor.beginFault(memberGroup)()
 		return fault(f)
 	}
 }
@@ -72,9 +72,9 @@
 	return s.killAndRestart(names[:len(names)/2], fault.For)
 }
 
-// killAndRestart kills processes at once and starts them again after a time.
+// killAndRestart kills processes together and restarts them after a pause.
 func (s *Soak) killAndRestart(names []string, pause time.Duration) error {
-	defer s.fleet.watch.disturb(names...)()
+	defer s.fleet.monitor.beginFault(names...)()
 	for _, name := range names {
 		_ = s.fleet.Signal(name, syscall.SIGKILL)
 	}
@@ -99,7 +99,7 @@
 }
 
 func (s *Soak) pause(name string, length time.Duration) error {
-	defer s.fleet.watch.disturb(name)()
+	defer s.fleet.monitor.beginFault(name)()
 	if err := s.fleet.Signal(name, syscall.SIGSTOP); err != nil {
 		return err
 	}
@@ -109,10 +109,10 @@
 
 func (s *Soak) rollEdge(fault soak.Fault) error {
 	name := pick(s.edgeNames(), fault)
-	s.fleet.watch.plan(name)
+	s.fleet.monitor.recordPlannedWork(name)
 	s.fleet.Stop(name)
 	err := s.fleet.Restart(name)
-	s.fleet.watch.plan(name)
+	s.fleet.monitor.recordPlannedWork(name)
 	return err
 }
 
@@ -121,12 +121,12 @@
 }
 
 func (s *Soak) killMembers(fault soak.Fault) error {
-	defer s.fleet.watch.logs.forget()
+	defer s.fleet.monitor.logs.reset()
 	return s.killAndRestart(s.fleet.memberNames, fault.For)
 }
 
 func (s *Soak) killAll(fault soak.Fault) error {
-	defer s.fleet.watch.logs.forget()
+	defer s.fleet.monitor.logs.reset()
 	return s.killAndRestart(slices.Concat(s.fleet.memberNames, s.edgeNames()), fault.For)
 }
 
@@ -140,19 +140,18 @@
 	return s.fleet.Restart(name)
 }
 
-// loseDisks kills all members at once and empties as many data folders as the
-// group is to bear.
+// loseDisks kills all members and wipes as many data directories as the group tolerates.
 func (s *Soak) loseDisks(fault soak.Fault) error {
 	names := slices.Clone(s.fleet.memberNames)
 	first := int(fault.Pick % uint64(len(names)))
-	defer s.fleet.watch.disturb(names...)()
+	defer s.fleet.monitor.beginFault(names...)()
 	for _, name := range names {
 		_ = s.fleet.Signal(name, syscall.SIGKILL)
 	}
 	for _, name := range names {
 		s.fleet.Kill(name)
 	}
-	s.fleet.watch.logs.forget()
+	s.fleet.monitor.logs.reset()
 	for lost := range s.setup.Tolerance {
 		if err := s.fleet.Wipe(names[(first+lost)%len(names)]); err != nil {
 			return err
@@ -171,8 +170,8 @@
 	return s.fleet.ReplaceMember(int(fault.Pick % uint64(len(s.fleet.memberNames))))
 }
 
-// harmLinks returns a fault of the connections to a member.
-func (s *Soak) harmLinks(mode soak.Mode) func(soak.Fault) error {
+// impairConnections returns a fault that sets the mode of a member's proxy.
+func (s *Soak) impairConnections(mode soak.Mode) func(soak.Fault) error {
 	return func(fault soak.Fault) error {
 		proxy := s.fleet.proxies[pick(s.fleet.memberNames, fault)]
 		proxy.Set(mode)
@@ -182,11 +181,11 @@
 	}
 }
 
-// harmDisk returns a fault of a member's disk.
-func (s *Soak) harmDisk(word string) func(soak.Fault) error {
+// impairDisk returns a fault that writes mode to a member's disk fault file.
+func (s *Soak) impairDisk(mode string) func(soak.Fault) error {
 	return func(fault soak.Fault) error {
 		path := s.fleet.diskFile(pick(s.fleet.memberNames, fault))
-		if err := os.WriteFile(path, []byte(word), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(mode), 0o600); err != nil {
 			return err
 		}
 		time.Sleep(fault.For)
@@ -194,7 +193,7 @@
 	}
 }
 
-// soakServices are those that faults of targets hit; boards have more targets.
+// soakServices weights the services for target faults; boards have more targets.
 var soakServices = []string{boardService, boardService, documentService}
 
 func (s *Soak) crashTarget(fault soak.Fault) error {
@@ -205,9 +204,9 @@
 	return err
 }
 
-// startTargetAgain lets a target crash and start again under its id, one time of two at
-// another address, and one of two while it drains.
-func (s *Soak) startTargetAgain(fault soak.Fault) error {
+// restartTarget crashes a target and restarts it with the same ID: half of the time at another
+// address, and half of the time while draining.
+func (s *Soak) restartTarget(fault soak.Fault) error {
 	t := s.anyTarget(pick(soakServices, fault), fault.Pick)
 	if fault.Pick&1 != 0 {
 		go t.drain()
@@ -228,8 +227,7 @@
 	return nil
 }
 
-// evacuateZone keeps new flows from a zone for a while. That is planned work: no part
-// is disturbed.
+// evacuateZone evacuates a zone for a while. This is planned work, not a fault.
 func (s *Soak) evacuateZone(fault soak.Fault) error {
 	zone := pick(zones, fault)
 	if err := s.fleet.SetZoneEvacuation(zone, true); err != nil {
@@ -239,7 +237,7 @@
 	return s.fleet.SetZoneEvacuation(zone, false)
 }
 
-// reuseTime is how long an address rests before another service gets it.
+// reuseTime is how long an address stays unused before another service gets it.
 const reuseTime = 2 * time.Second
 
 func (s *Soak) reuseAddress(fault soak.Fault) error {
@@ -258,15 +256,15 @@
 	return err
 }
 
-func (s *Soak) harmPackets(fault soak.Fault) error {
-	s.fleet.router.setHarm(packetHarm{loseOneIn: 20, delayOneIn: 10, doubleOneIn: 30})
+func (s *Soak) impairPackets(fault soak.Fault) error {
+	s.fleet.router.setImpairment(impairment{loseOneIn: 20, delayOneIn: 10, duplicateOneIn: 30})
 	time.Sleep(fault.For)
-	s.fleet.router.setHarm(packetHarm{})
+	s.fleet.router.setImpairment(impairment{})
 	return nil
 }
 
-// changeSettings writes the settings of some edges anew, with the seeds in another
-// order, and tells half of them by a signal.
+// changeSettings rewrites the settings of all edges with shuffled seeds and sends SIGHUP to
+// every other edge.
 func (s *Soak) changeSettings(fault soak.Fault) error {
 	for position, name := range s.edgeNames() {
 		running := s.fleet.node(name)
@@ -282,7 +280,7 @@
 	return nil
 }
 
-// shuffled returns a list in another order.
+// shuffled returns a copy in random order.
 func shuffled(list []string) []string {
 	copied := slices.Clone(list)
 	rand.Shuffle(len(copied), func(a, b int) { copied[a], copied[b] = copied[b], copied[a] })
--- a/standin/soakpower.go
+++ b/standin/soakpower.go
@@ -9,32 +9,31 @@
 	"github.com/beamdoor/beamdoor/internal/lab/soak"
 )
 
-// announcedBound is the time after the start of most members in which nodes must hear of
-// them: an election, and some tries to connect.
+// announcedBound is how soon after most members start nodes must receive an announcement:
+// an election and a few connection attempts.
 const announcedBound = 8 * time.Second
 
-// killAllSeedsLast kills all and starts nodes, then members, and last the only member
-// that is named by the seeds: until then nodes can hear of members only by announcements.
-// A member announces itself to the nodes that followed it: those of the last one are not
-// told.
+// killAllSeedsLast kills all processes and starts the only member named as a seed last, so
+// that nodes can find the others only by their announcements. A member announces itself to
+// the nodes that were connected to it, so nodes of the last member are not expected to hear.
 func (s *Soak) killAllSeedsLast(fault soak.Fault) error {
 	names := slices.Concat(s.fleet.memberNames, s.edgeNames())
-	defer s.fleet.watch.disturb(names...)()
-	logs := s.fleet.watch.logs
+	defer s.fleet.monitor.beginFault(names...)()
+	logs := s.fleet.monitor.logs
 	seed := pick(s.fleet.memberNames, fault)
-	told := logs.nodesOfOthers(s.fleet.node(seed).ip)
+	told := logs.nodesFollowingOthers(s.fleet.node(seed).ip)
 	for _, name := range names {
 		_ = s.fleet.Signal(name, syscall.SIGKILL)
 	}
 	for _, name := range names {
 		s.fleet.Kill(name)
 	}
-	logs.forget()
+	logs.reset()
 	return s.startSeedLast(seed, func() { s.awaitAnnouncements(told, fault.For) })
 }
 
-// startSeedLast starts all but one member, which settings name as the only seed, and that
-// one after a function has returned.
+// startSeedLast starts all nodes and members except the only seed, calls between, and then
+// starts the seed.
 func (s *Soak) startSeedLast(seed string, between func()) error {
 	s.fleet.setOnlySeed(s.fleet.node(seed).ip)
 	defer s.fleet.setOnlySeed("")
@@ -48,17 +47,17 @@
 	return s.fleet.Restart(seed)
 }
 
-// awaitAnnouncements checks that nodes hear a member announce itself.
+// awaitAnnouncements checks that nodes receive a member announcement.
 func (s *Soak) awaitAnnouncements(nodes []string, pause time.Duration) {
-	logs := s.fleet.watch.logs
+	logs := s.fleet.monitor.logs
 	begin := time.Now()
-	for logs.announced(nodes) < len(nodes) && time.Since(begin) < announcedBound {
-		time.Sleep(logInterval)
+	for logs.announcedCount(nodes) < len(nodes) && time.Since(begin) < announcedBound {
+		time.Sleep(logPollInterval)
 	}
-	heard := logs.announced(nodes)
+	heard := logs.announcedCount(nodes)
 	if heard < len(nodes) {
-		s.fleet.watch.Broke(flowrules.Recover, "%d of %d nodes heard a member announce itself in %v after all were killed", heard, len(nodes), announcedBound)
+		s.fleet.monitor.Broke(flowrules.Recover, "%d of %d nodes received a member announcement within %v of the restart", heard, len(nodes), announcedBound)
 	}
-	logs.count("nodes that followed the member that started last", s.setup.Edges-len(nodes))
+	logs.addCount("nodes that followed the member that started last", s.setup.Edges-len(nodes))
 	time.Sleep(pause)
 }
--- a/standin/soaktargets.go
+++ b/standin/soaktargets.go
@@ -8,39 +8,37 @@
 )
 
 const (
-	// leastFailure is added to the length of a fault of a target: none is found in less
-	// than half a second.
-	leastFailure = 2 * time.Second
-	// readmissionBound is the time after the end of its hold in which a target that is
-	// well must get new flows as before: the members' own limit of a probation, and
-	// three seconds for a change of the leader.
+	// minFailureTime is added to the duration of a target fault; detection takes at least half a
+	// second.
+	minFailureTime = 2 * time.Second
+	// readmissionBound is how soon after its hold a healthy target must be readmitted: the limit
+	// of a probation, plus three seconds for a change of leader.
 	readmissionBound = 18 * time.Second
 )
 
-// failTarget returns a fault of a target that fails its work while it says that it is
-// well. Only boards have enough targets for one to be ejected: a third of a service is at
-// most.
+// failTarget returns a fault that makes a target fail requests while its heartbeats report it
+// ready. Only boards have enough targets, since at most a third of a service is ejected.
 func (s *Soak) failTarget(how failure) func(soak.Fault) error {
 	return func(fault soak.Fault) error {
 		t := s.anyTarget(boardService, fault.Pick)
-		defer s.fleet.watch.disturb(t.id)()
-		t.fail(how)
-		time.Sleep(leastFailure + fault.For)
-		t.fail(failsNothing)
+		defer s.fleet.monitor.beginFault(t.id)()
+		t.setFailure(how)
+		time.Sleep(minFailureTime + fault.For)
+		t.setFailure(failureNone)
 		return nil
 	}
 }
 
-// checkReadmission waits until no target that is well is left out.
+// checkReadmission waits until every running target has been readmitted.
 func (s *Soak) checkReadmission() {
-	logs := s.fleet.watch.logs
+	logs := s.fleet.monitor.logs
 	for _, service := range []string{boardService, documentService} {
 		for _, t := range s.usableTargets(service) {
-			for logs.isOut(t.id) && time.Now().Before(logs.outUntil(t.id).Add(readmissionBound)) {
-				time.Sleep(logInterval)
+			for logs.isEjected(t.id) && time.Now().Before(logs.holdEnd(t.id).Add(readmissionBound)) {
+				time.Sleep(logPollInterval)
 			}
-			if logs.isOut(t.id) && t.lives() {
-				s.fleet.watch.Broke(flowrules.Ejected, "%s is well and still left out %v after its hold", t.id, readmissionBound)
+			if logs.isEjected(t.id) && t.running() {
+				s.fleet.monitor.Broke(flowrules.Ejected, "%s is healthy but still ejected %v after its hold", t.id, readmissionBound)
 			}
 		}
 	}
--- a/standin/stall.go
+++ b/standin/stall.go
@@ -7,68 +7,68 @@
 )
 
 const (
-	// stallTick is the time between two looks of a stallWatch at the clock.
-	stallTick = 10 * time.Millisecond
-	// stallLimit is the lateness of a look from which the process stood still: a
-	// sixth of the silence after which a target can be held for lost.
-	stallLimit = 100 * time.Millisecond
+	// stallInterval is the period at which a stallDetector reads the clock.
+	stallInterval = 10 * time.Millisecond
+	// stallThreshold is the lateness of a tick that counts as a stall: a sixth of the
+	// silence after which a target can be declared lost.
+	stallThreshold = 100 * time.Millisecond
 )
 
-// stallWatch notes when the stand-in's own process had no time. Its targets do not
-// answer meanwhile, which a breach of a rule must be read with.
-type stallWatch struct {
+// stallDetector records when this process was not scheduled. Its targets don't respond
+// during a stall, which can explain a breach of a rule.
+type stallDetector struct {
 	mutex sync.Mutex
-	// seenAt is the last look at the clock.
-	seenAt time.Time
-	// lastAt and lastLength are the end and the length of the last stall.
+	// lastTick is when the clock was last read.
+	lastTick time.Time
+	// lastAt and lastLength are the end and the duration of the last stall.
 	lastAt     time.Time
 	lastLength time.Duration
-	// awake is the time that this process has had, without what it stood still.
-	awake time.Duration
+	// runTime is the elapsed time without stalls.
+	runTime time.Duration
 }
 
-// run looks at the clock until the channel is closed.
-func (s *stallWatch) run(done <-chan struct{}) {
-	ticker := time.NewTicker(stallTick)
+// run reads the clock periodically until done is closed.
+func (s *stallDetector) run(done <-chan struct{}) {
+	ticker := time.NewTicker(stallInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-done:
 			return
 		case <-ticker.C:
-			s.look(time.Now())
+			s.tick(time.Now())
 		}
 	}
 }
 
-func (s *stallWatch) look(now time.Time) {
+func (s *stallDetector) tick(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	late := now.Sub(s.seenAt) - stallTick
-	if !s.seenAt.IsZero() {
-		s.awake += min(now.Sub(s.seenAt), stallTick)
+	late := now.Sub(s.lastTick) - stallInterval
+	if !s.lastTick.IsZero() {
+		s.runTime += min(now.Sub(s.lastTick), stallInterval)
 	}
-	if !s.seenAt.IsZero() && late >= stallLimit {
+	if !s.lastTick.IsZero() && late >= stallThreshold {
 		s.lastAt = now
 		s.lastLength = late
 	}
-	s.seenAt = now
+	s.lastTick = now
 }
 
-// awakeFor returns the time that this process has had. A busy machine gives it less than
-// passes by the clock, and the fleet beside it no more.
-func (s *stallWatch) awakeFor() time.Duration {
+// runningTime returns the time that this process was scheduled, without stalls. On a
+// busy machine it advances more slowly than the clock.
+func (s *stallDetector) runningTime() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.awake
+	return s.runTime
 }
 
-// text tells of the last stall.
-func (s *stallWatch) text(now time.Time) string {
+// describe returns a message about the last stall.
+func (s *stallDetector) describe(now time.Time) string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.lastAt.IsZero() {
-		return "this process never stood still"
+		return "this process has not stalled"
 	}
-	return fmt.Sprintf("this process stood still for %v, %v before", s.lastLength.Round(time.Millisecond), now.Sub(s.lastAt).Round(time.Millisecond))
+	return fmt.Sprintf("this process stalled for %v, %v ago", s.lastLength.Round(time.Millisecond), now.Sub(s.lastAt).Round(time.Millisecond))
 }
--- a/standin/stall_test.go
+++ b/standin/stall_test.go
@@ -7,20 +7,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Soak seed 864200922 broke FLOW beside six soaks and a build; whether the process
-// that plays all targets had stood still could not be told afterwards.
-func TestAStallOfTheOwnProcessIsTold(t *testing.T) {
-	var s stallWatch
+// A stall of the test process is reported, since it can explain a breach of a rule.
+func TestStallDetectorReportsLastStall(t *testing.T) {
+	var s stallDetector
 	now := time.Unix(1000, 0)
 	for range 5 {
-		now = now.Add(stallTick)
-		s.look(now)
+		now = now.Add(stallInterval)
+		s.tick(now)
 	}
-	assert.Equal(t, "this process never stood still", s.text(now))
-	now = now.Add(stallTick + 640*time.Millisecond)
-	s.look(now)
-	now = now.Add(stallTick)
-	s.look(now)
-	assert.Equal(t, "this process stood still for 640ms, 10ms before", s.text(now))
-	assert.Equal(t, 6*stallTick, s.awakeFor(), "without the time that it stood still")
+	assert.Equal(t, "this process has not stalled", s.describe(now))
+	now = now.Add(stallInterval + 640*time.Millisecond)
+	s.tick(now)
+	now = now.Add(stallInterval)
+	s.tick(now)
+	assert.Equal(t, "this process stalled for 640ms, 10ms ago", s.describe(now))
+	assert.Equal(t, 6*stallInterval, s.runningTime(), "stalls are excluded")
 }
--- a/standin/target.go
+++ b/standin/target.go
@@ -16,81 +16,82 @@
 )
 
 const (
-	// heartbeatInterval is the usual time between two heartbeats.
+	// heartbeatInterval is the default heartbeat interval.
 	heartbeatInterval = 400 * time.Millisecond
-	// callTimeout is how long a target waits for an acknowledgement.
-	callTimeout = time.Second
-	// targetSlots is the number of requests that a target works on at once,
-	// targetQueue the number that wait.
-	targetSlots = 2
-	targetQueue = 8
-	// resendInterval and resendLimit are for answers without acknowledgement.
+	// httpTimeout is the timeout of calls to members and nodes.
+	httpTimeout = time.Second
+	// targetWorkers is the number of requests that a target processes at once,
+	// targetQueueSize the number that may wait.
+	targetWorkers   = 2
+	targetQueueSize = 8
+	// resendInterval is the retransmission period, and resendLimit the number of
+	// unacknowledged response packets that are retransmitted per flow.
 	resendInterval = 200 * time.Millisecond
 	resendLimit    = 8
-	// drainTime is how long a target serves on after its drain was acknowledged.
+	// drainTime is how long a target keeps serving after its drain was acknowledged.
 	drainTime = 3 * time.Second
 )
 
-// States of a target in its heartbeats.
+// Target states reported in heartbeats.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 )
 
-// target is one incarnation of a back end.
+// target is an incarnation of a backend.
 type target struct {
 	fleet  *Fleet
 	id     string
 	number uint64
-	// born is when this start of the target began, in Unix milliseconds.
-	born    int64
-	service string
-	zone    string
-	address netip.AddrPort
-	socket  *net.UDPConn
-	work    time.Duration
-	slots   chan struct{}
+	// born is the start time in Unix milliseconds.
+	born        int64
+	service     string
+	zone        string
+	address     netip.AddrPort
+	socket      *net.UDPConn
+	serviceTime time.Duration
+	workers     chan struct{}
 
 	mutex    sync.Mutex
 	flows    map[netip.AddrPort]*targetFlow
-	waiting  int
+	pending  int
 	state    string
 	sequence uint64
-	// beatAt is the address for heartbeats that a member has named, or "".
-	beatAt string
-	// claims is the service that heartbeats name, when not its own.
-	claims string
-	// unheard is set when the target serves and sends no more heartbeats.
-	unheard bool
-	// mixes is set when answers carry the id of another request.
-	mixes bool
-	// failure is how it fails its work, if it does.
+	// heartbeatURL is the address to which a member has redirected heartbeats, or "".
+	heartbeatURL string
+	// claimedService overrides the service in heartbeats, unless empty.
+	claimedService string
+	// heartbeatsStopped is set when the target serves without sending heartbeats.
+	heartbeatsStopped bool
+	// sendWrongIDs is set when responses carry the ID of another request.
+	sendWrongIDs bool
+	// failure is how the target fails requests.
 	failure failure
 	// drained is when the drain was acknowledged.
 	drained time.Time
-	ended   bool
+	stopped bool
 	done    chan struct{}
 }
 
-// targetFlow is a flow that the target holds.
+// targetFlow is the target side of a flow.
 type targetFlow struct {
-	end      packet
-	first    uint32
-	next     uint32
-	received uint32
-	echo     uint32
-	open     bool
-	// asked is the request that is being received, and missing what lacks of it.
-	asked   request
-	missing int
-	// early are packets that came before others, by their positions.
-	early map[uint32]packet
-	// answers are the packets sent and not yet acknowledged.
-	answers []packet
+	syn             packet
+	initialSequence uint32
+	nextSequence    uint32
+	receiveNext     uint32
+	echo            uint32
+	open            bool
+	// request is the request being received, remaining the number of bytes still missing.
+	request   request
+	remaining int
+	// outOfOrder holds packets received ahead of a gap, by sequence number.
+	outOfOrder map[uint32]packet
+	// unacknowledged are response packets that the caller has not acknowledged.
+	unacknowledged []packet
 }
 
-// newTarget starts a target at an address. Its id follows from its number: the same
-// number starts the same target again.
+// newTarget starts a target. Its ID is derived from its number, so the same number restarts
+// the same target.
 func newTarget(fleet *Fleet, number uint64, service, zone string, address netip.AddrPort) (*target, error) {
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -98,23 +99,23 @@
 	}
 	t := &target{
 		fleet: fleet, id: fmt.Sprintf("i-%010x", number), number: number, born: time.Now().UnixMilli(), service: service, zone: zone,
-		address: address, socket: socket, work: 10 * time.Millisecond, slots: make(chan struct{}, targetSlots),
+		address: address, socket: socket, serviceTime: 10 * time.Millisecond, workers: make(chan struct{}, targetWorkers),
 		flows: map[netip.AddrPort]*targetFlow{}, state: stateReady, done: make(chan struct{}),
 	}
-	go t.read()
-	go t.beatForever()
-	go t.resendForever()
+	go t.readLoop()
+	go t.heartbeatLoop()
+	go t.resendLoop()
 	return t, nil
 }
 
-// lives reports whether the target has not ended yet.
-func (t *target) lives() bool {
+// running reports whether the target has not stopped.
+func (t *target) running() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return !t.ended
+	return !t.stopped
 }
 
-// openFlows returns the number of flows that are open at the target.
+// openFlows returns the number of open flows.
 func (t *target) openFlows() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -127,24 +128,24 @@
 	return open
 }
 
-// crash ends the target without a word.
+// crash stops the target without deregistering it.
 func (t *target) crash() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.ended {
+	if t.stopped {
 		return
 	}
-	t.ended = true
+	t.stopped = true
 	close(t.done)
 	_ = t.socket.Close()
 }
 
-// drain says that the target leaves, serves on, says that it ends and ends.
+// drain announces draining, keeps serving for a while, deregisters and stops.
 func (t *target) drain() {
 	t.mutex.Lock()
 	t.state = stateDraining
 	t.mutex.Unlock()
-	for !t.beat() {
+	for !t.sendHeartbeat() {
 		time.Sleep(heartbeatInterval / 4)
 	}
 	t.mutex.Lock()
@@ -155,9 +156,9 @@
 	t.crash()
 }
 
-func (t *target) beatForever() {
+func (t *target) heartbeatLoop() {
 	for {
-		t.beat()
+		t.sendHeartbeat()
 		select {
 		case <-t.done:
 			return
@@ -166,43 +167,43 @@
 	}
 }
 
-// claimed returns the service that heartbeats name.
-func (t *target) claimed() string {
-	if t.claims != "" {
-		return t.claims
+// reportedService returns the service named in heartbeats.
+func (t *target) reportedService() string {
+	if t.claimedService != "" {
+		return t.claimedService
 	}
 	return t.service
 }
 
-// beat sends one heartbeat and reports whether it was acknowledged.
-func (t *target) beat() bool {
+// sendHeartbeat sends a heartbeat and reports whether it was acknowledged.
+func (t *target) sendHeartbeat() bool {
 	t.mutex.Lock()
-	if t.unheard {
+	if t.heartbeatsStopped {
 		t.mutex.Unlock()
 		return false
 	}
 	t.sequence++
 	body := t.heartbeat()
-	named := t.beatAt
+	named := t.heartbeatURL
 	t.mutex.Unlock()
 	path := "/-/instances/" + t.id + "/heartbeat"
 	if named != "" && t.postTo(named, path, body) {
-		t.fleet.watch.beatsAtNodes.Add(1)
+		t.fleet.monitor.nodeHeartbeats.Add(1)
 		return true
 	}
 	return t.post(path, body)
 }
 
-// heartbeat returns the body of a heartbeat. The target is locked.
+// heartbeat returns the body of a heartbeat. The caller holds t.mutex.
 func (t *target) heartbeat() []byte {
 	body, _ := json.Marshal(map[string]any{
-		"service": t.claimed(), "address": t.address.String(), "zone": t.zone, "version": "v1", "slots": targetSlots,
+		"service": t.reportedService(), "address": t.address.String(), "zone": t.zone, "version": "v1", "slots": targetWorkers,
 		"state": t.state, "warmupLeftMs": 0, "callSeq": t.sequence, "born": t.born,
 	})
 	return body
 }
 
-// post calls members one after the other until one acknowledges.
+// post tries the members in turn until one acknowledges.
 func (t *target) post(path string, body []byte) bool {
 	for _, address := range t.fleet.controls() {
 		if t.postTo(address, path, body) {
@@ -212,29 +213,29 @@
 	return false
 }
 
-// postTo makes one call, and takes over the address that an acknowledgement names
-// for later heartbeats. A failed call ends the one before. Redirects are followed.
+// postTo posts to one address and follows redirects. It remembers a heartbeat address in the
+// reply, and forgets the previous one if the call fails.
 func (t *target) postTo(address, path string, body []byte) bool {
-	client := http.Client{Timeout: callTimeout}
+	client := http.Client{Timeout: httpTimeout}
 	var reply struct {
 		HeartbeatURL string `json:"heartbeatUrl"`
 	}
 	response, err := client.Post("http://"+address+path, "application/json", bytes.NewReader(body))
-	taken := err == nil && response.StatusCode == http.StatusOK
+	accepted := err == nil && response.StatusCode == http.StatusOK
 	if err == nil {
 		_ = json.NewDecoder(response.Body).Decode(&reply)
 		_ = response.Body.Close()
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if reply.HeartbeatURL != "" || !taken {
-		t.beatAt = reply.HeartbeatURL
+	if reply.HeartbeatURL != "" || !accepted {
+		t.heartbeatURL = reply.HeartbeatURL
 	}
-	return taken
+	return accepted
 }
 
-func (t *target) read() {
-	buffer := make([]byte, prefixSize+headSize+maxData)
+func (t *target) readLoop() {
+	buffer := make([]byte, prefixSize+headerSize+maxData)
 	for {
 		size, from, err := t.socket.ReadFromUDPAddrPort(buffer)
 		if err != nil {
@@ -243,15 +244,15 @@
 		if size < prefixSize {
 			continue
 		}
-		meant := binary.BigEndian.Uint64(buffer)
+		number := binary.BigEndian.Uint64(buffer)
 		p, ok := decode(buffer[prefixSize:size])
 		p.from = from
-		if !ok || !p.whole {
-			t.fleet.watch.Broke(flowrules.Unasked, "a packet reached %s in a form that its sender did not write", t.id)
+		if !ok || !p.checksumValid {
+			t.fleet.monitor.Broke(flowrules.Unasked, "%s received a packet with a malformed header or a wrong checksum", t.id)
 			continue
 		}
-		if meant == 0 || meant == t.number {
-			t.fleet.links.carry(from.Addr(), size, func() { t.handle(p) })
+		if number == 0 || number == t.number {
+			t.fleet.links.deliver(from.Addr(), size, func() { t.handle(p) })
 		}
 	}
 }
@@ -259,180 +260,181 @@
 func (t *target) handle(p packet) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.ended {
+	if t.stopped {
 		return
 	}
-	if p.is(flagOpening) && p.is(flagAcknowledge) {
-		t.fleet.watch.Broke(flowrules.Unasked, "a SYN+ACK reached %s", t.id)
+	if p.has(flagSYN) && p.has(flagACK) {
+		t.fleet.monitor.Broke(flowrules.Unasked, "%s received a SYN+ACK", t.id)
 		return
 	}
-	if p.is(flagOpening) {
-		t.open(p)
+	if p.has(flagSYN) {
+		t.acceptSYN(p)
 		return
 	}
 	flow, known := t.flows[p.source]
 	if !known {
-		if !p.is(flagReset) {
-			t.send(packet{source: p.target, target: p.source, flags: flagReset, sequence: p.ack, echo: p.echo})
+		if !p.has(flagRST) {
+			t.send(packet{source: p.destination, destination: p.source, flags: flagRST, sequence: p.ack, echo: p.echo})
 		}
 		return
 	}
 	flow.echo = p.echo
 	if !flow.open {
 		flow.open = true
-		t.fleet.watch.holds(t, p.source)
+		t.fleet.monitor.recordOpenFlow(t, p.source)
 	}
 	flow.acknowledge(p.ack)
-	if p.is(flagReset) || p.is(flagFinish) {
+	if p.has(flagRST) || p.has(flagFIN) {
 		delete(t.flows, p.source)
 		return
 	}
 	if len(p.data) > 0 {
-		t.take(p, flow)
+		t.receiveData(p, flow)
 	}
 }
 
-// open answers a SYN.
-func (t *target) open(p packet) {
-	t.fleet.watch.opened(t, p)
+// acceptSYN handles a SYN, also a retransmitted one, and replies with a SYN+ACK.
+func (t *target) acceptSYN(p packet) {
+	t.fleet.monitor.checkSYN(t, p)
 	flow, known := t.flows[p.source]
 	if !known {
 		first := rand.Uint32()
-		flow = &targetFlow{end: p, first: first, next: first + 1, received: p.sequence + 1, early: map[uint32]packet{}}
+		flow = &targetFlow{syn: p, initialSequence: first, nextSequence: first + 1, receiveNext: p.sequence + 1, outOfOrder: map[uint32]packet{}}
 		t.flows[p.source] = flow
 	}
 	flow.echo = p.echo
 	t.send(packet{
-		source: p.target, target: p.source, flags: flagOpening | flagAcknowledge,
-		sequence: flow.first, ack: flow.received, echo: flow.echo,
+		source: p.destination, destination: p.source, flags: flagSYN | flagACK,
+		sequence: flow.initialSequence, ack: flow.receiveNext, echo: flow.echo,
 	})
 }
 
-// acknowledge forgets the answers that the caller has.
+// acknowledge drops the response packets fully covered by a cumulative ACK.
 func (f *targetFlow) acknowledge(ack uint32) {
-	for len(f.answers) > 0 && int32(ack-(f.answers[0].sequence+uint32(len(f.answers[0].data)))) >= 0 {
-		f.answers = f.answers[1:]
+	for len(f.unacknowledged) > 0 && int32(ack-(f.unacknowledged[0].sequence+uint32(len(f.unacknowledged[0].data)))) >= 0 {
+		f.unacknowledged = f.unacknowledged[1:]
 	}
 }
 
-// take receives the data of a packet and acknowledges all that is there in order.
-func (t *target) take(p packet, flow *targetFlow) {
-	if int32(p.sequence-flow.received) >= 0 {
-		flow.early[p.sequence] = p
+// receiveData buffers a packet's data, processes what is in order and acknowledges it.
+func (t *target) receiveData(p packet, flow *targetFlow) {
+	if int32(p.sequence-flow.receiveNext) >= 0 {
+		flow.outOfOrder[p.sequence] = p
 	}
-	for next, there := flow.early[flow.received]; there; next, there = flow.early[flow.received] {
-		delete(flow.early, flow.received)
-		flow.received += uint32(len(next.data))
-		if !t.receive(next, flow) {
+	for next, there := flow.outOfOrder[flow.receiveNext]; there; next, there = flow.outOfOrder[flow.receiveNext] {
+		delete(flow.outOfOrder, flow.receiveNext)
+		flow.receiveNext += uint32(len(next.data))
+		if !t.receiveRequest(next, flow) {
 			return
 		}
 	}
 	t.send(packet{
-		source: p.target, target: p.source, flags: flagAcknowledge,
-		sequence: flow.next, ack: flow.received, echo: flow.echo,
+		source: p.destination, destination: p.source, flags: flagACK,
+		sequence: flow.nextSequence, ack: flow.receiveNext, echo: flow.echo,
 	})
 }
 
-// receive takes the next packet of a request and begins work on it once it is whole. It
-// returns false when the flow has ended with it.
-func (t *target) receive(p packet, flow *targetFlow) bool {
-	if flow.missing == 0 {
-		asked, ok := decodeRequest(p.data)
+// receiveRequest processes the next packet of a request and starts the request once it is
+// complete. It returns false if that ended the flow.
+func (t *target) receiveRequest(p packet, flow *targetFlow) bool {
+	if flow.remaining == 0 {
+		req, ok := decodeRequest(p.data)
 		if !ok {
-			t.fleet.watch.Broke(flowrules.Unasked, "%s got bytes that are no request", t.id)
+			t.fleet.monitor.Broke(flowrules.Unasked, "%s received an invalid request header", t.id)
 			return true
 		}
-		flow.asked = asked
-		flow.missing = requestSize + int(asked.upload)
+		flow.request = req
+		flow.remaining = requestHeaderSize + int(req.uploadSize)
 	}
-	flow.missing -= len(p.data)
-	if flow.missing < 0 {
-		t.fleet.watch.Broke(flowrules.Unasked, "%s got more than a request", t.id)
-		flow.missing = 0
+	flow.remaining -= len(p.data)
+	if flow.remaining < 0 {
+		t.fleet.monitor.Broke(flowrules.Unasked, "%s received more data than the request header announced", t.id)
+		flow.remaining = 0
 	}
-	if flow.missing > 0 {
+	if flow.remaining > 0 {
 		return true
 	}
-	return t.begin(p, flow, flow.asked)
+	return t.startRequest(p, flow, flow.request)
 }
 
-// begin begins work on a request. It returns false when the flow has ended with it.
-func (t *target) begin(p packet, flow *targetFlow, asked request) bool {
+// startRequest queues a complete request or fails it. It returns false if that ended the
+// flow.
+func (t *target) startRequest(p packet, flow *targetFlow, req request) bool {
 	switch {
-	case t.failure == failsByReset:
+	case t.failure == failureReset:
 		delete(t.flows, p.source)
-		t.send(packet{source: p.target, target: p.source, flags: flagReset, sequence: p.ack, echo: p.echo})
+		t.send(packet{source: p.destination, destination: p.source, flags: flagRST, sequence: p.ack, echo: p.echo})
 		return false
-	case t.failure == failsMute:
-	case t.failure == failsByErrors && oneIn(errorOneIn):
-		t.answer(flow, p, asked, statusFailed)
-	case t.waiting >= targetSlots+targetQueue:
-		t.answer(flow, p, asked, statusNotRun)
+	case t.failure == failureNoResponse:
+	case t.failure == failureErrors && oneIn(errorOneIn):
+		t.respond(flow, p, req, statusFailed)
+	case t.pending >= targetWorkers+targetQueueSize:
+		t.respond(flow, p, req, statusNotRun)
 	default:
-		t.waiting++
-		go t.run(flow, p, asked)
+		t.pending++
+		go t.process(flow, p, req)
 	}
 	return true
 }
 
-func (t *target) run(flow *targetFlow, p packet, asked request) {
-	t.slots <- struct{}{}
-	t.fleet.watch.Ran(t.id, t.service, p.target.String(), asked.id)
-	time.Sleep(t.work)
-	<-t.slots
+func (t *target) process(flow *targetFlow, p packet, req request) {
+	t.workers <- struct{}{}
+	t.fleet.monitor.Ran(t.id, t.service, p.destination.String(), req.id)
+	time.Sleep(t.serviceTime)
+	<-t.workers
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.waiting--
-	t.answer(flow, p, asked, statusDone)
+	t.pending--
+	t.respond(flow, p, req, statusDone)
 }
 
-// The first byte of an answer.
+// Response status, the first byte of a response.
 const (
 	statusDone   = 1
 	statusNotRun = 2
 	statusFailed = 3
 )
 
-// answerHead is a status and the request's id.
-const answerHead = 9
+// responseHeaderSize is the size of the status and the request ID.
+const responseHeaderSize = 9
 
-// answer sends an answer in as many packets as it needs.
-func (t *target) answer(flow *targetFlow, p packet, asked request, status byte) {
-	id := asked.id
-	if t.mixes {
+// respond sends a response, split into packets.
+func (t *target) respond(flow *targetFlow, p packet, req request, status byte) {
+	id := req.id
+	if t.sendWrongIDs {
 		id++
 	}
 	body := binary.BigEndian.AppendUint64([]byte{status}, id)
 	if status == statusDone {
-		body = append(body, make([]byte, asked.answer)...)
+		body = append(body, make([]byte, req.responseSize)...)
 	}
 	for len(body) > 0 {
 		size := min(len(body), maxData)
 		part := packet{
-			source: p.target, target: p.source, flags: flagAcknowledge,
-			sequence: flow.next, ack: flow.received, data: body[:size],
+			source: p.destination, destination: p.source, flags: flagACK,
+			sequence: flow.nextSequence, ack: flow.receiveNext, data: body[:size],
 		}
-		flow.next += uint32(size)
+		flow.nextSequence += uint32(size)
 		body = body[size:]
-		flow.answers = append(flow.answers, part)
+		flow.unacknowledged = append(flow.unacknowledged, part)
 		part.echo = flow.echo
 		t.send(part)
 	}
 	if t.state == stateDraining {
-		t.finish(flow, p)
+		t.closeFlow(flow, p)
 	}
 }
 
-// finish closes a flow after its answer, since the target is leaving.
-func (t *target) finish(flow *targetFlow, p packet) {
+// closeFlow sends a FIN after a response, since the target is draining.
+func (t *target) closeFlow(flow *targetFlow, p packet) {
 	t.send(packet{
-		source: p.target, target: p.source, flags: flagFinish | flagAcknowledge,
-		sequence: flow.next, ack: flow.received, echo: flow.echo,
+		source: p.destination, destination: p.source, flags: flagFIN | flagACK,
+		sequence: flow.nextSequence, ack: flow.receiveNext, echo: flow.echo,
 	})
 }
 
-// resendForever sends answers again that callers have not acknowledged.
-func (t *target) resendForever() {
+// resendLoop retransmits unacknowledged response packets.
+func (t *target) resendLoop() {
 	for {
 		select {
 		case <-t.done:
@@ -441,7 +443,7 @@
 		}
 		t.mutex.Lock()
 		for _, flow := range t.flows {
-			for position, part := range flow.answers {
+			for position, part := range flow.unacknowledged {
 				if position >= resendLimit {
 					break
 				}
@@ -453,8 +455,8 @@
 	}
 }
 
-// send sends a packet straight to the caller.
+// send sends a packet directly to the caller, bypassing the edges.
 func (t *target) send(p packet) {
-	address := netip.AddrPortFrom(p.target.Addr(), t.fleet.packetPort)
+	address := netip.AddrPortFrom(p.destination.Addr(), t.fleet.packetPort)
 	_, _ = t.socket.WriteToUDPAddrPort(p.encode(), address)
 }
