--- a/standin/demo.go
+++ b/standin/demo.go
@@ -120,13 +120,13 @@
 }
 
 func (d *Demo) roll() error {
-	d.printf("maintenance: restarting one edge")
+	d.printf("planned: restarting one edge")
 	d.Fleet.Stop("edge-1")
 	return d.Fleet.Restart("edge-1")
 }
 
 func (d *Demo) release() error {
-	d.printf("maintenance: adding a target and draining the one it replaces")
+	d.printf("planned: adding a target and draining the one it replaces")
 	if _, err := d.Fleet.AddTarget(boardService); err != nil {
 		return err
 	}
@@ -135,7 +135,7 @@
 }
 
 func (d *Demo) change() error {
-	d.printf("maintenance: submitting ten configuration changes")
+	d.printf("planned: submitting ten configuration changes")
 	for range 10 {
 		if err := d.Fleet.Configure(routes()); err != nil {
 			return err
--- a/standin/explain_test.go
+++ b/standin/explain_test.go
@@ -29,36 +29,36 @@
 }
 
 // timeline merges the log lines of all processes that match a query.
-func (f *Fleet) timeline(t *testing.T, question explain.Query) []explain.Line {
+func (f *Fleet) timeline(t *testing.T, query explain.Query) []explain.Line {
 	files, err := filepath.Glob(filepath.Join(f.settings.Folder, "*.log"))
 	require.NoError(t, err)
 	var lines []explain.Line
 	for _, name := range files {
 		file, err := os.Open(name)
 		require.NoError(t, err)
-		part, err := explain.Read(file, question)
+		part, err := explain.Read(file, query)
 		require.NoError(t, err)
 		require.NoError(t, file.Close())
 		lines = append(lines, part...)
 	}
-	return explain.Timeline(lines, question)
+	return explain.Timeline(lines, query)
 }
 
 // eventually waits until the timeline contains the events in order.
-func (f *Fleet) eventually(t *testing.T, question explain.Query, events ...string) []explain.Line {
-	var story []explain.Line
+func (f *Fleet) eventually(t *testing.T, query explain.Query, events ...string) []explain.Line {
+	var timeline []explain.Line
 	holds := func() bool {
-		story = f.timeline(t, question)
+		timeline = f.timeline(t, query)
 		rest := events
-		for _, line := range story {
+		for _, line := range timeline {
 			if len(rest) > 0 && line.Name == rest[0] {
 				rest = rest[1:]
 			}
 		}
 		return len(rest) == 0
 	}
-	require.Eventually(t, holds, 8*time.Second, 100*time.Millisecond, "%v in %v", events, question)
-	return story
+	require.Eventually(t, holds, 8*time.Second, 100*time.Millisecond, "%v in %v", events, query)
+	return timeline
 }
 
 // The logs alone lead from a failed request or configuration change to its cause.
@@ -107,12 +107,12 @@
 			refused = flow
 			return flow.handshake() == errReset
 		}, 10*time.Second, 100*time.Millisecond)
-		story := fleet.eventually(t, explain.Query{Caller: refused.local.String()}, "flow_reset")
-		last := story[len(story)-1]
+		timeline := fleet.eventually(t, explain.Query{Caller: refused.local.String()}, "flow_reset")
+		last := timeline[len(timeline)-1]
 		assert.Contains(t, []string{"no_target", "ended"}, last.Value("reason"))
-		fate := fleet.eventually(t, explain.Query{Target: leaving.id}, "target_stage", "target_stage")
+		stages := fleet.eventually(t, explain.Query{Target: leaving.id}, "target_stage", "target_stage")
 		draining := func(line explain.Line) bool { return line.Value("state") == "draining" }
-		assert.True(t, slices.ContainsFunc(fate, draining))
+		assert.True(t, slices.ContainsFunc(stages, draining))
 	})
 
 	t.Run("a configuration refused for lack of a leader", func(t *testing.T) {
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -92,8 +92,8 @@
 	monitor    *monitor
 	links      links
 	done       chan struct{}
-	// written counts the edge settings files written.
-	written atomic.Int64
+	// settingsWritten counts the edge settings files written.
+	settingsWritten atomic.Int64
 
 	mutex sync.Mutex
 	nodes map[string]*node
@@ -175,8 +175,8 @@
 
 // ReplaceMember kills a member for good and starts an empty one at a new address.
 func (f *Fleet) ReplaceMember(position int) error {
-	gone := f.memberNames[position]
-	f.Kill(gone)
+	oldName := f.memberNames[position]
+	f.Kill(oldName)
 	f.mutex.Lock()
 	number := f.nextMember
 	f.nextMember++
@@ -184,7 +184,7 @@
 	name := fmt.Sprintf("member-%d", number)
 	f.members[position] = ip
 	f.memberNames[position] = name
-	delete(f.nodes, gone)
+	delete(f.nodes, oldName)
 	f.mutex.Unlock()
 	return f.startNode(name, memberRole, ip, false)
 }
@@ -244,7 +244,7 @@
 		members = shuffled(members)
 	}
 	members = shuffled(members[:min(len(members), seedCount)])
-	if only := f.seedOnly(); only != "" {
+	if only := f.currentOnlySeed(); only != "" {
 		members = []string{only}
 	}
 	for position, member := range members {
@@ -256,7 +256,7 @@
 	listen := fmt.Sprintf("control = \"%s:%d\"\n", ip, controlPort)
 	limits := ""
 	if role == edgeRole {
-		turn := f.written.Add(1) % int64(len(machines))
+		turn := f.settingsWritten.Add(1) % int64(len(machines))
 		limits = fmt.Sprintf("[limits]\nlinkMbps = %g\n%s", f.settings.LinkMbps, machines[turn])
 		listen = fmt.Sprintf("datagrams = \"%s:%d\"\nready = \"%s:%d\"\n", ip, f.packetPort, ip, readyPort)
 	}
@@ -286,7 +286,7 @@
 	f.onlySeed = ip
 }
 
-func (f *Fleet) seedOnly() string {
+func (f *Fleet) currentOnlySeed() string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.onlySeed
@@ -440,9 +440,9 @@
 }
 
 // RestartTarget starts an ended target again with the same ID, at the same or a new address.
-func (f *Fleet) RestartTarget(ended *target, elsewhere bool) error {
+func (f *Fleet) RestartTarget(ended *target, newAddress bool) error {
 	ip := ended.address.Addr().String()
-	if elsewhere {
+	if newAddress {
 		ip = f.freeIP()
 	}
 	_, err := f.startTarget(ended.number, ended.service, ip)
--- a/standin/logwatch.go
+++ b/standin/logwatch.go
@@ -139,9 +139,9 @@
 		hold, _ := time.ParseDuration(fields["hold"])
 		l.ejected[id] = ejection{since: at, until: at.Add(hold)}
 	case eventProbation:
-		if kept, exists := l.ejected[id]; exists {
-			kept.probation = true
-			l.ejected[id] = kept
+		if state, exists := l.ejected[id]; exists {
+			state.probation = true
+			l.ejected[id] = state
 		}
 	case eventReadmitted:
 		delete(l.ejected, id)
@@ -163,16 +163,16 @@
 func (l *logWatch) recordFlow(id string, bound time.Duration) (time.Duration, int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	kept, exists := l.ejected[id]
-	if !exists || kept.probation || time.Now().After(kept.until) {
+	state, exists := l.ejected[id]
+	if !exists || state.probation || time.Now().After(state.until) {
 		return 0, 0
 	}
-	since := time.Since(kept.since)
+	since := time.Since(state.since)
 	if since > bound {
-		kept.flows++
-		l.ejected[id] = kept
+		state.flows++
+		l.ejected[id] = state
 	}
-	return since, kept.flows
+	return since, state.flows
 }
 
 // isEjected reports whether a target is ejected or on probation.
@@ -224,11 +224,11 @@
 	l.poll()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	heard := 0
+	count := 0
 	for _, path := range nodes {
 		if l.announcedTo[path] {
-			heard++
+			count++
 		}
 	}
-	return heard
+	return count
 }
--- a/standin/packet.go
+++ b/standin/packet.go
@@ -109,7 +109,7 @@
 type request struct {
 	id     uint64
 	unsafe bool
-	// responseSize and upload are the sizes of the answer and of what follows the head.
+	// responseSize is the size of the response body, uploadSize that of the request body.
 	responseSize uint32
 	uploadSize   uint32
 }
--- a/standin/plant.go
+++ b/standin/plant.go
@@ -113,13 +113,13 @@
 
 // injectRepeatedRequest sends a non-repeatable request twice.
 func (s *Soak) injectRepeatedRequest() error {
-	asked := request{id: s.fleet.monitor.Ask(true), unsafe: true, responseSize: 10}
+	req := request{id: s.fleet.monitor.Ask(true), unsafe: true, responseSize: 10}
 	for range 2 {
 		flow, err := s.prober.open(bookingAddress)
 		if err != nil {
 			return err
 		}
-		if err := flow.roundTrip(asked); err != nil {
+		if err := flow.roundTrip(req); err != nil {
 			return err
 		}
 		flow.close()
--- a/standin/soakpower.go
+++ b/standin/soakpower.go
@@ -21,7 +21,7 @@
 	defer s.fleet.monitor.beginFault(names...)()
 	logs := s.fleet.monitor.logs
 	seed := pick(s.fleet.memberNames, fault)
-	told := logs.nodesFollowingOthers(s.fleet.node(seed).ip)
+	expected := logs.nodesFollowingOthers(s.fleet.node(seed).ip)
 	for _, name := range names {
 		_ = s.fleet.Signal(name, syscall.SIGKILL)
 	}
@@ -29,7 +29,7 @@
 		s.fleet.Kill(name)
 	}
 	logs.reset()
-	return s.startSeedLast(seed, func() { s.awaitAnnouncements(told, fault.For) })
+	return s.startSeedLast(seed, func() { s.awaitAnnouncements(expected, fault.For) })
 }
 
 // startSeedLast starts all nodes and members except the only seed, calls between, and then
@@ -54,9 +54,9 @@
 	for logs.announcedCount(nodes) < len(nodes) && time.Since(begin) < announcedBound {
 		time.Sleep(logPollInterval)
 	}
-	heard := logs.announcedCount(nodes)
-	if heard < len(nodes) {
-		s.fleet.monitor.Broke(flowrules.Recover, "%d of %d nodes received a member announcement within %v of the restart", heard, len(nodes), announcedBound)
+	received := logs.announcedCount(nodes)
+	if received < len(nodes) {
+		s.fleet.monitor.Broke(flowrules.Recover, "%d of %d nodes received a member announcement within %v of the restart", received, len(nodes), announcedBound)
 	}
 	logs.addCount("nodes that followed the member that started last", s.setup.Edges-len(nodes))
 	time.Sleep(pause)
--- a/standin/target.go
+++ b/standin/target.go
@@ -184,10 +184,10 @@
 	}
 	t.sequence++
 	body := t.heartbeat()
-	named := t.heartbeatURL
+	url := t.heartbeatURL
 	t.mutex.Unlock()
 	path := "/-/instances/" + t.id + "/heartbeat"
-	if named != "" && t.postTo(named, path, body) {
+	if url != "" && t.postTo(url, path, body) {
 		t.fleet.monitor.nodeHeartbeats.Add(1)
 		return true
 	}
