--- a/internal/edge/bounds.go
+++ b/internal/edge/bounds.go
@@ -15,10 +15,10 @@
 }
 
 // Connections returns the limit on HTTP connections.
-func (p *Process) Connections() *hosting.Connections { return p.connections }
+func (p *Process) Connections() *hosting.ConnectionLimiter { return p.connections }
 
 // ApplySettings applies changed settings while the node runs.
-func (p *Process) ApplySettings(next hosting.Changeable) {
+func (p *Process) ApplySettings(next hosting.ReloadableSettings) {
 	p.subscriber.setSeeds(next.Seeds)
 	p.subscriber.setStrength(next.Strength)
 	p.connections.SetLimit(next.Strength.MaxConnections())
--- a/internal/edge/limits_test.go
+++ b/internal/edge/limits_test.go
@@ -69,7 +69,7 @@
 	go process.subscriber.run()
 	t.Cleanup(func() { close(process.stopped) })
 	assert.Equal(t, first, nextSubscribe(t, received).Strength)
-	process.ApplySettings(hosting.Changeable{Seeds: []string{address}, Strength: second})
+	process.ApplySettings(hosting.ReloadableSettings{Seeds: []string{address}, Strength: second})
 	require.Eventually(t, func() bool {
 		process.subscriber.report(steer.Evidence{}, nil)
 		return len(received) > 0
@@ -77,13 +77,13 @@
 	sent := nextSubscribe(t, received)
 	assert.Equal(t, second, sent.Strength)
 	assert.Equal(t, "edge-1", sent.Node)
-	process.ApplySettings(hosting.Changeable{Seeds: []string{address}, Strength: second})
+	process.ApplySettings(hosting.ReloadableSettings{Seeds: []string{address}, Strength: second})
 	process.subscriber.report(steer.Evidence{}, nil)
 	assert.Empty(t, received, "an unchanged strength is not sent again")
 	require.Len(t, connections, 1)
 	// A reconnected member gets the latest strength with the subscription, and not again.
 	third := strength.Resources{CPUShare: 0.5}
-	process.ApplySettings(hosting.Changeable{Seeds: []string{address}, Strength: third})
+	process.ApplySettings(hosting.ReloadableSettings{Seeds: []string{address}, Strength: third})
 	require.NoError(t, (<-connections).Close())
 	assert.Equal(t, third, nextSubscribe(t, received).Strength)
 	process.subscriber.mutex.Lock()
--- a/internal/edge/metrics.go
+++ b/internal/edge/metrics.go
@@ -106,13 +106,13 @@
 		revision:               set.Gauge("revision", "revision of the directory in force"),
 		version:                set.Gauge("configuration_version", "version of the configuration in force"),
 		evacuatedZones:         set.Gauge("evacuated_zones", "zones whose targets take no new flows"),
-		stateAge:               set.Seconds("state_age_seconds", "age of the node's state when it placed a flow"),
-		waitlistDelay:          set.Seconds("held_seconds", "time that callers had waited when packets kept for them were sent"),
-		readyAfter:             set.Seconds("ready_after_seconds", "time from the start of the process until the node was ready"),
-		firstPlacement:         set.Seconds("first_placed_after_seconds", "time from the start of the process until the first new flow was placed"),
+		stateAge:               set.DurationHistogram("state_age_seconds", "age of the node's state when it placed a flow"),
+		waitlistDelay:          set.DurationHistogram("held_seconds", "time that callers had waited when packets kept for them were sent"),
+		readyAfter:             set.DurationHistogram("ready_after_seconds", "time from the start of the process until the node was ready"),
+		firstPlacement:         set.DurationHistogram("first_placed_after_seconds", "time from the start of the process until the first new flow was placed"),
 		placedFromRemembered:   set.Counter("placed_by_memory_total", "new flows placed by what a member's disk remembers"),
-		currentGaps:            set.Seconds("current_gap_seconds", "time without a control member that was current, where it was longer than usual"),
-		updateDuration:         set.Seconds("update_seconds", "time to put an update in force"),
+		currentGaps:            set.DurationHistogram("current_gap_seconds", "time without a control member that was current, where it was longer than usual"),
+		updateDuration:         set.DurationHistogram("update_seconds", "time to put an update in force"),
 	}
 	decisions := set.CounterVec("packets_total", "packets by the reason of their decision", "reason")
 	for _, reason := range steer.Reasons() {
@@ -146,13 +146,13 @@
 	for _, reason := range egress.DecisionReasons() {
 		m.admissions = append(m.admissions, admissions.WithLabelValues(reason.String()))
 	}
-	m.openingDelay = set.Seconds("opening_held_seconds", "time that opening packets were held until their data had room")
+	m.openingDelay = set.DurationHistogram("opening_held_seconds", "time that opening packets were held until their data had room")
 	m.linkUseIn = set.Gauge("link_use_in", "share of the link that incoming datagrams used in the last second")
 	m.linkUseOut = set.Gauge("link_use_out", "share of the link that outgoing datagrams used in the last second")
 	m.linkWait = set.Gauge("link_expected_wait_seconds", "wait that a new flow meets on average at the link's use")
 	m.peerWait = set.Gauge("room_offered_wait_seconds", "the same at the least used nodes of the zone, 0 while unknown")
 	m.peersKnown = set.Gauge("room_known", "1 while the use of other nodes is known")
-	waits := set.SecondsVec("link_wait_seconds", "time that datagrams waited for the link, by urgency", "urgency")
+	waits := set.DurationHistogramVec("link_wait_seconds", "time that datagrams waited for the link, by urgency", "urgency")
 	for urgency := range egress.UrgencyCount {
 		m.linkWaits = append(m.linkWaits, waits.WithLabelValues(strconv.Itoa(urgency)))
 	}
--- a/internal/edge/process.go
+++ b/internal/edge/process.go
@@ -93,7 +93,7 @@
 	releaseRunning bool
 	// maxFlows is the flow limit before it is lowered by the node's strength.
 	maxFlows    int
-	connections *hosting.Connections
+	connections *hosting.ConnectionLimiter
 	// hasPlaced is set once a new flow was placed.
 	hasPlaced bool
 }
@@ -137,7 +137,7 @@
 		socketErr: socketErr,
 	}
 	process.waitlist.capacity = waitlistCapacity(settings.Strength)
-	process.connections = hosting.NewConnections(settings.Strength.MaxConnections(), eventlog.NodeConnectionsFull, process.metrics.set, logger)
+	process.connections = hosting.NewConnectionLimiter(settings.Strength.MaxConnections(), eventlog.NodeConnectionsFull, process.metrics.set, logger)
 	process.subscriber = newSubscriber(process)
 	process.prober = newProber(process)
 	process.sender = newSender(process, settings)
--- a/internal/hosting/address.go
+++ b/internal/hosting/address.go
@@ -5,9 +5,9 @@
 	"net/netip"
 )
 
-// AtPort returns the IP numbers of addresses with another port, the first of a range.
+// ReplacePorts returns the IP numbers of addresses with another port, the first of a range.
 // An address or a range that is none is left out.
-func AtPort(addresses []string, ports []uint16) []string {
+func ReplacePorts(addresses []string, ports []uint16) []string {
 	var others []string
 	for _, address := range addresses {
 		at, err := netip.ParseAddrPort(address)
@@ -18,9 +18,9 @@
 	return others
 }
 
-// AtPortOf returns an IP address and port with the port of another one. It
+// ReplacePort returns an IP address and port with the port of another one. It
 // returns "" when either is none.
-func AtPortOf(address, other string) string {
+func ReplacePort(address, other string) string {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return ""
--- a/internal/hosting/calls.go
+++ b/internal/hosting/calls.go
@@ -23,16 +23,16 @@
 	loggedReasonBytes = 400
 )
 
-// Answers answers calls and logs those that it refuses, with the reason that the
+// Responder answers calls and logs those that it refuses, with the reason that the
 // caller does not see.
-type Answers struct{ logger *eventlog.Logger }
+type Responder struct{ logger *eventlog.Logger }
 
-// NewAnswers returns answers that are logged. Lines are sampled: a storm of calls
+// NewResponder returns answers that are logged. Lines are sampled: a storm of calls
 // costs no more than a fixed number of them a second.
-func NewAnswers(logger *eventlog.Logger) Answers { return Answers{logger: logger} }
+func NewResponder(logger *eventlog.Logger) Responder { return Responder{logger: logger} }
 
 // ReadBody reads the whole body of a call, or answers why it cannot be taken.
-func (a Answers) ReadBody(writer http.ResponseWriter, request *http.Request, limit int64) ([]byte, bool) {
+func (a Responder) ReadBody(writer http.ResponseWriter, request *http.Request, limit int64) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -48,9 +48,9 @@
 	return body, true
 }
 
-// Taking serves calls with a body, each within a time limit: act reads the body and does
+// HandleBody serves calls with a body, each within a time limit: act reads the body and does
 // what it asks for.
-func (a Answers) Taking(limit int64, timeout time.Duration, act func(ctx context.Context, request *http.Request, body []byte) error) http.HandlerFunc {
+func (a Responder) HandleBody(limit int64, timeout time.Duration, act func(ctx context.Context, request *http.Request, body []byte) error) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		body, ok := a.ReadBody(writer, request, limit)
 		if !ok {
@@ -58,38 +58,38 @@
 		}
 		ctx, cancel := context.WithTimeout(request.Context(), timeout)
 		defer cancel()
-		a.Answer(writer, request, act(ctx, request, body))
+		a.Respond(writer, request, act(ctx, request, body))
 	}
 }
 
 // Unavailable tells a caller to come again, here or elsewhere; the reason is logged.
-func (a Answers) Unavailable(writer http.ResponseWriter, request *http.Request, reason error) {
+func (a Responder) Unavailable(writer http.ResponseWriter, request *http.Request, reason error) {
 	a.note(request, http.StatusServiceUnavailable, reason)
 	writer.Header().Set("Retry-After", retryAfterSeconds)
 	http.Error(writer, "not taken", http.StatusServiceUnavailable)
 }
 
-// Answer ends a call whose outcome must be known to hold. A mistake in the call, a
+// Respond ends a call whose outcome must be known to hold. A mistake in the call, a
 // directory.Problem, is refused; after any other error the caller may come back.
-func (a Answers) Answer(writer http.ResponseWriter, request *http.Request, err error) {
+func (a Responder) Respond(writer http.ResponseWriter, request *http.Request, err error) {
 	var problem *directory.Problem
 	switch {
 	case err == nil:
 		WriteJSON(writer, http.StatusOK, []byte("{}"))
 	case errors.As(err, &problem):
-		a.Refuse(writer, request, problem)
+		a.BadRequest(writer, request, problem)
 	default:
 		a.Unavailable(writer, request, err)
 	}
 }
 
-// Refuse tells a caller that what it sent is wrong, and why.
-func (a Answers) Refuse(writer http.ResponseWriter, request *http.Request, err error) {
+// BadRequest tells a caller that what it sent is wrong, and why.
+func (a Responder) BadRequest(writer http.ResponseWriter, request *http.Request, err error) {
 	a.note(request, http.StatusBadRequest, err)
 	http.Error(writer, err.Error(), http.StatusBadRequest)
 }
 
-func (a Answers) note(request *http.Request, status int, reason error) {
+func (a Responder) note(request *http.Request, status int, reason error) {
 	a.logger.Sampled(eventlog.CallRefused, "call", request.Method+" "+cut(request.URL.Path, loggedPathBytes),
 		"from", request.RemoteAddr, "status", status, "reason", cut(reason.Error(), loggedReasonBytes))
 }
@@ -99,10 +99,10 @@
 	return strings.ToValidUTF8(text[:min(len(text), limit)], "")
 }
 
-// WriteLastJSON answers a call with a JSON body and closes the connection: the
+// WriteJSONAndClose answers a call with a JSON body and closes the connection: the
 // caller's later calls go elsewhere, and an idle connection costs memory and a
 // descriptor.
-func WriteLastJSON(writer http.ResponseWriter, status int, body []byte) {
+func WriteJSONAndClose(writer http.ResponseWriter, status int, body []byte) {
 	writer.Header().Set("Connection", "close")
 	WriteJSON(writer, status, body)
 }
--- a/internal/hosting/calls_test.go
+++ b/internal/hosting/calls_test.go
@@ -28,7 +28,7 @@
 	for _, test := range cases {
 		var log bytes.Buffer
 		recorder := httptest.NewRecorder()
-		NewAnswers(eventlog.New(&log, "core-1")).Answer(recorder, httptest.NewRequest(http.MethodPost, "/call", nil), test.err)
+		NewResponder(eventlog.New(&log, "core-1")).Respond(recorder, httptest.NewRequest(http.MethodPost, "/call", nil), test.err)
 		assert.Equal(t, test.status, recorder.Code)
 		assert.Equal(t, test.body, recorder.Body.String())
 		assert.Equal(t, test.status == http.StatusServiceUnavailable, recorder.Header().Get("Retry-After") == "1")
@@ -41,7 +41,7 @@
 	var log bytes.Buffer
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/call", strings.NewReader("four"))
-	_, read := NewAnswers(eventlog.New(&log, "core-1")).ReadBody(recorder, request, 3)
+	_, read := NewResponder(eventlog.New(&log, "core-1")).ReadBody(recorder, request, 3)
 	assert.False(t, read)
 	assert.Equal(t, http.StatusRequestEntityTooLarge, recorder.Code)
 	assert.Contains(t, log.String(), "status=413")
@@ -51,7 +51,7 @@
 func TestWhatACallerSendsDoesNotFillTheLog(t *testing.T) {
 	const calls = 1000
 	var log bytes.Buffer
-	answers := NewAnswers(eventlog.New(&log, "core-1"))
+	answers := NewResponder(eventlog.New(&log, "core-1"))
 	request := httptest.NewRequest(http.MethodPost, "/"+strings.Repeat("a", 10_000), nil)
 	for range calls {
 		answers.Unavailable(httptest.NewRecorder(), request, errors.New(strings.Repeat("b", 10_000)))
--- a/internal/hosting/connections.go
+++ b/internal/hosting/connections.go
@@ -17,13 +17,13 @@
 // only ask, such as whether the node is ready, and for telling others to go elsewhere.
 const spareShare = 10
 
-// Connections counts the connections that callers hold at a process and bounds them,
+// ConnectionLimiter counts the connections that callers hold at a process and bounds them,
 // before the system refuses the process descriptors that its own duties need. Callers
 // of several addresses may share one.
-type Connections struct {
+type ConnectionLimiter struct {
 	limit   atomic.Int64
 	open    atomic.Int64
-	answers Answers
+	answers Responder
 	logger  *eventlog.Logger
 	// full is the event of a process without room for callers.
 	full    eventlog.ID
@@ -32,11 +32,11 @@
 	closed  prometheus.Counter
 }
 
-// NewConnections returns a bound of so many connections; 0 is none. The event tells that
+// NewConnectionLimiter returns a bound of so many connections; 0 is none. The event tells that
 // it is reached.
-func NewConnections(limit int, full eventlog.ID, set *Metrics, logger *eventlog.Logger) *Connections {
-	c := &Connections{
-		answers: NewAnswers(logger),
+func NewConnectionLimiter(limit int, full eventlog.ID, set *Metrics, logger *eventlog.Logger) *ConnectionLimiter {
+	c := &ConnectionLimiter{
+		answers: NewResponder(logger),
 		logger:  logger,
 		full:    full,
 		held:    set.Gauge("connections", "connections of callers over HTTP"),
@@ -48,13 +48,13 @@
 }
 
 // SetLimit changes the bound. Connections that are open stay.
-func (c *Connections) SetLimit(limit int) { c.limit.Store(int64(limit)) }
+func (c *ConnectionLimiter) SetLimit(limit int) { c.limit.Store(int64(limit)) }
 
 // errNoRoom refuses a call that may be taken elsewhere.
 var errNoRoom = steperror.New("hosting.connections", "", "callers hold as many connections as they may")
 
 // bind makes a server count the connections of a listener.
-func (c *Connections) bind(server *http.Server, listener net.Listener) net.Listener {
+func (c *ConnectionLimiter) bind(server *http.Server, listener net.Listener) net.Listener {
 	server.Handler = c.handler(server.Handler)
 	server.ConnContext = func(ctx context.Context, connection net.Conn) context.Context {
 		return context.WithValue(ctx, connectionKey{}, connection)
@@ -67,7 +67,7 @@
 
 // handler refuses calls on spare connections. One that only asks is answered; each ends
 // its connection.
-func (c *Connections) handler(inner http.Handler) http.Handler {
+func (c *ConnectionLimiter) handler(inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		connection, bound := request.Context().Value(connectionKey{}).(*boundConnection)
 		if !bound || !connection.isSpare {
@@ -87,7 +87,7 @@
 // boundListener closes connections beyond the bound at once.
 type boundListener struct {
 	net.Listener
-	connections *Connections
+	connections *ConnectionLimiter
 }
 
 // Accept implements net.Listener.
@@ -104,7 +104,7 @@
 }
 
 // take counts a connection, or closes it and returns nil when there are too many.
-func (c *Connections) take(connection net.Conn) net.Conn {
+func (c *ConnectionLimiter) take(connection net.Conn) net.Conn {
 	limit := c.limit.Load()
 	open := c.open.Add(1)
 	bound := &boundConnection{Conn: connection, connections: c}
@@ -124,7 +124,7 @@
 // boundConnection is counted until it is closed.
 type boundConnection struct {
 	net.Conn
-	connections *Connections
+	connections *ConnectionLimiter
 	isSpare     bool
 	once        sync.Once
 }
--- a/internal/hosting/connections_test.go
+++ b/internal/hosting/connections_test.go
@@ -38,16 +38,16 @@
 }
 
 // serveBound serves calls over so many connections and returns the address and the log.
-func serveBound(t *testing.T, limit int) (string, *Connections, *lines) {
+func serveBound(t *testing.T, limit int) (string, *ConnectionLimiter, *lines) {
 	t.Helper()
 	free, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := free.Addr().String()
 	require.NoError(t, free.Close())
 	log := &lines{}
-	connections := NewConnections(limit, eventlog.NodeConnectionsFull, NewMetrics("test"), eventlog.New(log, "edge-1"))
+	connections := NewConnectionLimiter(limit, eventlog.NodeConnectionsFull, NewMetrics("test"), eventlog.New(log, "edge-1"))
 	echo := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "served") })
-	require.NoError(t, Serve(address, echo, WithConnections(connections)))
+	require.NoError(t, Serve(address, echo, WithConnectionLimit(connections)))
 	return address, connections, log
 }
 
@@ -126,7 +126,7 @@
 	require.NoError(t, caller.SetDeadline(time.Now().Add(patience)))
 	accepted, err := listener.Accept()
 	require.NoError(t, err)
-	connections := NewConnections(10, eventlog.NodeConnectionsFull, NewMetrics("test"), eventlog.Discard())
+	connections := NewConnectionLimiter(10, eventlog.NodeConnectionsFull, NewMetrics("test"), eventlog.Discard())
 	bound := connections.take(accepted)
 	half, ok := bound.(interface{ CloseWrite() error })
 	require.True(t, ok)
--- a/internal/hosting/hosting.go
+++ b/internal/hosting/hosting.go
@@ -77,21 +77,21 @@
 	}
 }
 
-// Changeable is what may change in the settings of a process while it runs.
-type Changeable struct {
+// ReloadableSettings is what may change in the settings of a process while it runs.
+type ReloadableSettings struct {
 	// Seeds are addresses of control members.
 	Seeds    []string
 	Strength strength.Resources
 }
 
-func (c Changeable) equal(other Changeable) bool {
+func (c ReloadableSettings) equal(other ReloadableSettings) bool {
 	return slices.Equal(c.Seeds, other.Seeds) && c.Strength == other.Strength
 }
 
-// WatchChangeable reads what may change again after each SIGHUP, and now and then
+// WatchReloadable reads what may change again after each SIGHUP, and now and then
 // without one, and passes it on when it differs from what is current. Settings that
 // cannot be read change nothing.
-func WatchChangeable(ctx context.Context, logger *eventlog.Logger, current Changeable, read func() (Changeable, error), set func(Changeable)) {
+func WatchReloadable(ctx context.Context, logger *eventlog.Logger, current ReloadableSettings, read func() (ReloadableSettings, error), set func(ReloadableSettings)) {
 	WatchSettings(ctx, func() {
 		next, err := read()
 		if err != nil {
--- a/internal/hosting/hosting_test.go
+++ b/internal/hosting/hosting_test.go
@@ -27,7 +27,7 @@
 	require.NoError(t, free.Close())
 	var busy atomic.Bool
 	busy.Store(true)
-	require.NoError(t, Serve(address, http.NotFoundHandler(), WithPace(busy.Load)))
+	require.NoError(t, Serve(address, http.NotFoundHandler(), WithThrottle(busy.Load)))
 	client := http.Client{Timeout: 200 * time.Millisecond}
 	_, err = client.Get("http://" + address)
 	require.Error(t, err, "not accepted yet")
@@ -67,15 +67,15 @@
 	defer cancel()
 	var mutex sync.Mutex
 	var reads atomic.Int64
-	known := Changeable{Seeds: []string{"10.0.0.1:1"}, Strength: strength.Resources{CPUShare: 0.1}}
+	known := ReloadableSettings{Seeds: []string{"10.0.0.1:1"}, Strength: strength.Resources{CPUShare: 0.1}}
 	var failure error
-	passed := make(chan Changeable, 10)
-	go WatchChangeable(ctx, eventlog.Discard(), Changeable{Seeds: known.Seeds}, func() (Changeable, error) {
+	passed := make(chan ReloadableSettings, 10)
+	go WatchReloadable(ctx, eventlog.Discard(), ReloadableSettings{Seeds: known.Seeds}, func() (ReloadableSettings, error) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		reads.Add(1)
 		return known, failure
-	}, func(next Changeable) { passed <- next })
+	}, func(next ReloadableSettings) { passed <- next })
 	change := func(share float64, err error) {
 		mutex.Lock()
 		known.Strength.CPUShare, failure = share, err
--- a/internal/hosting/metrics.go
+++ b/internal/hosting/metrics.go
@@ -64,15 +64,15 @@
 	return counters
 }
 
-// SecondsVec registers histograms of times in seconds that differ in a label.
-func (m *Metrics) SecondsVec(name, help, label string) *prometheus.HistogramVec {
+// DurationHistogramVec registers histograms of times in seconds that differ in a label.
+func (m *Metrics) DurationHistogramVec(name, help, label string) *prometheus.HistogramVec {
 	histograms := prometheus.NewHistogramVec(m.seconds(name, help), []string{label})
 	m.registry.MustRegister(histograms)
 	return histograms
 }
 
-// Seconds registers a histogram of times in seconds.
-func (m *Metrics) Seconds(name, help string) prometheus.Histogram {
+// DurationHistogram registers a histogram of times in seconds.
+func (m *Metrics) DurationHistogram(name, help string) prometheus.Histogram {
 	histogram := prometheus.NewHistogram(m.seconds(name, help))
 	m.registry.MustRegister(histogram)
 	return histogram
--- a/internal/hosting/pace.go
+++ b/internal/hosting/pace.go
@@ -16,20 +16,20 @@
 // serving is how calls are served.
 type serving struct {
 	pace        pace
-	connections *Connections
+	connections *ConnectionLimiter
 }
 
 // ServeOption changes how calls are served.
 type ServeOption func(*serving)
 
-// WithPace lets new connections and calls wait while the process is busy: a process
+// WithThrottle lets new connections and calls wait while the process is busy: a process
 // that has no time for its own duties must not spend it on callers.
-func WithPace(isBusy func() bool) ServeOption {
+func WithThrottle(isBusy func() bool) ServeOption {
 	return func(s *serving) { s.pace.isBusy = isBusy }
 }
 
-// WithConnections bounds the connections of callers.
-func WithConnections(connections *Connections) ServeOption {
+// WithConnectionLimit bounds the connections of callers.
+func WithConnectionLimit(connections *ConnectionLimiter) ServeOption {
 	return func(s *serving) { s.connections = connections }
 }
 
--- a/internal/registry/process.go
+++ b/internal/registry/process.go
@@ -77,7 +77,7 @@
 
 	announcer *announcer
 
-	connections *hosting.Connections
+	connections *hosting.ConnectionLimiter
 	// diskNearlyFull is set while the persisted data nearly fills the disk.
 	diskNearlyFull bool
 
@@ -107,7 +107,7 @@
 	}
 	process.links = peerlink.New(process.logLink, peerlink.WithEchoes())
 	process.announcer = newAnnouncer(process)
-	process.connections = hosting.NewConnections(settings.Strength.MaxConnections(), eventlog.MemberConnectionsFull, process.metrics.set, logger)
+	process.connections = hosting.NewConnectionLimiter(settings.Strength.MaxConnections(), eventlog.MemberConnectionsFull, process.metrics.set, logger)
 	return process
 }
 
--- a/internal/registry/reload.go
+++ b/internal/registry/reload.go
@@ -7,15 +7,15 @@
 )
 
 // Connections returns the limit on the connections of HTTP clients.
-func (p *Process) Connections() *hosting.Connections { return p.connections }
+func (p *Process) Connections() *hosting.ConnectionLimiter { return p.connections }
 
 // ApplySettings applies changed settings without a restart.
-func (p *Process) ApplySettings(next hosting.Changeable) {
+func (p *Process) ApplySettings(next hosting.ReloadableSettings) {
 	p.connections.SetLimit(next.Strength.MaxConnections())
 	p.inputs.Push(changeInput{next: next})
 }
 
-type changeInput struct{ next hosting.Changeable }
+type changeInput struct{ next hosting.ReloadableSettings }
 
 func (i changeInput) handle(p *Process, _ kernel.Instant) Output {
 	p.settings.Strength = i.next.Strength
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -152,7 +152,7 @@
 		disk  int64
 		fills bool
 	}{{0, false}, {held * 2, false}, {held * 3 / 2, false}, {held + held/10, true}, {held * 3 / 2, true}, {held * 2, false}, {held * 3 / 2, false}, {held, true}, {0, false}} {
-		process.handleBatch([]input{changeInput{next: hosting.Changeable{Strength: strength.Resources{Disk: test.disk}}}})
+		process.handleBatch([]input{changeInput{next: hosting.ReloadableSettings{Strength: strength.Resources{Disk: test.disk}}}})
 		assert.Equal(t, test.fills, process.diskNearlyFull, "%d of %d", held, test.disk)
 	}
 	assert.NoError(t, disk.Close())
