--- a/internal/hosting/address.go
+++ b/internal/hosting/address.go
@@ -5,8 +5,8 @@
 	"net/netip"
 )
 
-// ReplacePorts returns the IP numbers of addresses with another port, the first of a range.
-// An address or a range that is none is left out.
+// ReplacePorts returns addresses with their port replaced by the first port of a range.
+// Malformed addresses are skipped; an empty range yields none.
 func ReplacePorts(addresses []string, ports []uint16) []string {
 	var others []string
 	for _, address := range addresses {
@@ -18,8 +18,8 @@
 	return others
 }
 
-// ReplacePort returns an IP address and port with the port of another one. It
-// returns "" when either is none.
+// ReplacePort returns address with its port replaced by that of other, or "" when
+// either cannot be parsed.
 func ReplacePort(address, other string) string {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/hosting/calls.go
+++ b/internal/hosting/calls.go
@@ -12,44 +12,45 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// retryAfterSeconds is told to callers whose request was not taken.
+// retryAfterSeconds is the Retry-After header of a 503 response.
 const retryAfterSeconds = "1"
 
 const (
-	// loggedPathBytes bounds what a line holds of the path that a caller chose: the
-	// paths of the calls with the longest ids and zones.
+	// loggedPathBytes bounds the logged part of a request path. It holds the paths with
+	// the longest valid IDs and zones.
 	loggedPathBytes = 160
-	// loggedReasonBytes bounds a reason, which may quote the caller's body.
+	// loggedReasonBytes bounds the logged reason, which may quote the request body.
 	loggedReasonBytes = 400
 )
 
-// Responder answers calls and logs those that it refuses, with the reason that the
-// caller does not see.
+// Responder writes HTTP responses and logs each rejected request with its reason, which
+// a 503 response does not disclose.
 type Responder struct{ logger *eventlog.Logger }
 
-// NewResponder returns answers that are logged. Lines are sampled: a storm of calls
-// costs no more than a fixed number of them a second.
+// NewResponder returns a Responder. Its log lines are sampled, so that a flood of
+// rejected requests does not flood the log.
 func NewResponder(logger *eventlog.Logger) Responder { return Responder{logger: logger} }
 
-// ReadBody reads the whole body of a call, or answers why it cannot be taken.
+// ReadBody reads a request body of at most limit bytes. On failure it writes the error
+// response and returns false.
 func (a Responder) ReadBody(writer http.ResponseWriter, request *http.Request, limit int64) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		a.note(request, http.StatusRequestEntityTooLarge, err)
+		a.logRefusal(request, http.StatusRequestEntityTooLarge, err)
 		http.Error(writer, "body is too large", http.StatusRequestEntityTooLarge)
 		return nil, false
 	}
 	if err != nil {
-		a.note(request, http.StatusBadRequest, err)
+		a.logRefusal(request, http.StatusBadRequest, err)
 		http.Error(writer, "body is not whole", http.StatusBadRequest)
 		return nil, false
 	}
 	return body, true
 }
 
-// HandleBody serves calls with a body, each within a time limit: act reads the body and does
-// what it asks for.
+// HandleBody returns a handler that reads the request body, calls act with a deadline
+// and writes the response for its error.
 func (a Responder) HandleBody(limit int64, timeout time.Duration, act func(ctx context.Context, request *http.Request, body []byte) error) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		body, ok := a.ReadBody(writer, request, limit)
@@ -62,15 +63,15 @@
 	}
 }
 
-// Unavailable tells a caller to come again, here or elsewhere; the reason is logged.
+// Unavailable responds with 503 and a Retry-After header; the reason is only logged.
 func (a Responder) Unavailable(writer http.ResponseWriter, request *http.Request, reason error) {
-	a.note(request, http.StatusServiceUnavailable, reason)
+	a.logRefusal(request, http.StatusServiceUnavailable, reason)
 	writer.Header().Set("Retry-After", retryAfterSeconds)
 	http.Error(writer, "not taken", http.StatusServiceUnavailable)
 }
 
-// Respond ends a call whose outcome must be known to hold. A mistake in the call, a
-// directory.Problem, is refused; after any other error the caller may come back.
+// Respond writes the response for err: 200 for nil, 400 for a directory.Problem, and 503
+// for any other error, after which the client may retry.
 func (a Responder) Respond(writer http.ResponseWriter, request *http.Request, err error) {
 	var problem *directory.Problem
 	switch {
@@ -83,31 +84,30 @@
 	}
 }
 
-// BadRequest tells a caller that what it sent is wrong, and why.
+// BadRequest responds with 400 and the text of err.
 func (a Responder) BadRequest(writer http.ResponseWriter, request *http.Request, err error) {
-	a.note(request, http.StatusBadRequest, err)
+	a.logRefusal(request, http.StatusBadRequest, err)
 	http.Error(writer, err.Error(), http.StatusBadRequest)
 }
 
-func (a Responder) note(request *http.Request, status int, reason error) {
-	a.logger.Sampled(eventlog.CallRefused, "call", request.Method+" "+cut(request.URL.Path, loggedPathBytes),
-		"from", request.RemoteAddr, "status", status, "reason", cut(reason.Error(), loggedReasonBytes))
+func (a Responder) logRefusal(request *http.Request, status int, reason error) {
+	a.logger.Sampled(eventlog.CallRefused, "call", request.Method+" "+truncate(request.URL.Path, loggedPathBytes),
+		"from", request.RemoteAddr, "status", status, "reason", truncate(reason.Error(), loggedReasonBytes))
 }
 
-// cut returns the beginning of a text, of so many bytes at most.
-func cut(text string, limit int) string {
+// truncate returns the beginning of a text, of so many bytes at most.
+func truncate(text string, limit int) string {
 	return strings.ToValidUTF8(text[:min(len(text), limit)], "")
 }
 
-// WriteJSONAndClose answers a call with a JSON body and closes the connection: the
-// caller's later calls go elsewhere, and an idle connection costs memory and a
-// descriptor.
+// WriteJSONAndClose writes a JSON response and closes the connection: the client sends
+// its later requests elsewhere, and an idle connection costs memory and a descriptor.
 func WriteJSONAndClose(writer http.ResponseWriter, status int, body []byte) {
 	writer.Header().Set("Connection", "close")
 	WriteJSON(writer, status, body)
 }
 
-// WriteJSON answers a call with a JSON body.
+// WriteJSON writes a response with a status code and a JSON body.
 func WriteJSON(writer http.ResponseWriter, status int, body []byte) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
--- a/internal/hosting/calls_test.go
+++ b/internal/hosting/calls_test.go
@@ -62,5 +62,5 @@
 	for _, line := range lines {
 		assert.Less(t, len(line), 1000)
 	}
-	assert.Equal(t, "é", cut("éé", 3), "no half characters")
+	assert.Equal(t, "é", truncate("éé", 3), "no half characters")
 }
--- a/internal/hosting/connections.go
+++ b/internal/hosting/connections.go
@@ -13,9 +13,9 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// spareShare is the part in percent of all connections that is kept for callers who
+// reservedPercent is the part in percent of all connections that is kept for callers who
 // only ask, such as whether the node is ready, and for telling others to go elsewhere.
-const spareShare = 10
+const reservedPercent = 10
 
 // ConnectionLimiter counts the connections that callers hold at a process and bounds them,
 // before the system refuses the process descriptors that its own duties need. Callers
@@ -50,8 +50,8 @@
 // SetLimit changes the bound. Connections that are open stay.
 func (c *ConnectionLimiter) SetLimit(limit int) { c.limit.Store(int64(limit)) }
 
-// errNoRoom refuses a call that may be taken elsewhere.
-var errNoRoom = steperror.New("hosting.connections", "", "callers hold as many connections as they may")
+// errConnectionLimit refuses a call that may be taken elsewhere.
+var errConnectionLimit = steperror.New("hosting.connections", "", "callers hold as many connections as they may")
 
 // bind makes a server count the connections of a listener.
 func (c *ConnectionLimiter) bind(server *http.Server, listener net.Listener) net.Listener {
@@ -70,7 +70,7 @@
 func (c *ConnectionLimiter) handler(inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		connection, bound := request.Context().Value(connectionKey{}).(*boundConnection)
-		if !bound || !connection.isSpare {
+		if !bound || !connection.isReserved {
 			inner.ServeHTTP(writer, request)
 			return
 		}
@@ -80,7 +80,7 @@
 			return
 		}
 		c.refused.Inc()
-		c.answers.Unavailable(writer, request, errNoRoom)
+		c.answers.Unavailable(writer, request, errConnectionLimit)
 	})
 }
 
@@ -108,9 +108,9 @@
 	limit := c.limit.Load()
 	open := c.open.Add(1)
 	bound := &boundConnection{Conn: connection, connections: c}
-	bound.isSpare = limit > 0 && open > limit-limit*spareShare/100
+	bound.isReserved = limit > 0 && open > limit-limit*reservedPercent/100
 	c.held.Inc()
-	if bound.isSpare {
+	if bound.isReserved {
 		c.logger.Sampled(c.full, "connections", open, "limit", limit, "from", connection.RemoteAddr())
 	}
 	if limit <= 0 || open <= limit {
@@ -125,7 +125,7 @@
 type boundConnection struct {
 	net.Conn
 	connections *ConnectionLimiter
-	isSpare     bool
+	isReserved  bool
 	once        sync.Once
 }
 
--- a/internal/hosting/hosting.go
+++ b/internal/hosting/hosting.go
@@ -1,6 +1,6 @@
-// Package hosting provides what the processes of token-routed deployments
-// share around their duties: HTTP servers, metrics, the log, the memory limit
-// and the watch over the settings file.
+// Package hosting provides the runtime services that the processes of token-routed
+// deployments share: HTTP servers, metrics, logging, the memory limit and reloading
+// of the settings file.
 package hosting
 
 import (
@@ -22,15 +22,15 @@
 const (
 	readHeaderTimeout = 2 * time.Second
 	idleTimeout       = 30 * time.Second
-	// memoryShare is the part of the memory limit, in percent, that the
-	// collector may fill before it works harder.
-	memoryShare = 60
-	// reloadInterval is the time between two looks at the settings file.
+	// memoryLimitPercent is the percentage of the machine's memory limit that is set as
+	// the soft limit of Go's garbage collector.
+	memoryLimitPercent = 60
+	// reloadInterval is the interval at which the settings file is read again.
 	reloadInterval = time.Second
 )
 
-// Serve answers HTTP calls at an IPv4 address until the process ends. Callers
-// that stall are dropped.
+// Serve listens on an IPv4 address and serves HTTP in the background until the process
+// ends. Header and idle timeouts close stalled connections.
 func Serve(address string, handler http.Handler, opts ...ServeOption) error {
 	var s serving
 	for _, opt := range opts {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// ServeMetrics serves metrics at a place of an IP number, written as PORT/PATH;
-// an empty place asks for none. A failure is logged and does not end the process.
+// ServeMetrics serves metrics on an IP address at place, written as PORT/PATH; a place
+// without a slash disables it. A failure to listen is logged and not returned.
 func ServeMetrics(ip, place string, handler http.Handler, logger *eventlog.Logger, opts ...ServeOption) {
 	port, path, found := strings.Cut(place, "/")
 	if !found {
@@ -62,22 +62,22 @@
 	}
 }
 
-// OpenLog returns a logger to standard output that never blocks, and the
-// function that writes what is left.
+// OpenLog returns a non-blocking logger to standard output and a function that flushes
+// and closes it.
 func OpenLog(process string) (logger *eventlog.Logger, closeLog func()) {
 	writer := eventlog.NewAsyncWriter(os.Stdout)
 	return eventlog.New(writer, process), writer.Close
 }
 
-// LimitMemory tells the collector of the process's memory limit in bytes; 0
-// means none.
+// LimitMemory derives the soft limit of Go's garbage collector from a memory limit in
+// bytes; 0 sets none.
 func LimitMemory(limit int64) {
 	if limit > 0 {
-		debug.SetMemoryLimit(limit * memoryShare / 100)
+		debug.SetMemoryLimit(limit * memoryLimitPercent / 100)
 	}
 }
 
-// ReloadableSettings is what may change in the settings of a process while it runs.
+// ReloadableSettings holds the settings that a running process can reload.
 type ReloadableSettings struct {
 	// Seeds are addresses of control members.
 	Seeds    []string
@@ -88,9 +88,8 @@
 	return slices.Equal(c.Seeds, other.Seeds) && c.Strength == other.Strength
 }
 
-// WatchReloadable reads what may change again after each SIGHUP, and now and then
-// without one, and passes it on when it differs from what is current. Settings that
-// cannot be read change nothing.
+// WatchReloadable reads the settings after each SIGHUP and periodically, and calls set
+// when they differ from the current ones. When reading fails, the current ones stay.
 func WatchReloadable(ctx context.Context, logger *eventlog.Logger, current ReloadableSettings, read func() (ReloadableSettings, error), set func(ReloadableSettings)) {
 	WatchSettings(ctx, func() {
 		next, err := read()
@@ -108,8 +107,8 @@
 	})
 }
 
-// WatchSettings calls reload after each SIGHUP, and now and then without one,
-// until the context ends.
+// WatchSettings calls reload after each SIGHUP and at every reloadInterval, until the
+// context ends.
 func WatchSettings(ctx context.Context, reload func()) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
--- a/internal/hosting/hosting_test.go
+++ b/internal/hosting/hosting_test.go
@@ -39,29 +39,27 @@
 	assert.NoError(t, response.Body.Close())
 }
 
-// After all members of 300 machines were killed, calls on open connections took
-// the time that an election needed (own copy, no leader for 30 s).
+// Guards against requests on open connections starving a leader election of CPU time.
 func TestCallsWaitWhileTheProcessIsBusyButNotForEver(t *testing.T) {
 	var busy atomic.Bool
-	p := pace{isBusy: busy.Load}
+	p := throttle{isBusy: busy.Load}
 	handler := p.handler(http.NotFoundHandler())
 	serve := func() time.Duration {
 		begin := time.Now()
 		handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil))
 		return time.Since(begin)
 	}
-	assert.Less(t, serve(), longestWait/2)
+	assert.Less(t, serve(), maxBusyWait/2)
 	busy.Store(true)
 	time.AfterFunc(100*time.Millisecond, func() { busy.Store(false) })
 	took := serve()
 	assert.GreaterOrEqual(t, took, 100*time.Millisecond)
-	assert.Less(t, took, longestWait)
+	assert.Less(t, took, maxBusyWait)
 	busy.Store(true)
-	assert.GreaterOrEqual(t, serve(), longestWait)
+	assert.GreaterOrEqual(t, serve(), maxBusyWait)
 }
 
-// A machine that has changed is noticed at a SIGHUP, and a file that cannot be read then
-// changes nothing.
+// SIGHUP applies changed settings; a file that cannot be read leaves them as they are.
 func TestWhatChangesInTheSettingsIsPassedOn(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/hosting/pace.go
+++ b/internal/hosting/pace.go
@@ -7,67 +7,67 @@
 )
 
 const (
-	// busyPause is the time between two looks at whether the process is busy.
-	busyPause = 10 * time.Millisecond
-	// longestWait is how long a call waits at most; callers give up after a second.
-	longestWait = 800 * time.Millisecond
+	// busyPollInterval is the interval at which isBusy is polled.
+	busyPollInterval = 10 * time.Millisecond
+	// maxBusyWait bounds the delay of a request; clients time out after a second.
+	maxBusyWait = 800 * time.Millisecond
 )
 
-// serving is how calls are served.
+// serving holds the options of Serve.
 type serving struct {
-	pace        pace
+	pace        throttle
 	connections *ConnectionLimiter
 }
 
-// ServeOption changes how calls are served.
+// ServeOption is an option of Serve.
 type ServeOption func(*serving)
 
-// WithThrottle lets new connections and calls wait while the process is busy: a process
-// that has no time for its own duties must not spend it on callers.
+// WithThrottle delays new connections and requests while isBusy reports true, so that
+// an overloaded process keeps its CPU time for its own work.
 func WithThrottle(isBusy func() bool) ServeOption {
 	return func(s *serving) { s.pace.isBusy = isBusy }
 }
 
-// WithConnectionLimit bounds the connections of callers.
+// WithConnectionLimit applies a connection limit to the server.
 func WithConnectionLimit(connections *ConnectionLimiter) ServeOption {
 	return func(s *serving) { s.connections = connections }
 }
 
-// pace holds callers up while the process is busy. The zero value never does.
-type pace struct{ isBusy func() bool }
+// throttle delays clients while the process is busy. The zero value delays none.
+type throttle struct{ isBusy func() bool }
 
-// handler returns a handler whose calls wait, for longestWait at most.
-func (p *pace) handler(inner http.Handler) http.Handler {
+// handler returns a handler that delays requests by up to maxBusyWait.
+func (p *throttle) handler(inner http.Handler) http.Handler {
 	if p.isBusy == nil {
 		return inner
 	}
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		end := time.Now().Add(longestWait)
+		end := time.Now().Add(maxBusyWait)
 		for p.isBusy() && time.Now().Before(end) {
-			time.Sleep(busyPause)
+			time.Sleep(busyPollInterval)
 		}
 		inner.ServeHTTP(writer, request)
 	})
 }
 
-// listener returns a listener whose new connections wait.
-func (p *pace) listener(inner net.Listener) net.Listener {
+// listener returns a listener that delays accepting connections.
+func (p *throttle) listener(inner net.Listener) net.Listener {
 	if p.isBusy == nil {
 		return inner
 	}
-	return &pacedListener{Listener: inner, isBusy: p.isBusy}
+	return &throttledListener{Listener: inner, isBusy: p.isBusy}
 }
 
-// pacedListener accepts connections while the process is not busy.
-type pacedListener struct {
+// throttledListener accepts connections while the process is not busy.
+type throttledListener struct {
 	net.Listener
 	isBusy func() bool
 }
 
 // Accept implements net.Listener.
-func (l *pacedListener) Accept() (net.Conn, error) {
+func (l *throttledListener) Accept() (net.Conn, error) {
 	for l.isBusy() {
-		time.Sleep(busyPause)
+		time.Sleep(busyPollInterval)
 	}
 	return l.Listener.Accept()
 }
--- a/internal/hosting/profiles.go
+++ b/internal/hosting/profiles.go
@@ -8,14 +8,13 @@
 )
 
 const (
-	// profileHost keeps profiles on the machine: they show memory, and cost time.
+	// profileHost is the loopback address: profiles expose memory contents and cost CPU.
 	profileHost = "127.0.0.1"
-	// profilePath is where the tools of Go look for profiles.
+	// profilePath is the path that go tool pprof expects.
 	profilePath = "/debug/pprof/"
 )
 
-// ServeProfiles serves the profiles of the process to its own machine; port 0, the
-// default of whoever asks, serves none.
+// ServeProfiles serves pprof profiles on the loopback interface; port 0 disables it.
 func ServeProfiles(port uint16) error {
 	if port == 0 {
 		return nil
--- a/internal/hosting/toml.go
+++ b/internal/hosting/toml.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if into.Kind() != reflect.Struct {
-		if r.meta.PrimitiveDecode(member, into.Addr().Interface()) != nil && !setWhole(value, into) {
+		if r.meta.PrimitiveDecode(member, into.Addr().Interface()) != nil && !setInteger(value, into) {
 			into.SetZero()
 			r.note(field, value, into)
 		}
@@ -68,9 +68,9 @@
 	}
 }
 
-// setWhole takes a whole number that is written with a point, as platforms write numbers
+// setInteger takes a whole number that is written with a point, as platforms write numbers
 // that they have computed.
-func setWhole(value any, into reflect.Value) bool {
+func setInteger(value any, into reflect.Value) bool {
 	number, isNumber := value.(float64)
 	if !isNumber || !into.CanInt() || number != math.Trunc(number) || math.Abs(number) >= 1<<63 || into.OverflowInt(int64(number)) {
 		return false
--- a/internal/hosting/version.go
+++ b/internal/hosting/version.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// unknownBuild stands for what the program does not know of its build.
+// unknownBuild replaces missing build information.
 const unknownBuild = "unknown"
 
-// Keys of what the Go command notes of a build.
+// Keys of the build settings that the Go command embeds.
 const (
 	keyRevision = "vcs.revision"
 	keyTime     = "vcs.time"
 	keyModified = "vcs.modified"
 )
 
-// Version says in one line from what the program was built: the module's version, the
-// revision and its time, whether files were changed after it, and the version of Go.
+// Version returns the build information on one line: module version, VCS revision and
+// time, whether the work tree was modified, and the Go version.
 func Version() string {
 	build, known := debug.ReadBuildInfo()
 	if !known {
