--- a/cmd/beamdoor-node/cgo.go
+++ b/cmd/beamdoor-node/cgo.go
@@ -1,10 +1,9 @@
 package main
 
-// The platform wants programs that are linked with the C library. What runs before the
-// language's runtime keeps SIGHUP from ending a process that has just been started: the
-// runtime takes some milliseconds, on a machine with a twentieth of a core far more, and
-// package hangup catches the signal only after it. A hangup that comes before is left out;
-// the settings are read afterwards anyway.
+// The platform requires programs that are linked with the C library. The constructor
+// ignores SIGHUP until the Go runtime has started and package hangup handles the signal;
+// by default it would terminate the process. An early SIGHUP is lost, which is harmless:
+// the settings are read afterwards.
 
 /*
 #include <signal.h>
--- a/cmd/beamdoor-node/cgo_test.go
+++ b/cmd/beamdoor-node/cgo_test.go
@@ -12,8 +12,8 @@
 	"github.com/beamdoor/beamdoor/internal/hangup"
 )
 
-// SIGHUP is ignored until the language's runtime has begun; from then on it must be
-// caught all the same, or no change of the settings would be read.
+// Guards against SIGHUP staying ignored after the Go runtime has started, which would
+// disable reloading of the settings.
 func TestAHangupIsCaughtThoughItIsIgnoredBeforeTheRuntime(t *testing.T) {
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	select {
--- a/cmd/beamdoor-node/evacuation.go
+++ b/cmd/beamdoor-node/evacuation.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/registry"
 )
 
-// evacuationCommand gives operators the orders about zones.
+// evacuationCommand returns the command to start, finish and list zone evacuations.
 func evacuationCommand(seeds func() ([]string, error)) *cobra.Command {
 	command := &cobra.Command{
 		Use:     "evacuation",
@@ -27,8 +27,8 @@
 	return command
 }
 
-// orderSender returns a function that gives orders to the members of the command's
-// flag or, without it, to the seeds of the settings.
+// orderSender adds the flag --member to a command and returns a function that sends
+// requests to these members or, without the flag, to the seeds of the settings.
 func orderSender(command *cobra.Command, seeds func() ([]string, error)) func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error) {
 	var members []string
 	command.PersistentFlags().StringSliceVar(&members, "member", nil, "control members as IP:PORT of their own protocol (default: the seeds of the settings)")
@@ -47,7 +47,7 @@
 	}
 }
 
-// sendFunc gives an order to a member and returns what each zone bears after it.
+// sendFunc sends a request to a member and returns the resulting zone statuses.
 type sendFunc func(cmd *cobra.Command, order registry.OperatorRequest) ([]registry.ZoneStatus, error)
 
 func startCommand(send sendFunc) *cobra.Command {
@@ -109,7 +109,7 @@
 	}
 }
 
-// columnGap is the number of blanks between the columns of a table.
+// columnGap is the number of spaces between table columns.
 const columnGap = 2
 
 func printShares(out io.Writer, shares []registry.ZoneStatus) error {
--- a/cmd/beamdoor-node/main.go
+++ b/cmd/beamdoor-node/main.go
@@ -27,8 +27,8 @@
 
 func main() { os.Exit(execute(newRoot(), os.Stderr)) }
 
-// execute runs a command and returns its exit code: an error before the command has
-// begun is one of usage, and so is a wrong settings file.
+// execute runs a command and returns its exit code. Errors in flags, arguments and
+// settings give exitUsage.
 func execute(root *cobra.Command, out io.Writer) int {
 	begun := false
 	root.PersistentPreRun = func(*cobra.Command, []string) { begun = true }
@@ -43,7 +43,7 @@
 	return exitFailure
 }
 
-// isProblem reports whether an error is a mistake in the settings.
+// isProblem reports whether an error is a validation error, such as of the settings.
 func isProblem(err error) bool {
 	var problem *directory.Problem
 	return errors.As(err, &problem)
@@ -73,7 +73,7 @@
 	return root
 }
 
-// seeds returns the control members that a settings file of any role names.
+// seeds returns the control members in a settings file of either role.
 func seeds(file string) ([]string, error) {
 	settings, err := platform.ReadSettings(file, platform.RoleMember)
 	if err != nil {
--- a/cmd/beamdoor-node/main_test.go
+++ b/cmd/beamdoor-node/main_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// run gives the command arguments and returns its exit code and what it wrote.
+// run executes the command and returns its exit code, standard output and errors.
 func run(arguments ...string) (code int, output, problems string) {
 	var out, errors bytes.Buffer
 	root := newRoot()
@@ -22,7 +22,7 @@
 	return code, out.String(), errors.String()
 }
 
-// examples holds settings files, right and wrong, beside the adapter that reads them.
+// examples is the folder of valid and invalid settings files.
 const examples = "../../platform/testdata/"
 
 func TestCheckNamesEveryMistakeAndEndsWithItsCode(t *testing.T) {
--- a/cmd/beamdoor-node/target.go
+++ b/cmd/beamdoor-node/target.go
@@ -11,7 +11,7 @@
 	"github.com/beamdoor/beamdoor/internal/registry"
 )
 
-// targetCommand gives operators the orders about single targets.
+// targetCommand returns the command to eject, readmit, exempt and list targets.
 func targetCommand(seeds func() ([]string, error)) *cobra.Command {
 	command := &cobra.Command{
 		Use:     "target",
@@ -28,7 +28,7 @@
 	return command
 }
 
-// replyFunc gives an order to a member and returns its whole answer.
+// replyFunc sends a request to a member and returns its response.
 type replyFunc func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error)
 
 func ejectCommand(send replyFunc) *cobra.Command {
@@ -91,7 +91,7 @@
 	return table.Flush()
 }
 
-// flowsOf says which new flows a target gets.
+// flowsOf describes the share of new flows that a target receives.
 func flowsOf(target registry.TargetStatus) string {
 	switch {
 	case target.Ejected:
@@ -111,7 +111,7 @@
 	return printEffect(out, effect, warnings)
 }
 
-// printEffect prints what the targets that are left to a service would bear.
+// printEffect prints how a dry run changes the share of a service's slots in use.
 func printEffect(out io.Writer, effect registry.ShareChange, warnings []string) error {
 	table := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)
 	_, _ = fmt.Fprintln(table, "SERVICE\tSLOTS NOW\tSLOTS THEN")
--- a/cmd/beamdoor-node/version.go
+++ b/cmd/beamdoor-node/version.go
@@ -13,8 +13,8 @@
 	"github.com/beamdoor/beamdoor/internal/registry"
 )
 
-// versionCommand tells from what the program was built, and gives operators the orders
-// about versions of services.
+// versionCommand returns the command that prints the build information, with
+// subcommands to hold, release, judge and list versions of services.
 func versionCommand(seeds func() ([]string, error)) *cobra.Command {
 	command := &cobra.Command{
 		Use:     "version",
@@ -67,7 +67,7 @@
 			if err != nil {
 				return err
 			}
-			// A member that knows no such orders answers them as a list.
+			// Older members treat an unknown action as a list request.
 			if !slices.ContainsFunc(reply.Versions, func(share registry.VersionStatus) bool { return share.ServiceVersion == version }) {
 				return fmt.Errorf("the member did not carry out the order about version %s of service %s", version.Version, version.Service)
 			}
--- a/internal/hosting/calls_test.go
+++ b/internal/hosting/calls_test.go
@@ -47,7 +47,7 @@
 	assert.Contains(t, log.String(), "status=413")
 }
 
-// A caller chooses path and body, and how often it calls: neither fills the log.
+// Guards against clients flooding the log with many requests or long paths and bodies.
 func TestWhatACallerSendsDoesNotFillTheLog(t *testing.T) {
 	const calls = 1000
 	var log bytes.Buffer
@@ -57,7 +57,7 @@
 		answers.Unavailable(httptest.NewRecorder(), request, errors.New(strings.Repeat("b", 10_000)))
 	}
 	lines := strings.Split(strings.TrimSpace(log.String()), "\n")
-	// The loop may pass into a second second, with a line on what was left out.
+	// The loop may span two sampling periods, the second with a line on dropped lines.
 	assert.LessOrEqual(t, len(lines), calls/4)
 	for _, line := range lines {
 		assert.Less(t, len(line), 1000)
--- a/internal/hosting/connections.go
+++ b/internal/hosting/connections.go
@@ -13,27 +13,26 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// reservedPercent is the part in percent of all connections that is kept for callers who
-// only ask, such as whether the node is ready, and for telling others to go elsewhere.
+// reservedPercent is the percentage of the connection limit that is reserved for GET
+// requests, such as readiness probes, and for rejecting other requests with 503.
 const reservedPercent = 10
 
-// ConnectionLimiter counts the connections that callers hold at a process and bounds them,
-// before the system refuses the process descriptors that its own duties need. Callers
-// of several addresses may share one.
+// ConnectionLimiter limits the open connections of clients, so that they cannot use up
+// the file descriptors that the process needs itself. Several listeners may share one.
 type ConnectionLimiter struct {
 	limit   atomic.Int64
 	open    atomic.Int64
 	answers Responder
 	logger  *eventlog.Logger
-	// full is the event of a process without room for callers.
+	// full is the event that is logged when a connection falls into the reserve.
 	full    eventlog.ID
 	held    prometheus.Gauge
 	refused prometheus.Counter
 	closed  prometheus.Counter
 }
 
-// NewConnectionLimiter returns a bound of so many connections; 0 is none. The event tells that
-// it is reached.
+// NewConnectionLimiter returns a limiter for a number of connections; 0 is unlimited. The
+// event full is logged when a connection falls into the reserve.
 func NewConnectionLimiter(limit int, full eventlog.ID, set *Metrics, logger *eventlog.Logger) *ConnectionLimiter {
 	c := &ConnectionLimiter{
 		answers: NewResponder(logger),
@@ -47,13 +46,13 @@
 	return c
 }
 
-// SetLimit changes the bound. Connections that are open stay.
+// SetLimit changes the limit. Open connections are kept.
 func (c *ConnectionLimiter) SetLimit(limit int) { c.limit.Store(int64(limit)) }
 
-// errConnectionLimit refuses a call that may be taken elsewhere.
+// errConnectionLimit rejects a request that the client may retry on another node.
 var errConnectionLimit = steperror.New("hosting.connections", "", "callers hold as many connections as they may")
 
-// bind makes a server count the connections of a listener.
+// bind wraps the listener and the handler of a server with the connection limit.
 func (c *ConnectionLimiter) bind(server *http.Server, listener net.Listener) net.Listener {
 	server.Handler = c.handler(server.Handler)
 	server.ConnContext = func(ctx context.Context, connection net.Conn) context.Context {
@@ -62,11 +61,11 @@
 	return &boundListener{Listener: listener, connections: c}
 }
 
-// connectionKey finds a call's connection in its context.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// handler refuses calls on spare connections. One that only asks is answered; each ends
-// its connection.
+// handler rejects requests on reserved connections, except GET, and closes these
+// connections after the response.
 func (c *ConnectionLimiter) handler(inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		connection, bound := request.Context().Value(connectionKey{}).(*boundConnection)
@@ -84,7 +83,7 @@
 	})
 }
 
-// boundListener closes connections beyond the bound at once.
+// boundListener closes connections above the limit right after accepting them.
 type boundListener struct {
 	net.Listener
 	connections *ConnectionLimiter
@@ -103,7 +102,7 @@
 	}
 }
 
-// take counts a connection, or closes it and returns nil when there are too many.
+// take counts a connection. Above the limit it closes the connection and returns nil.
 func (c *ConnectionLimiter) take(connection net.Conn) net.Conn {
 	limit := c.limit.Load()
 	open := c.open.Add(1)
@@ -121,7 +120,7 @@
 	return nil
 }
 
-// boundConnection is counted until it is closed.
+// boundConnection is a connection that counts against the limit until it is closed.
 type boundConnection struct {
 	net.Conn
 	connections *ConnectionLimiter
@@ -138,8 +137,8 @@
 	return b.Conn.Close()
 }
 
-// CloseWrite lets the server end a call whose body it has not read without losing the
-// answer.
+// CloseWrite lets the HTTP server half-close a connection whose request body it has not
+// read, so that the client still receives the response.
 func (b *boundConnection) CloseWrite() error {
 	if half, ok := b.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/hosting/connections_test.go
+++ b/internal/hosting/connections_test.go
@@ -16,10 +16,10 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-// patience is how long a call of these tests may take.
-const patience = 5 * time.Second
+// testTimeout bounds each request of these tests.
+const testTimeout = 5 * time.Second
 
-// lines are what a log has written; many goroutines may use them at once.
+// lines is a log buffer that is safe for concurrent use.
 type lines struct {
 	mutex sync.Mutex
 	text  strings.Builder
@@ -37,7 +37,7 @@
 	return l.text.String()
 }
 
-// serveBound serves calls over so many connections and returns the address and the log.
+// serveBound starts a server with a connection limit.
 func serveBound(t *testing.T, limit int) (string, *ConnectionLimiter, *lines) {
 	t.Helper()
 	free, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -51,13 +51,13 @@
 	return address, connections, log
 }
 
-// hold opens a connection and makes a call over it, which stays open.
-func hold(t *testing.T, address, method string) (net.Conn, *http.Response) {
+// sendRequest sends a request over a new connection, which stays open.
+func sendRequest(t *testing.T, address, method string) (net.Conn, *http.Response) {
 	t.Helper()
 	connection, err := net.Dial("tcp4", address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = connection.Close() })
-	_ = connection.SetDeadline(time.Now().Add(patience))
+	_ = connection.SetDeadline(time.Now().Add(testTimeout))
 	_, err = io.WriteString(connection, method+" / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
 	require.NoError(t, err)
 	response, err := http.ReadResponse(bufio.NewReader(connection), &http.Request{Method: method})
@@ -67,23 +67,23 @@
 	return connection, response
 }
 
-// The last tenth is for callers who only ask, and for sending others elsewhere.
+// In the reserved tenth, GET requests are served and others rejected with 503.
 func TestCallsGoElsewhereBeforeDescriptorsRunOut(t *testing.T) {
 	address, connections, log := serveBound(t, 20)
 	var held []net.Conn
 	for range 18 {
-		connection, response := hold(t, address, http.MethodPost)
+		connection, response := sendRequest(t, address, http.MethodPost)
 		require.NotNil(t, response)
 		require.Equal(t, http.StatusOK, response.StatusCode)
 		held = append(held, connection)
 	}
 	assert.Empty(t, log.String())
-	_, refused := hold(t, address, http.MethodPost)
+	_, refused := sendRequest(t, address, http.MethodPost)
 	require.NotNil(t, refused)
 	assert.Equal(t, http.StatusServiceUnavailable, refused.StatusCode)
 	assert.Equal(t, retryAfterSeconds, refused.Header.Get("Retry-After"))
 	assert.True(t, refused.Close, "it frees its descriptor")
-	_, asked := hold(t, address, http.MethodGet)
+	_, asked := sendRequest(t, address, http.MethodGet)
 	require.NotNil(t, asked)
 	assert.Equal(t, http.StatusOK, asked.StatusCode, "whether the node is ready is told all the same")
 	assert.True(t, asked.Close)
@@ -91,13 +91,13 @@
 	require.NoError(t, held[0].Close())
 	require.NoError(t, held[1].Close())
 	require.NoError(t, held[2].Close())
-	assert.Eventually(t, func() bool { return connections.open.Load() <= 17 }, patience, time.Millisecond)
-	_, response := hold(t, address, http.MethodPost)
+	assert.Eventually(t, func() bool { return connections.open.Load() <= 17 }, testTimeout, time.Millisecond)
+	_, response := sendRequest(t, address, http.MethodPost)
 	require.NotNil(t, response)
 	assert.Equal(t, http.StatusOK, response.StatusCode, "there is room again")
 }
 
-// Callers that say nothing hold all connections: more are closed at once.
+// When idle clients hold all connections, further ones are closed at once.
 func TestConnectionsBeyondTheBoundAreClosedUnheard(t *testing.T) {
 	address, connections, _ := serveBound(t, 4)
 	for range 4 {
@@ -105,17 +105,17 @@
 		require.NoError(t, err)
 		t.Cleanup(func() { _ = connection.Close() })
 	}
-	assert.Eventually(t, func() bool { return connections.open.Load() == 4 }, patience, time.Millisecond)
-	_, response := hold(t, address, http.MethodGet)
+	assert.Eventually(t, func() bool { return connections.open.Load() == 4 }, testTimeout, time.Millisecond)
+	_, response := sendRequest(t, address, http.MethodGet)
 	assert.Nil(t, response)
 	connections.SetLimit(100)
-	_, response = hold(t, address, http.MethodPost)
+	_, response = sendRequest(t, address, http.MethodPost)
 	require.NotNil(t, response)
 	assert.Equal(t, http.StatusOK, response.StatusCode, "the settings allow more")
 }
 
-// The answer to a call whose body is not read would be lost without the half that is
-// closed first, and a connection that is closed twice is one.
+// Guards against losing a response whose request body is unread, and against counting a
+// connection that is closed twice.
 func TestAConnectionIsClosedByHalvesAndCountedOnce(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -123,7 +123,7 @@
 	caller, err := net.Dial("tcp4", listener.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = caller.Close() })
-	require.NoError(t, caller.SetDeadline(time.Now().Add(patience)))
+	require.NoError(t, caller.SetDeadline(time.Now().Add(testTimeout)))
 	accepted, err := listener.Accept()
 	require.NoError(t, err)
 	connections := NewConnectionLimiter(10, eventlog.NodeConnectionsFull, NewMetrics("test"), eventlog.Discard())
@@ -146,7 +146,7 @@
 func TestWithoutABoundAllAreServed(t *testing.T) {
 	address, _, log := serveBound(t, 0)
 	for range 50 {
-		_, response := hold(t, address, http.MethodPost)
+		_, response := sendRequest(t, address, http.MethodPost)
 		require.NotNil(t, response)
 		require.Equal(t, http.StatusOK, response.StatusCode)
 	}
--- a/internal/hosting/hosting_test.go
+++ b/internal/hosting/hosting_test.go
@@ -83,7 +83,7 @@
 		require.Eventually(t, func() bool {
 			assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 			return reads.Load() >= enough
-		}, patience, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 	}
 	change(0.1, nil)
 	require.Len(t, passed, 1, "the file was changed while the process started")
--- a/internal/hosting/toml.go
+++ b/internal/hosting/toml.go
@@ -10,13 +10,12 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-// tomlTag is the tag that names the member of a struct's field.
+// tomlTag is the struct tag that holds a field's TOML key.
 const tomlTag = "toml"
 
-// DecodeTOML reads a TOML text into a struct whose fields have tags, and returns
-// every member of the wrong type as directory.Problems. What can be read is read all
-// the same; members without a field are left out. whole is false when the text is
-// no TOML and nothing was read.
+// DecodeTOML decodes TOML into a struct with toml tags and reports every value of the
+// wrong type as a directory.Problem. Other values are still decoded, and unknown keys
+// ignored. whole is false when the text is not valid TOML and nothing was decoded.
 func DecodeTOML(text string, into any) (whole bool, err error) {
 	var members map[string]toml.Primitive
 	meta, err := toml.Decode(text, &members)
@@ -29,13 +28,13 @@
 	return true, check.Err()
 }
 
-// tomlReader reads one member after the other, so that a wrong one hides no other.
+// tomlReader decodes key by key, so that one error does not hide the others.
 type tomlReader struct {
 	meta  toml.MetaData
 	check *directory.Check
 }
 
-// table reads the members of a table into a struct.
+// table decodes the keys of a table into a struct.
 func (r tomlReader) table(prefix string, members map[string]toml.Primitive, into reflect.Value) {
 	for position := range into.NumField() {
 		name := into.Type().Field(position).Tag.Get(tomlTag)
@@ -68,8 +67,8 @@
 	}
 }
 
-// setInteger takes a whole number that is written with a point, as platforms write numbers
-// that they have computed.
+// setInteger stores a float without a fraction in an integer field; generated files may
+// write computed integers as floats.
 func setInteger(value any, into reflect.Value) bool {
 	number, isNumber := value.(float64)
 	if !isNumber || !into.CanInt() || number != math.Trunc(number) || math.Abs(number) >= 1<<63 || into.OverflowInt(int64(number)) {
@@ -79,8 +78,8 @@
 	return true
 }
 
-// isEmpty reports whether a member stands there without a value. A platform may write
-// so what it has nothing to say about.
+// isEmpty reports whether a value is an empty string or list, which a generated file
+// may hold in place of an empty table.
 func isEmpty(value any) bool {
 	list, isList := value.([]any)
 	return value == "" || isList && len(list) == 0
@@ -88,8 +87,8 @@
 
 func isTable(wanted reflect.Kind) bool { return wanted == reflect.Struct || wanted == reflect.Map }
 
-// fits reports whether a value is a table where one is wanted: the TOML package reads
-// whatever else stands there as an empty one.
+// fits reports whether a value is a table if the field needs one: the TOML package
+// decodes any other value as an empty table without an error.
 func fits(value any, wanted reflect.Kind) bool {
 	_, given := value.(map[string]any)
 	return given || !isTable(wanted)
@@ -99,8 +98,8 @@
 	r.check.Add(directory.NewProblem(field, value, "must be "+kindOf(wanted.Type())))
 }
 
-// memberNamed finds a member as the TOML package does: by its name or, failing that,
-// by its name in letters of any case.
+// memberNamed looks up a key as the TOML package does: first exactly, then ignoring
+// case.
 func memberNamed(members map[string]toml.Primitive, name string) (toml.Primitive, bool) {
 	if member, present := members[name]; present {
 		return member, true
@@ -113,7 +112,7 @@
 	return toml.Primitive{}, false
 }
 
-// kindOf names a type in the words of a TOML file.
+// kindOf describes the TOML type that a Go type requires, for error messages.
 func kindOf(wanted reflect.Type) string {
 	switch wanted.Kind() {
 	case reflect.String:
--- a/internal/hosting/toml_test.go
+++ b/internal/hosting/toml_test.go
@@ -71,7 +71,7 @@
 	require.ErrorContains(t, err, "file: ")
 }
 
-// What the TOML package reads in one go is read the same member by member.
+// Decoding key by key must give the same result as the TOML package.
 func TestARightTextIsReadAsTheTOMLPackageReadsIt(t *testing.T) {
 	for _, text := range []string{
 		"",
