--- a/cmd/beamdoor-node/cgo_test.go
+++ b/cmd/beamdoor-node/cgo_test.go
@@ -14,7 +14,7 @@
 
 // Guards against SIGHUP staying ignored after the Go runtime has started, which would
 // disable reloading of the settings.
-func TestAHangupIsCaughtThoughItIsIgnoredBeforeTheRuntime(t *testing.T) {
+func TestSIGHUPIsCaughtAfterRuntimeStart(t *testing.T) {
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	select {
 	case received := <-hangup.Signals:
--- a/cmd/beamdoor-node/explain.go
+++ b/cmd/beamdoor-node/explain.go
@@ -22,7 +22,7 @@
 	var format string
 	command := &cobra.Command{
 		Use:   "explain [FILE...]",
-		Short: "Tell the story of a flow, a target or a configuration from the logs of several processes",
+		Short: "Print the timeline of a flow, a target or a configuration from the logs of several processes",
 		Long:  "Reads the logs from files, or from standard input when none is named.",
 		Example: `  beamdoor-node explain --flow 100.64.0.7:40001 front-*.log core-*.log
   beamdoor-node explain --version 23 -o json < all.log`,
--- a/cmd/beamdoor-node/main_test.go
+++ b/cmd/beamdoor-node/main_test.go
@@ -25,7 +25,7 @@
 // examples is the folder of valid and invalid settings files.
 const examples = "../../platform/testdata/"
 
-func TestCheckNamesEveryMistakeAndEndsWithItsCode(t *testing.T) {
+func TestCheckReportsEveryError(t *testing.T) {
 	code, output, _ := run("check", "member", "--settings", examples+"member.toml")
 	assert.Zero(t, code)
 	assert.Equal(t, "settings are right\n", output)
@@ -61,13 +61,13 @@
 	}
 }
 
-func TestVersionSaysFromWhatTheProgramWasBuilt(t *testing.T) {
+func TestVersionPrintsBuildInfo(t *testing.T) {
 	_, output, _ := run("version")
 	assert.Contains(t, output, "beamdoor-node ")
 	assert.Contains(t, output, "built with go")
 }
 
-func TestEachCommandHasAnExampleThatNamesIt(t *testing.T) {
+func TestEveryCommandHasExample(t *testing.T) {
 	var look func(command *cobra.Command)
 	look = func(command *cobra.Command) {
 		assert.Contains(t, command.Example, command.CommandPath(), command.CommandPath())
@@ -78,7 +78,7 @@
 	look(newRoot())
 }
 
-func TestCompletionKnowsCommandsAndRoles(t *testing.T) {
+func TestCompletion(t *testing.T) {
 	code, output, _ := run("__complete", "check", "")
 	assert.Zero(t, code)
 	assert.Contains(t, output, "edge\nmember\n")
@@ -91,7 +91,7 @@
 	assert.Contains(t, output, "__start_beamdoor-node")
 }
 
-func TestProfilesAreOffByDefault(t *testing.T) {
+func TestProfilesAreDisabledByDefault(t *testing.T) {
 	for _, role := range []string{"edge", "member"} {
 		command, _, err := newRoot().Find([]string{role})
 		require.NoError(t, err)
--- a/internal/hosting/calls_test.go
+++ b/internal/hosting/calls_test.go
@@ -14,7 +14,7 @@
 	"github.com/beamdoor/beamdoor/internal/eventlog"
 )
 
-func TestAnswersTellTheCallerAndTheLog(t *testing.T) {
+func TestRespondWritesStatusAndLogsReason(t *testing.T) {
 	cases := []struct {
 		err    error
 		status int
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestABodyThatIsTooLargeIsLogged(t *testing.T) {
+func TestReadBodyLogsOversizedBody(t *testing.T) {
 	var log bytes.Buffer
 	recorder := httptest.NewRecorder()
 	request := httptest.NewRequest(http.MethodPost, "/call", strings.NewReader("four"))
@@ -48,7 +48,7 @@
 }
 
 // Guards against clients flooding the log with many requests or long paths and bodies.
-func TestWhatACallerSendsDoesNotFillTheLog(t *testing.T) {
+func TestRefusalLogIsBounded(t *testing.T) {
 	const calls = 1000
 	var log bytes.Buffer
 	answers := NewResponder(eventlog.New(&log, "core-1"))
--- a/internal/hosting/connections.go
+++ b/internal/hosting/connections.go
@@ -50,7 +50,7 @@
 func (c *ConnectionLimiter) SetLimit(limit int) { c.limit.Store(int64(limit)) }
 
 // errConnectionLimit rejects a request that the client may retry on another node.
-var errConnectionLimit = steperror.New("hosting.connections", "", "callers hold as many connections as they may")
+var errConnectionLimit = steperror.New("hosting.connections", "", "connection limit reached")
 
 // bind wraps the listener and the handler of a server with the connection limit.
 func (c *ConnectionLimiter) bind(server *http.Server, listener net.Listener) net.Listener {
--- a/internal/hosting/connections_test.go
+++ b/internal/hosting/connections_test.go
@@ -68,7 +68,7 @@
 }
 
 // In the reserved tenth, GET requests are served and others rejected with 503.
-func TestCallsGoElsewhereBeforeDescriptorsRunOut(t *testing.T) {
+func TestReservedConnectionsServeOnlyGET(t *testing.T) {
 	address, connections, log := serveBound(t, 20)
 	var held []net.Conn
 	for range 18 {
@@ -98,7 +98,7 @@
 }
 
 // When idle clients hold all connections, further ones are closed at once.
-func TestConnectionsBeyondTheBoundAreClosedUnheard(t *testing.T) {
+func TestConnectionsAboveLimitAreClosed(t *testing.T) {
 	address, connections, _ := serveBound(t, 4)
 	for range 4 {
 		connection, err := net.Dial("tcp4", address)
@@ -116,7 +116,7 @@
 
 // Guards against losing a response whose request body is unread, and against counting a
 // connection that is closed twice.
-func TestAConnectionIsClosedByHalvesAndCountedOnce(t *testing.T) {
+func TestConnectionHalfCloseAndSingleCount(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -143,7 +143,7 @@
 	assert.Zero(t, connections.open.Load())
 }
 
-func TestWithoutABoundAllAreServed(t *testing.T) {
+func TestNoConnectionLimit(t *testing.T) {
 	address, _, log := serveBound(t, 0)
 	for range 50 {
 		_, response := sendRequest(t, address, http.MethodPost)
--- a/internal/hosting/hosting_test.go
+++ b/internal/hosting/hosting_test.go
@@ -20,7 +20,7 @@
 	"github.com/beamdoor/beamdoor/internal/strength"
 )
 
-func TestNewConnectionsWaitWhileTheProcessIsBusy(t *testing.T) {
+func TestBusyProcessDelaysNewConnections(t *testing.T) {
 	free, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := free.Addr().String()
@@ -40,7 +40,7 @@
 }
 
 // Guards against requests on open connections starving a leader election of CPU time.
-func TestCallsWaitWhileTheProcessIsBusyButNotForEver(t *testing.T) {
+func TestBusyProcessDelaysRequestsForLimitedTime(t *testing.T) {
 	var busy atomic.Bool
 	p := throttle{isBusy: busy.Load}
 	handler := p.handler(http.NotFoundHandler())
@@ -60,7 +60,7 @@
 }
 
 // SIGHUP applies changed settings; a file that cannot be read leaves them as they are.
-func TestWhatChangesInTheSettingsIsPassedOn(t *testing.T) {
+func TestWatchReloadableAppliesChanges(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var mutex sync.Mutex
--- a/internal/hosting/profiles_test.go
+++ b/internal/hosting/profiles_test.go
@@ -11,11 +11,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestProfilesAreOffUnlessAPortIsNamed(t *testing.T) {
+func TestServeProfilesIsDisabledForPortZero(t *testing.T) {
 	require.NoError(t, ServeProfiles(0))
 }
 
-func TestProfilesAreServedOnlyOnTheMachineItself(t *testing.T) {
+func TestServeProfilesListensOnLoopbackOnly(t *testing.T) {
 	free, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	port := free.Addr().(*net.TCPAddr).Port
--- a/internal/hosting/toml_test.go
+++ b/internal/hosting/toml_test.go
@@ -19,7 +19,7 @@
 	Begin bool `toml:"begin"`
 }
 
-func TestEveryMemberOfTheWrongTypeIsNamedAndTheOthersAreRead(t *testing.T) {
+func TestDecodeTOMLReportsEveryTypeError(t *testing.T) {
 	var example tomlExample
 	whole, err := DecodeTOML(`
 nodeName = 5
@@ -40,7 +40,7 @@
 	assert.Equal(t, map[string]string{"a": "r"}, example.Zones)
 }
 
-func TestAWholeNumberMayHaveAPoint(t *testing.T) {
+func TestDecodeTOMLAcceptsIntegralFloats(t *testing.T) {
 	for text, wanted := range map[string]int{"4100.0": 4100, "0.0": 0, "-3e2": -300} {
 		var example tomlExample
 		_, err := DecodeTOML("bound.count = "+text, &example)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestATableThatIsNoneIsNamed(t *testing.T) {
+func TestDecodeTOMLReportsNonTables(t *testing.T) {
 	var example tomlExample
 	whole, err := DecodeTOML("bound = 3\nzones = [1]\nNODENAME = \"a\"", &example)
 	assert.True(t, whole)
@@ -64,7 +64,7 @@
 	assert.Equal(t, "a", example.Name, "letters of any case, as the TOML package reads them")
 }
 
-func TestATextThatIsNoTOMLIsOneMistake(t *testing.T) {
+func TestDecodeTOMLReportsInvalidTOML(t *testing.T) {
 	var example tomlExample
 	whole, err := DecodeTOML("nodeName = ", &example)
 	assert.False(t, whole)
@@ -72,7 +72,7 @@
 }
 
 // Decoding key by key must give the same result as the TOML package.
-func TestARightTextIsReadAsTheTOMLPackageReadsIt(t *testing.T) {
+func TestDecodeTOMLMatchesTOMLPackage(t *testing.T) {
 	for _, text := range []string{
 		"",
 		"nodeName = \"a\"\nports = [1, 2]\nbegin = true\n[zones]\nb = \"r\"\n[bound]\ngrace = 1.5\ncount = 3\n",
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestATableWithoutAValueIsLeftEmpty(t *testing.T) {
+func TestDecodeTOMLAcceptsEmptyValueForTable(t *testing.T) {
 	for _, empty := range []string{`""`, `[]`} {
 		var into struct {
 			Zones  map[string]string `toml:"zones"`
--- a/internal/hosting/version_test.go
+++ b/internal/hosting/version_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestTheVersionNamesRevisionChangesAndGo(t *testing.T) {
+func TestVersionOf(t *testing.T) {
 	build := &debug.BuildInfo{GoVersion: "go1.26", Main: debug.Module{Version: "(devel)"}}
 	assert.Equal(t, "(devel) revision unknown built with go1.26", versionOf(build))
 	build.Settings = []debug.BuildSetting{
