--- a/cmd/beamdoor-fleet/main.go
+++ b/cmd/beamdoor-fleet/main.go
@@ -1,5 +1,5 @@
-// Command beamdoor-fleet plays a short day with real edge and member processes
-// on loopback, against the project's own stand-in of the users' platform.
+// Command beamdoor-fleet runs a short fault scenario with real edge and member
+// processes on loopback against a simulation of the users' platform.
 package main
 
 import (
--- a/cmd/beamdoor-lab/main.go
+++ b/cmd/beamdoor-lab/main.go
@@ -1,5 +1,5 @@
-// Command beamdoor-lab runs the stand-ins for the systems around beamdoor, and
-// the experiments.
+// Command beamdoor-lab runs simulations of the systems around beamdoor, and the
+// experiments.
 package main
 
 import (
--- a/cmd/beamdoor-node/evacuation.go
+++ b/cmd/beamdoor-node/evacuation.go
@@ -18,7 +18,7 @@
 		Short:   "Keep new flows from a zone, or take it back",
 		Example: "  beamdoor-node evacuation start north --dry-run\n  beamdoor-node evacuation list",
 	}
-	sendOrder := orderSender(command, seeds)
+	sendOrder := requestSender(command, seeds)
 	send := func(cmd *cobra.Command, order registry.OperatorRequest) ([]registry.ZoneStatus, error) {
 		reply, err := sendOrder(cmd, order)
 		return reply.Zones, err
@@ -27,9 +27,9 @@
 	return command
 }
 
-// orderSender adds the flag --member to a command and returns a function that sends
+// requestSender adds the flag --member to a command and returns a function that sends
 // requests to these members or, without the flag, to the seeds of the settings.
-func orderSender(command *cobra.Command, seeds func() ([]string, error)) func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error) {
+func requestSender(command *cobra.Command, seeds func() ([]string, error)) func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error) {
 	var members []string
 	command.PersistentFlags().StringSliceVar(&members, "member", nil, "control members as IP:PORT of their own protocol (default: the seeds of the settings)")
 	return func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error) {
--- a/cmd/beamdoor-node/explain.go
+++ b/cmd/beamdoor-node/explain.go
@@ -34,11 +34,11 @@
 			if err != nil {
 				return err
 			}
-			story := explain.Timeline(lines, question)
+			timeline := explain.Timeline(lines, question)
 			if format == formatJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(story)
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(timeline)
 			}
-			return explain.Print(cmd.OutOrStdout(), story)
+			return explain.Print(cmd.OutOrStdout(), timeline)
 		},
 	}
 	flags := command.Flags()
--- a/cmd/beamdoor-node/target.go
+++ b/cmd/beamdoor-node/target.go
@@ -18,28 +18,28 @@
 		Short:   "Keep new flows from a target, or from being kept from it",
 		Example: "  beamdoor-node target list\n  beamdoor-node target eject i-4f21 --dry-run",
 	}
-	send := orderSender(command, seeds)
+	send := requestSender(command, seeds)
 	command.AddCommand(
 		ejectCommand(send),
-		targetOrderCommand(send, "readmit ID", "Send new flows to a target again, and judge it as the others", registry.ActionReadmitTarget),
-		targetOrderCommand(send, "exempt ID", "Send new flows to a target whatever is seen of it", registry.ActionExemptTarget),
+		targetActionCommand(send, "readmit ID", "Send new flows to a target again, and judge it as the others", registry.ActionReadmitTarget),
+		targetActionCommand(send, "exempt ID", "Send new flows to a target whatever is seen of it", registry.ActionExemptTarget),
 		targetListCommand(send),
 	)
 	return command
 }
 
-// replyFunc sends a request to a member and returns its response.
-type replyFunc func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error)
+// requestFunc sends a request to a member and returns its response.
+type requestFunc func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error)
 
-func ejectCommand(send replyFunc) *cobra.Command {
+func ejectCommand(send requestFunc) *cobra.Command {
 	var dryRun bool
-	command := targetOrderCommand(send, "eject ID", "Send no new flows to a target; open flows stay", registry.ActionEjectTarget)
+	command := targetActionCommand(send, "eject ID", "Send no new flows to a target; open flows stay", registry.ActionEjectTarget)
 	command.Example = "  beamdoor-node target eject i-4f21 --dry-run\n  beamdoor-node target eject i-4f21 --member 10.1.0.13:7720"
 	command.Flags().BoolVar(&dryRun, "dry-run", false, "show what the other targets would bear, and change nothing")
-	give := command.RunE
+	runEject := command.RunE
 	command.RunE = func(cmd *cobra.Command, arguments []string) error {
 		if !dryRun {
-			return give(cmd, arguments)
+			return runEject(cmd, arguments)
 		}
 		reply, err := send(cmd, registry.OperatorRequest{Action: registry.ActionList, Target: arguments[0]})
 		if err != nil {
@@ -50,7 +50,7 @@
 	return command
 }
 
-func targetOrderCommand(send replyFunc, use, short string, kind registry.OperatorAction) *cobra.Command {
+func targetActionCommand(send requestFunc, use, short string, kind registry.OperatorAction) *cobra.Command {
 	return &cobra.Command{
 		Use:     use,
 		Short:   short,
@@ -66,7 +66,7 @@
 	}
 }
 
-func targetListCommand(send replyFunc) *cobra.Command {
+func targetListCommand(send requestFunc) *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
 		Short:   "List the targets that are ejected, on probation or exempt",
--- a/cmd/beamdoor-node/version.go
+++ b/cmd/beamdoor-node/version.go
@@ -26,25 +26,25 @@
 			return err
 		},
 	}
-	send := orderSender(command, seeds)
+	send := requestSender(command, seeds)
 	command.AddCommand(
 		holdCommand(send),
-		versionOrderCommand(send, "release", "Send new flows to a version whatever is seen of it", registry.ActionReleaseVersion),
-		versionOrderCommand(send, "judge", "Leave it to the members again whether a version is held", registry.ActionJudgeVersion),
+		versionActionCommand(send, "release", "Send new flows to a version whatever is seen of it", registry.ActionReleaseVersion),
+		versionActionCommand(send, "judge", "Leave it to the members again whether a version is held", registry.ActionJudgeVersion),
 		versionListCommand(send),
 	)
 	return command
 }
 
-func holdCommand(send replyFunc) *cobra.Command {
+func holdCommand(send requestFunc) *cobra.Command {
 	var dryRun bool
-	command := versionOrderCommand(send, "hold", "Send no new flows to the targets of a version; open flows stay", registry.ActionHoldVersion)
+	command := versionActionCommand(send, "hold", "Send no new flows to the targets of a version; open flows stay", registry.ActionHoldVersion)
 	command.Example = "  beamdoor-node version hold booking v8 --dry-run\n  beamdoor-node version hold booking v8 --member 10.1.0.13:7720"
 	command.Flags().BoolVar(&dryRun, "dry-run", false, "show what the other versions would bear, and change nothing")
-	give := command.RunE
+	runHold := command.RunE
 	command.RunE = func(cmd *cobra.Command, arguments []string) error {
 		if !dryRun {
-			return give(cmd, arguments)
+			return runHold(cmd, arguments)
 		}
 		reply, err := send(cmd, registry.OperatorRequest{Action: registry.ActionList})
 		if err != nil {
@@ -55,7 +55,7 @@
 	return command
 }
 
-func versionOrderCommand(send replyFunc, verb, short string, kind registry.OperatorAction) *cobra.Command {
+func versionActionCommand(send requestFunc, verb, short string, kind registry.OperatorAction) *cobra.Command {
 	return &cobra.Command{
 		Use:     verb + " SERVICE VERSION",
 		Short:   short,
@@ -80,7 +80,7 @@
 	return directory.ServiceVersion{Service: arguments[0], Version: arguments[1]}
 }
 
-func versionListCommand(send replyFunc) *cobra.Command {
+func versionListCommand(send requestFunc) *cobra.Command {
 	return &cobra.Command{
 		Use:     "list",
 		Short:   "List the versions of each service",
