--- a/cmd/beamdoor-node/evacuation.go
+++ b/cmd/beamdoor-node/evacuation.go
@@ -11,14 +11,14 @@
 	"github.com/beamdoor/beamdoor/internal/registry"
 )
 
-// evacuationCommand gives operators the orders about zones.
+// evacuationCommand returns the command to start, finish and list zone evacuations.
 func evacuationCommand(seeds func() ([]string, error)) *cobra.Command {
 	command := &cobra.Command{
 		Use:     "evacuation",
 		Short:   "Keep new flows from a zone, or take it back",
 		Example: "  beamdoor-node evacuation start north --dry-run\n  beamdoor-node evacuation list",
 	}
-	sendOrder := orderSender(command, seeds)
+	sendOrder := requestSender(command, seeds)
 	send := func(cmd *cobra.Command, order registry.OperatorRequest) ([]registry.ZoneStatus, error) {
 		reply, err := sendOrder(cmd, order)
 		return reply.Zones, err
@@ -27,9 +27,9 @@
 	return command
 }
 
-// orderSender returns a function that gives orders to the members of the command's
-// flag or, without it, to the seeds of the settings.
-func orderSender(command *cobra.Command, seeds func() ([]string, error)) func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error) {
+// requestSender adds the flag --member to a command and returns a function that sends
+// requests to these members or, without the flag, to the seeds of the settings.
+func requestSender(command *cobra.Command, seeds func() ([]string, error)) func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error) {
 	var members []string
 	command.PersistentFlags().StringSliceVar(&members, "member", nil, "control members as IP:PORT of their own protocol (default: the seeds of the settings)")
 	return func(cmd *cobra.Command, order registry.OperatorRequest) (registry.OperatorResponse, error) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// sendFunc gives an order to a member and returns what each zone bears after it.
+// sendFunc sends a request to a member and returns the resulting zone statuses.
 type sendFunc func(cmd *cobra.Command, order registry.OperatorRequest) ([]registry.ZoneStatus, error)
 
 func startCommand(send sendFunc) *cobra.Command {
@@ -109,7 +109,7 @@
 	}
 }
 
-// columnGap is the number of blanks between the columns of a table.
+// columnGap is the number of spaces between table columns.
 const columnGap = 2
 
 func printShares(out io.Writer, shares []registry.ZoneStatus) error {
--- a/internal/hosting/connections.go
+++ b/internal/hosting/connections.go
@@ -13,30 +13,29 @@
 	"github.com/beamdoor/beamdoor/internal/steperror"
 )
 
-// spareShare is the part in percent of all connections that is kept for callers who
-// only ask, such as whether the node is ready, and for telling others to go elsewhere.
-const spareShare = 10
-
-// Connections counts the connections that callers hold at a process and bounds them,
-// before the system refuses the process descriptors that its own duties need. Callers
-// of several addresses may share one.
-type Connections struct {
+// reservedPercent is the percentage of the connection limit that is reserved for GET
+// requests, such as readiness probes, and for rejecting other requests with 503.
+const reservedPercent = 10
+
+// ConnectionLimiter limits the open connections of clients, so that they cannot use up
+// the file descriptors that the process needs itself. Several listeners may share one.
+type ConnectionLimiter struct {
 	limit   atomic.Int64
 	open    atomic.Int64
-	answers Answers
+	answers Responder
 	logger  *eventlog.Logger
-	// full is the event of a process without room for callers.
+	// full is the event that is logged when a connection falls into the reserve.
 	full    eventlog.ID
 	held    prometheus.Gauge
 	refused prometheus.Counter
 	closed  prometheus.Counter
 }
 
-// NewConnections returns a bound of so many connections; 0 is none. The event tells that
-// it is reached.
-func NewConnections(limit int, full eventlog.ID, set *Metrics, logger *eventlog.Logger) *Connections {
-	c := &Connections{
-		answers: NewAnswers(logger),
+// NewConnectionLimiter returns a limiter for a number of connections; 0 is unlimited. The
+// event full is logged when a connection falls into the reserve.
+func NewConnectionLimiter(limit int, full eventlog.ID, set *Metrics, logger *eventlog.Logger) *ConnectionLimiter {
+	c := &ConnectionLimiter{
+		answers: NewResponder(logger),
 		logger:  logger,
 		full:    full,
 		held:    set.Gauge("connections", "connections of callers over HTTP"),
@@ -47,14 +46,14 @@
 	return c
 }
 
-// SetLimit changes the bound. Connections that are open stay.
-func (c *Connections) SetLimit(limit int) { c.limit.Store(int64(limit)) }
+// SetLimit changes the limit. Open connections are kept.
+func (c *ConnectionLimiter) SetLimit(limit int) { c.limit.Store(int64(limit)) }
 
-// errNoRoom refuses a call that may be taken elsewhere.
-var errNoRoom = steperror.New("hosting.connections", "", "callers hold as many connections as they may")
+// errConnectionLimit rejects a request that the client may retry on another node.
+var errConnectionLimit = steperror.New("hosting.connections", "", "connection limit reached")
 
-// bind makes a server count the connections of a listener.
-func (c *Connections) bind(server *http.Server, listener net.Listener) net.Listener {
+// bind wraps the listener and the handler of a server with the connection limit.
+func (c *ConnectionLimiter) bind(server *http.Server, listener net.Listener) net.Listener {
 	server.Handler = c.handler(server.Handler)
 	server.ConnContext = func(ctx context.Context, connection net.Conn) context.Context {
 		return context.WithValue(ctx, connectionKey{}, connection)
@@ -62,15 +61,15 @@
 	return &boundListener{Listener: listener, connections: c}
 }
 
-// connectionKey finds a call's connection in its context.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// handler refuses calls on spare connections. One that only asks is answered; each ends
-// its connection.
-func (c *Connections) handler(inner http.Handler) http.Handler {
+// handler rejects requests on reserved connections, except GET, and closes these
+// connections after the response.
+func (c *ConnectionLimiter) handler(inner http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		connection, bound := request.Context().Value(connectionKey{}).(*boundConnection)
-		if !bound || !connection.isSpare {
+		if !bound || !connection.isReserved {
 			inner.ServeHTTP(writer, request)
 			return
 		}
@@ -80,14 +79,14 @@
 			return
 		}
 		c.refused.Inc()
-		c.answers.Unavailable(writer, request, errNoRoom)
+		c.answers.Unavailable(writer, request, errConnectionLimit)
 	})
 }
 
-// boundListener closes connections beyond the bound at once.
+// boundListener closes connections above the limit right after accepting them.
 type boundListener struct {
 	net.Listener
-	connections *Connections
+	connections *ConnectionLimiter
 }
 
 // Accept implements net.Listener.
@@ -103,14 +102,14 @@
 	}
 }
 
-// take counts a connection, or closes it and returns nil when there are too many.
-func (c *Connections) take(connection net.Conn) net.Conn {
+// take counts a connection. Above the limit it closes the connection and returns nil.
+func (c *ConnectionLimiter) take(connection net.Conn) net.Conn {
 	limit := c.limit.Load()
 	open := c.open.Add(1)
 	bound := &boundConnection{Conn: connection, connections: c}
-	bound.isSpare = limit > 0 && open > limit-limit*spareShare/100
+	bound.isReserved = limit > 0 && open > limit-limit*reservedPercent/100
 	c.held.Inc()
-	if bound.isSpare {
+	if bound.isReserved {
 		c.logger.Sampled(c.full, "connections", open, "limit", limit, "from", connection.RemoteAddr())
 	}
 	if limit <= 0 || open <= limit {
@@ -121,11 +120,11 @@
 	return nil
 }
 
-// boundConnection is counted until it is closed.
+// boundConnection is a connection that counts against the limit until it is closed.
 type boundConnection struct {
 	net.Conn
-	connections *Connections
-	isSpare     bool
+	connections *ConnectionLimiter
+	isReserved  bool
 	once        sync.Once
 }
 
@@ -138,8 +137,8 @@
 	return b.Conn.Close()
 }
 
-// CloseWrite lets the server end a call whose body it has not read without losing the
-// answer.
+// CloseWrite lets the HTTP server half-close a connection whose request body it has not
+// read, so that the client still receives the response.
 func (b *boundConnection) CloseWrite() error {
 	if half, ok := b.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/hosting/hosting_test.go
+++ b/internal/hosting/hosting_test.go
@@ -20,14 +20,14 @@
 	"github.com/beamdoor/beamdoor/internal/strength"
 )
 
-func TestNewConnectionsWaitWhileTheProcessIsBusy(t *testing.T) {
+func TestBusyProcessDelaysNewConnections(t *testing.T) {
 	free, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := free.Addr().String()
 	require.NoError(t, free.Close())
 	var busy atomic.Bool
 	busy.Store(true)
-	require.NoError(t, Serve(address, http.NotFoundHandler(), WithPace(busy.Load)))
+	require.NoError(t, Serve(address, http.NotFoundHandler(), WithThrottle(busy.Load)))
 	client := http.Client{Timeout: 200 * time.Millisecond}
 	_, err = client.Get("http://" + address)
 	require.Error(t, err, "not accepted yet")
@@ -39,43 +39,41 @@
 	assert.NoError(t, response.Body.Close())
 }
 
-// After all members of 300 machines were killed, calls on open connections took
-// the time that an election needed (own copy, no leader for 30 s).
-func TestCallsWaitWhileTheProcessIsBusyButNotForEver(t *testing.T) {
+// Guards against requests on open connections starving a leader election of CPU time.
+func TestBusyProcessDelaysRequestsForLimitedTime(t *testing.T) {
 	var busy atomic.Bool
-	p := pace{isBusy: busy.Load}
+	p := throttle{isBusy: busy.Load}
 	handler := p.handler(http.NotFoundHandler())
 	serve := func() time.Duration {
 		begin := time.Now()
 		handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil))
 		return time.Since(begin)
 	}
-	assert.Less(t, serve(), longestWait/2)
+	assert.Less(t, serve(), maxBusyWait/2)
 	busy.Store(true)
 	time.AfterFunc(100*time.Millisecond, func() { busy.Store(false) })
 	took := serve()
 	assert.GreaterOrEqual(t, took, 100*time.Millisecond)
-	assert.Less(t, took, longestWait)
+	assert.Less(t, took, maxBusyWait)
 	busy.Store(true)
-	assert.GreaterOrEqual(t, serve(), longestWait)
+	assert.GreaterOrEqual(t, serve(), maxBusyWait)
 }
 
-// A machine that has changed is noticed at a SIGHUP, and a file that cannot be read then
-// changes nothing.
-func TestWhatChangesInTheSettingsIsPassedOn(t *testing.T) {
+// SIGHUP applies changed settings; a file that cannot be read leaves them as they are.
+func TestWatchReloadableAppliesChanges(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var mutex sync.Mutex
 	var reads atomic.Int64
-	known := Changeable{Seeds: []string{"10.0.0.1:1"}, Strength: strength.Resources{CPUShare: 0.1}}
+	known := ReloadableSettings{Seeds: []string{"10.0.0.1:1"}, Strength: strength.Resources{CPUShare: 0.1}}
 	var failure error
-	passed := make(chan Changeable, 10)
-	go WatchChangeable(ctx, eventlog.Discard(), Changeable{Seeds: known.Seeds}, func() (Changeable, error) {
+	passed := make(chan ReloadableSettings, 10)
+	go WatchReloadable(ctx, eventlog.Discard(), ReloadableSettings{Seeds: known.Seeds}, func() (ReloadableSettings, error) {
 		mutex.Lock()
 		defer mutex.Unlock()
 		reads.Add(1)
 		return known, failure
-	}, func(next Changeable) { passed <- next })
+	}, func(next ReloadableSettings) { passed <- next })
 	change := func(share float64, err error) {
 		mutex.Lock()
 		known.Strength.CPUShare, failure = share, err
@@ -85,7 +83,7 @@
 		require.Eventually(t, func() bool {
 			assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 			return reads.Load() >= enough
-		}, patience, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 	}
 	change(0.1, nil)
 	require.Len(t, passed, 1, "the file was changed while the process started")
