--- a/internal/edge/reports.go
+++ b/internal/edge/reports.go
@@ -80,7 +80,7 @@
 func witnessedTargets(silent []steer.SilentTarget) []registry.SilentTarget {
 	var targets []registry.SilentTarget
 	for _, target := range silent {
-		seen := registry.SilentTarget{Token: target.Token, Weight: target.Weight, UnreliableWeight: target.Doubtful}
+		seen := registry.SilentTarget{Token: target.Token, Weight: target.Weight, UnreliableWeight: target.UnreliableWeight}
 		targets = append(targets, seen.FromSingleNode())
 	}
 	return targets
--- a/internal/registry/messages.go
+++ b/internal/registry/messages.go
@@ -214,8 +214,8 @@
 	Weight uint32
 	// Nodes is the number of nodes that reported the target with a weight.
 	Nodes uint32
-	// UnreliableWeight is the weight reported by nodes that also lose data of their
-	// callers, and Reporters the number of nodes with any report.
+	// UnreliableWeight is the weight of evidence that may be due to a fault of the reporting
+	// node or its link, and Reporters the number of nodes with any report.
 	UnreliableWeight uint32
 	Reporters        uint32
 }
--- a/internal/registry/strengths_test.go
+++ b/internal/registry/strengths_test.go
@@ -45,12 +45,12 @@
 	return leader
 }
 
-// countStewards counts for how many targets each node is a steward.
-func countStewards(core *Core, targets int) map[uint32]int {
+// countAssignments counts the targets to which each node is assigned.
+func countAssignments(core *Core, targets int) map[uint32]int {
 	counts := map[uint32]int{}
 	for number := range targets {
-		for _, steward := range core.stewards(fmt.Sprint("i-", number), 3, 3) {
-			counts[steward]++
+		for _, node := range core.assignedNodes(fmt.Sprint("i-", number), 3, 3) {
+			counts[node]++
 		}
 	}
 	return counts
@@ -60,7 +60,7 @@
 	c := newCluster(t, 1, 3)
 	leader := leaderWithShares(c, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.045, 0.153, 0)
 	const targets = 2000
-	counts := countStewards(leader.core, targets)
+	counts := countAssignments(leader.core, targets)
 	strong := counts[directory.NodeKey("edge-7")]
 	weak := counts[directory.NodeKey("edge-0")]
 	assert.Greater(t, strong, 2*weak, "three are drawn without replacement, so the ratio is below that of the weights")
@@ -68,20 +68,20 @@
 }
 
 // A node whose strength drops must not take targets from other nodes.
-func TestStrengthChangeKeepsOtherStewards(t *testing.T) {
+func TestStrengthChangeKeepsOtherAssignedNodes(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := leaderWithShares(c, 0.1, 0.1, 0.1, 0.1, 0.1, 0.2)
 	own := directory.NodeKey("edge-5")
 	before := make([][]uint32, 300)
 	for number := range before {
-		before[number] = leader.core.stewards(fmt.Sprint("i-", number), 2, 2)
+		before[number] = leader.core.assignedNodes(fmt.Sprint("i-", number), 2, 2)
 	}
 	c.apply(leader, leader.core.UpdateStrength(6, strength.Resources{CPUShare: 0.15}))
 	for number := range before {
-		after := leader.core.stewards(fmt.Sprint("i-", number), 2, 2)
-		for _, steward := range before[number] {
-			if steward != own {
-				assert.Contains(t, after, steward, "a lower weight takes nothing from others")
+		after := leader.core.assignedNodes(fmt.Sprint("i-", number), 2, 2)
+		for _, node := range before[number] {
+			if node != own {
+				assert.Contains(t, after, node, "a lower weight takes nothing from others")
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 				assert.True(t, names[uint32(node.Seed)])
 				assert.Positive(t, node.Weight)
 			}
-			assert.Len(t, core.stewards("i-1", 3, 3), min(3, len(names)))
+			assert.Len(t, core.assignedNodes("i-1", 3, 3), min(3, len(names)))
 		}
 	})
 }
--- a/internal/registry/uploadsimulation_test.go
+++ b/internal/registry/uploadsimulation_test.go
@@ -166,7 +166,7 @@
 	evidence := node.core.Report(b.eventTime, livenessInterval)
 	message := Evidence{Answering: evidence.Answering, Openings: evidence.Openings}
 	for _, silent := range evidence.Silent {
-		target := SilentTarget{Token: silent.Token, Weight: silent.Weight, UnreliableWeight: silent.Doubtful}
+		target := SilentTarget{Token: silent.Token, Weight: silent.Weight, UnreliableWeight: silent.UnreliableWeight}
 		message.Silent = append(message.Silent, target.FromSingleNode())
 	}
 	if b.reportOutcomes {
--- a/internal/registry/warmup.go
+++ b/internal/registry/warmup.go
@@ -46,12 +46,12 @@
 type WarmupLimits struct{ Factor, Slack float64 }
 
 const (
-	// maxStewards is the number of nodes that share the budget of a target. Each takes 4
-	// bytes in the target's registration at each node.
-	maxStewards = 4
-	// maxZoneStewards is the same for the targets of a zone whose evacuation has ended.
+	// maxAssignedNodes is the maximum number of nodes that share the budget of a target. Each
+	// takes 4 bytes in the target's registration at each node.
+	maxAssignedNodes = 4
+	// maxZoneAssignedNodes is the same for the targets of a zone whose evacuation has ended.
 	// They are sent once for each service.
-	maxZoneStewards = 16
+	maxZoneAssignedNodes = 16
 	// minWarmupSweep is the smallest table size at which warm targets are removed.
 	minWarmupSweep = 256
 )
@@ -147,10 +147,10 @@
 	return update
 }
 
-// newWarmup returns the warm-up of a cold target with its budget and stewards.
+// newWarmup returns the warm-up of a cold target with its budget and assigned nodes.
 func (c *Core) newWarmup(target directory.Target) *directory.Warmup {
 	warmup := directory.Warmup{Remaining: target.Warmup.Remaining, Budget: c.budget(c.warmupConfig(target.Service))}
-	warmup.AssignedNodes = c.stewards(target.ID, warmup.Budget, maxStewards)
+	warmup.AssignedNodes = c.assignedNodes(target.ID, warmup.Budget, maxAssignedNodes)
 	return &warmup
 }
 
@@ -179,7 +179,7 @@
 			continue
 		}
 		warmup := directory.Warmup{Remaining: config.Time, Budget: c.budget(config)}
-		warmup.AssignedNodes = c.stewards(evacuation.Zone, warmup.Budget, maxZoneStewards)
+		warmup.AssignedNodes = c.assignedNodes(evacuation.Zone, warmup.Budget, maxZoneAssignedNodes)
 		evacuation.Warmups = append(evacuation.Warmups, directory.ServiceWarmup{Service: service, Warmup: warmup})
 	}
 	return evacuation
@@ -215,17 +215,17 @@
 	return uint32(max(1, min(bound, config.Rate)))
 }
 
-// stewards returns the nodes that share a budget: some of those that follow this member, so
-// that each has a share of at least one flow. The choice is stable for a key, and the
-// probability of a node is proportional to its weight.
-func (c *Core) stewards(key string, budget uint32, limit int) []uint32 {
+// assignedNodes returns the nodes that share a budget: some of those that follow this
+// member, so that each has a share of at least one flow. The choice is stable for a key, and
+// the probability of a node is proportional to its weight.
+func (c *Core) assignedNodes(key string, budget uint32, limit int) []uint32 {
 	if budget == 0 {
 		return nil
 	}
 	nodes := c.weightedNodes()
-	var stewards []uint32
+	var assigned []uint32
 	for _, position := range rendezvous.BestN(nodes, rendezvous.Hash(key), min(limit, int(budget))) {
-		stewards = append(stewards, uint32(nodes[position].Seed))
+		assigned = append(assigned, uint32(nodes[position].Seed))
 	}
-	return stewards
+	return assigned
 }
--- a/internal/registry/warmup_test.go
+++ b/internal/registry/warmup_test.go
@@ -54,7 +54,7 @@
 	return leader
 }
 
-func TestColdTargetHasStewardsUntilWarm(t *testing.T) {
+func TestColdTargetHasAssignedNodesUntilWarm(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	leader := leaderWithNodes(c, 10)
 	command := putTarget("i-1", "10.1.1.1:1", directory.TargetReady)
--- a/internal/steer/core.go
+++ b/internal/steer/core.go
@@ -148,14 +148,14 @@
 	// baselines hold the normal behavior of the exchanges of each route.
 	baselines map[netip.AddrPort]*routeBaseline
 	speeds    speedTracker
-	// linkDelayedUntil is until when evidence is doubtful after delays on this node's link.
+	// linkDelayedUntil is until when evidence is unreliable after delays on this node's link.
 	linkDelayedUntil kernel.Instant
 	members          []directory.Member
 	// evacuated are the zones whose targets get no new flows, evacuationRevisions the
 	// revisions of the latest order for each zone.
 	evacuated           map[string]bool
 	evacuationRevisions map[string]uint64
-	// nodeKey identifies this node among the stewards of a target, the nodes that share its
+	// nodeKey identifies this node among the assigned nodes of a target, which share its
 	// warm-up budget. This node uses its share from budgetFrom on.
 	nodeKey    uint32
 	budgetFrom kernel.Instant
--- a/internal/steer/ejection_test.go
+++ b/internal/steer/ejection_test.go
@@ -53,7 +53,8 @@
 	assert.Len(t, seen, 3)
 }
 
-// Doubtful targets are used before failing ones, and those before lost ones.
+// Suspected targets and those on probation are used before ejected ones, and those before
+// lost ones.
 func TestFallbackOrderWithoutHealthyTargets(t *testing.T) {
 	cases := []struct {
 		name     string
--- a/internal/steer/evidence.go
+++ b/internal/steer/evidence.go
@@ -23,8 +23,9 @@
 	// Weight is the strength of the evidence: it grows with the number of waiting flows and
 	// their retransmissions. In Evidence.Refused it is the number of opening packets.
 	Weight uint32
-	// Doubtful is the weight of evidence that may be due to a fault of this node or its link.
-	Doubtful uint32
+	// UnreliableWeight is the weight of evidence that may be due to a fault of this node or
+	// its link.
+	UnreliableWeight uint32
 }
 
 // Evidence is what a node has observed of the targets since its last report.
@@ -122,7 +123,7 @@
 	}
 	c.addUnansweredOpenings(now, weights)
 	if c.isUnreliableObserver(now) {
-		markDoubtful(weights)
+		markUnreliable(weights)
 	}
 	var list []SilentTarget
 	for entry, silent := range weights {
@@ -135,10 +136,10 @@
 	return list
 }
 
-// markDoubtful turns all weight into doubtful weight.
-func markDoubtful(weights map[*targetEntry]SilentTarget) {
+// markUnreliable turns all weight into unreliable weight.
+func markUnreliable(weights map[*targetEntry]SilentTarget) {
 	for entry, silent := range weights {
-		weights[entry] = SilentTarget{Doubtful: silent.Weight}
+		weights[entry] = SilentTarget{UnreliableWeight: silent.Weight}
 	}
 }
 
--- a/internal/steer/exchange.go
+++ b/internal/steer/exchange.go
@@ -24,7 +24,7 @@
 //     next request is not timed. A lost one-packet request looks slow, at all targets alike.
 //
 // Exchanges are ignored if a local cause is possible: no other exchange made progress
-// through this node meanwhile, the evidence is doubtful (isUnreliableObserver), the process
+// through this node meanwhile, the evidence is unreliable (isUnreliableObserver), the process
 // was stalled, or the node dropped or delayed packets. An exchange whose caller ends the flow
 // before progress and before the quiet time is not counted, since the caller may have canceled.
 // A flow that the node joins midway counts from its second request on, because stray
--- a/internal/steer/locallink.go
+++ b/internal/steer/locallink.go
@@ -11,10 +11,10 @@
 
 const (
 	// linkDelayThreshold is the delay of datagrams at this node's link above which evidence
-	// is doubtful. Callers retransmit after 200 ms, which also covers the round trip and
+	// is unreliable. Callers retransmit after 200 ms, which also covers the round trip and
 	// delayed acknowledgements.
 	linkDelayThreshold = 100 * time.Millisecond
-	// linkRecoveryTime is how long evidence stays doubtful: retransmissions caused by the
+	// linkRecoveryTime is how long evidence stays unreliable: retransmissions caused by the
 	// delay no longer count after that.
 	linkRecoveryTime = resentTwiceLifetime
 )
--- a/internal/steer/locallink_test.go
+++ b/internal/steer/locallink_test.go
@@ -51,7 +51,7 @@
 	assert.Empty(t, b.reportUntil(second, last).Silent, "the second retransmission does not extend the first")
 }
 
-func TestLinkDelayMakesEvidenceDoubtful(t *testing.T) {
+func TestLinkDelayMakesEvidenceUnreliable(t *testing.T) {
 	cases := []struct {
 		name  string
 		delay time.Duration
@@ -60,7 +60,7 @@
 	}{
 		{"no delay", 0, 0, SilentTarget{Weight: 1}},
 		{"delay below the threshold", linkDelayThreshold - time.Millisecond, 0, SilentTarget{Weight: 1}},
-		{"delay at the threshold", linkDelayThreshold, 0, SilentTarget{Doubtful: 1}},
+		{"delay at the threshold", linkDelayThreshold, 0, SilentTarget{UnreliableWeight: 1}},
 		{"recovered from a delay", linkDelayThreshold, -linkRecoveryTime, SilentTarget{Weight: 1}},
 	}
 	for _, test := range cases {
--- a/internal/steer/losstracker_test.go
+++ b/internal/steer/losstracker_test.go
@@ -9,7 +9,7 @@
 	"github.com/beamdoor/beamdoor/internal/directory"
 )
 
-func TestPacketLossMakesEvidenceDoubtful(t *testing.T) {
+func TestPacketLossMakesEvidenceUnreliable(t *testing.T) {
 	b := newBookingFixture(t)
 	target := b.target(start, "i-1", "booking", "north", "10.0.0.1:1", directory.TargetReady)
 	other := b.target(start, "i-2", "booking", "north", "10.0.0.2:1", directory.TargetReady)
@@ -22,7 +22,7 @@
 	b.core.Decide(now, flowData(1, target.Token, 10))
 	b.core.Report(start.Add(400*time.Millisecond), reportPeriod)
 	silent := b.core.Report(start.Add(500*time.Millisecond), reportPeriod).Silent
-	assert.Equal(t, []SilentTarget{{Token: target.Token, Doubtful: 1}}, silent)
+	assert.Equal(t, []SilentTarget{{Token: target.Token, UnreliableWeight: 1}}, silent)
 }
 
 func TestLossTrackerDecays(t *testing.T) {
--- a/internal/steer/probe.go
+++ b/internal/steer/probe.go
@@ -166,7 +166,7 @@
 }
 
 // mayActAlone reports whether this node may reset flows on its own evidence: the process was
-// not stalled recently, and its evidence is not doubtful.
+// not stalled recently, and its evidence is reliable.
 func (c *Core) mayActAlone(now kernel.Instant) bool {
 	return !now.Before(c.stalledUntil) && !c.isUnreliableObserver(now)
 }
--- a/internal/steer/warmup.go
+++ b/internal/steer/warmup.go
@@ -96,7 +96,7 @@
 }
 
 // endEvacuation starts the warm-up of the targets of a zone that takes flows again. Targets
-// registered after the end of the evacuation have a warm-up and stewards of their own.
+// registered after the end of the evacuation have a warm-up and assigned nodes of their own.
 func (c *Core) endEvacuation(now kernel.Instant, evacuation directory.Evacuation) {
 	for _, entry := range c.targets {
 		if entry.target.Zone != evacuation.Zone || entry.target.Revision > evacuation.Revision {
--- a/internal/steer/warmup_test.go
+++ b/internal/steer/warmup_test.go
@@ -73,7 +73,7 @@
 	b.warmingTarget(start, "i-3", "north", "10.0.0.3:1", directory.Warmup{
 		Remaining: time.Hour, Budget: 1, AssignedNodes: []uint32{directory.NodeKey("me")},
 	})
-	assert.Equal(t, ReasonCold, b.core.Decide(now, opening(4, 0)).Reason, "a node that is not a steward sends nothing")
+	assert.Equal(t, ReasonCold, b.core.Decide(now, opening(4, 0)).Reason, "a node that is not assigned sends nothing")
 }
 
 func TestZoneWarmsUpAfterEvacuation(t *testing.T) {
@@ -94,8 +94,8 @@
 }
 
 // A node that starts after the end of an evacuation must not use the zone's budget for a
-// target that has registered since and has stewards of its own.
-func TestTargetRegisteredAfterEvacuationKeepsItsStewards(t *testing.T) {
+// target that has registered since and has assigned nodes of its own.
+func TestTargetRegisteredAfterEvacuationKeepsItsAssignedNodes(t *testing.T) {
 	b := newBookingFixture(t)
 	b.core.nodeKey = directory.NodeKey("me")
 	b.setEvacuated(start, "north", true)
@@ -150,7 +150,7 @@
 	return New(settings)
 }
 
-// register registers a warming target with some of the nodes as its stewards.
+// register registers a warming target with some of the nodes assigned to it.
 func (r *warmupSimulation) register(position uint64) {
 	warmup := directory.Warmup{Remaining: warmupDuration, Budget: r.budget}
 	for _, number := range r.random.Perm(warmupNodes)[:min(int(r.budget), 4)] {
