--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,14 @@
 # beamdoor: build, test and run. See README.md.
 
-.PHONY: build demo demo-platform test check smoke sim bench drawn drawn-processes faults fuzz soak soak-program soak-regressions
+.PHONY: tools build demo demo-platform test check smoke sim bench drawn drawn-processes faults fuzz soak soak-program soak-regressions
 
 SEEDS ?= 1-50
 MINUTES ?= 3
 
+# Tools for contributors; the build does not need them.
+tools:
+	go install golang.org/x/tools/gopls@v0.23.0
+
 build:
 	go build -o bin/ ./cmd/...
 
